--- a/decide/fleet/capacity.go
+++ b/decide/fleet/capacity.go
@@ -1,9 +1,9 @@
 package fleet
 
-// strongShare is the part of the strongest VM's processor share from which a VM
+// minStrongShare is the part of the strongest VM's processor share from which a VM
 // counts as strong. Deployments mix sizes that differ several times over, so any
 // part between tells the same VMs apart.
-const strongShare = 0.5
+const minStrongShare = 0.5
 
 // Strong returns the VMs that bear much more than the others: those with at
 // least half of the largest processor share among vms, in their order. It
@@ -18,7 +18,7 @@
 	}
 	var strong []VM
 	for i := range vms {
-		if vms[i].Cores >= strongShare*most {
+		if vms[i].Cores >= minStrongShare*most {
 			strong = append(strong, vms[i])
 		}
 	}
--- a/decide/limit/adaptive.go
+++ b/decide/limit/adaptive.go
@@ -2,9 +2,9 @@
 
 // The steps of Adaptive.
 const (
-	shedFactor = 0.7  // kept of the limit after a refusal
-	slowFactor = 0.95 // kept of the limit after an answer that was far too slow
-	minLimit   = 1
+	refusedFactor = 0.7  // kept of the limit after a refusal
+	slowFactor    = 0.95 // kept of the limit after an answer that was far too slow
+	minLimit      = 1
 )
 
 // Adaptive is the number of requests a target can work on at once, as learnt
@@ -32,15 +32,15 @@
 	}
 	a.slots = slots
 	a.limit = min(a.limit, float64(slots))
-	a.warmed()
+	a.updateCold()
 }
 
 // Warming reports whether the limit is still below the slots because of a cold
 // start.
 func (a *Adaptive) Warming() bool { return a.cold }
 
-// warmed ends the cold start once all slots are in use.
-func (a *Adaptive) warmed() {
+// updateCold ends the cold start once all slots are in use.
+func (a *Adaptive) updateCold() {
 	if a.limit >= float64(a.slots) {
 		a.cold = false
 	}
@@ -55,14 +55,14 @@
 	if a.limit < float64(a.slots) {
 		a.limit = min(a.limit+1/max(a.limit, minLimit), float64(a.slots))
 	}
-	a.warmed()
+	a.updateCold()
 }
 
 // Slow records an answer that took much longer than the service's usual.
 func (a *Adaptive) Slow() { a.lower(slowFactor) }
 
 // Shed records a refusal for lack of capacity.
-func (a *Adaptive) Shed() { a.lower(shedFactor) }
+func (a *Adaptive) Shed() { a.lower(refusedFactor) }
 
 func (a *Adaptive) lower(factor float64) {
 	a.limit = min(max(a.limit*factor, minLimit), float64(a.slots))
--- a/decide/limit/borrow.go
+++ b/decide/limit/borrow.go
@@ -21,9 +21,9 @@
 // the report to the worst case (the others use all that is theirs) as the
 // report gets older.
 type Borrow struct {
-	report Report
-	until  clock.Time // no borrowing before
-	pause  time.Duration
+	report      Report
+	pausedUntil clock.Time // no borrowing before
+	pause       time.Duration
 }
 
 // The bounds of the pause after a refusal.
@@ -46,7 +46,7 @@
 // again and again, each refusal costing a round trip.
 func (b *Borrow) Shed(now clock.Time) {
 	b.pause = min(max(2*b.pause, minPause), maxPause)
-	b.until = now.Add(b.pause)
+	b.pausedUntil = now.Add(b.pause)
 }
 
 // Answered records that a borrowed slot was good, and shortens the next pause.
@@ -69,7 +69,7 @@
 
 // Slots returns how many slots beyond share may be used now.
 func (b *Borrow) Slots(now clock.Time, slots, share int, horizon time.Duration) int {
-	if now < b.until || share >= slots {
+	if now < b.pausedUntil || share >= slots {
 		return 0
 	}
 	free := float64(slots-share) - b.Others(now, slots, share, horizon)
--- a/decide/limit/limit_test.go
+++ b/decide/limit/limit_test.go
@@ -84,7 +84,7 @@
 // Sequence: 50 senders see the same report of 10 free slots.
 // Cause: each fills what it sees. The parts that the windows start with add up
 // to about the headroom.
-func TestWindowsTogether(t *testing.T) {
+func TestWindowsTogetherStayWithinHeadroom(t *testing.T) {
 	is := is.New(t)
 	rng := rand.New(rand.NewPCG(1, 2))
 	sum := 0.0
--- a/decide/limit/share.go
+++ b/decide/limit/share.go
@@ -14,11 +14,11 @@
 	if slots <= 0 || rank < 0 || rank >= count {
 		return 0
 	}
-	return below(first+slots, count, rank) - below(first, count, rank)
+	return slotsBelow(first+slots, count, rank) - slotsBelow(first, count, rank)
 }
 
-// below counts the positions under p that belong to rank.
-func below(p, count, rank int) int {
+// slotsBelow counts the positions under p that belong to rank.
+func slotsBelow(p, count, rank int) int {
 	n := p / count
 	if p%count > rank {
 		n++
--- a/decide/limit/window.go
+++ b/decide/limit/window.go
@@ -23,35 +23,35 @@
 // are answered and is halved by a refusal; and the headroom reported, less
 // with age, bounds it above.
 type Window struct {
-	size      float64
-	headroom  float64    // reported, times stretch
-	at        clock.Time // when the report was made
-	known     bool
-	included  int        // own forwards in flight when the report came in
-	until     clock.Time // nothing before, after a refusal
-	pause     time.Duration
-	reducedAt clock.Time // of the last refusal that counted
+	size             float64
+	headroom         float64    // reported, times stretch
+	reportedAt       clock.Time // when the report was made
+	known            bool
+	inFlightAtReport int        // own forwards in flight when the report came in
+	pausedUntil      clock.Time // nothing before, after a refusal
+	pause            time.Duration
+	reducedAt        clock.Time // of the last refusal that counted
 }
 
 // The bounds of the pause after a refusal.
 const (
-	minRefusalPause = 2 * time.Millisecond
-	maxRefusalPause = time.Second
-	leastHeadroom   = 0.5 // for which one forward may be tried
-	maxPauseTrips   = 16  // round trips that a pause lasts at most
-	nearTries       = 2   // forwards at once that may be tried near by, whatever the report says
+	minRefusalPause  = 2 * time.Millisecond
+	maxRefusalPause  = time.Second
+	minProbeHeadroom = 0.5 // for which one forward may be tried
+	maxPauseRTTs     = 16  // round trips that a pause lasts at most
+	nearProbes       = 2   // forwards at once that may be tried near by, whatever the report says
 )
 
 // Report records headroom stated at the instant at, with inFlight own
 // forwards in flight now and senders entry VMs that may forward there.
 func (w *Window) Report(headroom int, stretch float64, at clock.Time, inFlight, senders int, rng *rand.Rand) {
-	if w.known && at < w.at {
+	if w.known && at < w.reportedAt {
 		return
 	}
 	w.known = true
-	w.at = at
+	w.reportedAt = at
 	w.headroom = max(float64(headroom), 0) * max(stretch, 1)
-	w.included = inFlight
+	w.inFlightAtReport = inFlight
 	part := w.headroom / float64(max(senders, 1))
 	whole := float64(int(part))
 	if rng.Float64() < part-whole {
@@ -76,9 +76,9 @@
 	}
 	w.reducedAt = now
 	w.size /= 2
-	most := min(max(maxPauseTrips*rtt, minRefusalPause), maxRefusalPause)
+	most := min(max(maxPauseRTTs*rtt, minRefusalPause), maxRefusalPause)
 	w.pause = min(max(2*w.pause, rtt, minRefusalPause), most)
-	w.until = now.Add(w.pause)
+	w.pausedUntil = now.Add(w.pause)
 }
 
 // Room returns how many forwards may be added to the inFlight own ones. A
@@ -86,16 +86,16 @@
 // forwards may be tried whatever the report says, as a refusal costs next to
 // nothing.
 func (w *Window) Room(now clock.Time, inFlight int, horizon time.Duration, near bool) float64 {
-	if !w.known || now < w.until {
+	if !w.known || now < w.pausedUntil {
 		return 0
 	}
-	trust := 1 - float64(now.Sub(w.at))/float64(horizon)
+	trust := 1 - float64(now.Sub(w.reportedAt))/float64(horizon)
 	if trust <= 0 {
 		return 0
 	}
-	since := float64(max(inFlight-w.included, 0))
+	since := float64(max(inFlight-w.inFlightAtReport, 0))
 	room := min(w.size-float64(inFlight), w.headroom*trust-since)
-	if near && inFlight < nearTries || inFlight == 0 && w.headroom*trust >= leastHeadroom {
+	if near && inFlight < nearProbes || inFlight == 0 && w.headroom*trust >= minProbeHeadroom {
 		return max(room, 1)
 	}
 	return room
--- a/decide/load/load.go
+++ b/decide/load/load.go
@@ -63,8 +63,8 @@
 	return h
 }
 
-// entry is one service's figures as kept and summed.
-type entry struct {
+// serviceLoad is one service's figures as kept and summed.
+type serviceLoad struct {
 	service  uint32
 	inFlight uint32
 	queued   uint32
@@ -75,18 +75,18 @@
 	p99      uint8 // see bucketOf
 }
 
-// valuesPerEntry is the number of Row.Values for one service: in flight,
+// valuesPerService is the number of Row.Values for one service: in flight,
 // queued, slots, capacity, rate, errors in 1/10,000, latency bucket.
-const valuesPerEntry = 7
+const valuesPerService = 7
 
 // Row is the load of one place on the wire.
 type Row struct {
-	Place Place  `json:"place"`
-	Age   uint32 `json:"age"`  // ms since the oldest part was measured
-	Made  uint32 `json:"made"` // ms since it was summed up; of two rows the later made counts
-	// Has has bit i set if Values holds figures of Report.Services[i].
-	Has    uint64   `json:"has"`
-	Values []uint32 `json:"values"`
+	Place  Place  `json:"place"`
+	Age    uint32 `json:"age"`  // ms since the oldest part was measured
+	SumAge uint32 `json:"made"` // ms since it was summed up; of two rows the later made counts
+	// ServiceBits has bit i set if Values holds figures of Report.Services[i].
+	ServiceBits uint64   `json:"has"`
+	Values      []uint32 `json:"values"`
 }
 
 // Report is a message between entry VMs. Naming the services once, and not
@@ -113,8 +113,8 @@
 
 // Bounds of a report.
 const (
-	MaxRows    = 64
-	MaxEntries = 64 // services
+	MaxRows     = 64
+	MaxServices = 64 // services
 )
 
 // ErrBounds is the cause of every refusal by Validate.
@@ -128,30 +128,30 @@
 	if len(r.Rows) > MaxRows {
 		return fmt.Errorf("%w: %d rows", ErrBounds, len(r.Rows))
 	}
-	if len(r.Services) > MaxEntries {
+	if len(r.Services) > MaxServices {
 		return fmt.Errorf("%w: %d services", ErrBounds, len(r.Services))
 	}
 	for i := range r.Rows {
 		row := &r.Rows[i]
-		if bits.Len64(row.Has) > len(r.Services) {
+		if bits.Len64(row.ServiceBits) > len(r.Services) {
 			return fmt.Errorf("%w: row of services not named", ErrBounds)
 		}
-		if len(row.Values) != valuesPerEntry*bits.OnesCount64(row.Has) {
+		if len(row.Values) != valuesPerService*bits.OnesCount64(row.ServiceBits) {
 			return fmt.Errorf("%w: row of %d values", ErrBounds, len(row.Values))
 		}
 	}
 	return nil
 }
 
-// entries reads a row of a valid report, in order of service.
-func (r *Report) entries(row *Row) []entry {
-	out := make([]entry, 0, bits.OnesCount64(row.Has))
+// serviceLoads reads a row of a valid report, in order of service.
+func (r *Report) serviceLoads(row *Row) []serviceLoad {
+	out := make([]serviceLoad, 0, bits.OnesCount64(row.ServiceBits))
 	v := row.Values
 	for i, service := range r.Services {
-		if row.Has&(1<<i) == 0 {
+		if row.ServiceBits&(1<<i) == 0 {
 			continue
 		}
-		out = append(out, entry{
+		out = append(out, serviceLoad{
 			service:  service,
 			inFlight: v[0],
 			queued:   v[1],
@@ -161,34 +161,34 @@
 			errors:   uint16(min(v[5], math.MaxUint16)),
 			p99:      uint8(min(v[6], math.MaxUint8)),
 		})
-		v = v[valuesPerEntry:]
+		v = v[valuesPerService:]
 	}
-	slices.SortFunc(out, compareEntries)
+	slices.SortFunc(out, compareServices)
 	return out
 }
 
-// add appends a row.
-func (r *Report) add(row Row, entries []entry) {
+// addRow appends a row.
+func (r *Report) addRow(row Row, entries []serviceLoad) {
 	for i := range entries {
-		r.service(entries[i].service)
+		r.addService(entries[i].service)
 	}
 	// Values follow the order of Services.
 	for i, service := range r.Services {
-		at, ok := slices.BinarySearchFunc(entries, entry{service: service}, compareEntries)
+		at, ok := slices.BinarySearchFunc(entries, serviceLoad{service: service}, compareServices)
 		if !ok {
 			continue
 		}
 		e := &entries[at]
-		row.Has |= 1 << i
+		row.ServiceBits |= 1 << i
 		row.Values = append(row.Values, e.inFlight, e.queued, e.slots, e.capacity,
 			e.rate, uint32(e.errors), uint32(e.p99))
 	}
 	r.Rows = append(r.Rows, row)
 }
 
-// service makes sure that a service is named, as far as the bound allows.
-func (r *Report) service(key uint32) {
-	if !slices.Contains(r.Services, key) && len(r.Services) < MaxEntries {
+// addService makes sure that a service is named, as far as the bound allows.
+func (r *Report) addService(key uint32) {
+	if !slices.Contains(r.Services, key) && len(r.Services) < MaxServices {
 		r.Services = append(r.Services, key)
 	}
 }
@@ -208,8 +208,8 @@
 	return uint8(min(max(b, 1), math.MaxUint8))
 }
 
-// upperOf returns the upper bound of a bucket.
-func upperOf(b uint8) time.Duration {
+// bucketUpper returns the upper bound of a bucket.
+func bucketUpper(b uint8) time.Duration {
 	if b == 0 {
 		return 0
 	}
@@ -222,23 +222,23 @@
 
 // add sums two entries of one service. Latencies can't be added; the worse
 // one counts.
-func (e *entry) add(o *entry) {
+func (e *serviceLoad) add(o *serviceLoad) {
 	answers := uint64(e.rate) + uint64(o.rate)
 	failed := uint64(e.rate)*uint64(e.errors) + uint64(o.rate)*uint64(o.errors)
 	e.errors = max(e.errors, o.errors)
 	if answers > 0 {
 		e.errors = uint16(failed / answers)
 	}
-	e.inFlight = addSat(e.inFlight, o.inFlight)
-	e.queued = addSat(e.queued, o.queued)
-	e.slots = addSat(e.slots, o.slots)
-	e.capacity = addSat(e.capacity, o.capacity)
-	e.rate = addSat(e.rate, o.rate)
+	e.inFlight = addSaturating(e.inFlight, o.inFlight)
+	e.queued = addSaturating(e.queued, o.queued)
+	e.slots = addSaturating(e.slots, o.slots)
+	e.capacity = addSaturating(e.capacity, o.capacity)
+	e.rate = addSaturating(e.rate, o.rate)
 	e.p99 = max(e.p99, o.p99)
 }
 
-func addSat(a, b uint32) uint32 {
+func addSaturating(a, b uint32) uint32 {
 	return uint32(min(uint64(a)+uint64(b), math.MaxUint32))
 }
 
-func compareEntries(a, b entry) int { return cmp.Compare(a.service, b.service) }
+func compareServices(a, b serviceLoad) int { return cmp.Compare(a.service, b.service) }
--- a/decide/load/load_test.go
+++ b/decide/load/load_test.go
@@ -31,8 +31,8 @@
 var domains = []load.DomainOf{{Region: "attiki", Domain: "attiki-1"}, {Region: "attiki", Domain: "attiki-2"},
 	{Region: "kriti", Domain: "kriti-1"}}
 
-// pass hands what from attaches for a scope to another VM, delay later.
-func pass(t *testing.T, now clock.Time, from *load.State, id fleet.VMID, scope load.Scope, to *load.State) {
+// sendReport hands what from attaches for a scope to another VM, delay later.
+func sendReport(t *testing.T, now clock.Time, from *load.State, id fleet.VMID, scope load.Scope, to *load.State) {
 	t.Helper()
 	r := from.Attach(now, scope)
 	if r == nil {
@@ -44,10 +44,10 @@
 	to.Step(now, &load.Received{From: id, Report: r})
 }
 
-// TestFigureTravels follows figures from two VMs to a representative, to
+// TestFigureReachesOtherRegion follows figures from two VMs to a representative, to
 // another domain, another region, and down to a VM there, and holds the age
 // at each place to the true time since the measurement.
-func TestFigureTravels(t *testing.T) {
+func TestFigureReachesOtherRegion(t *testing.T) {
 	is := is.New(t)
 	rep := load.New(vm("a1", "attiki", "attiki-1"), load.Options{})
 	rep.Step(epoch, &load.Fleet{Representative: true, Group: []fleet.VMID{"a1", "a2"}, Domains: domains})
@@ -59,7 +59,7 @@
 	other.Step(epoch, sample(4))
 	rep.Step(epoch.Add(time.Second), sample(3))
 	at := epoch.Add(2 * time.Second)
-	pass(t, at, other, "a2", load.ScopeOwn, rep)
+	sendReport(t, at, other, "a2", load.ScopeOwn, rep)
 	f, ok := rep.Domain(at, service, "attiki-1")
 	is.True(ok)
 	is.Equal(f.InFlight, uint32(7))
@@ -70,9 +70,9 @@
 	is.Equal(f.Age, 2*time.Second+load.DefaultTransit) // of the older part
 
 	at = epoch.Add(3 * time.Second)
-	pass(t, at, rep, "a1", load.ScopeFar, far)
+	sendReport(t, at, rep, "a1", load.ScopeFar, far)
 	at = epoch.Add(5 * time.Second)
-	pass(t, at, far, "k1", load.ScopeMember, last)
+	sendReport(t, at, far, "k1", load.ScopeMember, last)
 	at = epoch.Add(6 * time.Second)
 	for _, get := range []func() (load.Figure, bool){
 		func() (load.Figure, bool) { return last.Region(at, service, "attiki") },
@@ -121,7 +121,7 @@
 	fresh := src.Attach(epoch.Add(time.Second), load.ScopeFar)
 	s.Step(epoch.Add(time.Second), &load.Received{From: "k1", Report: fresh})
 	old.Rows[0].Age += 1100 // it waited on the way
-	old.Rows[0].Made += 1100
+	old.Rows[0].SumAge += 1100
 	s.Step(epoch.Add(1100*time.Millisecond), &load.Received{From: "k1", Report: old})
 	f, ok := s.Region(epoch.Add(1100*time.Millisecond), service, "kriti")
 	is.True(ok)
@@ -144,18 +144,18 @@
 	for _, s := range []*load.State{first, second, member} {
 		s.Step(epoch, sample(5))
 	}
-	pass(t, epoch, member, "a3", load.ScopeOwn, first)
-	pass(t, epoch, member, "a3", load.ScopeOwn, second) // not its collector: ignored
+	sendReport(t, epoch, member, "a3", load.ScopeOwn, first)
+	sendReport(t, epoch, member, "a3", load.ScopeOwn, second) // not its collector: ignored
 	at := epoch.Add(100 * time.Millisecond)
-	pass(t, at, second, "a2", load.ScopePeer, first)
+	sendReport(t, at, second, "a2", load.ScopePeer, first)
 	f, _ := first.Domain(at, service, "attiki-1")
 	is.Equal(f.InFlight, uint32(15))
 
 	group(first, "a1", "a2")
 	group(second, "a2", "a1", "a3")
-	pass(t, at, member, "a3", load.ScopeOwn, second)
+	sendReport(t, at, member, "a3", load.ScopeOwn, second)
 	at = epoch.Add(200 * time.Millisecond)
-	pass(t, at, second, "a2", load.ScopePeer, first)
+	sendReport(t, at, second, "a2", load.ScopePeer, first)
 	f, _ = first.Domain(at, service, "attiki-1")
 	is.Equal(f.InFlight, uint32(15))
 }
@@ -172,7 +172,7 @@
 		src := load.New(vm("x", d.Region, d.Domain), load.Options{})
 		src.Step(epoch, &load.Fleet{Representative: true, Domains: many})
 		src.Step(epoch, sample(1))
-		pass(t, epoch, src, "x", load.ScopeFar, s)
+		sendReport(t, epoch, src, "x", load.ScopeFar, s)
 	}
 	seen := make(map[load.Place]bool)
 	for range 10 {
@@ -191,7 +191,7 @@
 // then. Sequence: their figures come in turns, and each expires before its
 // next turn. Cause: one age limit for figures that come each second and for
 // those that come each minute.
-func TestFarFiguresOutliveTheirTurns(t *testing.T) {
+func TestFarFiguresOutliveTheirRotation(t *testing.T) {
 	is := is.New(t)
 	many := append([]load.DomainOf(nil), domains...)
 	for i := range 20 {
@@ -206,7 +206,7 @@
 		src.Step(epoch, sample(1))
 		s := load.New(vm("a1", "attiki", "attiki-1"), load.Options{})
 		s.Step(epoch, &load.Fleet{Domains: c.fleet})
-		pass(t, epoch, src, "k1", load.ScopeFar, s)
+		sendReport(t, epoch, src, "k1", load.ScopeFar, s)
 		limit := c.limit - load.DefaultTransit
 		_, ok := s.Region(epoch.Add(limit), service, "kriti")
 		is.True(ok)
@@ -221,9 +221,9 @@
 		{},
 		{Scope: 99},
 		{Scope: load.ScopeOwn, Rows: make([]load.Row, load.MaxRows+1)},
-		{Scope: load.ScopeOwn, Services: make([]uint32, load.MaxEntries+1)},
-		{Scope: load.ScopeOwn, Services: []uint32{1}, Rows: []load.Row{{Has: 2, Values: make([]uint32, 7)}}},
-		{Scope: load.ScopeOwn, Services: []uint32{1}, Rows: []load.Row{{Has: 1, Values: make([]uint32, 6)}}},
+		{Scope: load.ScopeOwn, Services: make([]uint32, load.MaxServices+1)},
+		{Scope: load.ScopeOwn, Services: []uint32{1}, Rows: []load.Row{{ServiceBits: 2, Values: make([]uint32, 7)}}},
+		{Scope: load.ScopeOwn, Services: []uint32{1}, Rows: []load.Row{{ServiceBits: 1, Values: make([]uint32, 6)}}},
 	} {
 		is.True(errors.Is(r.Validate(), load.ErrBounds))
 	}
@@ -242,7 +242,7 @@
 // Symptom: the load of a domain stays unknown. Sequence: over its life a
 // process has received figures of as many places as it keeps, most of them
 // gone; a new domain reports. Cause: expired figures take its place.
-func TestExpiredPlacesMakeRoom(t *testing.T) {
+func TestExpiredPlacesAreReplaced(t *testing.T) {
 	is := is.New(t)
 	s := load.New(vm("a1", "attiki", "attiki-1"), load.Options{})
 	s.Step(epoch, &load.Fleet{Domains: domains})
@@ -259,7 +259,7 @@
 	k.Step(epoch, &load.Fleet{Representative: true, Group: []fleet.VMID{"k1"}, Domains: domains})
 	later := epoch.Add(2 * load.DefaultExpireFar)
 	k.Step(later, sample(4))
-	pass(t, later, k, "k1", load.ScopeFar, s)
+	sendReport(t, later, k, "k1", load.ScopeFar, s)
 	f, ok := s.Domain(later, service, "kriti-1")
 	is.True(ok)
 	is.Equal(f.InFlight, uint32(4))
--- a/decide/load/report.go
+++ b/decide/load/report.go
@@ -18,19 +18,19 @@
 		r.addAggregate(now, 0, &sum, ok)
 	case ScopeMember:
 		s.addDomain(now, r)
-		s.addNear(now, r)
-		s.addWanted(now, r)
-		s.addRotating(now, r, memberRows, func(p *placeLoad) bool { return !s.nearby(p.place) })
+		s.addNearDomains(now, r)
+		s.addInterest(now, r)
+		s.addRotating(now, r, maxMemberRows, func(p *placeLoad) bool { return !s.isNearby(p.place) })
 	case ScopePeer:
 		sum, ok := s.groupSum(now)
 		r.addAggregate(now, 0, &sum, ok)
 		if ok {
-			s.addRotating(now, r, peerRows, func(p *placeLoad) bool { return now.Sub(p.direct) < peerFor })
+			s.addRotating(now, r, maxPeerRows, func(p *placeLoad) bool { return now.Sub(p.receivedAt) < peerForwardTime })
 		}
 	case ScopeRegion:
 		s.addDomain(now, r)
-		s.addWanted(now, r)
-		s.addRotating(now, r, regionRows, func(p *placeLoad) bool { return !s.nearby(p.place) })
+		s.addInterest(now, r)
+		s.addRotating(now, r, maxRegionRows, func(p *placeLoad) bool { return !s.isNearby(p.place) })
 	case ScopeFar:
 		s.addRegion(now, r)
 	}
@@ -44,7 +44,7 @@
 	if !ok || len(r.Rows) >= MaxRows {
 		return
 	}
-	r.add(Row{Place: place, Age: ageOf(now, p.at), Made: ageOf(now, p.made)}, p.entries)
+	r.addRow(Row{Place: place, Age: ageOf(now, p.measuredAt), SumAge: ageOf(now, p.summedAt)}, p.services)
 }
 
 // ageOf rounds up, so that an age is never understated.
@@ -58,15 +58,15 @@
 	r.addAggregate(now, s.domain, &sum, ok)
 }
 
-func (s *State) addNear(now clock.Time, r *Report) {
-	for _, p := range s.near {
+func (s *State) addNearDomains(now clock.Time, r *Report) {
+	for _, p := range s.nearDomains {
 		sum, ok := s.loadOf(now, p)
 		r.addAggregate(now, p, &sum, ok)
 	}
 }
 
-func (s *State) addWanted(now clock.Time, r *Report) {
-	for _, p := range s.wanted {
+func (s *State) addInterest(now clock.Time, r *Report) {
+	for _, p := range s.interest {
 		sum, ok := s.loadOf(now, p)
 		r.addAggregate(now, p, &sum, ok)
 	}
@@ -79,27 +79,27 @@
 	r.addAggregate(now, PlaceOfRegion(s.region), &sum, ok)
 	if s.small {
 		s.addDomain(now, r)
-		s.addNear(now, r)
+		s.addNearDomains(now, r)
 	}
 }
 
-func (s *State) nearby(p Place) bool {
-	_, ok := slices.BinarySearch(s.near, p)
+func (s *State) isNearby(p Place) bool {
+	_, ok := slices.BinarySearch(s.nearDomains, p)
 	return ok || p == s.domain
 }
 
 // addRotating adds up to n of the places that want accepts, round-robin over
 // the reports of this scope.
 func (s *State) addRotating(now clock.Time, r *Report, n int, want func(*placeLoad) bool) {
-	from := s.turn[r.Scope]
+	from := s.nextRow[r.Scope]
 	for i := range s.places {
 		at := (from + i) % len(s.places)
 		p := &s.places[at]
-		if !want(p) || !s.freshPlace(now, p) {
+		if !want(p) || !s.isPlaceFresh(now, p) {
 			continue
 		}
 		if n == 0 {
-			s.turn[r.Scope] = at
+			s.nextRow[r.Scope] = at
 			return
 		}
 		n--
--- a/decide/load/state.go
+++ b/decide/load/state.go
@@ -10,27 +10,27 @@
 )
 
 const (
-	// smallFleet is the number of domains up to which other regions' domains
+	// maxSmallFleet is the number of domains up to which other regions' domains
 	// are reported one by one. Above it they are reported as one sum a region.
-	smallFleet = 16
-	// memberRows bounds the rows of places outside the region that one
+	maxSmallFleet = 16
+	// maxMemberRows bounds the rows of places outside the region that one
 	// answer to a VM carries; they take turns.
-	memberRows = 2
-	// peerRows and regionRows bound the rows forwarded between
+	maxMemberRows = 2
+	// maxPeerRows and regionRows bound the rows forwarded between
 	// representatives of the domain, and of the region.
-	peerRows   = 6
-	regionRows = 1
-	// peerFor is how long a representative forwards to the others what it
+	maxPeerRows   = 6
+	maxRegionRows = 1
+	// peerForwardTime is how long a representative forwards to the others what it
 	// received itself: somewhat longer than the time between two exchanges.
-	peerFor = 6 * time.Second
+	peerForwardTime = 6 * time.Second
 )
 
 // aggregate holds figures with the instant at which the oldest of them was
 // measured, and that at which they were summed up.
 type aggregate struct {
-	at      clock.Time
-	made    clock.Time
-	entries []entry // in order of service
+	measuredAt clock.Time
+	summedAt   clock.Time
+	services   []serviceLoad // in order of service
 }
 
 type vmLoad struct {
@@ -41,32 +41,32 @@
 type placeLoad struct {
 	place Place
 	aggregate
-	direct clock.Time // when it came from outside the domain, so that other members lack it
+	receivedAt clock.Time // when it came from outside the domain, so that other members lack it
 }
 
 // State is the load as one entry VM knows it. It isn't safe for concurrent
 // use.
 type State struct {
-	o      Options
+	opts   Options
 	id     fleet.VMID
 	region fleet.Region
 	domain Place
 	own    aggregate
 
-	rep    bool
-	small  bool
-	group  []vmLoad    // of VMs that this one collects from, in order of id
-	peers  []vmLoad    // sums of the other representatives' groups, in order of id
-	places []placeLoad // in order of place
-	wanted []Place     // regions of interest
-	near   []Place     // domains of the region other than the own one, in order
-	turn   [ScopeFar + 1]int
+	representative bool
+	small          bool
+	group          []vmLoad    // of VMs that this one collects from, in order of id
+	peers          []vmLoad    // sums of the other representatives' groups, in order of id
+	places         []placeLoad // in order of place
+	interest       []Place     // regions of interest
+	nearDomains    []Place     // domains of the region other than the own one, in order
+	nextRow        [ScopeFar + 1]int
 }
 
 // New returns the state of the entry VM self.
 func New(self fleet.VM, o Options) *State {
 	return &State{
-		o:      o.withDefaults(),
+		opts:   o.withDefaults(),
 		id:     self.ID,
 		region: self.Region,
 		domain: PlaceOfDomain(self.Domain),
@@ -81,14 +81,14 @@
 	case *Received:
 		s.received(now, e)
 	case *Fleet:
-		s.fleet(e)
+		s.setFleet(e)
 	}
 }
 
 func (s *State) measured(now clock.Time, samples []Sample) {
-	s.own = aggregate{at: now, made: now}
-	for _, m := range samples[:min(len(samples), MaxEntries)] {
-		s.own.entries = append(s.own.entries, entry{
+	s.own = aggregate{measuredAt: now, summedAt: now}
+	for _, m := range samples[:min(len(samples), MaxServices)] {
+		s.own.services = append(s.own.services, serviceLoad{
 			service:  serviceKey(m.Service),
 			inFlight: m.InFlight,
 			queued:   m.Queued,
@@ -99,31 +99,31 @@
 			p99:      bucketOf(m.P99),
 		})
 	}
-	slices.SortFunc(s.own.entries, compareEntries)
+	slices.SortFunc(s.own.services, compareServices)
 }
 
 func serviceKey(n fleet.ServiceName) uint32 { return hash("service:", string(n)) }
 
-// fleet drops the figures of VMs that no longer count: a VM that moved to
+// setFleet drops the figures of VMs that no longer count: a VM that moved to
 // another representative would be counted twice.
-func (s *State) fleet(f *Fleet) {
-	s.rep = f.Representative
-	s.small = len(f.Domains) <= smallFleet
+func (s *State) setFleet(f *Fleet) {
+	s.representative = f.Representative
+	s.small = len(f.Domains) <= maxSmallFleet
 	s.group = slices.DeleteFunc(s.group, func(v vmLoad) bool { return !slices.Contains(f.Group, v.id) })
 	s.peers = slices.DeleteFunc(s.peers, func(v vmLoad) bool { return !slices.Contains(f.Peers, v.id) })
 	for _, id := range f.Group {
-		s.admit(id)
+		s.addToGroup(id)
 	}
-	s.near = s.near[:0]
+	s.nearDomains = s.nearDomains[:0]
 	for _, d := range f.Domains {
 		if p := PlaceOfDomain(d.Domain); d.Region == s.region && p != s.domain {
-			s.near = append(s.near, p)
+			s.nearDomains = append(s.nearDomains, p)
 		}
 	}
-	slices.Sort(s.near)
-	s.wanted = s.wanted[:0]
+	slices.Sort(s.nearDomains)
+	s.interest = s.interest[:0]
 	for _, r := range f.Interest {
-		s.wanted = append(s.wanted, PlaceOfRegion(r))
+		s.interest = append(s.interest, PlaceOfRegion(r))
 	}
 }
 
@@ -133,9 +133,9 @@
 	})
 }
 
-// admit makes room for the figures of a VM of the group; its figures stay
+// addToGroup makes room for the figures of a VM of the group; its figures stay
 // unknown until it reports.
-func (s *State) admit(id fleet.VMID) {
+func (s *State) addToGroup(id fleet.VMID) {
 	if id == s.id {
 		return
 	}
@@ -149,38 +149,38 @@
 	for i := range e.Report.Rows {
 		row := &e.Report.Rows[i]
 		p := aggregate{
-			at:      s.instant(now, row.Age),
-			made:    s.instant(now, row.Made),
-			entries: e.Report.entries(row),
+			measuredAt: s.toInstant(now, row.Age),
+			summedAt:   s.toInstant(now, row.SumAge),
+			services:   e.Report.serviceLoads(row),
 		}
 		switch {
 		case e.Report.Scope == ScopeOwn && i == 0:
-			s.keepGroup(e.From, p)
+			s.storeGroupReport(e.From, p)
 		case e.Report.Scope == ScopePeer && i == 0:
-			s.keepPeer(e.From, p)
+			s.storePeerSum(e.From, p)
 		default:
-			s.keepPlace(now, row.Place, p, e.Report.Scope)
+			s.storePlace(now, row.Place, p, e.Report.Scope)
 		}
 	}
 }
 
-// instant converts a received age to an instant on the own clock.
-func (s *State) instant(now clock.Time, ms uint32) clock.Time {
-	return now.Add(-time.Duration(ms)*time.Millisecond - s.o.Transit)
+// toInstant converts a received age to an instant on the own clock.
+func (s *State) toInstant(now clock.Time, ms uint32) clock.Time {
+	return now.Add(-time.Duration(ms)*time.Millisecond - s.opts.Transit)
 }
 
-func (s *State) keepGroup(id fleet.VMID, p aggregate) {
-	if at, ok := findVM(s.group, id); ok && p.made > s.group[at].made {
+func (s *State) storeGroupReport(id fleet.VMID, p aggregate) {
+	if at, ok := findVM(s.group, id); ok && p.summedAt > s.group[at].summedAt {
 		s.group[at].aggregate = p
 	}
 }
 
-func (s *State) keepPeer(id fleet.VMID, p aggregate) {
+func (s *State) storePeerSum(id fleet.VMID, p aggregate) {
 	at, ok := findVM(s.peers, id)
 	if !ok {
 		s.peers = slices.Insert(s.peers, at, vmLoad{id: id})
 	}
-	if p.made > s.peers[at].made {
+	if p.summedAt > s.peers[at].summedAt {
 		s.peers[at].aggregate = p
 	}
 }
@@ -194,8 +194,8 @@
 // maxPlaces bounds what peers can make this VM keep: all domains and regions.
 const maxPlaces = 512
 
-func (s *State) keepPlace(now clock.Time, place Place, p aggregate, scope Scope) {
-	if s.rep && place == s.domain {
+func (s *State) storePlace(now clock.Time, place Place, p aggregate, scope Scope) {
+	if s.representative && place == s.domain {
 		return // the sum made here is fresher than a forwarded copy of it
 	}
 	at, ok := s.findPlace(place)
@@ -204,12 +204,12 @@
 			return
 		}
 	}
-	if p.made <= s.places[at].made {
+	if p.summedAt <= s.places[at].summedAt {
 		return
 	}
 	s.places[at] = placeLoad{place: place, aggregate: p}
 	if scope == ScopeRegion || scope == ScopeFar {
-		s.places[at].direct = now
+		s.places[at].receivedAt = now
 	}
 }
 
@@ -230,35 +230,35 @@
 // domains would fill a long-lived process, and the load of new ones would stay
 // unknown.
 func (s *State) dropExpired(now clock.Time) {
-	s.places = slices.DeleteFunc(s.places, func(p placeLoad) bool { return !s.freshPlace(now, &p) })
+	s.places = slices.DeleteFunc(s.places, func(p placeLoad) bool { return !s.isPlaceFresh(now, &p) })
 }
 
-func (s *State) fresh(now clock.Time, p *aggregate) bool {
-	return p.at != 0 && now.Sub(p.at) <= s.o.Expire
+func (s *State) isFresh(now clock.Time, p *aggregate) bool {
+	return p.measuredAt != 0 && now.Sub(p.measuredAt) <= s.opts.Expire
 }
 
 // sum adds up the parts that are known. It reports false if none is.
 func (s *State) sum(now clock.Time, parts ...*aggregate) (aggregate, bool) {
-	total := aggregate{at: clock.Never, made: now}
+	total := aggregate{measuredAt: clock.Never, summedAt: now}
 	for _, p := range parts {
-		if !s.fresh(now, p) {
+		if !s.isFresh(now, p) {
 			continue
 		}
-		total.at = clock.Min(total.at, p.at)
-		for i := range p.entries {
-			total.add(&p.entries[i])
+		total.measuredAt = clock.Min(total.measuredAt, p.measuredAt)
+		for i := range p.services {
+			total.add(&p.services[i])
 		}
 	}
-	return total, total.at != clock.Never
+	return total, total.measuredAt != clock.Never
 }
 
-func (p *aggregate) add(e *entry) {
-	at, ok := slices.BinarySearchFunc(p.entries, *e, compareEntries)
+func (p *aggregate) add(e *serviceLoad) {
+	at, ok := slices.BinarySearchFunc(p.services, *e, compareServices)
 	if ok {
-		p.entries[at].add(e)
+		p.services[at].add(e)
 		return
 	}
-	p.entries = slices.Insert(p.entries, at, *e)
+	p.services = slices.Insert(p.services, at, *e)
 }
 
 // groupSum is the load of this VM and of those that it collects from.
@@ -273,7 +273,7 @@
 // domainSum is the load of the own domain: computed by a representative,
 // otherwise as reported by one.
 func (s *State) domainSum(now clock.Time) (aggregate, bool) {
-	if !s.rep {
+	if !s.representative {
 		return s.loadOf(now, s.domain)
 	}
 	own, ok := s.groupSum(now)
@@ -290,17 +290,17 @@
 // loadOf returns what is known of a place, unless it has expired.
 func (s *State) loadOf(now clock.Time, p Place) (aggregate, bool) {
 	at, ok := s.findPlace(p)
-	if !ok || !s.freshPlace(now, &s.places[at]) {
+	if !ok || !s.isPlaceFresh(now, &s.places[at]) {
 		return aggregate{}, false
 	}
 	return s.places[at].aggregate, true
 }
 
-func (s *State) freshPlace(now clock.Time, p *placeLoad) bool {
-	if s.small || s.nearby(p.place) {
-		return s.fresh(now, &p.aggregate)
+func (s *State) isPlaceFresh(now clock.Time, p *placeLoad) bool {
+	if s.small || s.isNearby(p.place) {
+		return s.isFresh(now, &p.aggregate)
 	}
-	return p.at != 0 && now.Sub(p.at) <= s.o.ExpireFar
+	return p.measuredAt != 0 && now.Sub(p.measuredAt) <= s.opts.ExpireFar
 }
 
 // regionSum is the load of the own region's known domains.
@@ -310,7 +310,7 @@
 		own = aggregate{}
 	}
 	parts := []*aggregate{&own}
-	for _, p := range s.near {
+	for _, p := range s.nearDomains {
 		if at, ok := s.findPlace(p); ok {
 			parts = append(parts, &s.places[at].aggregate)
 		}
@@ -324,31 +324,31 @@
 	p := PlaceOfDomain(d)
 	if p == s.domain {
 		sum, ok := s.domainSum(now)
-		return figure(now, &sum, ok, n)
+		return figureOf(now, &sum, ok, n)
 	}
 	sum, ok := s.loadOf(now, p)
-	return figure(now, &sum, ok, n)
+	return figureOf(now, &sum, ok, n)
 }
 
 // Region returns the load of a service in a region, like Domain.
 func (s *State) Region(now clock.Time, n fleet.ServiceName, r fleet.Region) (Figure, bool) {
 	if r == s.region {
 		sum, ok := s.regionSum(now)
-		return figure(now, &sum, ok, n)
+		return figureOf(now, &sum, ok, n)
 	}
 	sum, ok := s.loadOf(now, PlaceOfRegion(r))
-	return figure(now, &sum, ok, n)
+	return figureOf(now, &sum, ok, n)
 }
 
-func figure(now clock.Time, p *aggregate, ok bool, n fleet.ServiceName) (Figure, bool) {
+func figureOf(now clock.Time, p *aggregate, ok bool, n fleet.ServiceName) (Figure, bool) {
 	if !ok {
 		return Figure{}, false
 	}
-	at, ok := slices.BinarySearchFunc(p.entries, entry{service: serviceKey(n)}, compareEntries)
+	at, ok := slices.BinarySearchFunc(p.services, serviceLoad{service: serviceKey(n)}, compareServices)
 	if !ok {
 		return Figure{}, false
 	}
-	e := &p.entries[at]
+	e := &p.services[at]
 	return Figure{
 		InFlight: e.inFlight,
 		Queued:   e.queued,
@@ -356,7 +356,7 @@
 		Capacity: e.capacity,
 		Rate:     e.rate,
 		Errors:   e.errors,
-		P99:      upperOf(e.p99),
-		Age:      now.Sub(p.at),
+		P99:      bucketUpper(e.p99),
+		Age:      now.Sub(p.measuredAt),
 	}, true
 }
--- a/decide/mirror/mirror.go
+++ b/decide/mirror/mirror.go
@@ -38,8 +38,8 @@
 	valid bool
 
 	removals []Change // the latest ones, by revision
-	// removalsFrom is the revision after which removals has all of them.
-	removalsFrom Revision
+	// removalsAfter is the revision after which removals has all of them.
+	removalsAfter Revision
 }
 
 // maxRemovals bounds the removals that are kept for Since: some minutes of them
@@ -78,12 +78,12 @@
 		}
 	}
 	if !m.valid {
-		m.removalsFrom = asOf // what was removed before was never here
+		m.removalsAfter = asOf // what was removed before was never here
 	}
 	m.asOf = asOf
 	m.valid = true
 	slices.SortFunc(changes, func(a, b Change) int { return cmp.Compare(a.Key, b.Key) })
-	m.keepRemovals(changes)
+	m.recordRemovals(changes)
 	return changes, true
 }
 
@@ -107,27 +107,27 @@
 		}
 	}
 	m.asOf = max(m.asOf, asOf)
-	m.keepRemovals(changes)
-	return lastOfEachKey(changes)
+	m.recordRemovals(changes)
+	return lastChangePerKey(changes)
 }
 
-// keepRemovals adds the removals among changes to those kept.
-func (m *Mirror) keepRemovals(changes []Change) {
+// recordRemovals adds the removals among changes to those kept.
+func (m *Mirror) recordRemovals(changes []Change) {
 	for _, c := range changes {
 		if c.Removed {
 			m.removals = append(m.removals, c)
 		}
 	}
 	if over := len(m.removals) - maxRemovals; over > 0 {
-		m.removalsFrom = max(m.removalsFrom, m.removals[over-1].Revision)
+		m.removalsAfter = max(m.removalsAfter, m.removals[over-1].Revision)
 		m.removals = slices.Delete(m.removals, 0, over)
 	}
 }
 
-// Since returns what has changed after a revision, in order, for a copy that is
+// ChangesSince returns what has changed after a revision, in order, for a copy that is
 // complete up to it. It reports false if some removals are no longer known.
-func (m *Mirror) Since(after Revision) ([]Change, bool) {
-	if !m.valid || after < m.removalsFrom {
+func (m *Mirror) ChangesSince(after Revision) ([]Change, bool) {
+	if !m.valid || after < m.removalsAfter {
 		return nil, false
 	}
 	var changes []Change
@@ -147,8 +147,8 @@
 	return changes, true
 }
 
-// lastOfEachKey keeps the last change of each key, in order.
-func lastOfEachKey(changes []Change) []Change {
+// lastChangePerKey keeps the last change of each key, in order.
+func lastChangePerKey(changes []Change) []Change {
 	last := make(map[string]int, len(changes))
 	for i, c := range changes {
 		last[c.Key] = i
--- a/decide/mirror/mirror_test.go
+++ b/decide/mirror/mirror_test.go
@@ -60,7 +60,7 @@
 // Sequence: a target registers and leaves again between two watches.
 // Cause: the watch's answer was passed on with both changes of the key, and who
 // takes all removals before all writes ends with the target present.
-func TestAKeyHasOneChange(t *testing.T) {
+func TestApplyReturnsOneChangePerKey(t *testing.T) {
 	is := is.New(t)
 	var m Mirror
 	m.Replace([]Item{item("b", 4)}, 10)
@@ -81,7 +81,7 @@
 // step are taken before all writes.
 type follower map[string]bool
 
-func (f follower) take(changes []Change) {
+func (f follower) apply(changes []Change) {
 	for _, c := range changes {
 		if c.Removed {
 			delete(f, c.Key)
@@ -98,7 +98,7 @@
 // Sequence: random changes, read by watches and full reads that are late, in
 // another order, or of several pages.
 // Cause: named by the seed.
-func TestRandomSourcesAgree(t *testing.T) {
+func TestRandomSourcesConverge(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		var m Mirror
@@ -123,12 +123,12 @@
 				items, asOf := values(store), rev
 				late = append(late, func() {
 					changes, _ := m.Replace(items, asOf)
-					follows.take(changes)
+					follows.apply(changes)
 				})
 			case 1:
 				if m.Valid() {
 					events, asOf := since(log, m.AsOf()), rev
-					late = append(late, func() { follows.take(m.Apply(events, asOf)) })
+					late = append(late, func() { follows.apply(m.Apply(events, asOf)) })
 				}
 			}
 			for len(late) > 0 && rng.IntN(3) > 0 {
@@ -142,7 +142,7 @@
 			}
 		}
 		last, _ := m.Replace(values(store), rev)
-		follows.take(last)
+		follows.apply(last)
 		if len(follows) != len(store) {
 			t.Fatalf("seed %d: %d keys left by the changes, the store has %d", seed, len(follows), len(store))
 		}
@@ -180,7 +180,7 @@
 // Sequence: random changes, which one copy reads by watches and full reads; a
 // second copy takes what the first has, at random moments.
 // Cause: named by the seed.
-func TestACopyOfTheCopyAgrees(t *testing.T) {
+func TestFollowerMirrorConverges(t *testing.T) {
 	for seed := range uint64(100) {
 		rng := rand.New(rand.NewPCG(seed, 2))
 		var reader, follower Mirror
@@ -190,7 +190,7 @@
 		reader.Replace(nil, rev)
 		follower.Replace(nil, rev)
 		follow := func() {
-			changes, ok := reader.Since(follower.AsOf())
+			changes, ok := reader.ChangesSince(follower.AsOf())
 			if !ok {
 				follower.Replace(reader.Items(""), reader.AsOf())
 				return
@@ -232,7 +232,7 @@
 // Symptom: a VM that was cut off for minutes keeps targets that have left.
 // Sequence: more removals than are kept; then it asks for what it lacks.
 // Cause: it got the removals that were left as if they were all.
-func TestForgottenRemovalsAreNotPassedOn(t *testing.T) {
+func TestChangesSinceRefusesAfterDroppedRemovals(t *testing.T) {
 	is := is.New(t)
 	var m Mirror
 	m.Replace([]Item{item("stays", 1)}, 1)
@@ -241,9 +241,9 @@
 		m.Apply([]Change{{Item: item("a", rev+1)}, removal("a", rev+2)}, rev+2)
 		rev += 2
 	}
-	_, ok := m.Since(1)
+	_, ok := m.ChangesSince(1)
 	is.True(!ok)
-	changes, ok := m.Since(3) // after the removal that was forgotten
+	changes, ok := m.ChangesSince(3) // after the removal that was forgotten
 	is.True(ok)
 	is.Equal(len(changes), maxRemovals)
 }
--- a/decide/quarantine/fingerprint_test.go
+++ b/decide/quarantine/fingerprint_test.go
@@ -7,7 +7,7 @@
 )
 
 // Two requests of different content must not be taken for one.
-func TestFingerprintsTellContentsApart(t *testing.T) {
+func TestDifferentContentsHaveDifferentFingerprints(t *testing.T) {
 	is := is.New(t)
 	contents := []Content{
 		{Method: "GET", Host: "h", URI: "/a"},
@@ -28,7 +28,7 @@
 	}
 }
 
-func TestFingerprintIsReadAsItIsWritten(t *testing.T) {
+func TestFingerprintTextRoundTrip(t *testing.T) {
 	is := is.New(t)
 	f := FingerprintOf(Content{Method: "GET", URI: "/a"})
 	text, err := f.MarshalText()
--- a/decide/quarantine/list.go
+++ b/decide/quarantine/list.go
@@ -47,12 +47,12 @@
 type Change struct {
 	Record  Record // as it is now; it shares nothing with the list
 	Changed bool
-	// Before says that the fingerprint was in quarantine.
-	Before bool
+	// WasQuarantined says that the fingerprint was in quarantine.
+	WasQuarantined bool
 }
 
 // Lifted reports whether the fingerprint has come out of quarantine.
-func (c *Change) Lifted() bool { return c.Before && !c.Record.Quarantined() }
+func (c *Change) Lifted() bool { return c.WasQuarantined && !c.Record.Quarantined() }
 
 // Ended notes that a target has ended under a fingerprint.
 func (l *List) Ended(now clock.Time, f Fingerprint, route string, e End) Change {
@@ -77,7 +77,7 @@
 	}
 	before := r.Quarantined()
 	changed := r.merge(&add)
-	return Change{Record: r.clone(), Changed: changed, Before: before}
+	return Change{Record: r.clone(), Changed: changed, WasQuarantined: before}
 }
 
 // Answered notes that a request with the fingerprint was answered.
@@ -89,7 +89,7 @@
 	before := r.Quarantined()
 	r.clear()
 	r.Since = now
-	return Change{Record: r.clone(), Changed: true, Before: before}
+	return Change{Record: r.clone(), Changed: true, WasQuarantined: before}
 }
 
 // Tried notes that a request with the fingerprint is let through.
@@ -100,7 +100,7 @@
 	}
 	r.Trials++
 	r.Since = now
-	return Change{Record: r.clone(), Changed: true, Before: r.Quarantined()}
+	return Change{Record: r.clone(), Changed: true, WasQuarantined: r.Quarantined()}
 }
 
 // Expire forgets records that are over and returns those that were in
--- a/decide/quarantine/list_test.go
+++ b/decide/quarantine/list_test.go
@@ -15,25 +15,25 @@
 
 const testNow = clock.Time(time.Hour)
 
-func numbered(n int) Fingerprint {
+func testFingerprint(n int) Fingerprint {
 	var f Fingerprint
 	binary.BigEndian.PutUint64(f[:], uint64(n))
 	return f
 }
 
-func startOf(n int) Start { return Start{Target: fleet.TargetID(fmt.Sprintf("t%d", n)), Born: 1} }
+func testStart(n int) Start { return Start{Target: fleet.TargetID(fmt.Sprintf("t%d", n)), Born: 1} }
 
-// endOf is the end of start n, n milliseconds after testNow; the request was
+// testEnd is the end of start n, n milliseconds after testNow; the request was
 // sent there half a millisecond before.
-func endOf(n int) End {
+func testEnd(n int) End {
 	at := testNow.Add(time.Duration(n) * time.Millisecond)
-	return End{Start: startOf(n), Sent: at.Add(-time.Millisecond / 2), At: at}
+	return End{Start: testStart(n), Sent: at.Add(-time.Millisecond / 2), At: at}
 }
 
-// endUnder notes the ends of starts first to last under f, one after the other.
-func endUnder(l *List, f Fingerprint, first, last int) {
+// recordEnds notes the ends of starts first to last under f, one after the other.
+func recordEnds(l *List, f Fingerprint, first, last int) {
 	for n := first; n <= last; n++ {
-		l.Ended(endOf(n).At, f, "r", endOf(n))
+		l.Ended(testEnd(n).At, f, "r", testEnd(n))
 	}
 }
 
@@ -41,12 +41,12 @@
 func TestEndsOfOneStartCountOnce(t *testing.T) {
 	is := is.New(t)
 	var l List
-	f := numbered(1)
+	f := testFingerprint(1)
 	for range MaxEnds {
-		l.Ended(testNow, f, "r", endOf(1))
+		l.Ended(testNow, f, "r", testEnd(1))
 	}
 	is.Equal(l.Ends(testNow, f), 1)
-	again := endOf(5)
+	again := testEnd(5)
 	again.Start = Start{Target: "t1", Born: 2}
 	l.Ended(testNow, f, "r", again)
 	is.Equal(l.Ends(testNow, f), 2)
@@ -57,9 +57,9 @@
 func TestTargetsThatEndTogetherCountOnce(t *testing.T) {
 	is := is.New(t)
 	var l List
-	f := numbered(1)
+	f := testFingerprint(1)
 	for n := range 10 {
-		e := endOf(n)
+		e := testEnd(n)
 		e.Sent = testNow.Add(-time.Second)
 		l.Ended(testNow, f, "r", e)
 	}
@@ -68,11 +68,11 @@
 
 // A request that was beside a query of death at each end stays in quarantine
 // although it is answered elsewhere.
-func TestAnAnswerClearsAllEndsBefore(t *testing.T) {
+func TestAnswerClearsEarlierEnds(t *testing.T) {
 	is := is.New(t)
 	var l List
-	f := numbered(1)
-	endUnder(&l, f, 1, MaxEnds)
+	f := testFingerprint(1)
+	recordEnds(&l, f, 1, MaxEnds)
 	is.True(l.Find(testNow, f).Quarantined())
 	cleared := l.Answered(testNow.Add(time.Second), f)
 	is.True(cleared.Changed)
@@ -81,9 +81,9 @@
 
 	var other List // which hears of the ends after the answer
 	other.Merge(testNow, &cleared.Record)
-	endUnder(&other, f, 1, MaxEnds)
+	recordEnds(&other, f, 1, MaxEnds)
 	is.Equal(other.Ends(testNow.Add(time.Second), f), 0)
-	endUnder(&other, f, MaxEnds+1, MaxEnds+1)
+	recordEnds(&other, f, MaxEnds+1, MaxEnds+1)
 	is.Equal(other.Ends(testNow.Add(time.Second), f), 1)
 }
 
@@ -92,11 +92,11 @@
 func TestRecordsMergeInAnyOrder(t *testing.T) {
 	for seed := range uint64(50) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		f := numbered(1)
+		f := testFingerprint(1)
 		var heard []Record
 		var source List
 		for n := range 1 + rng.IntN(6) {
-			heard = append(heard, source.Ended(testNow, f, "r", endOf(n)).Record)
+			heard = append(heard, source.Ended(testNow, f, "r", testEnd(n)).Record)
 			if rng.IntN(4) == 0 {
 				heard = append(heard, source.Answered(testNow, f).Record)
 			}
@@ -119,36 +119,36 @@
 }
 
 // Trials that go on for good would take a target each.
-func TestTrialsAreFewAndFarBetween(t *testing.T) {
+func TestTrialsAreBoundedAndSpacedOut(t *testing.T) {
 	is := is.New(t)
 	var l List
-	f := numbered(1)
-	endUnder(&l, f, 1, MaxEnds)
+	f := testFingerprint(1)
+	recordEnds(&l, f, 1, MaxEnds)
 	now := testNow
-	for n := range trialAfter {
+	for n := range trialDelays {
 		at := l.Find(now, f).TrialAt()
-		is.Equal(at, l.Find(now, f).Since.Add(trialAfter[n]))
+		is.Equal(at, l.Find(now, f).Since.Add(trialDelays[n]))
 		now = at
 		l.Tried(now, f)
-		l.Ended(now, f, "r", End{Start: startOf(10 + n), Sent: now, At: now})
+		l.Ended(now, f, "r", End{Start: testStart(10 + n), Sent: now, At: now})
 	}
-	is.True(!l.Find(now, f).TrialAt().Before(now.Add(keepQuarantined)))
-	is.Equal(l.Find(now.Add(keepQuarantined), f), nil)
+	is.True(!l.Find(now, f).TrialAt().Before(now.Add(quarantineRetention)))
+	is.Equal(l.Find(now.Add(quarantineRetention), f), nil)
 }
 
 // Guards against an innocent request that waits for two minutes although none of
 // its trials has ended a target: another attempt was under way when its
 // fingerprint came into quarantine, and its target ended as well.
-func TestOnlyTrialsPutOffTheNextOne(t *testing.T) {
+func TestOnlyTrialsDelayTheNextTrial(t *testing.T) {
 	is := is.New(t)
 	var l List
-	f := numbered(1)
-	endUnder(&l, f, 1, MaxEnds+1)
+	f := testFingerprint(1)
+	recordEnds(&l, f, 1, MaxEnds+1)
 	rec := l.Find(testNow, f)
-	is.Equal(rec.TrialAt(), rec.Since.Add(trialAfter[0]))
+	is.Equal(rec.TrialAt(), rec.Since.Add(trialDelays[0]))
 	l.Tried(rec.TrialAt(), f) // and shows nothing, as when its target is full
 	rec = l.Find(testNow, f)
-	is.Equal(rec.TrialAt(), rec.Since.Add(trialAfter[0]))
+	is.Equal(rec.TrialAt(), rec.Since.Add(trialDelays[0]))
 }
 
 // A caller that has many different requests end with targets must not fill the
@@ -156,55 +156,55 @@
 func TestListIsBounded(t *testing.T) {
 	is := is.New(t)
 	var l List
-	deadly := numbered(0)
-	endUnder(&l, deadly, 1, MaxEnds)
+	deadly := testFingerprint(0)
+	recordEnds(&l, deadly, 1, MaxEnds)
 	for n := 1; n < 2*maxRecords; n++ {
-		endUnder(&l, numbered(n), 1, 1)
+		recordEnds(&l, testFingerprint(n), 1, 1)
 	}
 	is.True(l.Len() <= maxRecords)
 	is.True(l.Find(testNow, deadly).Quarantined())
-	r := Record{Fingerprint: numbered(-1), Since: testNow}
+	r := Record{Fingerprint: testFingerprint(-1), Since: testNow}
 	for n := range 1000 {
-		r.Ended = append(r.Ended, endOf(n))
+		r.Ended = append(r.Ended, testEnd(n))
 	}
 	l.Merge(testNow, &r)
-	is.Equal(len(l.Find(testNow, r.Fingerprint).Ended), maxStarts)
+	is.Equal(len(l.Find(testNow, r.Fingerprint).Ended), maxListLen)
 }
 
 // A path that is asked for all the time is at so many ends that a new query of
 // death on it would not be noticed any more.
-func TestEndsCountAfterManyThatWereCleared(t *testing.T) {
+func TestEndsCountAfterManyClearedEnds(t *testing.T) {
 	is := is.New(t)
 	var l List
-	f := numbered(1)
-	for n := range 5 * maxStarts {
-		endUnder(&l, f, n, n)
+	f := testFingerprint(1)
+	for n := range 5 * maxListLen {
+		recordEnds(&l, f, n, n)
 		l.Answered(testNow.Add(time.Duration(n)*time.Millisecond), f)
 	}
-	endUnder(&l, f, 1000, 1000+MaxEnds-1)
+	recordEnds(&l, f, 1000, 1000+MaxEnds-1)
 	is.True(l.Find(testNow, f).Quarantined())
 }
 
 // An entry VM whose clock is ahead would hold a fingerprint in quarantine for
 // longer than anybody meant.
-func TestClocksOfOthersAreNotBelieved(t *testing.T) {
+func TestTimestampsFromTheFutureAreClamped(t *testing.T) {
 	is := is.New(t)
 	var l List
-	l.Merge(testNow, &Record{Fingerprint: numbered(1), Ended: []End{endOf(1)}, Since: testNow.Add(time.Hour)})
-	is.Equal(l.Find(testNow, numbered(1)).Since, testNow)
+	l.Merge(testNow, &Record{Fingerprint: testFingerprint(1), Ended: []End{testEnd(1)}, Since: testNow.Add(time.Hour)})
+	is.Equal(l.Find(testNow, testFingerprint(1)).Since, testNow)
 }
 
 // What is over is forgotten, and named if operators may still see it in force.
 func TestExpire(t *testing.T) {
 	is := is.New(t)
 	var l List
-	endUnder(&l, numbered(1), 1, MaxEnds)
-	endUnder(&l, numbered(2), 1, 1)
+	recordEnds(&l, testFingerprint(1), 1, MaxEnds)
+	recordEnds(&l, testFingerprint(2), 1, 1)
 	is.Equal(len(l.Expire(testNow.Add(time.Minute))), 0)
 	is.Equal(l.Len(), 2)
 	is.Equal(len(l.Expire(testNow.Add(time.Hour))), 0)
 	is.Equal(l.Len(), 1)
 	is.Equal(l.Quarantined(), 1)
-	is.Equal(l.Expire(testNow.Add(keepQuarantined+time.Second)), []Fingerprint{numbered(1)})
+	is.Equal(l.Expire(testNow.Add(quarantineRetention+time.Second)), []Fingerprint{testFingerprint(1)})
 	is.Equal(l.Len(), 0)
 }
--- a/decide/quarantine/record.go
+++ b/decide/quarantine/record.go
@@ -20,25 +20,25 @@
 const Suspected = 2
 
 const (
-	// maxStarts bounds each list of a record, as peers and the store may send
+	// maxListLen bounds each list of a record, as peers and the store may send
 	// any number.
-	maxStarts = 16
-	// keepCleared is how long a cleared record is kept, so that an end which is
+	maxListLen = 16
+	// clearedRetention is how long a cleared record is kept, so that an end which is
 	// heard of late stays cleared.
-	keepCleared = 30 * time.Second
-	// keepEnds is how long ends count that do not make a quarantine. A caller
+	clearedRetention = 30 * time.Second
+	// endsRetention is how long ends count that do not make a quarantine. A caller
 	// that comes back less often costs a target in five minutes.
-	keepEnds = 5 * time.Minute
-	// keepQuarantined is how long a quarantine lasts after its last trial.
-	keepQuarantined = 24 * time.Hour
+	endsRetention = 5 * time.Minute
+	// quarantineRetention is how long a quarantine lasts after its last trial.
+	quarantineRetention = 24 * time.Hour
 )
 
-// trialAfter is the time from the latest end or trial to the next trial, by the
+// trialDelays is the time from the latest end or trial to the next trial, by the
 // number of trials that ended a target. The first one comes soon: an innocent
 // fingerprint has its answer then. One trial may show nothing, as when its target
 // is full; each further one that does counts like one that ended a target. There
 // are no more trials than times.
-var trialAfter = [...]time.Duration{8 * time.Second, 2 * time.Minute, 20 * time.Minute}
+var trialDelays = [...]time.Duration{8 * time.Second, 2 * time.Minute, 20 * time.Minute}
 
 // Start is one start of a target.
 type Start struct {
@@ -73,11 +73,11 @@
 // has come. Of targets that end together one counts: requests that come all the
 // time are under way at many of them, and a query of death goes on to the next
 // target when one has ended.
-func (r *Record) Ends() int { return len(r.inTurn()) }
+func (r *Record) Ends() int { return len(r.consecutiveEnds()) }
 
-// inTurn returns the ends that Ends counts, in their order.
-func (r *Record) inTurn() []End {
-	open := r.open()
+// consecutiveEnds returns the ends that Ends counts, in their order.
+func (r *Record) consecutiveEnds() []End {
+	open := r.unclearedEnds()
 	slices.SortFunc(open, func(a, b End) int {
 		return cmp.Or(cmp.Compare(a.At, b.At), cmp.Compare(a.Sent, b.Sent))
 	})
@@ -90,14 +90,14 @@
 	return list
 }
 
-// byTrials returns how many trials have ended a target. Other attempts may have
+// endsByTrials returns how many trials have ended a target. Other attempts may have
 // been sent before all entry VMs knew of the quarantine.
-func (r *Record) byTrials() int {
-	list := r.inTurn()
+func (r *Record) endsByTrials() int {
+	list := r.consecutiveEnds()
 	if len(list) <= MaxEnds {
 		return 0
 	}
-	known := list[MaxEnds-1].At.Add(trialAfter[0] / 2)
+	known := list[MaxEnds-1].At.Add(trialDelays[0] / 2)
 	n := 0
 	for _, e := range list[MaxEnds:] {
 		if !e.Sent.Before(known) {
@@ -107,8 +107,8 @@
 	return min(n, r.Trials)
 }
 
-// open returns the ends that are not cleared.
-func (r *Record) open() []End {
+// unclearedEnds returns the ends that are not cleared.
+func (r *Record) unclearedEnds() []End {
 	return slices.DeleteFunc(slices.Clone(r.Ended), func(e End) bool { return slices.Contains(r.Cleared, e.Start) })
 }
 
@@ -117,22 +117,22 @@
 
 // TrialAt returns when the next request may be let through.
 func (r *Record) TrialAt() clock.Time {
-	if r.Trials >= len(trialAfter) {
+	if r.Trials >= len(trialDelays) {
 		return r.Expires()
 	}
-	step := min(max(r.byTrials(), r.Trials-1, 0), len(trialAfter)-1)
-	return r.Since.Add(trialAfter[step])
+	step := min(max(r.endsByTrials(), r.Trials-1, 0), len(trialDelays)-1)
+	return r.Since.Add(trialDelays[step])
 }
 
 // Expires returns when the record is forgotten.
 func (r *Record) Expires() clock.Time {
 	switch n := r.Ends(); {
 	case n == 0:
-		return r.Since.Add(keepCleared)
+		return r.Since.Add(clearedRetention)
 	case n < MaxEnds:
-		return r.Since.Add(keepEnds)
+		return r.Since.Add(endsRetention)
 	default:
-		return r.Since.Add(keepQuarantined)
+		return r.Since.Add(quarantineRetention)
 	}
 }
 
@@ -177,12 +177,12 @@
 			r.Cleared = append(r.Cleared, s)
 		}
 	}
-	if open := r.open(); len(r.Ended) > maxStarts && len(open) < len(r.Ended) {
+	if open := r.unclearedEnds(); len(r.Ended) > maxListLen && len(open) < len(r.Ended) {
 		r.Round++
 		r.Ended, r.Cleared = open, nil
 	}
-	r.Ended = r.Ended[:min(len(r.Ended), maxStarts)]
-	r.Cleared = r.Cleared[:min(len(r.Cleared), maxStarts)]
+	r.Ended = r.Ended[:min(len(r.Ended), maxListLen)]
+	r.Cleared = r.Cleared[:min(len(r.Cleared), maxListLen)]
 }
 
 // addEnd adds an end. Of what several VMs have seen of one start the earliest
--- a/decide/queue/queue_test.go
+++ b/decide/queue/queue_test.go
@@ -59,7 +59,7 @@
 
 // Symptom: look-ups are refused while submissions fill the queue.
 // Cause: a burst of deferrable work takes all places. It may take its part only.
-func TestGateKeepsRoomForInteractive(t *testing.T) {
+func TestGateReservesCapacityForInteractiveWork(t *testing.T) {
 	is := is.New(t)
 	g := Gate{MaxItems: 4, MaxBytes: 1000, DeferrableShare: 0.5}
 	g.Add(100)
--- a/decide/reader/reader.go
+++ b/decide/reader/reader.go
@@ -24,33 +24,33 @@
 )
 
 const (
-	// perRegion is how many VMs of a region read: one may be down and another
+	// readersPerRegion is how many VMs of a region read: one may be down and another
 	// cut off.
-	perRegion = 3
-	// fewVMs is the number of VMs of a region up to which all read: the calls
+	readersPerRegion = 3
+	// maxVMsAllReading is the number of VMs of a region up to which all read: the calls
 	// saved there are worth less than the shorter way.
-	fewVMs = 2 * perRegion
-	// Interval is the time between two asks, as long as the pause that a reader
+	maxVMsAllReading = 2 * readersPerRegion
+	// PollInterval is the time between two asks, as long as the pause that a reader
 	// makes after a change.
-	Interval = 400 * time.Millisecond
-	// AskTimeout is how long a reader may take for its word: inside a region it
+	PollInterval = 400 * time.Millisecond
+	// PollTimeout is how long a reader may take for its word: inside a region it
 	// takes a few milliseconds.
-	AskTimeout = 300 * time.Millisecond
-	// maxAge is how long ago a reader may have heard from the store. A watch
+	PollTimeout = 300 * time.Millisecond
+	// maxStoreAge is how long ago a reader may have heard from the store. A watch
 	// without news takes 2 s.
-	maxAge = 2700 * time.Millisecond
-	// distrust is how long a reader without a fresh word is not asked.
-	distrust = 5 * time.Second
+	maxStoreAge = 2700 * time.Millisecond
+	// avoidTime is how long a reader without a fresh word is not asked.
+	avoidTime = 5 * time.Second
 )
 
-// Choice is what one entry VM has learned of its region's readers. The zero
+// Selector is what one entry VM has learned of its region's readers. The zero
 // value trusts all. It is not safe for concurrent use.
-type Choice struct {
-	distrusted map[fleet.VMID]clock.Time // until when
+type Selector struct {
+	avoidedUntil map[fleet.VMID]clock.Time // until when
 }
 
-// From returns the VM to ask for changes; false: self is to read the store.
-func (c *Choice) From(now clock.Time, self fleet.VM, members []fleet.VM) (fleet.VM, bool) {
+// Source returns the VM to ask for changes; false: self is to read the store.
+func (c *Selector) Source(now clock.Time, self fleet.VM, members []fleet.VM) (fleet.VM, bool) {
 	readers := readersOf(self.Region, members)
 	isReader := slices.ContainsFunc(readers, func(vm fleet.VM) bool { return vm.ID == self.ID })
 	if isReader {
@@ -58,10 +58,10 @@
 	}
 	// Each follower has its own order, so that the readers share the asks, but
 	// for one of its own failure domain: words from there cross no other.
-	order := rank.By(string(self.ID), readers, nameOf)
+	order := rank.By(string(self.ID), readers, vmName)
 	slices.SortStableFunc(order, func(a, b fleet.VM) int { return cmp.Compare(distance(self, a), distance(self, b)) })
 	for _, vm := range order {
-		if !c.distrusted[vm.ID].After(now) {
+		if !c.avoidedUntil[vm.ID].After(now) {
 			return vm, true
 		}
 	}
@@ -76,16 +76,16 @@
 			own = append(own, members[i])
 		}
 	}
-	if len(own) <= fewVMs {
+	if len(own) <= maxVMsAllReading {
 		return nil
 	}
-	return spread(append(rank.By("reader", fleet.Strong(own), nameOf), rank.By("reader", own, nameOf)...))
+	return spreadOverDomains(append(rank.By("reader", fleet.Strong(own), vmName), rank.By("reader", own, vmName)...))
 }
 
-// spread returns the first perRegion different VMs of an order, and of these at
+// spreadOverDomains returns the first perRegion different VMs of an order, and of these at
 // most one of a failure domain as long as other domains have any: readers that
 // are lost together leave their followers to the store.
-func spread(order []fleet.VM) []fleet.VM {
+func spreadOverDomains(order []fleet.VM) []fleet.VM {
 	var chosen, rest []fleet.VM
 	named := make(map[fleet.VMID]bool)
 	domains := make(map[fleet.Domain]bool)
@@ -100,7 +100,7 @@
 		}
 		named[vm.ID], domains[vm.Domain] = true, true
 	}
-	return append(chosen, rest...)[:perRegion]
+	return append(chosen, rest...)[:readersPerRegion]
 }
 
 // distance is 0 inside a failure domain and 1 between two.
@@ -111,21 +111,21 @@
 	return 1
 }
 
-func nameOf(vm fleet.VM) string { return string(vm.ID) }
+func vmName(vm fleet.VM) string { return string(vm.ID) }
 
 // Fresh reports whether the word of a reader that heard from the store age ago
 // may be relied upon.
-func Fresh(age time.Duration) bool { return age <= maxAge }
+func Fresh(age time.Duration) bool { return age <= maxStoreAge }
 
 // Failed notes that a reader gave no fresh word.
-func (c *Choice) Failed(now clock.Time, id fleet.VMID) {
-	if c.distrusted == nil {
-		c.distrusted = make(map[fleet.VMID]clock.Time)
+func (c *Selector) Failed(now clock.Time, id fleet.VMID) {
+	if c.avoidedUntil == nil {
+		c.avoidedUntil = make(map[fleet.VMID]clock.Time)
 	}
-	for other, until := range c.distrusted {
+	for other, until := range c.avoidedUntil {
 		if !until.After(now) {
-			delete(c.distrusted, other)
+			delete(c.avoidedUntil, other)
 		}
 	}
-	c.distrusted[id] = now.Add(distrust)
+	c.avoidedUntil[id] = now.Add(avoidTime)
 }
--- a/decide/reader/reader_test.go
+++ b/decide/reader/reader_test.go
@@ -28,15 +28,15 @@
 	asked := map[fleet.VMID]int{}
 	reading := 0
 	for _, vm := range vms {
-		var c Choice
-		if from, ok := c.From(now, vm, vms); ok {
+		var c Selector
+		if from, ok := c.Source(now, vm, vms); ok {
 			asked[from.ID]++
 		} else {
 			reading++
 		}
 	}
-	is.Equal(reading, perRegion+1) // and the only one of the other region
-	is.Equal(len(asked), perRegion)
+	is.Equal(reading, readersPerRegion+1) // and the only one of the other region
+	is.Equal(len(asked), readersPerRegion)
 	for _, n := range asked {
 		is.True(n >= 2)
 	}
@@ -45,10 +45,10 @@
 // Pattern: a region of four VMs, of which two may be lost at once. All read.
 func TestAllReadInASmallRegion(t *testing.T) {
 	is := is.New(t)
-	vms := region(fewVMs)
+	vms := region(maxVMsAllReading)
 	for _, vm := range vms {
-		var c Choice
-		_, ok := c.From(now, vm, vms)
+		var c Selector
+		_, ok := c.Source(now, vm, vms)
 		is.True(!ok)
 	}
 }
@@ -56,35 +56,35 @@
 // Symptom: a VM goes on with an old configuration although it reaches the store.
 // Sequence: the readers that it follows die or are cut off, one after the other.
 // Cause: it waited for their word.
-func TestAFollowerWithoutAReaderReads(t *testing.T) {
+func TestFollowerWithoutReaderReadsStore(t *testing.T) {
 	is := is.New(t)
 	vms := region(20)
-	var c Choice
+	var c Selector
 	var self fleet.VM
 	for _, vm := range vms {
-		if _, ok := c.From(now, vm, vms); ok {
+		if _, ok := c.Source(now, vm, vms); ok {
 			self = vm
 			break
 		}
 	}
 	seen := map[fleet.VMID]bool{}
-	for range perRegion {
-		from, ok := c.From(now, self, vms)
+	for range readersPerRegion {
+		from, ok := c.Source(now, self, vms)
 		is.True(ok)
 		is.True(!seen[from.ID]) // another one each time
 		seen[from.ID] = true
 		c.Failed(now, from.ID)
 	}
-	_, ok := c.From(now, self, vms)
+	_, ok := c.Source(now, self, vms)
 	is.True(!ok) // the store itself
-	_, ok = c.From(now.Add(distrust), self, vms)
+	_, ok = c.Source(now.Add(avoidTime), self, vms)
 	is.True(ok) // asked again
 }
 
 func TestFresh(t *testing.T) {
 	is := is.New(t)
-	is.True(Fresh(maxAge))
-	is.True(!Fresh(maxAge + 1))
+	is.True(Fresh(maxStoreAge))
+	is.True(!Fresh(maxStoreAge + 1))
 }
 
 // Pattern: a region of thirty-three small VMs and nine large ones in three
@@ -101,7 +101,7 @@
 		vms = append(vms, vm)
 	}
 	readers := readersOf("r1", vms)
-	is.Equal(len(readers), perRegion)
+	is.Equal(len(readers), readersPerRegion)
 	domains := map[fleet.Domain]bool{}
 	for _, vm := range readers {
 		is.Equal(vm.Cores, 0.8)
@@ -109,8 +109,8 @@
 	}
 	is.Equal(len(domains), 3)
 	for _, vm := range vms[9:] {
-		var c Choice
-		from, ok := c.From(now, vm, vms)
+		var c Selector
+		from, ok := c.Source(now, vm, vms)
 		is.True(ok)
 		is.Equal(from.Domain, vm.Domain)
 	}
--- a/decide/retry/budget.go
+++ b/decide/retry/budget.go
@@ -9,32 +9,32 @@
 // Budget is a token bucket filled by first attempts: with a share of 0.1,
 // ten first attempts pay for one retry.
 type Budget struct {
-	share  float64
-	burst  float64
-	tokens float64
-	at     clock.Time // until when the floor is credited
+	ratio      float64
+	burst      float64
+	tokens     float64
+	refilledAt clock.Time // until when the floor is credited
 }
 
-// floorInterval is the time that pays for one repeat, up to one. With little
+// refillInterval is the time that pays for one repeat, up to one. With little
 // traffic the share alone pays for none, and a lone caller whose connection
 // went silent would wait for its deadline.
-const floorInterval = 10 * time.Second
+const refillInterval = 10 * time.Second
 
 // NewBudget returns a full bucket. Share is the part of first attempts that
 // may be repeated; burst is the largest number of repeats saved up.
 func NewBudget(share float64, burst int) Budget {
-	return Budget{share: share, burst: float64(burst), tokens: float64(burst)}
+	return Budget{ratio: share, burst: float64(burst), tokens: float64(burst)}
 }
 
 // Earn records a first attempt.
-func (b *Budget) Earn() { b.tokens = min(b.tokens+b.share, b.burst) }
+func (b *Budget) Earn() { b.tokens = min(b.tokens+b.ratio, b.burst) }
 
 // Pass credits the floor for the time until now.
 func (b *Budget) Pass(now clock.Time) {
-	passed := now.Sub(b.at)
-	b.at = now
+	passed := now.Sub(b.refilledAt)
+	b.refilledAt = now
 	if floor := min(1, b.burst); b.tokens < floor {
-		b.tokens = min(b.tokens+float64(passed)/float64(floorInterval), floor)
+		b.tokens = min(b.tokens+float64(passed)/float64(refillInterval), floor)
 	}
 }
 
--- a/decide/retry/retry_test.go
+++ b/decide/retry/retry_test.go
@@ -13,7 +13,7 @@
 // Symptom: retries keep a service overloaded after the cause is gone.
 // Cause: every failure makes more load. However many fail, the repeats stay
 // within the share of first attempts and the burst.
-func TestBudgetBoundsRepeats(t *testing.T) {
+func TestBudgetBoundsRetries(t *testing.T) {
 	is := is.New(t)
 	b := NewBudget(0.1, 10)
 	repeats := 0
@@ -52,14 +52,14 @@
 // Symptom: a lone caller whose connection went silent waits for its deadline.
 // Cause: its few requests pay for no repeat. Time does, for one and no more,
 // and not where repeats are turned off.
-func TestTimePaysForOneRepeat(t *testing.T) {
+func TestTimeRefillsOneRetry(t *testing.T) {
 	is := is.New(t)
 	b := NewBudget(0.1, 2)
 	b.Pass(clock.Time(time.Second))
 	is.True(b.Spend())
 	is.True(b.Spend())
 	is.True(!b.Spend())
-	b.Pass(clock.Time(time.Second + floorInterval/2))
+	b.Pass(clock.Time(time.Second + refillInterval/2))
 	is.True(!b.Spend())
 	b.Pass(clock.Time(time.Hour))
 	is.True(b.Spend())
--- a/decide/route/route.go
+++ b/decide/route/route.go
@@ -89,24 +89,24 @@
 
 // Defects of a route.
 var (
-	ErrNoParts  = errors.New("route: no service with a weight above 0")
-	ErrService  = errors.New("route: service is not defined")
-	ErrPrefix   = errors.New("route: prefix must begin and end with a slash")
-	ErrNegative = errors.New("route: value below 0")
-	ErrAttempts = errors.New("route: at least one attempt is needed")
+	ErrNoParts        = errors.New("route: no service with a weight above 0")
+	ErrUnknownService = errors.New("route: service is not defined")
+	ErrInvalidPrefix  = errors.New("route: prefix must begin and end with a slash")
+	ErrNegativeValue  = errors.New("route: value below 0")
+	ErrNoAttempts     = errors.New("route: at least one attempt is needed")
 )
 
-// Isolate takes the routes with defects out of service and returns the defects.
+// DisableInvalidRoutes takes the routes with defects out of service and returns the defects.
 // Requests of such a route would go to a service that does not exist, or for
 // longer or more often than the operators want. The other routes hold.
-func (c *Config) Isolate() []error {
+func (c *Config) DisableInvalidRoutes() []error {
 	var defects []error
 	for i := range c.Routes {
 		r := &c.Routes[i]
 		if r.Unserved {
 			continue
 		}
-		if err := r.check(c.Services); err != nil {
+		if err := r.validate(c.Services); err != nil {
 			r.Unserved = true
 			defects = append(defects, fmt.Errorf("route %q: %w", r.Name, err))
 		}
@@ -114,14 +114,14 @@
 	return defects
 }
 
-func (r *Route) check(services map[fleet.ServiceName]Service) error {
+func (r *Route) validate(services map[fleet.ServiceName]Service) error {
 	total := 0
 	for _, p := range r.Parts {
 		if p.Weight < 0 {
-			return ErrNegative
+			return ErrNegativeValue
 		}
 		if _, ok := services[p.Service]; !ok {
-			return fmt.Errorf("%q: %w", p.Service, ErrService)
+			return fmt.Errorf("%q: %w", p.Service, ErrUnknownService)
 		}
 		total += p.Weight
 	}
@@ -129,11 +129,11 @@
 	case total == 0:
 		return ErrNoParts
 	case !strings.HasPrefix(r.Prefix, "/") || !strings.HasSuffix(r.Prefix, "/"):
-		return ErrPrefix
+		return ErrInvalidPrefix
 	case r.Timeout < 0 || r.Aim < 0:
-		return ErrNegative
+		return ErrNegativeValue
 	case r.Attempts < 1:
-		return ErrAttempts
+		return ErrNoAttempts
 	}
 	return nil
 }
@@ -161,7 +161,7 @@
 // a port; target is the path with or without a query.
 func (t *Table) Match(host, target string) *Route {
 	path, _, _ := strings.Cut(target, "?")
-	for _, r := range t.hosts[hostName(host)] {
+	for _, r := range t.hosts[normalizeHost(host)] {
 		if strings.HasPrefix(path, r.Prefix) {
 			return r
 		}
@@ -169,8 +169,8 @@
 	return nil
 }
 
-// hostName drops the port and the case, which tell no hosts apart.
-func hostName(host string) string {
+// normalizeHost drops the port and the case, which tell no hosts apart.
+func normalizeHost(host string) string {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:i]
 	}
--- a/decide/route/route_test.go
+++ b/decide/route/route_test.go
@@ -47,7 +47,7 @@
 // Sequence: operators write one.
 // Cause: it was decoded and not checked. Its route alone must be refused: the
 // others were served by the configuration before.
-func TestIsolate(t *testing.T) {
+func TestDisableInvalidRoutes(t *testing.T) {
 	ok := Route{Prefix: "/", Parts: []Part{{Service: "a", Weight: 1}}, Attempts: 1}
 	for _, c := range []struct {
 		change func(r *Route)
@@ -56,17 +56,17 @@
 		{func(*Route) {}, nil},
 		{func(r *Route) { r.Parts = nil }, ErrNoParts},
 		{func(r *Route) { r.Parts = []Part{{Service: "a"}} }, ErrNoParts},
-		{func(r *Route) { r.Parts = []Part{{Service: "c", Weight: 1}} }, ErrService},
-		{func(r *Route) { r.Parts = []Part{{Service: "a", Weight: -1}} }, ErrNegative},
-		{func(r *Route) { r.Prefix = "/x" }, ErrPrefix},
-		{func(r *Route) { r.Timeout = -1 }, ErrNegative},
-		{func(r *Route) { r.Attempts = 0 }, ErrAttempts},
+		{func(r *Route) { r.Parts = []Part{{Service: "c", Weight: 1}} }, ErrUnknownService},
+		{func(r *Route) { r.Parts = []Part{{Service: "a", Weight: -1}} }, ErrNegativeValue},
+		{func(r *Route) { r.Prefix = "/x" }, ErrInvalidPrefix},
+		{func(r *Route) { r.Timeout = -1 }, ErrNegativeValue},
+		{func(r *Route) { r.Attempts = 0 }, ErrNoAttempts},
 	} {
 		is := is.New(t)
 		r := ok
 		c.change(&r)
 		cfg := config(r, ok)
-		defects := cfg.Isolate()
+		defects := cfg.DisableInvalidRoutes()
 		is.True(errors.Is(errors.Join(defects...), c.want))
 		is.Equal(cfg.Routes[0].Unserved, c.want != nil)
 		is.True(!cfg.Routes[1].Unserved) // beside it
@@ -76,7 +76,7 @@
 // Symptom: a service with a small weight gets far more or less than its share.
 // Sequence: some hundred requests on a route with two services.
 // Cause: shares that were drawn at random.
-func TestSplitKeepsItsShares(t *testing.T) {
+func TestSplitFollowsWeights(t *testing.T) {
 	is := is.New(t)
 	parts := []Part{{"a", 90}, {"b", 10}, {"c", 0}}
 	var s Split
--- a/decide/target/latency.go
+++ b/decide/target/latency.go
@@ -10,15 +10,15 @@
 // meanWeight is the weight of a new sample in Mean.
 const meanWeight = 0.2
 
-// meanRelax is how long after the last sample a Mean has gone half of the way
+// meanHalfReturn is how long after the last sample a Mean has gone half of the way
 // back to the service's usual latency.
-const meanRelax = 3 * time.Second
+const meanHalfReturn = 3 * time.Second
 
 // Mean is an exponentially weighted moving average of latency.
 type Mean struct {
-	value float64 // ns
-	at    clock.Time
-	known bool
+	value     float64 // ns
+	sampledAt clock.Time
+	known     bool
 }
 
 // Observe adds a sample.
@@ -29,7 +29,7 @@
 	} else {
 		m.value += meanWeight * (float64(d) - m.value)
 	}
-	m.at = now
+	m.sampledAt = now
 }
 
 // Forget drops all samples.
@@ -52,38 +52,38 @@
 	if !m.known {
 		return usual
 	}
-	keep := float64(meanRelax) / float64(meanRelax+now.Sub(m.at))
+	keep := float64(meanHalfReturn) / float64(meanHalfReturn+now.Sub(m.sampledAt))
 	return usual + (m.value-usual)*keep
 }
 
 // The resolution and memory of Quantiles.
 const (
-	subBits      = 2 // four buckets a doubling
-	buckets      = 40 << subBits
-	halveAt      = 4096 // samples after which the older ones count half
-	recomputeAt  = 64   // samples between two computations of the quantiles
-	firstCompute = 16   // samples before the first computation
-	unit         = 1 << 12
+	subBits        = 2 // four buckets a doubling
+	buckets        = 40 << subBits
+	halveAfter     = 4096 // samples after which the older ones count half
+	recomputeAfter = 64   // samples between two computations of the quantiles
+	firstCompute   = 16   // samples before the first computation
+	bucketUnit     = 1 << 12
 )
 
 // Quantiles estimates the p95 and p99 of latency from a histogram whose
 // buckets grow by about a quarter (25%) each. Older samples fade.
 type Quantiles struct {
-	counts   [buckets]uint16
-	total    int
-	sinceNew int
-	p95, p99 time.Duration
+	counts       [buckets]uint16
+	total        int
+	sinceCompute int
+	p95, p99     time.Duration
 }
 
 // Observe adds a sample.
 func (q *Quantiles) Observe(d time.Duration) {
 	q.counts[bucket(d)]++
 	q.total++
-	q.sinceNew++
-	if q.sinceNew >= recomputeAt || q.total == firstCompute {
+	q.sinceCompute++
+	if q.sinceCompute >= recomputeAfter || q.total == firstCompute {
 		q.compute()
 	}
-	if q.total >= halveAt {
+	if q.total >= halveAfter {
 		q.halve()
 	}
 }
@@ -95,7 +95,7 @@
 func (q *Quantiles) P99() time.Duration { return q.p99 }
 
 func (q *Quantiles) compute() {
-	q.sinceNew = 0
+	q.sinceCompute = 0
 	q.p95 = q.quantile(0.95)
 	q.p99 = q.quantile(0.99)
 }
@@ -105,7 +105,7 @@
 	for i := buckets - 1; i >= 0; i-- {
 		rest -= int(q.counts[i])
 		if rest < 0 {
-			return upper(i)
+			return bucketUpper(i)
 		}
 	}
 	return 0
@@ -124,15 +124,15 @@
 	if d < 0 {
 		d = 0
 	}
-	v := uint64(d)/unit + 1<<subBits
+	v := uint64(d)/bucketUnit + 1<<subBits
 	e := bits.Len64(v) - 1 - subBits
 	i := e<<subBits + int(v>>e) - 1<<subBits
 	return min(i, buckets-1)
 }
 
-// upper returns the upper bound of bucket i.
-func upper(i int) time.Duration {
+// bucketUpper returns the upper bound of bucket i.
+func bucketUpper(i int) time.Duration {
 	e := i >> subBits
 	v := uint64(1<<subBits+i&(1<<subBits-1)+1) << e
-	return time.Duration((v - 1<<subBits) * unit)
+	return time.Duration((v - 1<<subBits) * bucketUnit)
 }
--- a/decide/target/target_test.go
+++ b/decide/target/target_test.go
@@ -10,12 +10,12 @@
 	"pgregory.net/rapid"
 )
 
-func TestBucketsHoldTheirValues(t *testing.T) {
+func TestBucketBoundsContainTheirValues(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		d := time.Duration(rapid.Int64Range(0, int64(time.Minute)).Draw(rt, "d"))
 		i := bucket(d)
-		if d >= upper(i) || (i > 0 && d < upper(i-1)) {
-			rt.Fatalf("%v is in bucket %d, up to %v", d, i, upper(i))
+		if d >= bucketUpper(i) || (i > 0 && d < bucketUpper(i-1)) {
+			rt.Fatalf("%v is in bucket %d, up to %v", d, i, bucketUpper(i))
 		}
 	})
 }
@@ -34,7 +34,7 @@
 // Symptom: a target that was slow once is never used again.
 // Cause: nothing is sent to it, so nothing corrects the average. It returns to
 // the usual with time.
-func TestMeanReturnsToUsual(t *testing.T) {
+func TestMeanReturnsToUsualLatency(t *testing.T) {
 	is := is.New(t)
 	var m Mean
 	m.Observe(0, time.Second)
--- a/serve/ingress/follow.go
+++ b/serve/ingress/follow.go
@@ -69,7 +69,7 @@
 	wait := watchWait
 	for s.ctx.Err() == nil {
 		if s.copyValid() && s.followReader() {
-			s.pause(reader.Interval)
+			s.pause(reader.PollInterval)
 			continue
 		}
 		patience := s.relayAfter(firstReadPatience)
@@ -116,7 +116,7 @@
 			vms = append(vms, vm) // what can't be decoded is said with the copy
 		}
 	}
-	if from, ok := s.readers.From(s.now(), s.set.Self, vms); ok {
+	if from, ok := s.readers.Source(s.now(), s.set.Self, vms); ok {
 		s.askReader(from, firstCopyWait)
 	}
 }
--- a/serve/ingress/reader_test.go
+++ b/serve/ingress/reader_test.go
@@ -51,8 +51,8 @@
 // followersOf returns the indices of the VMs that follow another one.
 func followersOf(servers []*Server) (list []int) {
 	for i, s := range servers {
-		var c reader.Choice
-		if _, follows := c.From(s.now(), s.set.Self, s.members.Load().vms); follows {
+		var c reader.Selector
+		if _, follows := c.Source(s.now(), s.set.Self, s.members.Load().vms); follows {
 			list = append(list, i)
 		}
 	}
@@ -150,8 +150,8 @@
 	late := servers[0].set.Self
 	for n := 0; ; n++ {
 		late.ID = fleet.VMID(fmt.Sprint("late-", n))
-		var c reader.Choice
-		if _, follows := c.From(1, late, append(slices.Clone(servers[0].members.Load().vms), late)); follows {
+		var c reader.Selector
+		if _, follows := c.Source(1, late, append(slices.Clone(servers[0].members.Load().vms), late)); follows {
 			break
 		}
 	}
--- a/serve/ingress/relay.go
+++ b/serve/ingress/relay.go
@@ -92,11 +92,11 @@
 // followReader asks the VM that reads the store for this one, and reports
 // whether there is one and its word can be relied upon.
 func (s *Server) followReader() bool {
-	from, ok := s.readers.From(s.now(), s.set.Self, s.members.Load().vms)
+	from, ok := s.readers.Source(s.now(), s.set.Self, s.members.Load().vms)
 	if !ok {
 		return false
 	}
-	if word, ok := s.askReader(from, reader.AskTimeout); ok && word.from == from.ID && reader.Fresh(word.age) {
+	if word, ok := s.askReader(from, reader.PollTimeout); ok && word.from == from.ID && reader.Fresh(word.age) {
 		return true
 	}
 	if s.ctx.Err() != nil {
@@ -179,7 +179,7 @@
 		return r, true
 	}
 	var known bool
-	r.Changes, known = s.copy.Since(after)
+	r.Changes, known = s.copy.ChangesSince(after)
 	return r, known
 }
 
--- a/serve/ingress/server.go
+++ b/serve/ingress/server.go
@@ -60,7 +60,7 @@
 	copy      mirror.Mirror       // of the store; guarded by copyMu
 	listing   map[string]fleet.VM // entry VMs in the copy, by key; guarded by copyMu
 	relayTurn atomic.Int64        // of the entry VMs asked for their copies
-	readers   reader.Choice       // touched by follow alone
+	readers   reader.Selector     // touched by follow alone
 	relayed   chan relayWord
 	partial   relayPages
 	packed    packedCopies
