--- a/decide/clock/clock.go
+++ b/decide/clock/clock.go
@@ -1,9 +1,9 @@
 // Package clock defines the instants that the decision code works with.
 //
-// Decisions never read a clock: every event carries the instant at which the
-// caller observed it. A daemon takes the wall clock once at start and then
-// advances it by the monotonic clock, so instants never fall within one
-// process even when an operator sets the machine's clock back.
+// Decisions never read a clock: every event carries the instant at which it
+// was observed. A daemon reads the wall clock once at start and then advances
+// it by the monotonic clock, so instants never decrease within one process,
+// even if an operator sets the machine's clock back.
 package clock
 
 import "time"
@@ -42,8 +42,9 @@
 	return b
 }
 
-// Wall converts t for display and for comparison with calendar windows.
+// Wall converts t to a wall-clock time, for display and for comparison with
+// calendar windows.
 func (t Time) Wall() time.Time { return time.Unix(0, int64(t)).UTC() }
 
-// FromWall converts a calendar instant.
+// FromWall converts a wall-clock time to an instant.
 func FromWall(w time.Time) Time { return Time(w.UnixNano()) }
--- a/decide/fleet/fleet.go
+++ b/decide/fleet/fleet.go
@@ -1,6 +1,6 @@
-// Package fleet names the machines that traffic steering works with and where
-// they stand: regions hold failure domains, failure domains hold sites, and a
-// site holds entry VMs and targets.
+// Package fleet describes the machines that traffic steering works with and
+// their locations: regions contain failure domains, failure domains contain
+// sites, and a site contains entry VMs and targets.
 package fleet
 
 // Region is a group of failure domains close to each other, such as "attiki".
@@ -10,8 +10,8 @@
 // Domain names are unique over all regions, such as "attiki-1".
 type Domain string
 
-// Site is a place inside a failure domain that clients can be steered to.
-// A small deployment has one site a domain, of the same name.
+// Site is a place inside a failure domain that clients can be steered to. A
+// small deployment has one site per domain, with the same name.
 type Site string
 
 // ServiceName names a service of the catalogue, such as "permit-file".
@@ -24,7 +24,8 @@
 type TargetID string
 
 // Incarnation numbers the processes that have run under one VMID; a restart
-// takes a higher one, so messages about an earlier process are told apart.
+// takes a higher one, so that messages about an earlier process can be
+// recognized.
 type Incarnation uint64
 
 // State is the life-cycle state of a machine.
@@ -60,8 +61,8 @@
 	CallAddr  string `json:"call_addr"`  // host:port for callers and forwarded requests
 	PeerAddr  string `json:"peer_addr"`  // host:port for frames between entry VMs
 	AdminAddr string `json:"admin_addr"` // host:port for operators
-	// GatewayAddr is the host:port for requests of entry VMs of other regions to
-	// targets near this one; empty: it takes none.
+	// GatewayAddr is the host:port for requests that entry VMs of other
+	// regions send to targets near this VM; empty: it accepts none.
 	GatewayAddr string      `json:"gateway_addr,omitempty"`
 	Incarnation Incarnation `json:"incarnation"`
 	State       State       `json:"state"`
@@ -69,7 +70,7 @@
 	Cores float64 `json:"cores,omitempty"`
 }
 
-// Target describes one upstream machine of one service.
+// Target describes one target (upstream) of one service.
 type Target struct {
 	ID          TargetID    `json:"id"`
 	Service     ServiceName `json:"service"`
@@ -82,7 +83,8 @@
 	State       State       `json:"state"`
 }
 
-// List is the platform's lagging list of machines.
+// List is the platform's list of machines, which lags behind their actual
+// state.
 type List struct {
 	Version uint64   `json:"version"` // rises with every change the platform has noticed
 	VMs     []VM     `json:"vms"`
--- a/decide/limit/adaptive.go
+++ b/decide/limit/adaptive.go
@@ -1,31 +1,31 @@
 package limit
 
-// The steps of Adaptive.
+// Steps of Adaptive.
 const (
-	refusedFactor = 0.7  // kept of the limit after a refusal
-	slowFactor    = 0.95 // kept of the limit after an answer that was far too slow
+	refusedFactor = 0.7  // applied to the limit after a refusal
+	slowFactor    = 0.95 // applied to the limit after an answer that was far too slow
 	minLimit      = 1
 )
 
-// Adaptive is the number of requests a target can work on at once, as learnt
+// Adaptive is the number of requests a target can work on at once, as learned
 // from its refusals and latency. It lies between 1 and the target's slots.
 type Adaptive struct {
 	limit float64
 	slots int
-	cold  bool // started cold and hasn't reached all slots since
+	cold  bool // started cold and hasn't yet reached all slots
 }
 
 // Full returns a limit that starts at all slots.
 func Full(slots int) Adaptive { return Adaptive{limit: float64(slots), slots: slots} }
 
 // Cold returns a limit that starts at 1. A new or restarted target has cold
-// caches; given its full share at once, it would make every request slow.
+// caches; given its full share at once, it would answer every request slowly.
 func Cold(slots int) Adaptive {
 	return Adaptive{limit: min(minLimit, float64(slots)), slots: slots, cold: slots > minLimit}
 }
 
-// SetSlots changes the upper bound. A limit that stood at the old bound
-// follows it upwards.
+// SetSlots changes the upper bound. A limit equal to the old bound rises with
+// it.
 func (a *Adaptive) SetSlots(slots int) {
 	if slots > a.slots && a.limit >= float64(a.slots) {
 		a.limit = float64(slots)
@@ -39,7 +39,7 @@
 // start.
 func (a *Adaptive) Warming() bool { return a.cold }
 
-// updateCold ends the cold start once all slots are in use.
+// updateCold ends the cold start once the limit has reached all slots.
 func (a *Adaptive) updateCold() {
 	if a.limit >= float64(a.slots) {
 		a.cold = false
@@ -49,7 +49,7 @@
 // Limit returns the present limit.
 func (a *Adaptive) Limit() int { return int(a.limit) }
 
-// Answered records an answer in ordinary time. The limit grows by one after
+// Answered records an answer that was not slow. The limit grows by one after
 // as many answers as it allows at once.
 func (a *Adaptive) Answered() {
 	if a.limit < float64(a.slots) {
@@ -58,10 +58,11 @@
 	a.updateCold()
 }
 
-// Slow records an answer that took much longer than the service's usual.
+// Slow records an answer that took much longer than the service's usual
+// latency.
 func (a *Adaptive) Slow() { a.lower(slowFactor) }
 
-// Shed records a refusal for lack of capacity.
+// Shed records that the target refused a request for lack of capacity.
 func (a *Adaptive) Shed() { a.lower(refusedFactor) }
 
 func (a *Adaptive) lower(factor float64) {
--- a/decide/limit/limit_test.go
+++ b/decide/limit/limit_test.go
@@ -10,9 +10,9 @@
 	"pgregory.net/rapid"
 )
 
-// Entry VMs that share a target must not exceed its slots together, though none
-// of them asks another: the shares add up to the slots exactly, and over a
-// whole service no VM gets two slots more than another.
+// Guards against entry VMs that share a target exceeding its slots together,
+// without asking each other: the shares add up to the slots exactly, and over
+// a whole service no VM gets two slots more than another.
 func TestSharesAddUp(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		count := rapid.IntRange(1, 50).Draw(rt, "count")
@@ -33,7 +33,7 @@
 		}
 		for _, n := range total {
 			if n < total[0]-1 || n > total[0]+1 {
-				rt.Fatalf("uneven: %v", total)
+				rt.Fatalf("uneven shares: %v", total)
 			}
 		}
 	})
@@ -51,7 +51,7 @@
 	is.True(!a.Warming())
 	a.Shed()
 	is.Equal(a.Limit(), 6)
-	is.True(!a.Warming()) // it refused, and is no colder for it
+	is.True(!a.Warming()) // a refusal doesn't make it cold again
 	for range 50 {
 		a.Shed()
 	}
@@ -60,11 +60,9 @@
 	is.Equal(a.Limit(), 0)
 }
 
-// Symptom: two entry VMs borrow the same free slot.
-// Sequence: a report says two slots of the other VM are free; it gets old, or
-// the target refuses.
-// Cause: only the target knows. An old report counts for nothing, and a refusal
-// stops borrowing for a while.
+// Guards against two entry VMs borrowing the same free slot: only the target
+// knows its load, so an old report is ignored and a refusal stops borrowing
+// for a while.
 func TestBorrow(t *testing.T) {
 	is := is.New(t)
 	const horizon = 500 * time.Millisecond
@@ -80,10 +78,9 @@
 	is.Equal(b.Slots(now.Add(minPause), 3, 1, horizon), 2)
 }
 
-// Symptom: a remote region gets a burst whenever its load report is published.
-// Sequence: 50 senders see the same report of 10 free slots.
-// Cause: each fills what it sees. The parts that the windows start with add up
-// to about the headroom.
+// Guards against a burst at a remote region whenever its load report is
+// published: 50 senders see the same report of 10 free slots, and each fills
+// what it sees. The windows that they start with add up to about the headroom.
 func TestWindowsTogetherStayWithinHeadroom(t *testing.T) {
 	is := is.New(t)
 	rng := rand.New(rand.NewPCG(1, 2))
@@ -106,7 +103,7 @@
 	w.Report(4, 2, now, 0, 1, rng)
 	is.Equal(w.Room(now, 0, horizon, false), 8.0)
 	is.Equal(w.Room(now, 8, horizon, false), 0.0)
-	is.Equal(w.Room(now, 8, horizon, true), 0.0) // beyond the tries
+	is.Equal(w.Room(now, 8, horizon, true), 0.0) // above nearProbes
 	is.True(w.Room(now.Add(2*time.Second), 0, horizon, false) < 3)
 	is.Equal(w.Room(now.Add(horizon), 0, horizon, true), 0.0)
 	w.Refused(now, now, 100*time.Millisecond)
--- a/decide/load/event.go
+++ b/decide/load/event.go
@@ -9,15 +9,15 @@
 
 // Options are the settings. A zero field takes its default.
 type Options struct {
-	Expire time.Duration // age from which figures are unknown
+	Expire time.Duration // age above which figures are unknown
 	// ExpireFar is the same for other regions in a fleet too large for each
-	// answer to a VM to carry all of them: they come in turns, one round of
-	// which takes longer than Expire.
+	// answer to a VM to carry all of them: they are sent in rotation, and one
+	// rotation takes longer than Expire.
 	ExpireFar time.Duration
 	Transit   time.Duration // added to an age at each hop
 }
 
-// The defaults of Options.
+// Defaults of Options.
 const (
 	DefaultExpire    = 30 * time.Second
 	DefaultExpireFar = 75 * time.Second
@@ -34,29 +34,29 @@
 // Event is an input of State.Step.
 type Event interface{ isEvent() }
 
-// Measured brings this VM's own samples.
+// Measured carries this VM's own samples.
 type Measured struct{ Samples []Sample }
 
-// Received brings a report of another VM.
+// Received carries a report of another VM.
 type Received struct {
 	From   fleet.VMID
 	Report *Report
 }
 
-// Fleet says who takes part: the VMs whose figures this one collects, empty
-// unless it is a representative; the live representatives of the domain; and
-// all domains by region.
+// Fleet describes the participants: the VMs whose figures this one collects,
+// empty unless it is a representative; the live representatives of the domain;
+// and all domains by region.
 type Fleet struct {
 	Representative bool
 	Group          []fleet.VMID
 	Peers          []fleet.VMID
 	Domains        []DomainOf
-	// Interest lists other regions whose load every report carries while it
+	// Interest lists other regions whose load is part of every report while it
 	// is known: those that a traffic shift moves to or from.
 	Interest []fleet.Region
 }
 
-// DomainOf places a domain in its region.
+// DomainOf assigns a domain to its region.
 type DomainOf struct {
 	Region fleet.Region
 	Domain fleet.Domain
--- a/decide/load/load.go
+++ b/decide/load/load.go
@@ -17,15 +17,15 @@
 	InFlight uint32 // requests at targets
 	Queued   uint32 // requests waiting
 	Slots    uint32 // requests that the targets can work on at once
-	Capacity uint32 // of the Slots, those usable now: cold or slow targets have fewer
+	Capacity uint32 // slots that are usable now: cold or slow targets have fewer
 	Rate     uint32 // answers a second
 	Errors   uint16 // failed answers, in 1/10,000 of all
 	P99      time.Duration
 	Age      time.Duration // since the oldest part was measured
 }
 
-// Headroom is the number of further requests that fit; negative when more
-// wait than fit.
+// Headroom is the number of further requests that fit; negative if more
+// requests wait than fit.
 func (f Figure) Headroom() int {
 	return int(f.Capacity) - int(f.InFlight) - int(f.Queued)
 }
@@ -42,7 +42,7 @@
 	P99      time.Duration
 }
 
-// Place is a failure domain or a region, in hashed form.
+// Place identifies a failure domain or a region by a hash.
 type Place uint32
 
 // PlaceOfDomain returns the place of a failure domain.
@@ -51,7 +51,7 @@
 // PlaceOfRegion returns the place of a region.
 func PlaceOfRegion(r fleet.Region) Place { return Place(hash("region:", string(r))) }
 
-// hash is 32-bit FNV-1a of the two parts.
+// hash returns the 32-bit FNV-1a hash of prefix and name.
 func hash(prefix, name string) uint32 {
 	const offset, prime = 2166136261, 16777619
 	h := uint32(offset)
@@ -63,7 +63,7 @@
 	return h
 }
 
-// serviceLoad is one service's figures as kept and summed.
+// serviceLoad holds the figures of one service as they are kept and summed.
 type serviceLoad struct {
 	service  uint32
 	inFlight uint32
@@ -75,36 +75,36 @@
 	p99      uint8 // see bucketOf
 }
 
-// valuesPerService is the number of Row.Values for one service: in flight,
-// queued, slots, capacity, rate, errors in 1/10,000, latency bucket.
+// valuesPerService is the number of Row.Values per service: in flight, queued,
+// slots, capacity, rate, errors in 1/10,000, latency bucket.
 const valuesPerService = 7
 
 // Row is the load of one place on the wire.
 type Row struct {
 	Place  Place  `json:"place"`
 	Age    uint32 `json:"age"`  // ms since the oldest part was measured
-	SumAge uint32 `json:"made"` // ms since it was summed up; of two rows the later made counts
+	SumAge uint32 `json:"made"` // ms since it was summed up; of two rows the one summed later counts
 	// ServiceBits has bit i set if Values holds figures of Report.Services[i].
 	ServiceBits uint64   `json:"has"`
 	Values      []uint32 `json:"values"`
 }
 
-// Report is a message between entry VMs. Naming the services once, and not
-// in each row, halves its size.
+// Report is a message between entry VMs. Listing the services once, and not in
+// each row, halves its size.
 type Report struct {
 	Scope    Scope    `json:"scope"`
 	Services []uint32 `json:"services"`
 	Rows     []Row    `json:"rows"`
 }
 
-// Scope says between whom a report goes. The numbers are those of
+// Scope says between which VMs a report is sent. The numbers are those of
 // member.Scope.
 type Scope uint8
 
 // The scopes.
 const (
 	ScopeNone   Scope = iota
-	ScopeOwn          // to the representative that collects; one row, of the VM itself
+	ScopeOwn          // to the representative that collects; one row, for the VM itself
 	ScopeMember       // from that representative
 	ScopePeer         // to another representative; the first row is the group's sum
 	ScopeRegion       // to another domain of the region
@@ -114,36 +114,36 @@
 // Bounds of a report.
 const (
 	MaxRows     = 64
-	MaxServices = 64 // services
+	MaxServices = 64
 )
 
-// ErrBounds is the cause of every refusal by Validate.
+// ErrBounds is the cause of every error of Validate.
 var ErrBounds = errors.New("load: report out of bounds")
 
-// Validate refuses reports beyond the bounds.
+// Validate returns an error for reports beyond the bounds.
 func (r *Report) Validate() error {
 	if r.Scope == ScopeNone || r.Scope > ScopeFar {
-		return fmt.Errorf("%w: scope %d", ErrBounds, r.Scope)
+		return fmt.Errorf("%w: unknown scope %d", ErrBounds, r.Scope)
 	}
 	if len(r.Rows) > MaxRows {
-		return fmt.Errorf("%w: %d rows", ErrBounds, len(r.Rows))
+		return fmt.Errorf("%w: %d rows, more than %d", ErrBounds, len(r.Rows), MaxRows)
 	}
 	if len(r.Services) > MaxServices {
-		return fmt.Errorf("%w: %d services", ErrBounds, len(r.Services))
+		return fmt.Errorf("%w: %d services, more than %d", ErrBounds, len(r.Services), MaxServices)
 	}
 	for i := range r.Rows {
 		row := &r.Rows[i]
 		if bits.Len64(row.ServiceBits) > len(r.Services) {
-			return fmt.Errorf("%w: row of services not named", ErrBounds)
+			return fmt.Errorf("%w: row %d refers to services beyond the %d listed", ErrBounds, i, len(r.Services))
 		}
 		if len(row.Values) != valuesPerService*bits.OnesCount64(row.ServiceBits) {
-			return fmt.Errorf("%w: row of %d values", ErrBounds, len(row.Values))
+			return fmt.Errorf("%w: row %d has %d values for %d services", ErrBounds, i, len(row.Values), bits.OnesCount64(row.ServiceBits))
 		}
 	}
 	return nil
 }
 
-// serviceLoads reads a row of a valid report, in order of service.
+// serviceLoads decodes a row of a valid report, in order of service.
 func (r *Report) serviceLoads(row *Row) []serviceLoad {
 	out := make([]serviceLoad, 0, bits.OnesCount64(row.ServiceBits))
 	v := row.Values
@@ -186,15 +186,16 @@
 	r.Rows = append(r.Rows, row)
 }
 
-// addService makes sure that a service is named, as far as the bound allows.
+// addService adds a service to the list of services, unless it is present or
+// the list is full.
 func (r *Report) addService(key uint32) {
 	if !slices.Contains(r.Services, key) && len(r.Services) < MaxServices {
 		r.Services = append(r.Services, key)
 	}
 }
 
-// bucketsPerDoubling is the resolution of latencies on the wire: each bucket
-// is 19% above the one before.
+// bucketsPerDoubling is the resolution of latencies on the wire: the upper
+// bound of each bucket is 19% above that of the one before.
 const bucketsPerDoubling = 4
 
 // bucketOf returns the number of the smallest bucket that holds d: bucket b
@@ -220,8 +221,8 @@
 	return time.Duration(f)
 }
 
-// add sums two entries of one service. Latencies can't be added; the worse
-// one counts.
+// add adds the figures of o for the same service. Percentiles of latency can't
+// be added; the higher one counts.
 func (e *serviceLoad) add(o *serviceLoad) {
 	answers := uint64(e.rate) + uint64(o.rate)
 	failed := uint64(e.rate)*uint64(e.errors) + uint64(o.rate)*uint64(o.errors)
--- a/decide/load/load_test.go
+++ b/decide/load/load_test.go
@@ -31,7 +31,7 @@
 var domains = []load.DomainOf{{Region: "attiki", Domain: "attiki-1"}, {Region: "attiki", Domain: "attiki-2"},
 	{Region: "kriti", Domain: "kriti-1"}}
 
-// sendReport hands what from attaches for a scope to another VM, delay later.
+// sendReport passes the report that from attaches for a scope to another VM.
 func sendReport(t *testing.T, now clock.Time, from *load.State, id fleet.VMID, scope load.Scope, to *load.State) {
 	t.Helper()
 	r := from.Attach(now, scope)
@@ -44,9 +44,9 @@
 	to.Step(now, &load.Received{From: id, Report: r})
 }
 
-// TestFigureReachesOtherRegion follows figures from two VMs to a representative, to
-// another domain, another region, and down to a VM there, and holds the age
-// at each place to the true time since the measurement.
+// Follows figures from two VMs to a representative, to another region, and to
+// a VM there, and compares the age at each place with the true time since the
+// measurement.
 func TestFigureReachesOtherRegion(t *testing.T) {
 	is := is.New(t)
 	rep := load.New(vm("a1", "attiki", "attiki-1"), load.Options{})
@@ -85,9 +85,9 @@
 	}
 }
 
-// Symptom: traffic is sent to a region that has been silent for a minute, or
-// held back from it as if it were full. Sequence: its reports stop. Cause: an
-// old figure says nothing, neither that there is room nor that there is none.
+// Guards against sending traffic to a region that has been silent for a
+// minute, or withholding it as if the region were full: an old figure shows
+// neither that there is capacity nor that there is none.
 func TestExpiredIsUnknownNotZero(t *testing.T) {
 	is := is.New(t)
 	s := load.New(vm("a1", "attiki", "attiki-1"), load.Options{})
@@ -107,9 +107,9 @@
 	is.True(!ok)
 }
 
-// Symptom: a figure seems younger than it is. Sequence: two reports overtake
-// each other, or a report is handed round in a circle. Cause: an older
-// measurement may arrive later.
+// Guards against a figure appearing younger than it is: two reports overtake
+// each other, or a report is forwarded in a circle, so that an older
+// measurement arrives later.
 func TestOlderFigureNeverReplacesNewer(t *testing.T) {
 	is := is.New(t)
 	src := load.New(vm("k1", "kriti", "kriti-1"), load.Options{})
@@ -120,7 +120,7 @@
 	src.Step(epoch.Add(time.Second), sample(2))
 	fresh := src.Attach(epoch.Add(time.Second), load.ScopeFar)
 	s.Step(epoch.Add(time.Second), &load.Received{From: "k1", Report: fresh})
-	old.Rows[0].Age += 1100 // it waited on the way
+	old.Rows[0].Age += 1100 // it was delayed in transit
 	old.Rows[0].SumAge += 1100
 	s.Step(epoch.Add(1100*time.Millisecond), &load.Received{From: "k1", Report: old})
 	f, ok := s.Region(epoch.Add(1100*time.Millisecond), service, "kriti")
@@ -128,9 +128,9 @@
 	is.Equal(f.InFlight, uint32(2))
 }
 
-// Symptom: the load of a domain is counted twice. Sequence: a VM's figures go
-// to another representative from now on; both still hold them. Cause: sums of
-// sums can't tell whose figures are in them.
+// Guards against counting a VM twice in the load of a domain: its figures go
+// to another representative from now on, and both representatives still hold
+// them. Sums of sums don't show whose figures they contain.
 func TestMovedVMIsCountedOnce(t *testing.T) {
 	is := is.New(t)
 	first := load.New(vm("a1", "attiki", "attiki-1"), load.Options{})
@@ -145,7 +145,7 @@
 		s.Step(epoch, sample(5))
 	}
 	sendReport(t, epoch, member, "a3", load.ScopeOwn, first)
-	sendReport(t, epoch, member, "a3", load.ScopeOwn, second) // not its collector: ignored
+	sendReport(t, epoch, member, "a3", load.ScopeOwn, second) // ignored: second does not collect from it
 	at := epoch.Add(100 * time.Millisecond)
 	sendReport(t, at, second, "a2", load.ScopePeer, first)
 	f, _ := first.Domain(at, service, "attiki-1")
@@ -184,13 +184,13 @@
 		}
 		is.True(wanted)
 	}
-	is.Equal(len(seen), 20) // the others take turns
+	is.Equal(len(seen), 20) // the others are sent in rotation
 }
 
-// Symptom: in a large fleet the load of other regions is known only now and
-// then. Sequence: their figures come in turns, and each expires before its
-// next turn. Cause: one age limit for figures that come each second and for
-// those that come each minute.
+// Guards against the load of other regions being known only now and then in a
+// large fleet: their figures are sent in rotation, and with one age limit for
+// figures that come each second and each minute they would expire before their
+// next turn.
 func TestFarFiguresOutliveTheirRotation(t *testing.T) {
 	is := is.New(t)
 	many := append([]load.DomainOf(nil), domains...)
@@ -239,14 +239,14 @@
 	}
 }
 
-// Symptom: the load of a domain stays unknown. Sequence: over its life a
+// Guards against the load of a new domain staying unknown: over its life a
 // process has received figures of as many places as it keeps, most of them
-// gone; a new domain reports. Cause: expired figures take its place.
+// gone, and expired figures take up its place.
 func TestExpiredPlacesAreReplaced(t *testing.T) {
 	is := is.New(t)
 	s := load.New(vm("a1", "attiki", "attiki-1"), load.Options{})
 	s.Step(epoch, &load.Fleet{Domains: domains})
-	const more = 1024 // than any process keeps
+	const more = 1024 // more places than a process keeps
 	for from := 0; from < more; from += load.MaxRows {
 		r := &load.Report{Scope: load.ScopeFar}
 		for i := range load.MaxRows {
--- a/decide/load/report.go
+++ b/decide/load/report.go
@@ -8,8 +8,8 @@
 	"github.com/azurethread/azurethread/decide/clock"
 )
 
-// Attach makes the report to piggyback on a message of the given scope; nil if
-// there is nothing to report.
+// Attach returns the report to piggyback on a message of the given scope, or
+// nil if there is nothing to report.
 func (s *State) Attach(now clock.Time, scope Scope) *Report {
 	r := &Report{Scope: scope}
 	switch scope {
@@ -47,7 +47,7 @@
 	r.addRow(Row{Place: place, Age: ageOf(now, p.measuredAt), SumAge: ageOf(now, p.summedAt)}, p.services)
 }
 
-// ageOf rounds up, so that an age is never understated.
+// ageOf returns the age in ms, rounded up so that it is never understated.
 func ageOf(now, at clock.Time) uint32 {
 	ms := (now.Sub(at) + time.Millisecond - 1) / time.Millisecond
 	return uint32(min(max(ms, 0), math.MaxUint32))
@@ -72,8 +72,8 @@
 	}
 }
 
-// addRegion reports this region to another, and in a small fleet of its
-// domains.
+// addRegion adds this region for a report to another one and, in a small
+// fleet, its domains.
 func (s *State) addRegion(now clock.Time, r *Report) {
 	sum, ok := s.regionSum(now)
 	r.addAggregate(now, PlaceOfRegion(s.region), &sum, ok)
@@ -91,9 +91,9 @@
 // addRotating adds up to n of the places that want accepts, round-robin over
 // the reports of this scope.
 func (s *State) addRotating(now clock.Time, r *Report, n int, want func(*placeLoad) bool) {
-	from := s.nextRow[r.Scope]
+	first := s.nextRow[r.Scope]
 	for i := range s.places {
-		at := (from + i) % len(s.places)
+		at := (first + i) % len(s.places)
 		p := &s.places[at]
 		if !want(p) || !s.isPlaceFresh(now, p) {
 			continue
--- a/decide/load/state.go
+++ b/decide/load/state.go
@@ -10,23 +10,25 @@
 )
 
 const (
-	// maxSmallFleet is the number of domains up to which other regions' domains
-	// are reported one by one. Above it they are reported as one sum a region.
+	// maxSmallFleet is the number of domains up to which the domains of other
+	// regions are reported one by one. Above it they are reported as one sum
+	// per region.
 	maxSmallFleet = 16
 	// maxMemberRows bounds the rows of places outside the region that one
-	// answer to a VM carries; they take turns.
+	// answer to a VM carries; they are sent in rotation.
 	maxMemberRows = 2
-	// maxPeerRows and regionRows bound the rows forwarded between
-	// representatives of the domain, and of the region.
+	// maxPeerRows and maxRegionRows bound the forwarded rows in a report to
+	// another representative of the domain, and to another domain of the
+	// region.
 	maxPeerRows   = 6
 	maxRegionRows = 1
-	// peerForwardTime is how long a representative forwards to the others what it
-	// received itself: somewhat longer than the time between two exchanges.
+	// peerForwardTime is how long a representative forwards to the others what
+	// it received itself: somewhat longer than the time between two exchanges.
 	peerForwardTime = 6 * time.Second
 )
 
-// aggregate holds figures with the instant at which the oldest of them was
-// measured, and that at which they were summed up.
+// aggregate holds figures of services, the instant at which the oldest of them
+// was measured, and that at which they were summed up.
 type aggregate struct {
 	measuredAt clock.Time
 	summedAt   clock.Time
@@ -41,7 +43,7 @@
 type placeLoad struct {
 	place Place
 	aggregate
-	receivedAt clock.Time // when it came from outside the domain, so that other members lack it
+	receivedAt clock.Time // when it came from outside the domain, so that other members lack it; 0: it did not
 }
 
 // State is the load as one entry VM knows it. It isn't safe for concurrent
@@ -55,11 +57,11 @@
 
 	representative bool
 	small          bool
-	group          []vmLoad    // of VMs that this one collects from, in order of id
+	group          []vmLoad    // VMs that this one collects from, in order of id
 	peers          []vmLoad    // sums of the other representatives' groups, in order of id
 	places         []placeLoad // in order of place
 	interest       []Place     // regions of interest
-	nearDomains    []Place     // domains of the region other than the own one, in order
+	nearDomains    []Place     // other domains of the own region, in order
 	nextRow        [ScopeFar + 1]int
 }
 
@@ -73,7 +75,7 @@
 	}
 }
 
-// Step takes one event.
+// Step processes one event.
 func (s *State) Step(now clock.Time, ev Event) {
 	switch e := ev.(type) {
 	case *Measured:
@@ -104,8 +106,8 @@
 
 func serviceKey(n fleet.ServiceName) uint32 { return hash("service:", string(n)) }
 
-// setFleet drops the figures of VMs that no longer count: a VM that moved to
-// another representative would be counted twice.
+// setFleet drops the figures of VMs that this one no longer collects: a VM
+// that moved to another representative would be counted twice.
 func (s *State) setFleet(f *Fleet) {
 	s.representative = f.Representative
 	s.small = len(f.Domains) <= maxSmallFleet
@@ -133,8 +135,8 @@
 	})
 }
 
-// addToGroup makes room for the figures of a VM of the group; its figures stay
-// unknown until it reports.
+// addToGroup adds a VM to the group; its figures stay unknown until it
+// reports.
 func (s *State) addToGroup(id fleet.VMID) {
 	if id == s.id {
 		return
@@ -191,12 +193,13 @@
 	})
 }
 
-// maxPlaces bounds what peers can make this VM keep: all domains and regions.
+// maxPlaces bounds the places that peers can make this VM keep: all domains
+// and regions.
 const maxPlaces = 512
 
 func (s *State) storePlace(now clock.Time, place Place, p aggregate, scope Scope) {
 	if s.representative && place == s.domain {
-		return // the sum made here is fresher than a forwarded copy of it
+		return // the own sum is fresher than a forwarded copy of it
 	}
 	at, ok := s.findPlace(place)
 	if !ok {
@@ -213,7 +216,7 @@
 	}
 }
 
-// addPlace returns the index of a new place; false if there is no room.
+// addPlace returns the index of a new place; false if there are too many.
 func (s *State) addPlace(now clock.Time, place Place) (int, bool) {
 	if len(s.places) >= maxPlaces {
 		s.dropExpired(now)
@@ -226,9 +229,9 @@
 	return at, true
 }
 
-// dropExpired makes room for new places. Without it the places of former
-// domains would fill a long-lived process, and the load of new ones would stay
-// unknown.
+// dropExpired removes the places whose figures have expired. Otherwise the
+// places of former domains would fill the list of a long-lived process, and
+// the load of new ones would stay unknown.
 func (s *State) dropExpired(now clock.Time) {
 	s.places = slices.DeleteFunc(s.places, func(p placeLoad) bool { return !s.isPlaceFresh(now, &p) })
 }
@@ -261,7 +264,7 @@
 	p.services = slices.Insert(p.services, at, *e)
 }
 
-// groupSum is the load of this VM and of those that it collects from.
+// groupSum returns the load of this VM and of those that it collects from.
 func (s *State) groupSum(now clock.Time) (aggregate, bool) {
 	parts := []*aggregate{&s.own}
 	for i := range s.group {
@@ -270,7 +273,7 @@
 	return s.sum(now, parts...)
 }
 
-// domainSum is the load of the own domain: computed by a representative,
+// domainSum returns the load of the own domain: computed by a representative,
 // otherwise as reported by one.
 func (s *State) domainSum(now clock.Time) (aggregate, bool) {
 	if !s.representative {
@@ -303,7 +306,7 @@
 	return p.measuredAt != 0 && now.Sub(p.measuredAt) <= s.opts.ExpireFar
 }
 
-// regionSum is the load of the own region's known domains.
+// regionSum returns the load of the own region's known domains.
 func (s *State) regionSum(now clock.Time) (aggregate, bool) {
 	own, ok := s.domainSum(now)
 	if !ok {
@@ -319,7 +322,7 @@
 }
 
 // Domain returns the load of a service in a failure domain. It reports false
-// where nothing is known or what was known has expired.
+// if the load is unknown or has expired.
 func (s *State) Domain(now clock.Time, n fleet.ServiceName, d fleet.Domain) (Figure, bool) {
 	p := PlaceOfDomain(d)
 	if p == s.domain {
--- a/decide/mirror/mirror.go
+++ b/decide/mirror/mirror.go
@@ -1,12 +1,12 @@
-// Package mirror keeps a copy of a part of the metadata store that never goes
-// back in time.
+// Package mirror keeps a copy of a part of the metadata store that never
+// returns to an older revision.
 //
-// The copy is fed from three sources that overtake each other: full reads,
-// which may be served from an old replica, watches, whose answers may be
-// delivered late, and other entry VMs, which pass on what they have while the
+// The copy is fed from three sources that may arrive in any order: full reads,
+// which may be served from an old replica; watches, whose answers may be
+// delivered late; and other entry VMs, which forward what they have while the
 // store refuses this one. All of them carry the store's revision, which only
 // rises. A source that is older than the copy is refused as a whole, so that a
-// configuration or a target that was replaced can't come back.
+// configuration or a target that was replaced can't reappear.
 package mirror
 
 import (
@@ -37,26 +37,26 @@
 	asOf  Revision
 	valid bool
 
-	removals []Change // the latest ones, by revision
-	// removalsAfter is the revision after which removals has all of them.
+	removals []Change // the latest removals, by revision
+	// removalsAfter is the revision after which removals is complete.
 	removalsAfter Revision
 }
 
-// maxRemovals bounds the removals that are kept for Since: some minutes of them
-// where targets are replaced all the time.
+// maxRemovals bounds the removals that are kept for ChangesSince: those of a
+// few minutes where targets are replaced all the time.
 const maxRemovals = 1024
 
 // AsOf returns the revision up to which the copy is complete.
 func (m *Mirror) AsOf() Revision { return m.asOf }
 
-// Valid reports whether a full read has ever been taken.
+// Valid reports whether a full read was ever applied.
 func (m *Mirror) Valid() bool { return m.valid }
 
-// Replace takes a full read that is complete as of the given revision. Keys
-// that are missing in it are removals: the store drops its history at times,
-// and the removals in the dropped part are seen in no other way. It returns
-// the changes in order of their keys, and false when the read is older than
-// the copy and was ignored.
+// Replace applies a full read that is complete as of the given revision. Keys
+// that are missing in it count as removed: the store drops its history at
+// times, and removals in the dropped part become visible in no other way. It
+// returns the changes in order of their keys, and false if the read is older
+// than the copy and was ignored.
 func (m *Mirror) Replace(items []Item, asOf Revision) ([]Change, bool) {
 	if m.valid && asOf < m.asOf {
 		return nil, false
@@ -70,15 +70,15 @@
 		}
 	}
 	for key, it := range m.items {
-		// A key newer than the read was written behind it, during a read of
-		// several pages.
+		// A key newer than the read was written during a read of several
+		// pages, after its page had been read.
 		if !seen[key] && it.Revision <= asOf {
 			delete(m.items, key)
 			changes = append(changes, Change{Item: Item{Key: key, Revision: asOf}, Removed: true})
 		}
 	}
 	if !m.valid {
-		m.removalsAfter = asOf // what was removed before was never here
+		m.removalsAfter = asOf // earlier removals are of keys that this copy never had
 	}
 	m.asOf = asOf
 	m.valid = true
@@ -87,11 +87,11 @@
 	return changes, true
 }
 
-// Apply takes the changes that a watch reports between the copy's revision and
-// asOf, in the order in which they were made. Changes that the copy has already
-// are skipped. Of several changes of a key only the last is returned: the
-// receiver may take removals and writes apart, and a target that came and left
-// between two watches would be there for good if its removal went first.
+// Apply applies the changes that a watch reports between the revision of the
+// copy and asOf, in the order in which they were made. Changes that the copy
+// already has are skipped. If a key changed several times, only its last
+// change is returned: a receiver may process removals before writes, and would
+// keep a target that registered and left between two watches.
 func (m *Mirror) Apply(events []Change, asOf Revision) []Change {
 	var changes []Change
 	for _, ev := range events {
@@ -111,7 +111,7 @@
 	return lastChangePerKey(changes)
 }
 
-// recordRemovals adds the removals among changes to those kept.
+// recordRemovals adds the removals among changes to those that are kept.
 func (m *Mirror) recordRemovals(changes []Change) {
 	for _, c := range changes {
 		if c.Removed {
@@ -124,8 +124,9 @@
 	}
 }
 
-// ChangesSince returns what has changed after a revision, in order, for a copy that is
-// complete up to it. It reports false if some removals are no longer known.
+// ChangesSince returns the changes after a revision, in order, for a copy that
+// is complete up to it. It reports false if some of the removals have been
+// dropped.
 func (m *Mirror) ChangesSince(after Revision) ([]Change, bool) {
 	if !m.valid || after < m.removalsAfter {
 		return nil, false
@@ -137,7 +138,7 @@
 		}
 	}
 	for _, c := range m.removals {
-		if _, back := m.items[c.Key]; c.Revision > after && !back {
+		if _, present := m.items[c.Key]; c.Revision > after && !present {
 			changes = append(changes, c)
 		}
 	}
@@ -162,7 +163,7 @@
 	return kept
 }
 
-// put stores it unless the copy has this revision of it or a later one.
+// put stores it unless the copy has the same or a later revision of its key.
 func (m *Mirror) put(it Item) bool {
 	if old, ok := m.items[it.Key]; ok && old.Revision >= it.Revision {
 		return false
--- a/decide/mirror/mirror_test.go
+++ b/decide/mirror/mirror_test.go
@@ -12,10 +12,8 @@
 	return Item{Key: key, Revision: rev, Value: []byte{byte(rev)}}
 }
 
-// Symptom: a configuration goes back to an older version.
-// Sequence: a full read is served by an old replica after a watch has brought a
-// newer one.
-// Cause: the last read was taken for the newest.
+// Guards against a configuration returning to an older version: a full read is
+// served by an old replica after a watch has brought a newer version.
 func TestOldReadIsRefused(t *testing.T) {
 	is := is.New(t)
 	var m Mirror
@@ -28,9 +26,8 @@
 	is.Equal(got.Revision, Revision(7))
 }
 
-// Symptom: requests go on to targets that are gone.
-// Sequence: the store drops the history in which their removal was.
-// Cause: a full read was taken for additions only.
+// Guards against requests being sent to targets that are gone: the store drops
+// the history that holds their removal, so that only a full read shows it.
 func TestMissingKeysAreRemovals(t *testing.T) {
 	is := is.New(t)
 	var m Mirror
@@ -42,9 +39,8 @@
 	is.True(changes[0].Removed)
 }
 
-// Symptom: a target that has left comes back to life.
-// Sequence: the answer to a watch is delivered after a later full read.
-// Cause: its events were applied without regard to their revision.
+// Guards against a target that has left reappearing: the answer to a watch is
+// delivered after a later full read.
 func TestLateEventsAreSkipped(t *testing.T) {
 	is := is.New(t)
 	var m Mirror
@@ -56,10 +52,9 @@
 	is.Equal(m.AsOf(), Revision(10))
 }
 
-// Symptom: a target that has left is sent requests for good.
-// Sequence: a target registers and leaves again between two watches.
-// Cause: the watch's answer was passed on with both changes of the key, and who
-// takes all removals before all writes ends with the target present.
+// Guards against requests being sent to a target that has left: it registers
+// and leaves again between two watches, and a receiver that processes all
+// removals before all writes would end with the target present.
 func TestApplyReturnsOneChangePerKey(t *testing.T) {
 	is := is.New(t)
 	var m Mirror
@@ -77,8 +72,8 @@
 	return Change{Item: Item{Key: key, Revision: rev}, Removed: true}
 }
 
-// follower holds the keys that changes leave behind when all removals of a
-// step are taken before all writes.
+// follower holds the keys that remain when a receiver processes all removals
+// of a step before all writes.
 type follower map[string]bool
 
 func (f follower) apply(changes []Change) {
@@ -94,17 +89,16 @@
 	}
 }
 
-// Symptom: the copy differs from the store after everything was read.
-// Sequence: random changes, read by watches and full reads that are late, in
-// another order, or of several pages.
-// Cause: named by the seed.
+// Guards against a copy that differs from the store after everything was read:
+// random changes are read by watches and full reads that are late, out of
+// order, or of several pages.
 func TestRandomSourcesConverge(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		var m Mirror
 		store := map[string]Item{}
 		var log []Change
-		follows := follower{}
+		derived := follower{}
 		rev := Revision(1)
 		type source func()
 		var late []source
@@ -123,12 +117,12 @@
 				items, asOf := values(store), rev
 				late = append(late, func() {
 					changes, _ := m.Replace(items, asOf)
-					follows.apply(changes)
+					derived.apply(changes)
 				})
 			case 1:
 				if m.Valid() {
 					events, asOf := since(log, m.AsOf()), rev
-					late = append(late, func() { follows.apply(m.Apply(events, asOf)) })
+					late = append(late, func() { derived.apply(m.Apply(events, asOf)) })
 				}
 			}
 			for len(late) > 0 && rng.IntN(3) > 0 {
@@ -136,15 +130,15 @@
 				before := m.AsOf()
 				late[i]()
 				if m.AsOf() < before {
-					t.Fatalf("seed %d: the copy went back from %d to %d", seed, before, m.AsOf())
+					t.Fatalf("seed %d: revision of the copy fell from %d to %d", seed, before, m.AsOf())
 				}
 				late = append(late[:i], late[i+1:]...)
 			}
 		}
 		last, _ := m.Replace(values(store), rev)
-		follows.apply(last)
-		if len(follows) != len(store) {
-			t.Fatalf("seed %d: %d keys left by the changes, the store has %d", seed, len(follows), len(store))
+		derived.apply(last)
+		if len(derived) != len(store) {
+			t.Fatalf("seed %d: %d keys remain after the changes, the store has %d", seed, len(derived), len(store))
 		}
 		if len(m.Items("")) != len(store) {
 			t.Fatalf("seed %d: %d items, the store has %d", seed, len(m.Items("")), len(store))
@@ -175,11 +169,10 @@
 	return out
 }
 
-// Symptom: a VM that learns of the store from another one keeps a target that
-// has left, or misses a change.
-// Sequence: random changes, which one copy reads by watches and full reads; a
-// second copy takes what the first has, at random moments.
-// Cause: named by the seed.
+// Guards against a VM that learns of the store from another VM keeping a
+// target that has left, or missing a change: one copy reads random changes by
+// watches and full reads, and a second copy takes the changes of the first at
+// random moments.
 func TestFollowerMirrorConverges(t *testing.T) {
 	for seed := range uint64(100) {
 		rng := rand.New(rand.NewPCG(seed, 2))
@@ -200,7 +193,7 @@
 		for range 3000 {
 			rev++
 			key := fmt.Sprint(rng.IntN(6))
-			if _, there := store[key]; there && rng.IntN(2) == 0 {
+			if _, present := store[key]; present && rng.IntN(2) == 0 {
 				delete(store, key)
 				log = append(log, removal(key, rev))
 			} else {
@@ -209,7 +202,7 @@
 			}
 			switch rng.IntN(20) {
 			case 0:
-				reader.Replace(values(store), rev) // what was in between is lost
+				reader.Replace(values(store), rev) // the history in between is lost
 			case 1, 2, 3, 4, 5:
 				reader.Apply(since(log, reader.AsOf()), rev)
 			case 6, 7:
@@ -229,9 +222,9 @@
 	}
 }
 
-// Symptom: a VM that was cut off for minutes keeps targets that have left.
-// Sequence: more removals than are kept; then it asks for what it lacks.
-// Cause: it got the removals that were left as if they were all.
+// Guards against a VM that was cut off for minutes keeping targets that have
+// left: there were more removals than are kept, and it got the remaining ones
+// as if they were complete.
 func TestChangesSinceRefusesAfterDroppedRemovals(t *testing.T) {
 	is := is.New(t)
 	var m Mirror
@@ -243,7 +236,7 @@
 	}
 	_, ok := m.ChangesSince(1)
 	is.True(!ok)
-	changes, ok := m.ChangesSince(3) // after the removal that was forgotten
+	changes, ok := m.ChangesSince(3) // after the removal that was dropped
 	is.True(ok)
 	is.Equal(len(changes), maxRemovals)
 }
--- a/decide/quarantine/doc.go
+++ b/decide/quarantine/doc.go
@@ -1,30 +1,32 @@
-// Package quarantine tells requests that end the targets that run them, queries
-// of death, from others, and says which are to be kept away from targets.
+// Package quarantine finds queries of death, requests that end the targets
+// that run them, and decides which requests are kept away from targets.
 //
-// A request is known by the Fingerprint of its content, as each attempt of its
-// caller has an id of its own and comes to any entry VM.
+// A request is identified by the Fingerprint of its content, because each
+// attempt of its caller has an id of its own and may arrive at any entry VM.
 //
-// # What convicts and what clears
+// # Evidence
 //
 // A Record lists the starts of targets that ended while a request with its
-// fingerprint was under way there. Whatever else ran at those targets is listed
-// as well. What tells them apart: a query of death is never answered. So a whole
-// answer clears all ends that are known by then, and MaxEnds of them without an
-// answer put the fingerprint into quarantine.
+// fingerprint was in flight there. All other requests in flight at those
+// targets get a record too. The difference is that a query of death is never
+// answered. So a complete answer clears all ends known by then, and several
+// ends in a row without an answer put the fingerprint into quarantine.
 //
-// Ends are counted by the start of a target, not by the request, so it does not
-// matter how many attempts were there, nor how many entry VMs have seen it.
+// Ends are counted per start of a target, not per request, so the count does
+// not depend on how many attempts were in flight there or how many entry VMs
+// saw the end.
 //
 // # Merging
 //
 // Records are exchanged between entry VMs and kept in the store. Ended and
-// Cleared only grow within a round, and a later round replaces an earlier one, so
-// records merge in any order and any number of times to the same result. An end
-// that is heard of after it was cleared stays cleared.
+// Cleared only grow within a round, and a later round replaces an earlier one,
+// so records merge to the same result in any order and any number of times. An
+// end that is reported after it was cleared stays cleared.
 //
-// # The end of a quarantine
+// # Trials
 //
-// Now and then one request is let through as a trial, by one entry VM of the
-// fleet. An answer clears the fingerprint; another end keeps it away for longer.
-// Trials are few and counted in the record: each one may cost a target.
+// From time to time, one entry VM of the fleet lets one request of a
+// quarantined fingerprint through as a trial. An answer clears the
+// fingerprint; another end prolongs the quarantine. Trials are few and counted
+// in the record, because each one may end a target.
 package quarantine
--- a/decide/quarantine/fingerprint.go
+++ b/decide/quarantine/fingerprint.go
@@ -8,19 +8,19 @@
 	"io"
 )
 
-// Fingerprint names a request by its content. Requests with the same content
-// have the same fingerprint, whichever entry VM takes them.
+// Fingerprint identifies a request by its content. Requests with the same
+// content have the same fingerprint, whichever entry VM receives them.
 //
-// It is the beginning of a SHA-256 sum: with a hash that callers can find
-// collisions for, one caller could have another one's requests refused.
+// It is a truncated SHA-256 sum: with a hash for which callers can find
+// collisions, one caller could have another one's requests refused.
 type Fingerprint [16]byte
 
-// Content is what a fingerprint is made of.
+// Content holds the parts of a request that its fingerprint covers.
 type Content struct {
 	Method string
 	Host   string
 	URI    string // path and query as sent
-	Caller string // who sends it, as far as requests say; may be empty
+	Caller string // identity stated by the request; may be empty
 	Body   []byte
 }
 
@@ -30,13 +30,13 @@
 	for _, field := range []string{c.Method, c.Host, c.URI, c.Caller} {
 		writeField(h, field)
 	}
-	_, _ = h.Write(c.Body) // a hash never fails to take bytes
+	_, _ = h.Write(c.Body) // Write of a hash.Hash never returns an error
 	var sum [sha256.Size]byte
 	return Fingerprint(h.Sum(sum[:0])[:len(Fingerprint{})])
 }
 
-// writeField adds a field with its length, so that no two lists of fields are
-// the same bytes.
+// writeField hashes a field preceded by its length, so that no two lists of
+// fields give the same bytes.
 func writeField(h hash.Hash, field string) {
 	var size [8]byte
 	binary.BigEndian.PutUint64(size[:], uint64(len(field)))
--- a/decide/quarantine/fingerprint_test.go
+++ b/decide/quarantine/fingerprint_test.go
@@ -6,7 +6,7 @@
 	"github.com/matryer/is"
 )
 
-// Two requests of different content must not be taken for one.
+// Guards against two requests of different content sharing a fingerprint.
 func TestDifferentContentsHaveDifferentFingerprints(t *testing.T) {
 	is := is.New(t)
 	contents := []Content{
@@ -22,7 +22,7 @@
 		f := FingerprintOf(c)
 		is.Equal(f, FingerprintOf(c))
 		if other, ok := seen[f]; ok {
-			t.Fatalf("contents %d and %d have one fingerprint", other, i)
+			t.Fatalf("contents %d and %d have the same fingerprint", other, i)
 		}
 		seen[f] = i
 	}
--- a/decide/quarantine/list.go
+++ b/decide/quarantine/list.go
@@ -8,8 +8,8 @@
 	"github.com/azurethread/azurethread/decide/clock"
 )
 
-// maxRecords bounds the list. A record takes some hundred bytes, and a target's
-// end makes one for each request that was under way there.
+// maxRecords bounds the memory of a list. A record takes a few hundred bytes,
+// and the end of a target creates one for each request in flight there.
 const maxRecords = 4096
 
 // List holds the records that one entry VM knows. The zero List is empty.
@@ -20,8 +20,8 @@
 // Len returns the number of records.
 func (l *List) Len() int { return len(l.records) }
 
-// Find returns the record of a fingerprint, nil if there is none. It is valid
-// until the next change of the list and must not be changed.
+// Find returns the record of a fingerprint, or nil. The record is valid until
+// the list next changes and must not be modified.
 func (l *List) Find(now clock.Time, f Fingerprint) *Record {
 	r, ok := l.records[f]
 	if !ok {
@@ -34,8 +34,8 @@
 	return r
 }
 
-// Ends returns the number of ends of a fingerprint after which no answer has
-// come.
+// Ends returns the number of counted ends of a fingerprint that no answer has
+// cleared.
 func (l *List) Ends(now clock.Time, f Fingerprint) int {
 	if r := l.Find(now, f); r != nil {
 		return r.Ends()
@@ -43,18 +43,20 @@
 	return 0
 }
 
-// Change is what has become of a record.
+// Change describes the effect of an update on a record.
 type Change struct {
-	Record  Record // as it is now; it shares nothing with the list
+	Record  Record // copy of the record after the update
 	Changed bool
-	// WasQuarantined says that the fingerprint was in quarantine.
+	// WasQuarantined says that the fingerprint was in quarantine before the
+	// update.
 	WasQuarantined bool
 }
 
-// Lifted reports whether the fingerprint has come out of quarantine.
+// Lifted reports whether the update ended the quarantine of the fingerprint.
 func (c *Change) Lifted() bool { return c.WasQuarantined && !c.Record.Quarantined() }
 
-// Ended notes that a target has ended under a fingerprint.
+// Ended records the end of a target where a request with the fingerprint was
+// in flight.
 func (l *List) Ended(now clock.Time, f Fingerprint, route string, e End) Change {
 	end := Record{Fingerprint: f, Route: route, Ended: []End{e}, Since: now}
 	if r := l.Find(now, f); r != nil {
@@ -63,7 +65,7 @@
 	return l.Merge(now, &end)
 }
 
-// Merge adds what another entry VM or the store knows.
+// Merge adds a record received from another entry VM or read from the store.
 func (l *List) Merge(now clock.Time, other *Record) Change {
 	add := other.clone()
 	add.Since = min(add.Since, now) // the sender's clock may be ahead
@@ -80,7 +82,7 @@
 	return Change{Record: r.clone(), Changed: changed, WasQuarantined: before}
 }
 
-// Answered notes that a request with the fingerprint was answered.
+// Answered records that a request with the fingerprint was answered.
 func (l *List) Answered(now clock.Time, f Fingerprint) Change {
 	r := l.Find(now, f)
 	if r == nil || r.Ends() == 0 {
@@ -92,7 +94,7 @@
 	return Change{Record: r.clone(), Changed: true, WasQuarantined: before}
 }
 
-// Tried notes that a request with the fingerprint is let through.
+// Tried records that a request with the fingerprint is let through as a trial.
 func (l *List) Tried(now clock.Time, f Fingerprint) Change {
 	r := l.Find(now, f)
 	if r == nil {
@@ -103,24 +105,24 @@
 	return Change{Record: r.clone(), Changed: true, WasQuarantined: r.Quarantined()}
 }
 
-// Expire forgets records that are over and returns those that were in
-// quarantine.
+// Expire drops expired records and returns the fingerprints of those that were
+// in quarantine.
 func (l *List) Expire(now clock.Time) []Fingerprint {
-	var over []Fingerprint
+	var expired []Fingerprint
 	for f, r := range l.records {
 		if r.Expires().After(now) {
 			continue
 		}
 		delete(l.records, f)
 		if r.Quarantined() {
-			over = append(over, f)
+			expired = append(expired, f)
 		}
 	}
-	slices.SortFunc(over, func(a, b Fingerprint) int { return bytes.Compare(a[:], b[:]) })
-	return over
+	slices.SortFunc(expired, func(a, b Fingerprint) int { return bytes.Compare(a[:], b[:]) })
+	return expired
 }
 
-// Quarantined returns the number of fingerprints that are kept away.
+// Quarantined returns the number of fingerprints in quarantine.
 func (l *List) Quarantined() int {
 	n := 0
 	for _, r := range l.records {
@@ -131,8 +133,8 @@
 	return n
 }
 
-// add keeps a record. A full list first forgets what is over, and then the
-// records with the fewest ends, the oldest of these.
+// add inserts a record. A full list first drops expired records, then those
+// with the fewest ends, oldest first.
 func (l *List) add(now clock.Time, r *Record) {
 	if l.records == nil {
 		l.records = make(map[Fingerprint]*Record)
@@ -146,8 +148,8 @@
 	l.records[r.Fingerprint] = r
 }
 
-// evict forgets an eighth of the records, as comparing all of them takes a
-// millisecond.
+// evict drops an eighth of the records at once, because comparing all of them
+// takes a millisecond.
 func (l *List) evict() {
 	type ranked struct {
 		ends int
--- a/decide/quarantine/list_test.go
+++ b/decide/quarantine/list_test.go
@@ -23,21 +23,23 @@
 
 func testStart(n int) Start { return Start{Target: fleet.TargetID(fmt.Sprintf("t%d", n)), Born: 1} }
 
-// testEnd is the end of start n, n milliseconds after testNow; the request was
-// sent there half a millisecond before.
+// testEnd returns the end of start n, n milliseconds after testNow, of a
+// request sent half a millisecond earlier.
 func testEnd(n int) End {
 	at := testNow.Add(time.Duration(n) * time.Millisecond)
 	return End{Start: testStart(n), Sent: at.Add(-time.Millisecond / 2), At: at}
 }
 
-// recordEnds notes the ends of starts first to last under f, one after the other.
+// recordEnds records the ends of starts first to last for f, one after the
+// other.
 func recordEnds(l *List, f Fingerprint, first, last int) {
 	for n := first; n <= last; n++ {
 		l.Ended(testEnd(n).At, f, "r", testEnd(n))
 	}
 }
 
-// One end that is seen by many attempts and entry VMs must not count as many.
+// Guards against counting one end several times because several attempts or
+// entry VMs saw it.
 func TestEndsOfOneStartCountOnce(t *testing.T) {
 	is := is.New(t)
 	var l List
@@ -52,8 +54,8 @@
 	is.Equal(l.Ends(testNow, f), 2)
 }
 
-// A crash of many targets at once puts requests into quarantine that were under
-// way at several of them.
+// Guards against quarantining requests that were in flight at several of many
+// targets that crashed at once.
 func TestTargetsThatEndTogetherCountOnce(t *testing.T) {
 	is := is.New(t)
 	var l List
@@ -66,8 +68,8 @@
 	is.Equal(l.Ends(testNow, f), 1)
 }
 
-// A request that was beside a query of death at each end stays in quarantine
-// although it is answered elsewhere.
+// Guards against a request staying in quarantine although it is answered
+// elsewhere: it was in flight beside a query of death at each end.
 func TestAnswerClearsEarlierEnds(t *testing.T) {
 	is := is.New(t)
 	var l List
@@ -79,7 +81,7 @@
 	is.True(cleared.Lifted())
 	is.Equal(l.Ends(testNow.Add(time.Second), f), 0)
 
-	var other List // which hears of the ends after the answer
+	var other List // is told of the ends after the answer
 	other.Merge(testNow, &cleared.Record)
 	recordEnds(&other, f, 1, MaxEnds)
 	is.Equal(other.Ends(testNow.Add(time.Second), f), 0)
@@ -87,38 +89,39 @@
 	is.Equal(other.Ends(testNow.Add(time.Second), f), 1)
 }
 
-// Entry VMs that hear of the same ends in another order disagree about who is
-// kept away.
+// Guards against entry VMs that disagree on what is in quarantine because they
+// learn of the same ends in another order.
 func TestRecordsMergeInAnyOrder(t *testing.T) {
 	for seed := range uint64(50) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		f := testFingerprint(1)
-		var heard []Record
+		var records []Record
 		var source List
 		for n := range 1 + rng.IntN(6) {
-			heard = append(heard, source.Ended(testNow, f, "r", testEnd(n)).Record)
+			records = append(records, source.Ended(testNow, f, "r", testEnd(n)).Record)
 			if rng.IntN(4) == 0 {
-				heard = append(heard, source.Answered(testNow, f).Record)
+				records = append(records, source.Answered(testNow, f).Record)
 			}
 		}
 		want := source.Ends(testNow, f)
 		for range 5 {
 			var l List
-			for _, i := range rng.Perm(len(heard)) {
-				l.Merge(testNow, &heard[i])
-				l.Merge(testNow, &heard[rng.IntN(len(heard))])
+			for _, i := range rng.Perm(len(records)) {
+				l.Merge(testNow, &records[i])
+				l.Merge(testNow, &records[rng.IntN(len(records))])
 			}
-			for i := range heard {
-				l.Merge(testNow, &heard[i])
+			for i := range records {
+				l.Merge(testNow, &records[i])
 			}
 			if got := l.Ends(testNow, f); got != want {
-				t.Fatalf("seed %d: %d ends in another order, %d in the first", seed, got, want)
+				t.Fatalf("seed %d: %d ends when merged in another order, %d at the source", seed, got, want)
 			}
 		}
 	}
 }
 
-// Trials that go on for good would take a target each.
+// Guards against an unlimited number of trials, each of which may end a
+// target.
 func TestTrialsAreBoundedAndSpacedOut(t *testing.T) {
 	is := is.New(t)
 	var l List
@@ -136,8 +139,8 @@
 	is.Equal(l.Find(now.Add(quarantineRetention), f), nil)
 }
 
-// Guards against an innocent request that waits for two minutes although none of
-// its trials has ended a target: another attempt was under way when its
+// Guards against an innocent request that waits for two minutes although none
+// of its trials has ended a target: another attempt was in flight when its
 // fingerprint came into quarantine, and its target ended as well.
 func TestOnlyTrialsDelayTheNextTrial(t *testing.T) {
 	is := is.New(t)
@@ -146,13 +149,13 @@
 	recordEnds(&l, f, 1, MaxEnds+1)
 	rec := l.Find(testNow, f)
 	is.Equal(rec.TrialAt(), rec.Since.Add(trialDelays[0]))
-	l.Tried(rec.TrialAt(), f) // and shows nothing, as when its target is full
+	l.Tried(rec.TrialAt(), f) // without a result, as when its target is full
 	rec = l.Find(testNow, f)
 	is.Equal(rec.TrialAt(), rec.Since.Add(trialDelays[0]))
 }
 
-// A caller that has many different requests end with targets must not fill the
-// memory, nor push out what is in quarantine.
+// Guards against a caller that fills the memory, or evicts what is in
+// quarantine, by having many different requests in flight at targets that end.
 func TestListIsBounded(t *testing.T) {
 	is := is.New(t)
 	var l List
@@ -171,8 +174,8 @@
 	is.Equal(len(l.Find(testNow, r.Fingerprint).Ended), maxListLen)
 }
 
-// A path that is asked for all the time is at so many ends that a new query of
-// death on it would not be noticed any more.
+// Guards against missing a new query of death on a path that is requested all
+// the time, and is therefore in flight at a great many ends.
 func TestEndsCountAfterManyClearedEnds(t *testing.T) {
 	is := is.New(t)
 	var l List
@@ -185,8 +188,7 @@
 	is.True(l.Find(testNow, f).Quarantined())
 }
 
-// An entry VM whose clock is ahead would hold a fingerprint in quarantine for
-// longer than anybody meant.
+// Guards against an entry VM whose clock is ahead prolonging a quarantine.
 func TestTimestampsFromTheFutureAreClamped(t *testing.T) {
 	is := is.New(t)
 	var l List
@@ -194,7 +196,8 @@
 	is.Equal(l.Find(testNow, testFingerprint(1)).Since, testNow)
 }
 
-// What is over is forgotten, and named if operators may still see it in force.
+// Expired records are dropped. Those in quarantine are returned, because
+// operators may still see them in force.
 func TestExpire(t *testing.T) {
 	is := is.New(t)
 	var l List
--- a/decide/quarantine/record.go
+++ b/decide/quarantine/record.go
@@ -9,73 +9,75 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// MaxEnds is the number of ends, one after the other and without an answer, that put a fingerprint into
-// quarantine. Fewer would hold for requests that were beside a query of death
-// twice, or at two crashes.
+// MaxEnds is the number of ends in a row, without an answer, that put a
+// fingerprint into quarantine. A lower number would also quarantine requests
+// that were in flight beside a query of death twice, or at two crashes.
 const MaxEnds = 3
 
-// Suspected is the number of ends from which all entry VMs are told. It is
-// seldom reached by chance, and the next end may put the fingerprint into
-// quarantine.
+// Suspected is the number of ends from which a record is sent to all entry
+// VMs. It is rarely reached by chance, and the next end may put the
+// fingerprint into quarantine.
 const Suspected = 2
 
 const (
 	// maxListLen bounds each list of a record, as peers and the store may send
-	// any number.
+	// lists of any length.
 	maxListLen = 16
-	// clearedRetention is how long a cleared record is kept, so that an end which is
-	// heard of late stays cleared.
+	// clearedRetention is how long a cleared record is kept, so that an end
+	// that is reported late stays cleared.
 	clearedRetention = 30 * time.Second
-	// endsRetention is how long ends count that do not make a quarantine. A caller
-	// that comes back less often costs a target in five minutes.
+	// endsRetention is how long ends count that do not suffice for a
+	// quarantine. A query of death that is sent less often ends at most one
+	// target in five minutes.
 	endsRetention = 5 * time.Minute
 	// quarantineRetention is how long a quarantine lasts after its last trial.
 	quarantineRetention = 24 * time.Hour
 )
 
-// trialDelays is the time from the latest end or trial to the next trial, by the
-// number of trials that ended a target. The first one comes soon: an innocent
-// fingerprint has its answer then. One trial may show nothing, as when its target
-// is full; each further one that does counts like one that ended a target. There
-// are no more trials than times.
+// trialDelays holds the times from the latest end or trial to the next trial,
+// by the number of trials that ended a target. The first one is short, because
+// an innocent fingerprint is answered then. One trial may give no result, for
+// example because its target is full; each further one without a result counts
+// like one that ended a target. There are at most as many trials as delays.
 var trialDelays = [...]time.Duration{8 * time.Second, 2 * time.Minute, 20 * time.Minute}
 
-// Start is one start of a target.
+// Start identifies one start of a target.
 type Start struct {
 	Target fleet.TargetID
-	Born   int64 // as it was registered; 0: not stated
+	Born   int64 // start time as registered, in Unix ms; 0: not stated
 }
 
-// End is the end of a start of a target while a request was under way there.
+// End is the end of a target while a request was in flight there.
 type End struct {
 	Start
 	Sent clock.Time // when the request was sent there
 	At   clock.Time // when its connection was lost
 }
 
-// Record is what is known of a fingerprint.
+// Record holds what is known about a fingerprint. The store keeps it as JSON
+// under the names of its fields.
 type Record struct {
 	Fingerprint Fingerprint
-	Route       string // of its requests, for operators
-	Ended       []End  // one for each start
-	// Cleared are the starts after whose end it was answered.
+	Route       string // route of its requests, shown to operators
+	Ended       []End  // one per start
+	// Cleared lists the starts whose ends were followed by an answer.
 	Cleared []Start
-	// Round counts how often the lists began anew because they were full. What is
-	// said of an earlier round is void.
+	// Round counts how often the lists were restarted because they were full.
+	// Lists of an earlier round are ignored.
 	Round int
-	// Trials is how often it was let through while in quarantine.
+	// Trials counts the requests let through while in quarantine.
 	Trials int
 	// Since is when the latest end was seen or the latest trial began.
 	Since clock.Time
 }
 
-// Ends returns the number of ends, one after the other, after which no answer
-// has come. Of targets that end together one counts: requests that come all the
-// time are under way at many of them, and a query of death goes on to the next
-// target when one has ended.
+// Ends returns the number of ends in a row that no answer has cleared. Targets
+// that end together count once: frequent requests are in flight at many
+// targets, whereas a query of death moves on to the next target after one has
+// ended.
 func (r *Record) Ends() int { return len(r.consecutiveEnds()) }
 
-// consecutiveEnds returns the ends that Ends counts, in their order.
+// consecutiveEnds returns the ends that Ends counts, in order of time.
 func (r *Record) consecutiveEnds() []End {
 	open := r.unclearedEnds()
 	slices.SortFunc(open, func(a, b End) int {
@@ -90,32 +92,34 @@
 	return list
 }
 
-// endsByTrials returns how many trials have ended a target. Other attempts may have
-// been sent before all entry VMs knew of the quarantine.
+// endsByTrials returns how many trials have ended a target. Other attempts may
+// have been sent before all entry VMs knew of the quarantine; their ends are
+// not counted.
 func (r *Record) endsByTrials() int {
 	list := r.consecutiveEnds()
 	if len(list) <= MaxEnds {
 		return 0
 	}
-	known := list[MaxEnds-1].At.Add(trialDelays[0] / 2)
+	knownByAll := list[MaxEnds-1].At.Add(trialDelays[0] / 2)
 	n := 0
 	for _, e := range list[MaxEnds:] {
-		if !e.Sent.Before(known) {
+		if !e.Sent.Before(knownByAll) {
 			n++
 		}
 	}
 	return min(n, r.Trials)
 }
 
-// unclearedEnds returns the ends that are not cleared.
+// unclearedEnds returns the ends that no answer has cleared.
 func (r *Record) unclearedEnds() []End {
 	return slices.DeleteFunc(slices.Clone(r.Ended), func(e End) bool { return slices.Contains(r.Cleared, e.Start) })
 }
 
-// Quarantined reports whether requests with the fingerprint are kept away.
+// Quarantined reports whether requests with the fingerprint are kept away from
+// targets.
 func (r *Record) Quarantined() bool { return r.Ends() >= MaxEnds }
 
-// TrialAt returns when the next request may be let through.
+// TrialAt returns when the next request may be let through as a trial.
 func (r *Record) TrialAt() clock.Time {
 	if r.Trials >= len(trialDelays) {
 		return r.Expires()
@@ -124,7 +128,7 @@
 	return r.Since.Add(trialDelays[step])
 }
 
-// Expires returns when the record is forgotten.
+// Expires returns when the record expires.
 func (r *Record) Expires() clock.Time {
 	switch n := r.Ends(); {
 	case n == 0:
@@ -144,7 +148,7 @@
 	return c
 }
 
-// merge adds what other knows and reports whether anything was new.
+// merge merges other into r and reports whether r changed.
 func (r *Record) merge(other *Record) bool {
 	before := r.clone()
 	switch {
@@ -166,8 +170,8 @@
 	return changed
 }
 
-// add adds the lists of other. Where they don't fit a new round begins without
-// what is cleared.
+// add merges the lists of other. If they are too long, a new round begins,
+// without the cleared ends.
 func (r *Record) add(other *Record) {
 	for _, e := range other.Ended {
 		r.addEnd(e)
@@ -185,8 +189,8 @@
 	r.Cleared = r.Cleared[:min(len(r.Cleared), maxListLen)]
 }
 
-// addEnd adds an end. Of what several VMs have seen of one start the earliest
-// counts.
+// addEnd adds an end. If several entry VMs saw the end of one start, the
+// earliest times count.
 func (r *Record) addEnd(e End) {
 	i := slices.IndexFunc(r.Ended, func(o End) bool { return o.Start == e.Start })
 	if i < 0 {
@@ -197,7 +201,7 @@
 	r.Ended[i].At = min(r.Ended[i].At, e.At)
 }
 
-// clear clears all ends.
+// clear marks all ends as cleared.
 func (r *Record) clear() {
 	r.Cleared = nil
 	for _, e := range r.Ended {
--- a/decide/queue/fifo.go
+++ b/decide/queue/fifo.go
@@ -17,7 +17,7 @@
 	n          int
 }
 
-// Len returns how many items wait.
+// Len returns the number of waiting items.
 func (l *FIFO[T]) Len() int { return l.n }
 
 // Front returns the item that has waited longest, or nil.
@@ -32,8 +32,8 @@
 // Prev returns the node before n, or nil.
 func (n *Node[T]) Prev() *Node[T] { return n.prev }
 
-// InsertAfter puts n behind at, which is in l; n must not be in a list. With at
-// nil, n becomes the front.
+// InsertAfter inserts n behind at, which is in l; n must not be in a list. If
+// at is nil, n becomes the front.
 func (l *FIFO[T]) InsertAfter(at, n *Node[T]) {
 	switch {
 	case at == nil:
@@ -62,7 +62,7 @@
 	l.n++
 }
 
-// PushFront puts n before all others; n must not be in a list.
+// PushFront inserts n before all others; n must not be in a list.
 func (l *FIFO[T]) PushFront(n *Node[T]) {
 	n.list = l
 	n.prev, n.next = nil, l.head
@@ -75,7 +75,7 @@
 	l.n++
 }
 
-// Remove takes n out of l; it does nothing when n isn't in l.
+// Remove removes n from l; it does nothing if n isn't in l.
 func (l *FIFO[T]) Remove(n *Node[T]) {
 	if n.list != l {
 		return
--- a/decide/queue/gate.go
+++ b/decide/queue/gate.go
@@ -12,10 +12,10 @@
 	bytes int64
 }
 
-// Items returns how many requests wait.
+// Items returns the number of waiting requests.
 func (g *Gate) Items() int { return g.items }
 
-// Bytes returns the bytes of their bodies.
+// Bytes returns the size of their bodies.
 func (g *Gate) Bytes() int64 { return g.bytes }
 
 // Admits reports whether one more request with a body of the given bytes may
--- a/decide/queue/queue_test.go
+++ b/decide/queue/queue_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// The list behaves as a slice does, whatever is put in and taken out where.
+// Compares the list with a slice over random insertions and removals.
 func TestFIFOAgainstSlice(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var l FIFO[int]
@@ -29,7 +29,7 @@
 			case len(model) > 0:
 				at := rapid.IntRange(0, len(model)-1).Draw(rt, "at")
 				l.Remove(model[at])
-				l.Remove(model[at]) // not in the list any more
+				l.Remove(model[at]) // no longer in the list
 				model = slices.Delete(model, at, at+1)
 			}
 			compare(rt, &l, model)
@@ -44,21 +44,21 @@
 	n := l.Front()
 	for _, m := range model {
 		if n != m || !n.Queued() {
-			rt.Fatalf("order differs")
+			rt.Fatalf("forward order differs from the slice")
 		}
 		n = n.Next()
 	}
 	n = l.Back()
 	for i := len(model) - 1; i >= 0; i-- {
 		if n != model[i] {
-			rt.Fatalf("reverse order differs")
+			rt.Fatalf("reverse order differs from the slice")
 		}
 		n = n.Prev()
 	}
 }
 
-// Symptom: look-ups are refused while submissions fill the queue.
-// Cause: a burst of deferrable work takes all places. It may take its part only.
+// Guards against look-ups being refused while a burst of deferrable
+// submissions fills the queue.
 func TestGateReservesCapacityForInteractiveWork(t *testing.T) {
 	is := is.New(t)
 	g := Gate{MaxItems: 4, MaxBytes: 1000, DeferrableShare: 0.5}
--- a/decide/rank/rank.go
+++ b/decide/rank/rank.go
@@ -1,9 +1,9 @@
-// Package rank orders entry VMs by rendezvous hashing, and lays dissemination
-// trees over such orders.
+// Package rank orders entry VMs by rendezvous hashing and derives
+// dissemination trees from such orders.
 //
-// Every entry VM with the same membership computes the same order, so tasks can
-// be assigned without an election. The salt makes orders independent of each
-// other. The loss of one VM leaves all others in their relative order.
+// All entry VMs with the same membership compute the same order, so tasks can
+// be assigned without an election. Different salts give independent orders.
+// When a VM is lost, the others keep their relative order.
 package rank
 
 import (
@@ -26,7 +26,8 @@
 	return d.Sum64()
 }
 
-// By returns items by falling score of their names. Each name is hashed once.
+// By returns items by descending score of their names. Each name is hashed
+// once.
 func By[T any](salt string, items []T, name func(T) string) []T {
 	type scored struct {
 		item  T
@@ -48,14 +49,14 @@
 	return out
 }
 
-// Order returns ids by falling score.
+// Order returns ids by descending score.
 func Order(salt string, ids []fleet.VMID) []fleet.VMID {
 	return By(salt, ids, func(id fleet.VMID) string { return string(id) })
 }
 
-// Children returns the children of self in the tree that fills its levels with
-// order, fanOut children a node; order[0] is the root. It returns nil if self
-// isn't in order.
+// Children returns the children of self in a tree that is filled level by
+// level in the given order, with fanOut children per VM; order[0] is the root.
+// It returns nil if self isn't in order.
 func Children(order []fleet.VMID, self fleet.VMID, fanOut int) []fleet.VMID {
 	at := slices.Index(order, self)
 	if at < 0 {
--- a/decide/reader/reader_test.go
+++ b/decide/reader/reader_test.go
@@ -20,64 +20,65 @@
 	return vms
 }
 
-// Pattern: a region of twenty VMs at rest. Three read the store, the others ask
-// them in about equal parts: 29 watches a second of 59 VMs become 5.
+// In a region of twenty VMs three read the store, and the others poll them in
+// about equal parts: 29 watches a second of 59 VMs become 5.
 func TestFewReadInALargeRegion(t *testing.T) {
 	is := is.New(t)
 	vms := append(region(20), fleet.VM{ID: "far", Region: "r2"})
 	asked := map[fleet.VMID]int{}
 	reading := 0
 	for _, vm := range vms {
-		var c Selector
-		if from, ok := c.Source(now, vm, vms); ok {
+		var s Selector
+		if from, ok := s.Source(now, vm, vms); ok {
 			asked[from.ID]++
 		} else {
 			reading++
 		}
 	}
-	is.Equal(reading, readersPerRegion+1) // and the only one of the other region
+	is.Equal(reading, readersPerRegion+1) // and the only VM of the other region
 	is.Equal(len(asked), readersPerRegion)
 	for _, n := range asked {
 		is.True(n >= 2)
 	}
 }
 
-// Pattern: a region of four VMs, of which two may be lost at once. All read.
+// In a small region, such as one of four VMs of which two may be lost at once,
+// all VMs read the store.
 func TestAllReadInASmallRegion(t *testing.T) {
 	is := is.New(t)
 	vms := region(maxVMsAllReading)
 	for _, vm := range vms {
-		var c Selector
-		_, ok := c.Source(now, vm, vms)
+		var s Selector
+		_, ok := s.Source(now, vm, vms)
 		is.True(!ok)
 	}
 }
 
-// Symptom: a VM goes on with an old configuration although it reaches the store.
-// Sequence: the readers that it follows die or are cut off, one after the other.
-// Cause: it waited for their word.
+// Guards against a VM keeping an old configuration although it can reach the
+// store: the readers that it polls die or are cut off, one after the other,
+// and it waits for their answers.
 func TestFollowerWithoutReaderReadsStore(t *testing.T) {
 	is := is.New(t)
 	vms := region(20)
-	var c Selector
+	var s Selector
 	var self fleet.VM
 	for _, vm := range vms {
-		if _, ok := c.Source(now, vm, vms); ok {
+		if _, ok := s.Source(now, vm, vms); ok {
 			self = vm
 			break
 		}
 	}
 	seen := map[fleet.VMID]bool{}
 	for range readersPerRegion {
-		from, ok := c.Source(now, self, vms)
+		from, ok := s.Source(now, self, vms)
 		is.True(ok)
 		is.True(!seen[from.ID]) // another one each time
 		seen[from.ID] = true
-		c.Failed(now, from.ID)
+		s.Failed(now, from.ID)
 	}
-	_, ok := c.Source(now, self, vms)
+	_, ok := s.Source(now, self, vms)
 	is.True(!ok) // the store itself
-	_, ok = c.Source(now.Add(avoidTime), self, vms)
+	_, ok = s.Source(now.Add(avoidTime), self, vms)
 	is.True(ok) // asked again
 }
 
@@ -87,9 +88,9 @@
 	is.True(!Fresh(maxStoreAge + 1))
 }
 
-// Pattern: a region of thirty-three small VMs and nine large ones in three
-// failure domains. The readers are large, one in each domain, and are asked by
-// the VMs of their own.
+// In a region of thirty-three small and nine large VMs in three failure
+// domains, the readers are large VMs, one in each domain, and each is polled
+// by the VMs of its own domain.
 func TestReadersAreStrongAndSpread(t *testing.T) {
 	is := is.New(t)
 	var vms []fleet.VM
@@ -109,8 +110,8 @@
 	}
 	is.Equal(len(domains), 3)
 	for _, vm := range vms[9:] {
-		var c Selector
-		from, ok := c.Source(now, vm, vms)
+		var s Selector
+		from, ok := s.Source(now, vm, vms)
 		is.True(ok)
 		is.Equal(from.Domain, vm.Domain)
 	}
--- a/decide/retry/backoff.go
+++ b/decide/retry/backoff.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// Backoff doubles a pause from Min to Max.
+// Backoff is an exponential backoff from Min to Max.
 type Backoff struct {
 	Min, Max time.Duration
 
 	next time.Duration
 }
 
-// Next returns the pause to make now, drawn between three quarters and the
-// whole of the nominal one, so that entry VMs which saw the same failure
-// don't all test the machine at once.
+// Next returns the next pause, drawn between three quarters and the whole of
+// the nominal one, so that entry VMs that saw the same failure don't all test
+// the target or VM at once.
 func (b *Backoff) Next(rng *rand.Rand) time.Duration {
 	if b.next < b.Min {
 		b.next = b.Min
@@ -24,5 +24,5 @@
 	return d - time.Duration(rng.Float64()*float64(d)/4)
 }
 
-// Reset starts again from Min.
+// Reset restarts from Min.
 func (b *Backoff) Reset() { b.next = 0 }
--- a/decide/retry/doc.go
+++ b/decide/retry/doc.go
@@ -1,7 +1,7 @@
-// Package retry bounds work that is done more than once.
+// Package retry bounds how much work is repeated.
 //
-// When a part of the targets fails, every caller's retries add load to the
-// rest; without a bound the retries themselves keep the rest overloaded after
-// the cause is gone. A Budget therefore ties retries and hedges to a share of
-// the first attempts. Backoff spaces the tests of a machine that has failed.
+// When some targets fail, every caller's retries add load to the others;
+// without a bound the retries keep these overloaded after the cause is gone. A
+// Budget therefore limits retries and hedges to a ratio of the first attempts.
+// Backoff spaces the tests of a target or VM that has failed.
 package retry
--- a/decide/retry/retry_test.go
+++ b/decide/retry/retry_test.go
@@ -10,20 +10,20 @@
 	"github.com/azurethread/azurethread/decide/clock"
 )
 
-// Symptom: retries keep a service overloaded after the cause is gone.
-// Cause: every failure makes more load. However many fail, the repeats stay
-// within the share of first attempts and the burst.
+// Guards against retries that keep a service overloaded after the cause of its
+// failures is gone: however many requests fail, the retries stay within the
+// ratio of first attempts and the burst.
 func TestBudgetBoundsRetries(t *testing.T) {
 	is := is.New(t)
 	b := NewBudget(0.1, 10)
-	repeats := 0
+	retries := 0
 	for range 1000 {
 		b.Earn()
 		for b.Spend() {
-			repeats++
+			retries++
 		}
 	}
-	is.True(repeats >= 109 && repeats <= 110)
+	is.True(retries >= 109 && retries <= 110)
 }
 
 func TestHedgesLeaveHalfForRetries(t *testing.T) {
@@ -49,9 +49,9 @@
 	is.True(b.Next(rng) <= time.Second)
 }
 
-// Symptom: a lone caller whose connection went silent waits for its deadline.
-// Cause: its few requests pay for no repeat. Time does, for one and no more,
-// and not where repeats are turned off.
+// Guards against a single caller whose connection went silent waiting for its
+// deadline, as its few requests pay for no retry. Time pays for one, but for
+// no more, and for none where retries are turned off.
 func TestTimeRefillsOneRetry(t *testing.T) {
 	is := is.New(t)
 	b := NewBudget(0.1, 2)
--- a/decide/route/route.go
+++ b/decide/route/route.go
@@ -1,9 +1,9 @@
-// Package route finds the route of a request and the service that runs it.
+// Package route selects the route of a request and the service that runs it.
 //
-// A configuration holds routes by host and path prefix. Of the routes of a
-// host, the one with the longest prefix of the path counts. A route names one
-// service, or several with weights. A Table is immutable once made; a new
-// version of the configuration is a new Table.
+// A configuration holds routes by host and path prefix. Among the routes of a
+// host, the one with the longest matching prefix applies. A route names one
+// service, or several with weights. A Table is immutable; a new version of the
+// configuration gets a new Table.
 package route
 
 import (
@@ -25,7 +25,7 @@
 	Limits   Limits
 }
 
-// Route says what becomes of the requests below one prefix of one host.
+// Route defines how requests for one host and path prefix are handled.
 type Route struct {
 	Name   string
 	Host   string // without a port, lower case
@@ -33,43 +33,46 @@
 	Parts  []Part // at least one; their weights sum to more than 0
 	// Idempotent requests may run more than once.
 	Idempotent bool
-	// Large says that answers are large, and dear to carry far.
+	// Large says that answers are large, so carrying them over long distances
+	// is expensive.
 	Large bool
-	// Timeout is the longest time the operators want a request kept waiting;
-	// 0: the caller's deadline alone counts.
+	// Timeout is the longest time that operators allow a request to wait; 0:
+	// only the deadline of the caller applies.
 	Timeout time.Duration
-	// Aim is the latency within which an answer has its full value; 0: none.
+	// Aim is the latency goal: an answer within it has its full value; 0:
+	// none.
 	Aim time.Duration
-	// Attempts is the largest number of targets that one request is sent to.
+	// Attempts is the largest number of targets to which one request is sent.
 	Attempts int
 	Priority int // 0 is the most urgent
 	// Homes are the regions in which requests may run; empty: all.
 	Homes []fleet.Region
-	// Affinity says that a target which has handled an object lately handles
+	// Affinity says that a target that has recently handled an object handles
 	// it faster.
 	Affinity bool
-	// Unserved says that the route has a defect: its requests are refused. They
-	// would otherwise fall to a route with a shorter prefix and run at a service
-	// that was never meant for them.
+	// Unserved says that the route is invalid and its requests are refused.
+	// Otherwise they would match a route with a shorter prefix and run at a
+	// service that isn't meant for them.
 	Unserved bool
 }
 
-// Part is one service of a route and its share of the requests.
+// Part is one service of a route and its weight.
 type Part struct {
 	Service fleet.ServiceName
 	Weight  int
 }
 
-// Service is what a configuration says of one service.
+// Service is the configuration of one service.
 type Service struct {
 	Name        fleet.ServiceName
 	HealthPath  string
-	Connections int           // a target accepts from all entry VMs together
-	ColdTime    time.Duration // a target is cold after its start
-	ColdRate    float64       // requests a second that a cold target bears
+	Connections int           // that a target accepts from all entry VMs together
+	ColdTime    time.Duration // how long a target is cold after its start
+	ColdRate    float64       // requests a second that a cold target can handle
 }
 
-// Limits bound what a caller may send, and how long it may take.
+// Limits bound the size of requests and the time that callers may take to send
+// them.
 type Limits struct {
 	HeadBytes   int           // request line and header fields
 	BodyBytes   int           // request body
@@ -82,23 +85,24 @@
 	return len(r.Homes) == 0 || slices.Contains(r.Homes, region)
 }
 
-// Uses reports whether the service is one of r's parts.
+// Uses reports whether r gives the service a weight above 0.
 func (r *Route) Uses(s fleet.ServiceName) bool {
 	return slices.ContainsFunc(r.Parts, func(p Part) bool { return p.Service == s && p.Weight > 0 })
 }
 
-// Defects of a route.
+// Reasons why a route is invalid.
 var (
 	ErrNoParts        = errors.New("route: no service with a weight above 0")
 	ErrUnknownService = errors.New("route: service is not defined")
 	ErrInvalidPrefix  = errors.New("route: prefix must begin and end with a slash")
-	ErrNegativeValue  = errors.New("route: value below 0")
-	ErrNoAttempts     = errors.New("route: at least one attempt is needed")
+	ErrNegativeValue  = errors.New("route: negative value")
+	ErrNoAttempts     = errors.New("route: fewer than one attempt")
 )
 
-// DisableInvalidRoutes takes the routes with defects out of service and returns the defects.
-// Requests of such a route would go to a service that does not exist, or for
-// longer or more often than the operators want. The other routes hold.
+// DisableInvalidRoutes makes invalid routes refuse their requests and returns
+// what is wrong with them. The requests would otherwise go to a service that
+// does not exist, or for longer or more often than the operators want. The
+// other routes stay in force.
 func (c *Config) DisableInvalidRoutes() []error {
 	var defects []error
 	for i := range c.Routes {
@@ -118,10 +122,10 @@
 	total := 0
 	for _, p := range r.Parts {
 		if p.Weight < 0 {
-			return ErrNegativeValue
+			return fmt.Errorf("weight %d of service %q: %w", p.Weight, p.Service, ErrNegativeValue)
 		}
 		if _, ok := services[p.Service]; !ok {
-			return fmt.Errorf("%q: %w", p.Service, ErrUnknownService)
+			return fmt.Errorf("service %q: %w", p.Service, ErrUnknownService)
 		}
 		total += p.Weight
 	}
@@ -129,22 +133,22 @@
 	case total == 0:
 		return ErrNoParts
 	case !strings.HasPrefix(r.Prefix, "/") || !strings.HasSuffix(r.Prefix, "/"):
-		return ErrInvalidPrefix
+		return fmt.Errorf("prefix %q: %w", r.Prefix, ErrInvalidPrefix)
 	case r.Timeout < 0 || r.Aim < 0:
-		return ErrNegativeValue
+		return fmt.Errorf("timeout %v, aim %v: %w", r.Timeout, r.Aim, ErrNegativeValue)
 	case r.Attempts < 1:
-		return ErrNoAttempts
+		return fmt.Errorf("%d attempts: %w", r.Attempts, ErrNoAttempts)
 	}
 	return nil
 }
 
-// Table finds routes in one configuration.
+// Table finds the routes of one configuration.
 type Table struct {
 	Config *Config
-	hosts  map[string][]*Route // by falling length of the prefix
+	hosts  map[string][]*Route // by descending length of the prefix
 }
 
-// NewTable indexes c, which must not be changed afterwards.
+// NewTable indexes c, which must not be modified afterwards.
 func NewTable(c *Config) *Table {
 	t := &Table{Config: c, hosts: make(map[string][]*Route)}
 	for i := range c.Routes {
@@ -157,10 +161,10 @@
 	return t
 }
 
-// Match returns the route of a request, nil when there is none. Host may carry
-// a port; target is the path with or without a query.
-func (t *Table) Match(host, target string) *Route {
-	path, _, _ := strings.Cut(target, "?")
+// Match returns the route of a request, or nil. The host may include a port;
+// uri is the path with or without a query.
+func (t *Table) Match(host, uri string) *Route {
+	path, _, _ := strings.Cut(uri, "?")
 	for _, r := range t.hosts[normalizeHost(host)] {
 		if strings.HasPrefix(path, r.Prefix) {
 			return r
@@ -169,7 +173,8 @@
 	return nil
 }
 
-// normalizeHost drops the port and the case, which tell no hosts apart.
+// normalizeHost removes the port and converts to lower case, as neither
+// distinguishes hosts.
 func normalizeHost(host string) string {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:i]
--- a/decide/route/route_test.go
+++ b/decide/route/route_test.go
@@ -42,11 +42,9 @@
 	}
 }
 
-// Symptom: a configuration with a defect comes into force, and requests go to
-// a service that does not exist.
-// Sequence: operators write one.
-// Cause: it was decoded and not checked. Its route alone must be refused: the
-// others were served by the configuration before.
+// Guards against an invalid configuration coming into force unchecked, so that
+// requests go to a service that does not exist. Only the invalid route is
+// refused: the others were served under the configuration before.
 func TestDisableInvalidRoutes(t *testing.T) {
 	ok := Route{Prefix: "/", Parts: []Part{{Service: "a", Weight: 1}}, Attempts: 1}
 	for _, c := range []struct {
@@ -69,13 +67,12 @@
 		defects := cfg.DisableInvalidRoutes()
 		is.True(errors.Is(errors.Join(defects...), c.want))
 		is.Equal(cfg.Routes[0].Unserved, c.want != nil)
-		is.True(!cfg.Routes[1].Unserved) // beside it
+		is.True(!cfg.Routes[1].Unserved) // the valid route
 	}
 }
 
-// Symptom: a service with a small weight gets far more or less than its share.
-// Sequence: some hundred requests on a route with two services.
-// Cause: shares that were drawn at random.
+// Guards against a service with a small weight getting far more or less than
+// its share of some hundred requests, as it does with random choice.
 func TestSplitFollowsWeights(t *testing.T) {
 	is := is.New(t)
 	parts := []Part{{"a", 90}, {"b", 10}, {"c", 0}}
@@ -83,7 +80,7 @@
 	got := map[fleet.ServiceName]int{}
 	for n := 1; n <= 1000; n++ {
 		got[s.Next(parts)]++
-		is.True(got["b"] >= n/10-1 && got["b"] <= n/10+1) // over any run
+		is.True(got["b"] >= n/10-1 && got["b"] <= n/10+1) // after any number of requests
 	}
 	is.Equal(got["c"], 0)
 }
--- a/decide/route/split.go
+++ b/decide/route/split.go
@@ -2,16 +2,16 @@
 
 import "github.com/azurethread/azurethread/decide/fleet"
 
-// Split deals the requests of a route out to its parts in the proportion of
-// their weights. Each request goes to the part that lags furthest behind its
-// share, so the shares hold over any run of requests; drawn at random, a part
-// of 10 in 100 would be off by a third over 100 requests. The zero value is
-// ready.
+// Split distributes the requests of a route over its services in proportion to
+// their weights, by smooth weighted round-robin: each request goes to the
+// service furthest behind its share, so the shares hold over any run of
+// requests. With a random choice, a service of weight 10 in 100 would be off
+// by a third over 100 requests. The zero value is ready to use.
 type Split struct {
 	credit map[fleet.ServiceName]int
 }
 
-// Next chooses the service of the next request.
+// Next returns the service for the next request.
 func (s *Split) Next(parts []Part) fleet.ServiceName {
 	if len(parts) == 1 {
 		return parts[0].Service
--- a/decide/target/doc.go
+++ b/decide/target/doc.go
@@ -1,9 +1,10 @@
 // Package target holds what an entry VM knows about one target: how long its
-// answers take, whether it fails, and which target to choose for a request.
+// answers take, whether it fails, and by which policy targets are chosen.
 //
-// Mean is a moving average of latency that returns to the service's usual
-// when nothing is heard, so that a target isn't shunned for ever because of
-// one slow answer. Quantiles estimates the tail for hedges and for silence.
-// Outlier takes a target out of use after failures and lets it back in through
-// a few test requests. Policy names the ways of choosing.
+// Mean is a moving average of latency. Without new samples it returns to the
+// service's usual latency, so that one slow answer doesn't keep a target from
+// being used forever. Quantiles estimates the tail of the latency, which sets
+// the delay of hedges and the time after which a connection counts as silent.
+// Outlier ejects a target after failures and readmits it after a few
+// successful test requests. Policy names the ways of choosing a target.
 package target
--- a/decide/target/latency.go
+++ b/decide/target/latency.go
@@ -10,14 +10,14 @@
 // meanWeight is the weight of a new sample in Mean.
 const meanWeight = 0.2
 
-// meanHalfReturn is how long after the last sample a Mean has gone half of the way
-// back to the service's usual latency.
+// meanHalfReturn is the time after the last sample at which a Mean has moved
+// half of the way back to the service's usual latency.
 const meanHalfReturn = 3 * time.Second
 
 // Mean is an exponentially weighted moving average of latency.
 type Mean struct {
-	value     float64 // ns
-	sampledAt clock.Time
+	value     float64    // ns
+	sampledAt clock.Time // last sample
 	known     bool
 }
 
@@ -35,10 +35,10 @@
 // Forget drops all samples.
 func (m *Mean) Forget() { *m = Mean{} }
 
-// Known reports whether there was a sample.
+// Known reports whether there has been a sample.
 func (m *Mean) Known() bool { return m.known }
 
-// Value returns the average in ns, or usual when there was no sample.
+// Value returns the average in ns, or usual without a sample.
 func (m *Mean) Value(usual float64) float64 {
 	if !m.known {
 		return usual
@@ -46,7 +46,7 @@
 	return m.value
 }
 
-// At returns the average in ns, moved towards usual by the time since the
+// At returns the average in ns, moved towards usual with the time since the
 // last sample.
 func (m *Mean) At(now clock.Time, usual float64) float64 {
 	if !m.known {
@@ -56,18 +56,19 @@
 	return usual + (m.value-usual)*keep
 }
 
-// The resolution and memory of Quantiles.
+// Resolution and decay of Quantiles.
 const (
-	subBits        = 2 // four buckets a doubling
+	subBits        = 2 // four buckets per doubling
 	buckets        = 40 << subBits
-	halveAfter     = 4096 // samples after which the older ones count half
-	recomputeAfter = 64   // samples between two computations of the quantiles
-	firstCompute   = 16   // samples before the first computation
-	bucketUnit     = 1 << 12
+	halveAfter     = 4096    // samples after which all counts are halved
+	recomputeAfter = 64      // samples between two computations of the quantiles
+	firstCompute   = 16      // samples before the first computation
+	bucketUnit     = 1 << 12 // ns
 )
 
 // Quantiles estimates the p95 and p99 of latency from a histogram whose
-// buckets grow by about a quarter (25%) each. Older samples fade.
+// buckets grow by about a quarter (25%) each. The weight of older samples
+// decays.
 type Quantiles struct {
 	counts       [buckets]uint16
 	total        int
@@ -101,10 +102,10 @@
 }
 
 func (q *Quantiles) quantile(p float64) time.Duration {
-	rest := int((1 - p) * float64(q.total))
+	remaining := int((1 - p) * float64(q.total))
 	for i := buckets - 1; i >= 0; i-- {
-		rest -= int(q.counts[i])
-		if rest < 0 {
+		remaining -= int(q.counts[i])
+		if remaining < 0 {
 			return bucketUpper(i)
 		}
 	}
@@ -119,7 +120,8 @@
 	}
 }
 
-// bucket returns the index for d: its leading bits in units of 4 µs.
+// bucket returns the index of the bucket for d, from its leading bits in units
+// of 4 µs.
 func bucket(d time.Duration) int {
 	if d < 0 {
 		d = 0
--- a/decide/target/outlier.go
+++ b/decide/target/outlier.go
@@ -8,15 +8,15 @@
 	"github.com/azurethread/azurethread/decide/retry"
 )
 
-// State says how far a machine is in use.
+// State says whether a target or an entry VM is sent requests.
 type State uint8
 
 const (
-	// InUse machines take requests up to their limit.
+	// InUse allows requests up to the limit.
 	InUse State = iota
-	// Ejected machines take none.
+	// Ejected allows none.
 	Ejected
-	// Testing machines take one request at a time; its outcome decides.
+	// Testing allows one request at a time, whose outcome decides.
 	Testing
 )
 
@@ -25,45 +25,46 @@
 	return [...]string{"in-use", "ejected", "testing"}[s]
 }
 
-// The thresholds of Outlier.
+// Thresholds of Outlier.
 const (
-	maxConsecutiveFailures = 3   // failures without an answer in between that make an outlier
-	windowSamples          = 20  // outcomes after which older ones count half
-	minSamples             = 10  // outcomes before the share is looked at
-	failureShare           = 0.5 // share of failures that makes an outlier
-	testsToRestore         = 2   // answers in a row that bring a machine back
+	maxConsecutiveFailures = 3   // failures without an answer in between that cause an ejection
+	windowSamples          = 20  // outcomes after which all counts are halved
+	minSamples             = 10  // outcomes before the share of failures counts
+	failureShare           = 0.5 // share of failures that causes an ejection
+	testsToRestore         = 2   // answers in a row that end an ejection
 	minEjection            = 1 * time.Second
 	maxEjection            = 30 * time.Second
-	answerOverride         = 2 * time.Second // how long an answer outvotes a bad health report
+	answerOverride         = 2 * time.Second // how long an answer overrides a bad health report
 )
 
-// Outlier judges a machine by the outcomes of requests.
+// Outlier decides from the outcomes of requests whether a target, or an entry
+// VM that requests are forwarded to, is ejected.
 //
-// Health endpoints lie both ways: one answers "fine" while every request
-// fails, another says "unwell" of a target that answers. What requests see
-// comes first, and a health report counts only where no request has been
-// answered lately.
+// Health endpoints can be wrong in both directions: one reports a healthy
+// target while every request fails, another an unhealthy target that still
+// answers. The outcomes of requests therefore take precedence, and a health
+// report counts only if no request has been answered lately.
 type Outlier struct {
 	state               State
 	consecutiveFailures int
 	answered, failed    float64
 	passedTests         int
-	ejectedUntil        clock.Time // end of the ejection
+	ejectedUntil        clock.Time // end of the latest ejection
 	lastAnswer          clock.Time
 	backoff             retry.Backoff
 }
 
-// Standing returns how far the machine is in use.
+// Standing returns the present state.
 func (o *Outlier) Standing() State { return o.state }
 
-// Until returns when the present ejection ends.
+// Until returns when the latest ejection ends.
 func (o *Outlier) Until() clock.Time { return o.ejectedUntil }
 
-// LastAnswer returns when the last whole answer came, 0 if none has.
+// LastAnswer returns when the last complete answer arrived; 0: none has.
 func (o *Outlier) LastAnswer() clock.Time { return o.lastAnswer }
 
-// Answered records a whole answer that isn't a server error. It reports
-// whether the machine has come back into use by it.
+// Answered records a complete answer that isn't a server error. It reports
+// whether this ended an ejection.
 func (o *Outlier) Answered(now clock.Time) bool {
 	o.lastAnswer = now
 	o.consecutiveFailures = 0
@@ -80,8 +81,8 @@
 	return true
 }
 
-// Failed records a request that failed, and reports whether the machine is an
-// outlier now and should be ejected.
+// Failed records a failed request and reports whether the target should be
+// ejected.
 func (o *Outlier) Failed() bool {
 	o.consecutiveFailures++
 	o.passedTests = 0
@@ -101,14 +102,13 @@
 	}
 }
 
-// Outvoted reports whether a bad health report is contradicted by an answer
-// to a request.
+// Outvoted reports whether a bad health report is contradicted by a recent
+// answer to a request.
 func (o *Outlier) Outvoted(now clock.Time) bool {
 	return o.lastAnswer != 0 && o.consecutiveFailures == 0 && now.Sub(o.lastAnswer) < answerOverride
 }
 
-// Eject takes the machine out of use for a time that doubles with each
-// ejection in a row.
+// Eject stops requests for a time that doubles with each ejection in a row.
 func (o *Outlier) Eject(now clock.Time, rng *rand.Rand) {
 	o.backoff.Min, o.backoff.Max = minEjection, maxEjection
 	o.state = Ejected
@@ -116,13 +116,13 @@
 	o.ejectedUntil = now.Add(o.backoff.Next(rng))
 }
 
-// Test lets the machine take one request at a time.
+// Test allows one request at a time.
 func (o *Outlier) Test() {
 	o.state = Testing
 	o.passedTests = 0
 }
 
-// Postpone makes the ejection last until the given instant.
+// Postpone changes the end of the ejection to the given instant.
 func (o *Outlier) Postpone(until clock.Time) { o.ejectedUntil = until }
 
 func (o *Outlier) restore() {
@@ -131,5 +131,5 @@
 	o.backoff.Reset()
 }
 
-// Restore brings the machine back into use without a test.
+// Restore ends the ejection without a test.
 func (o *Outlier) Restore() { o.restore() }
--- a/decide/target/policy.go
+++ b/decide/target/policy.go
@@ -2,10 +2,10 @@
 
 import "fmt"
 
-// Policy is a way of choosing among targets.
+// Policy is a way of choosing a target.
 type Policy uint8
 
-// The policies. All but ExpectedWait are kept for comparison.
+// The policies. All but ExpectedWait serve for comparison.
 const (
 	// ExpectedWait takes the target whose answer is expected first.
 	ExpectedWait Policy = iota
--- a/decide/target/target_test.go
+++ b/decide/target/target_test.go
@@ -31,9 +31,8 @@
 	is.True(q.P99() >= 99*time.Millisecond && q.P99() < 124*time.Millisecond)
 }
 
-// Symptom: a target that was slow once is never used again.
-// Cause: nothing is sent to it, so nothing corrects the average. It returns to
-// the usual with time.
+// Guards against a target that was slow once never being used again: without
+// requests, only time corrects its average.
 func TestMeanReturnsToUsualLatency(t *testing.T) {
 	is := is.New(t)
 	var m Mean
@@ -42,8 +41,9 @@
 	is.True(m.At(clock.Time(time.Minute), 1e7) < 1e8)
 }
 
-// Symptom: a target fails its requests although it says that it is well.
-// Sequence: three failures in a row, an ejection, failing and good tests.
+// Guards against using a target that fails its requests although it reports
+// that it is healthy: three failures in a row eject it, a failed test prolongs
+// the ejection, and two passed tests end it.
 func TestOutlier(t *testing.T) {
 	is := is.New(t)
 	rng := rand.New(rand.NewPCG(1, 1))
@@ -65,7 +65,7 @@
 	is.True(o.Outvoted(3))
 }
 
-// A target that fails every other request never fails three in a row.
+// A target that fails every other request never fails three times in a row.
 func TestOutlierByShare(t *testing.T) {
 	is := is.New(t)
 	var o Outlier
--- a/decide/verdict/verdict.go
+++ b/decide/verdict/verdict.go
@@ -1,9 +1,9 @@
 // Package verdict states what is known about the execution of a request.
 //
-// A caller that sees an error must decide whether sending again could run a
-// permit submission or a fee posting twice. A status code cannot tell, so
-// every error carries a Verdict, end to end: in the decision code, on the
-// wire between entry VMs, and in the answer to the caller.
+// A caller that sees an error must decide whether a retry could run a permit
+// submission or a fee posting twice. A status code can't tell, so every error
+// carries a Verdict end to end: in the decision code, on the wire between
+// entry VMs, and in the answer to the caller.
 package verdict
 
 import "fmt"
@@ -15,7 +15,7 @@
 	// MayHaveRun is the zero value on purpose: where nothing is known, the
 	// only safe statement is that the request may have run.
 	MayHaveRun Verdict = iota
-	// NotRun is said only with proof: no byte of the request was handed to a
+	// NotRun requires proof: no byte of the request was handed to a
 	// connection, or the receiver explicitly refused it before running it.
 	NotRun
 	// Ran means that the target answered the request.
@@ -42,8 +42,8 @@
 	return names[MayHaveRun]
 }
 
-// Parse reads the wire form. Anything unknown is MayHaveRun, the safe
-// reading, and reports false.
+// Parse parses the wire form. An unknown value gives MayHaveRun, the safe
+// interpretation, and false.
 func Parse(s string) (Verdict, bool) {
 	for v, n := range names {
 		if n == s {
@@ -67,7 +67,7 @@
 }
 
 // Join combines the verdicts of two attempts of one request: it ran if either
-// ran, and it is known not to have run only if neither can have.
+// attempt ran, and has not run only if neither attempt can have run.
 func Join(a, b Verdict) Verdict {
 	switch {
 	case a == Ran || b == Ran:
@@ -84,11 +84,11 @@
 	return v == NotRun || (idempotent && v == MayHaveRun)
 }
 
-// Reason names why a request was refused or failed; it goes to the caller,
-// to logs and to metrics.
+// Reason says why a request was refused or failed; it is sent to the caller
+// and appears in logs and metrics.
 type Reason string
 
-// The reasons an entry VM gives.
+// Reasons given by an entry VM.
 const (
 	ReasonNone             Reason = ""
 	ReasonUnknownService   Reason = "unknown-service"
