--- a/decide/limit/borrow.go
+++ b/decide/limit/borrow.go
@@ -52,9 +52,9 @@
 // shortens the next pause.
 func (b *Borrow) Answered() { b.pause /= 2 }
 
-// Others estimates how many of the slots other entry VMs use, where share of
-// them are the own part. A report that is as old as the horizon or older is
-// ignored.
+// Others estimates how many slots other entry VMs use, of slots in total, of
+// which share are the own part. A report that is as old as the horizon or
+// older is ignored.
 func (b *Borrow) Others(now clock.Time, slots, share int, horizon time.Duration) float64 {
 	worst := float64(slots - share)
 	if !b.report.Known || horizon <= 0 {
--- a/decide/load/report.go
+++ b/decide/load/report.go
@@ -72,8 +72,8 @@
 	}
 }
 
-// addRegion adds this region for a report to another one and, in a small
-// fleet, its domains.
+// addRegion adds the sum of this region to a report to another region and, in
+// a small fleet, the sums of its domains.
 func (s *State) addRegion(now clock.Time, r *Report) {
 	sum, ok := s.regionSum(now)
 	r.addAggregate(now, PlaceOfRegion(s.region), &sum, ok)
--- a/decide/mirror/mirror_test.go
+++ b/decide/mirror/mirror_test.go
@@ -13,7 +13,8 @@
 }
 
 // Guards against a configuration returning to an older version: a full read is
-// served by an old replica after a watch has brought a newer version.
+// served by an old replica after a watch has brought a newer version, and the
+// last read is taken for the newest.
 func TestOldReadIsRefused(t *testing.T) {
 	is := is.New(t)
 	var m Mirror
@@ -27,7 +28,8 @@
 }
 
 // Guards against requests being sent to targets that are gone: the store drops
-// the history that holds their removal, so that only a full read shows it.
+// the history that holds their removal, and a full read is used for additions
+// only.
 func TestMissingKeysAreRemovals(t *testing.T) {
 	is := is.New(t)
 	var m Mirror
@@ -40,7 +42,8 @@
 }
 
 // Guards against a target that has left reappearing: the answer to a watch is
-// delivered after a later full read.
+// delivered after a later full read, and its events are applied whatever their
+// revision.
 func TestLateEventsAreSkipped(t *testing.T) {
 	is := is.New(t)
 	var m Mirror
--- a/decide/quarantine/list.go
+++ b/decide/quarantine/list.go
@@ -47,7 +47,7 @@
 type Change struct {
 	Record  Record // copy of the record after the update
 	Changed bool
-	// WasQuarantined says that the fingerprint was in quarantine before the
+	// WasQuarantined reports whether the fingerprint was in quarantine before the
 	// update.
 	WasQuarantined bool
 }
--- a/decide/quarantine/list_test.go
+++ b/decide/quarantine/list_test.go
@@ -81,7 +81,7 @@
 	is.True(cleared.Lifted())
 	is.Equal(l.Ends(testNow.Add(time.Second), f), 0)
 
-	var other List // is told of the ends after the answer
+	var other List // receives the ends after the answer
 	other.Merge(testNow, &cleared.Record)
 	recordEnds(&other, f, 1, MaxEnds)
 	is.Equal(other.Ends(testNow.Add(time.Second), f), 0)
--- a/decide/retry/retry_test.go
+++ b/decide/retry/retry_test.go
@@ -11,8 +11,8 @@
 )
 
 // Guards against retries that keep a service overloaded after the cause of its
-// failures is gone: however many requests fail, the retries stay within the
-// ratio of first attempts and the burst.
+// failures is gone, because every failure adds load: however many requests
+// fail, the retries stay within the ratio of first attempts and the burst.
 func TestBudgetBoundsRetries(t *testing.T) {
 	is := is.New(t)
 	b := NewBudget(0.1, 10)
--- a/decide/route/route.go
+++ b/decide/route/route.go
@@ -66,7 +66,7 @@
 type Service struct {
 	Name        fleet.ServiceName
 	HealthPath  string
-	Connections int           // that a target accepts from all entry VMs together
+	Connections int           // accepted by a target from all entry VMs together
 	ColdTime    time.Duration // how long a target is cold after its start
 	ColdRate    float64       // requests a second that a cold target can handle
 }
--- a/decide/route/route_test.go
+++ b/decide/route/route_test.go
@@ -44,7 +44,7 @@
 
 // Guards against an invalid configuration coming into force unchecked, so that
 // requests go to a service that does not exist. Only the invalid route is
-// refused: the others were served under the configuration before.
+// refused: the others were served under the previous configuration.
 func TestDisableInvalidRoutes(t *testing.T) {
 	ok := Route{Prefix: "/", Parts: []Part{{Service: "a", Weight: 1}}, Attempts: 1}
 	for _, c := range []struct {
