--- a/decide/shift/back.go
+++ b/decide/shift/back.go
@@ -6,79 +6,79 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// overCap lowers the share if it or the counted share is over the cap. It
+// enforceCap lowers the share if it or the counted share is over the cap. It
 // doesn't wait for the interval or for the sender's headroom: the cap is a
 // promise, and Gate has been holding look-ups to it in the meantime.
-func (p *plan) overCap() (Decision, bool) {
+func (p *plan) enforceCap() (Decision, bool) {
 	s := &p.Shift
 	if s.Share > p.limits.MaxShare {
-		return p.lower(p.limits.MaxShare, Reason{Code: CountedShare, Share: part(s.Share), Bound: part(p.limits.MaxShare)})
+		return p.lowerShare(p.limits.MaxShare, Reason{Code: CountedShare, Share: fractionOf(s.Share), Bound: fractionOf(p.limits.MaxShare)})
 	}
 	if p.limits.MaxShare >= catalogue.ShareUnit {
 		return Decision{}, false
 	}
 	for i := range p.flows {
 		f := &p.flows[i]
-		if !p.countsPresentShare(f) || f.counted() <= part(p.limits.MaxShare) {
+		if !p.countIsCurrent(f) || f.movedFraction() <= fractionOf(p.limits.MaxShare) {
 			continue
 		}
-		why := Reason{Code: CountedShare, Service: f.service, Share: f.counted(), Bound: part(p.limits.MaxShare)}
-		return p.lower(p.underCap(f), why)
+		why := Reason{Code: CountedShare, Service: f.service, Share: f.movedFraction(), Bound: fractionOf(p.limits.MaxShare)}
+		return p.lowerShare(p.largestShareUnderCap(f), why)
 	}
 	return Decision{}, false
 }
 
-func (p *plan) lower(to catalogue.Share, why Reason) (Decision, bool) {
+func (p *plan) lowerShare(to catalogue.Share, why Reason) (Decision, bool) {
 	if ParseCode(p.Shift.Hold) == RollingBack {
-		why = rolling(why)
+		why = asRollBack(why)
 	}
 	return Decision{Action: Recede, Share: to, Reason: why}, true
 }
 
-// countsPresentShare reports whether the count was made wholly at the present
+// countIsCurrent reports whether the count was made wholly at the present
 // share. An older one would lower the share a second time for one excess. A
 // count that is late or lacks some VMs still shows an excess, so neither age
 // nor completeness matters here.
-func (p *plan) countsPresentShare(f *flow) bool {
+func (p *plan) countIsCurrent(f *flow) bool {
 	if p.Shift.Share == 0 || f.count == nil || !f.count.valid() || f.count.Since >= f.count.Until {
 		return false
 	}
 	return !f.count.Since.Before(p.provenAfter())
 }
 
-// underCap returns the largest share below the present one at which the count,
+// largestShareUnderCap returns the largest share below the present one at which the count,
 // with its margin, is within the cap.
-func (p *plan) underCap(f *flow) catalogue.Share {
+func (p *plan) largestShareUnderCap(f *flow) catalogue.Share {
 	for to := p.Shift.Share - 1; to > 0; to-- {
-		if p.overCount(f, to).Code == None {
+		if p.capReached(f, to).Code == None {
 			return to
 		}
 	}
 	return 0
 }
 
-// breaches reports whether fresh figures of a region show errors over the
+// exceedsErrorBound reports whether fresh figures of a region show errors over the
 // bound.
-func (p *plan) breaches(l *Load) bool {
+func (p *plan) exceedsErrorBound(l *Load) bool {
 	return l != nil && l.valid() && l.fresh(p.Now, p.opts.MaxAge) &&
 		l.Requests >= p.opts.BreachRequests && l.ErrorShare > p.limits.MaxErrorShare
 }
 
-func (p *plan) errorsAt(l *Load) Reason {
+func (p *plan) errorReason(l *Load) Reason {
 	return Reason{
 		Code:    Errors,
 		Region:  l.Region,
 		Service: l.Service,
-		Share:   part(l.ErrorShare),
-		Bound:   part(p.limits.MaxErrorShare),
+		Share:   fractionOf(l.ErrorShare),
+		Bound:   fractionOf(p.limits.MaxErrorShare),
 	}
 }
 
-// breaching returns a receiver whose errors are over the bound, or nil.
-func (p *plan) breaching() *Load {
+// receiverOverErrorBound returns a receiver whose errors are over the bound, or nil.
+func (p *plan) receiverOverErrorBound() *Load {
 	for i := range p.flows {
 		for _, r := range p.flows[i].receivers {
-			if p.breaches(r.load) {
+			if p.exceedsErrorBound(r.load) {
 				return r.load
 			}
 		}
@@ -86,27 +86,27 @@
 	return nil
 }
 
-// Observe returns the progress after the evidence of in: it follows how long
+// TrackErrors returns the progress after the evidence of in: it follows how long
 // errors have been over their bound. Figures that are not fresh neither
 // lengthen a breach nor end it.
-func Observe(o Options, in Input) Progress {
+func TrackErrors(o Options, in Input) Progress {
 	p := newPlan(o, in)
 	next := in.Progress
-	if l := p.breaching(); l != nil {
+	if l := p.receiverOverErrorBound(); l != nil {
 		if next.BreachSince == 0 {
 			next.BreachSince = l.Since
 		}
 		next.BreachUntil = max(next.BreachUntil, l.Until)
 		return next
 	}
-	if p.allFresh() {
+	if p.allReceiversFresh() {
 		next.BreachSince, next.BreachUntil = 0, 0
 	}
 	return next
 }
 
-// allFresh reports whether all receivers have fresh figures.
-func (p *plan) allFresh() bool {
+// allReceiversFresh reports whether all receivers have fresh figures.
+func (p *plan) allReceiversFresh() bool {
 	for i := range p.flows {
 		for _, r := range p.flows[i].receivers {
 			if r.load == nil || !r.load.valid() || !r.load.fresh(p.Now, p.opts.MaxAge) {
@@ -117,11 +117,11 @@
 	return true
 }
 
-// rollingBack reports whether the shift is to be rolled back, and why. One
+// rollBackReason reports whether the shift is to be rolled back, and why. One
 // that has begun to roll back goes on, whatever the figures say: as its share
 // falls errors cease, and a shift that turned round then would swing for good.
 // That it has begun is kept in the catalogue, for the next runner.
-func (p *plan) rollingBack() (Reason, bool) {
+func (p *plan) rollBackReason() (Reason, bool) {
 	if ParseCode(p.Shift.Hold) == RollingBack {
 		return Reason{Code: RollingBack}, true
 	}
@@ -129,14 +129,14 @@
 	if p.Shift.Share == 0 || b.BreachUntil.Sub(b.BreachSince) < p.opts.BreachFor {
 		return Reason{}, false
 	}
-	if l := p.breaching(); l != nil {
-		return rolling(p.errorsAt(l)), true
+	if l := p.receiverOverErrorBound(); l != nil {
+		return asRollBack(p.errorReason(l)), true
 	}
 	return Reason{}, false
 }
 
-// rolling makes why the cause of rolling back.
-func rolling(why Reason) Reason {
+// asRollBack makes why the cause of rolling back.
+func asRollBack(why Reason) Reason {
 	if why.Code == RollingBack {
 		return why
 	}
@@ -147,9 +147,9 @@
 
 // rollBack moves back on the way to rolled-back.
 func (p *plan) rollBack(why Reason) Decision {
-	to, blocked := p.back()
+	to, blocked := p.nextLowerShare()
 	if blocked.Code != None {
-		return p.hold(rolling(blocked))
+		return p.hold(asRollBack(blocked))
 	}
 	return Decision{Action: RollBack, Share: to, Reason: why}
 }
@@ -157,39 +157,39 @@
 // recede moves back because a receiver is failing; the shift goes on if the
 // receiver returns.
 func (p *plan) recede(why Reason) Decision {
-	to, blocked := p.back()
+	to, blocked := p.nextLowerShare()
 	if blocked.Code != None {
 		return p.hold(blocked)
 	}
 	return Decision{Action: Recede, Share: to, Reason: why}
 }
 
-// back returns the lowest share that a step back may go to, or why there is
+// nextLowerShare returns the lowest share that a step back may go to, or why there is
 // none: it goes into what the sender can bear, on proof that the sender has
 // absorbed the last step.
-func (p *plan) back() (catalogue.Share, Reason) {
+func (p *plan) nextLowerShare() (catalogue.Share, Reason) {
 	now := p.Shift.Share
 	if now == 0 {
 		return 0, Reason{}
 	}
-	if why := p.senderUnproven(); why.Code != None {
+	if why := p.missingSenderProof(); why.Code != None {
 		return now, why
 	}
 	most := min(int(now), int(p.limits.Step)*p.opts.BackSteps)
-	d := p.largest(catalogue.Share(most), func(d catalogue.Share) Reason { return p.senderMisfit(now - d) })
+	d := p.largestAllowed(catalogue.Share(most), func(d catalogue.Share) Reason { return p.senderLimitReached(now - d) })
 	if d == 0 {
-		return now, p.senderMisfit(now - 1)
+		return now, p.senderLimitReached(now - 1)
 	}
 	return now - d, Reason{}
 }
 
-// senderUnproven returns why nothing can be moved back now. The figures must
+// missingSenderProof returns why nothing can be moved back now. The figures must
 // show the last step if it was one back. One forward took load off the sender,
 // so figures from before it err on the safe side, and a shift that has just
 // stepped into trouble need not wait.
-func (p *plan) senderUnproven() Reason {
+func (p *plan) missingSenderProof() Reason {
 	after := clock.Time(0)
-	if p.Progress.Fell {
+	if p.Progress.LastStepDown {
 		after = p.provenAfter()
 	}
 	for i := range p.flows {
@@ -197,20 +197,20 @@
 		if f.sender != nil && f.sender.State != fleet.Live {
 			return Reason{Code: SenderNotLive, Region: p.Shift.From, Service: f.service}
 		}
-		if why := p.unprovenLoad(f.sender, p.Shift.From, f.service, after); why.Code != None {
+		if why := p.missingLoadProof(f.sender, p.Shift.From, f.service, after); why.Code != None {
 			return why
 		}
-		if why := p.unprovenCount(f, after); why.Code != None {
+		if why := p.missingCountProof(f, after); why.Code != None {
 			return why
 		}
 	}
 	return Reason{}
 }
 
-func (p *plan) senderMisfit(to catalogue.Share) Reason {
+func (p *plan) senderLimitReached(to catalogue.Share) Reason {
 	for i := range p.flows {
 		f := &p.flows[i]
-		if why := p.overload(f.sender, f.slots(p.opts, to, p.Shift.Share)); why.Code != None {
+		if why := p.headroomReached(f.sender, f.maxSlots(p.opts, to, p.Shift.Share)); why.Code != None {
 			return why
 		}
 	}
--- a/decide/shift/counter.go
+++ b/decide/shift/counter.go
@@ -11,12 +11,12 @@
 // Counter counts requests by shift at one entry VM. It is not safe for
 // concurrent use.
 type Counter struct {
-	since   clock.Time
-	tallies []tally // by id and service
+	since    clock.Time
+	counters []shiftCounter // by id and service
 }
 
-// tally is the count of one shift and one service.
-type tally struct {
+// shiftCounter is the count of one shift and one service.
+type shiftCounter struct {
 	from  fleet.Region
 	salt  salt
 	count Count
@@ -27,7 +27,7 @@
 	k := &Counter{since: now}
 	for _, s := range moving(c) {
 		for _, name := range servicesOf(c, &s) {
-			k.tallies = append(k.tallies, tally{
+			k.counters = append(k.counters, shiftCounter{
 				from:  s.From,
 				salt:  saltOf(s.ID),
 				count: Count{Shift: s.ID, Service: name},
@@ -53,8 +53,8 @@
 // the shift that took it to another region, or empty; busy is how long it kept
 // a target's slot.
 func (k *Counter) Served(service fleet.ServiceName, home fleet.Region, block uint64, movedBy string, busy time.Duration) {
-	for i := range k.tallies {
-		t := &k.tallies[i]
+	for i := range k.counters {
+		t := &k.counters[i]
 		if t.from != home || t.count.Service != service {
 			continue
 		}
@@ -70,8 +70,8 @@
 // Take appends the counts of the window that ends now to out and starts the
 // next one.
 func (k *Counter) Take(now clock.Time, out []Count) []Count {
-	for i := range k.tallies {
-		c := &k.tallies[i].count
+	for i := range k.counters {
+		c := &k.counters[i].count
 		c.Span = Span{Since: k.since, Until: now}
 		out = append(out, *c)
 		*c = Count{Shift: c.Shift, Service: c.Service}
--- a/decide/shift/drain_test.go
+++ b/decide/shift/drain_test.go
@@ -67,20 +67,20 @@
 }
 
 func drain(b *testing.B, p drainPolicy, d drainCase) {
-	w := newWorld(7, worldBlocks, float64(d.load)/100, 40)
+	w := newWorld(7, worldBlocksPerRegion, float64(d.load)/100, 40)
 	w.lag, w.noise = d.lag, 0.02
 	if p.share == nil {
 		w.runner("a")
 	}
 	w.run(15 * time.Second)
-	w.add(catalogue.Shift{ID: "drain", From: "attiki", Limits: catalogue.Limits{
+	w.startShift(catalogue.Shift{ID: "drain", From: "attiki", Limits: catalogue.Limits{
 		MaxShare: catalogue.ShareUnit, Step: drainStep, MinHeadroom: d.headroom, Interval: catalogue.Duration(d.interval),
 	}})
 	start := w.now
 	var moved []float64
 	for w.now.Sub(start) < 20*time.Minute {
 		if p.share != nil {
-			w.force(p.share(w.now.Sub(start), d.interval))
+			w.setShare(p.share(w.now.Sub(start), d.interval))
 		}
 		w.run(time.Second)
 		moved = append(moved, w.movedBy("drain"))
@@ -96,8 +96,8 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// force sets the share of the only shift without asking anybody.
-func (w *world) force(share catalogue.Share) {
+// setShare sets the share of the only shift without asking anybody.
+func (w *world) setShare(share catalogue.Share) {
 	if w.cat.Shifts[0].Share == share {
 		return
 	}
--- a/decide/shift/evidence.go
+++ b/decide/shift/evidence.go
@@ -85,10 +85,10 @@
 	return sum == c.Total && c.Moved <= c.Total && c.Busy >= 0
 }
 
-// below returns the part of the requests, 0 to 1, whose position lies below
+// fractionBelow returns the part of the requests, 0 to 1, whose position lies below
 // share. A part of positions that is covered in part counts whole, as its one
 // busy block may lie anywhere in it.
-func (c *Count) below(share catalogue.Share) float64 {
+func (c *Count) fractionBelow(share catalogue.Share) float64 {
 	if c.Total == 0 {
 		return 0
 	}
--- a/decide/shift/flow.go
+++ b/decide/shift/flow.go
@@ -32,18 +32,18 @@
 		if s.To != "" {
 			f.receivers = []receiver{{region: s.To, load: e.load(s.To, name), fraction: 1}}
 		} else {
-			f.receivers = split(o, s, name, e)
+			f.receivers = splitByCapacity(o, s, name, e)
 		}
 		flows = append(flows, f)
 	}
 	return flows
 }
 
-// split divides a flow among all regions but its sender, by capacity. Regions
+// splitByCapacity divides a flow among all regions but its sender, by capacity. Regions
 // that can't serve get nothing; look-ups answer with the others. Where a
 // region's part really lies depends on hashes and weights, so each is reckoned
 // with SplitFactor times its part.
-func split(o Options, s *catalogue.Shift, name fleet.ServiceName, e *Evidence) []receiver {
+func splitByCapacity(o Options, s *catalogue.Shift, name fleet.ServiceName, e *Evidence) []receiver {
 	var out []receiver
 	total := 0.0
 	for i := range e.Loads {
@@ -66,32 +66,32 @@
 	return out
 }
 
-// slots returns the most slots that the flow may newly keep busy elsewhere if
+// maxSlots returns the most slots that the flow may newly keep busy elsewhere if
 // the share goes from low to high. Where the blocks between them carry more
 // than their part of the requests, the count says so; where they carry less,
 // that may change, and their part is reckoned with. What moves is cold.
-func (f *flow) slots(o Options, low, high catalogue.Share) float64 {
+func (f *flow) maxSlots(o Options, low, high catalogue.Share) float64 {
 	if low >= high || f.count.Total == 0 {
 		return 0
 	}
-	counted := f.count.below(high) - f.count.below(low/unitsPerPosition*unitsPerPosition)
-	return f.count.Demand() * math.Max(counted, part(high-low)) * o.ColdFactor
+	counted := f.count.fractionBelow(high) - f.count.fractionBelow(low/unitsPerPosition*unitsPerPosition)
+	return f.count.Demand() * math.Max(counted, fractionOf(high-low)) * o.ColdFactor
 }
 
-// counted returns the part of the flow's requests that the shift moves.
-func (f *flow) counted() float64 {
+// movedFraction returns the part of the flow's requests that the shift moves.
+func (f *flow) movedFraction() float64 {
 	if f.count.Total == 0 {
 		return 0
 	}
 	return float64(f.count.Moved) / float64(f.count.Total)
 }
 
-// forecast returns the part of the requests that would be moved at share high,
+// forecastFraction returns the part of the requests that would be moved at share high,
 // when the share is now. What is moved beyond the count by position, such as by
 // callers holding on to old answers, is taken to stay.
-func (f *flow) forecast(now, high catalogue.Share) float64 {
-	excess := math.Max(0, f.counted()-f.count.below(now))
-	return math.Min(1, f.count.below(high)+excess)
+func (f *flow) forecastFraction(now, high catalogue.Share) float64 {
+	excess := math.Max(0, f.movedFraction()-f.count.fractionBelow(now))
+	return math.Min(1, f.count.fractionBelow(high)+excess)
 }
 
 // marginDeviations is how many standard deviations of sampling a forecast
--- a/decide/shift/gate.go
+++ b/decide/shift/gate.go
@@ -23,10 +23,10 @@
 // concurrent use.
 type Gate struct {
 	since clock.Time
-	gates []gate
+	gates []shiftGate
 }
 
-type gate struct {
+type shiftGate struct {
 	shift   string
 	from    fleet.Region
 	service fleet.ServiceName
@@ -40,7 +40,7 @@
 	g := &Gate{since: now}
 	for _, s := range moving(c) {
 		for _, name := range servicesOf(c, &s) {
-			g.gates = append(g.gates, gate{shift: s.ID, from: s.From, service: name, cap: s.Limits.MaxShare})
+			g.gates = append(g.gates, shiftGate{shift: s.ID, from: s.From, service: name, cap: s.Limits.MaxShare})
 		}
 	}
 	return g
--- a/decide/shift/options.go
+++ b/decide/shift/options.go
@@ -36,8 +36,8 @@
 	MinStep catalogue.Share
 	// BackSteps is the most steps that a shift moves back at once.
 	BackSteps int
-	// Check is the time between two evaluations without events.
-	Check time.Duration
+	// CheckInterval is the time between two evaluations without events.
+	CheckInterval time.Duration
 	// HoldAfter is how long a reason must persist before it is written to the
 	// catalogue for operators to see.
 	HoldAfter time.Duration
@@ -57,7 +57,7 @@
 	DefaultSplitFactor                    = 1.25
 	DefaultMinStep        catalogue.Share = 50
 	DefaultBackSteps                      = 4
-	DefaultCheck                          = time.Second
+	DefaultCheckInterval                  = time.Second
 	DefaultHoldAfter                      = 10 * time.Second
 	DefaultRetryAfter                     = 2 * time.Second
 )
@@ -72,7 +72,7 @@
 	setDefault(&o.SplitFactor, DefaultSplitFactor)
 	setDefault(&o.MinStep, DefaultMinStep)
 	setDefault(&o.BackSteps, DefaultBackSteps)
-	setDefault(&o.Check, DefaultCheck)
+	setDefault(&o.CheckInterval, DefaultCheckInterval)
 	setDefault(&o.HoldAfter, DefaultHoldAfter)
 	setDefault(&o.RetryAfter, DefaultRetryAfter)
 	return o
--- a/decide/shift/plan.go
+++ b/decide/shift/plan.go
@@ -62,19 +62,19 @@
 	Evidence *Evidence
 	Others   []catalogue.Shift // all other moving shifts
 	Reserved []Reservation     // headroom that their steps hold
-	Frozen   bool              // the platform can't be reached
+	CutOff   bool              // the platform can't be reached
 }
 
 // Progress is what the planning process itself has seen of a shift. It is lost
 // with the process; a new one takes the present share as just reached.
 type Progress struct {
-	// Stepped is when the present share was first seen in force; 0 if the
+	// SteppedAt is when the present share was first seen in force; 0 if the
 	// shift has not moved anything yet.
-	Stepped clock.Time
-	// Started is when the shift was first seen running, after another state.
-	Started clock.Time
-	// Fell says that the last change lowered the share, or is not known.
-	Fell bool
+	SteppedAt clock.Time
+	// StartedAt is when the shift was first seen running, after another state.
+	StartedAt clock.Time
+	// LastStepDown says that the last change lowered the share, or is not known.
+	LastStepDown bool
 	// BreachSince and BreachUntil bound the unbroken run of fresh windows
 	// with errors over the bound; both 0 if there is none.
 	BreachSince, BreachUntil clock.Time
@@ -109,22 +109,22 @@
 	if !s.State.Moves() {
 		return p.hold(Reason{Code: NotRunning})
 	}
-	if p.Frozen {
+	if p.CutOff {
 		return p.hold(Reason{Code: PlatformCutOff})
 	}
-	if d, over := p.overCap(); over {
+	if d, over := p.enforceCap(); over {
 		return d
 	}
 	if s.State != catalogue.Running {
 		return p.hold(Reason{Code: NotRunning})
 	}
-	if why, back := p.rollingBack(); back {
+	if why, back := p.rollBackReason(); back {
 		return p.rollBack(why)
 	}
 	if why := p.failingReceiver(); why.Code != None && s.Share > 0 {
 		return p.recede(why)
 	}
-	if why := p.obstacle(); why.Code != None {
+	if why := p.stepObstacle(); why.Code != None {
 		return p.hold(why)
 	}
 	if s.Share >= p.limits.MaxShare {
@@ -137,17 +137,17 @@
 	return Decision{Action: Hold, Share: p.Shift.Share, Reason: why}
 }
 
-// obstacle returns the first reason for which no step can be taken at all.
-func (p *plan) obstacle() Reason {
+// stepObstacle returns the first reason for which no step can be taken at all.
+func (p *plan) stepObstacle() Reason {
 	for _, check := range []func() Reason{
-		p.window,
+		p.outsideWindow,
 		p.noServices,
 		p.senderNotLive,
 		p.failingReceiver,
 		p.emptyingReceiver,
-		p.interval,
-		p.unproven,
-		p.unhealthy,
+		p.withinInterval,
+		p.missingProof,
+		p.unhealthyReceiver,
 	} {
 		if why := check(); why.Code != None {
 			return why
@@ -156,7 +156,7 @@
 	return Reason{}
 }
 
-func (p *plan) window() Reason {
+func (p *plan) outsideWindow() Reason {
 	if p.limits.Window.Contains(p.Now.Wall()) {
 		return Reason{}
 	}
@@ -208,7 +208,7 @@
 			continue
 		}
 		if p.Shift.To == "" || p.Shift.To == o.From {
-			return Reason{Code: ReceiverEmptying, Region: o.From, Other: o.ID}
+			return Reason{Code: ReceiverEmptying, Region: o.From, OtherShift: o.ID}
 		}
 	}
 	return Reason{}
@@ -216,11 +216,11 @@
 
 func overlaps(a, b fleet.ServiceName) bool { return a == "" || b == "" || a == b }
 
-// interval holds until Limits.Interval has passed since the last step, both by
+// withinInterval holds until Limits.Interval has passed since the last step, both by
 // the instant in the catalogue, from the clock of whichever VM wrote it, and by
 // when this process saw it: a clock that runs behind must not shorten the wait.
-func (p *plan) interval() Reason {
-	stepped := max(p.Progress.Stepped, clock.Time(p.Shift.SteppedAt))
+func (p *plan) withinInterval() Reason {
+	stepped := max(p.Progress.SteppedAt, clock.Time(p.Shift.SteppedAt))
 	if stepped == 0 {
 		return Reason{}
 	}
@@ -238,30 +238,30 @@
 // Callers that asked before the shift ran keep their answers for longer, so
 // the first steps take longer to show, and so does one while it is paused.
 func (p *Progress) provenAfter(o Options, state catalogue.ShiftState) clock.Time {
-	if p.Stepped == 0 {
+	if p.SteppedAt == 0 {
 		return 0
 	}
 	if state != catalogue.Running {
-		return p.Stepped.Add(o.SettleSteady)
+		return p.SteppedAt.Add(o.SettleSteady)
 	}
-	return max(p.Stepped.Add(o.Settle), p.Started.Add(o.SettleSteady))
+	return max(p.SteppedAt.Add(o.Settle), p.StartedAt.Add(o.SettleSteady))
 }
 
 func (p *plan) provenAfter() clock.Time {
 	return p.Progress.provenAfter(p.opts, p.Shift.State)
 }
 
-// unproven returns why the figures don't prove that the last step was
+// missingProof returns why the figures don't prove that the last step was
 // absorbed.
-func (p *plan) unproven() Reason {
+func (p *plan) missingProof() Reason {
 	after := p.provenAfter()
 	for i := range p.flows {
 		f := &p.flows[i]
-		if why := p.unprovenCount(f, after); why.Code != None {
+		if why := p.missingCountProof(f, after); why.Code != None {
 			return why
 		}
 		for _, r := range f.receivers {
-			if why := p.unprovenLoad(r.load, r.region, f.service, after); why.Code != None {
+			if why := p.missingLoadProof(r.load, r.region, f.service, after); why.Code != None {
 				return why
 			}
 		}
@@ -269,7 +269,7 @@
 	return Reason{}
 }
 
-func (p *plan) unprovenCount(f *flow, after clock.Time) Reason {
+func (p *plan) missingCountProof(f *flow, after clock.Time) Reason {
 	at := Reason{Region: p.Shift.From, Service: f.service}
 	if f.count == nil || !f.count.valid() {
 		at.Code = StaleMeasurement
@@ -278,22 +278,22 @@
 	if p.limits.MaxShare >= catalogue.ShareUnit {
 		after = 0 // the moved share can't pass the cap; only demand is needed
 	}
-	return p.unprovenSpan(f.count.Span, f.count.Missing, at, after)
+	return p.missingWindowProof(f.count.Span, f.count.Missing, at, after)
 }
 
-func (p *plan) unprovenLoad(l *Load, r fleet.Region, s fleet.ServiceName, after clock.Time) Reason {
+func (p *plan) missingLoadProof(l *Load, r fleet.Region, s fleet.ServiceName, after clock.Time) Reason {
 	at := Reason{Region: r, Service: s}
 	if l == nil || !l.valid() {
 		at.Code = StaleMeasurement
 		return at
 	}
-	return p.unprovenSpan(l.Span, l.Missing, at, after)
+	return p.missingWindowProof(l.Span, l.Missing, at, after)
 }
 
-// unprovenSpan judges a window. What goes wrong without the second test: a
+// missingWindowProof judges a window. What goes wrong without the second test: a
 // step is judged by figures from before it, which look as good as ever, and
 // the next steps follow until the receiver is over its capacity.
-func (p *plan) unprovenSpan(s Span, missing int, at Reason, after clock.Time) Reason {
+func (p *plan) missingWindowProof(s Span, missing int, at Reason, after clock.Time) Reason {
 	switch {
 	case missing > 0 || !s.fresh(p.Now, p.opts.MaxAge):
 		at.Code = StaleMeasurement
@@ -308,16 +308,16 @@
 	}
 }
 
-// unhealthy returns why receivers that have proven figures take no more.
-func (p *plan) unhealthy() Reason {
+// unhealthyReceiver returns why receivers that have proven figures take no more.
+func (p *plan) unhealthyReceiver() Reason {
 	bound := time.Duration(p.limits.MaxP99)
 	for i := range p.flows {
 		f := &p.flows[i]
 		for _, r := range f.receivers {
 			at := Reason{Region: r.region, Service: f.service}
 			switch {
-			case p.breaches(r.load):
-				return p.errorsAt(r.load)
+			case p.exceedsErrorBound(r.load):
+				return p.errorReason(r.load)
 			case r.load.Warming:
 				at.Code = ColdCache
 				return at
@@ -334,36 +334,36 @@
 func (p *plan) advance() Decision {
 	now := p.Shift.Share
 	most := min(p.limits.Step, p.limits.MaxShare-now)
-	d := p.largest(most, func(d catalogue.Share) Reason { return p.misfit(now + d) })
+	d := p.largestAllowed(most, func(d catalogue.Share) Reason { return p.limitReached(now + d) })
 	if d == most {
 		return Decision{Action: Advance, Share: now + d}
 	}
-	why := p.misfit(now + d + 1)
+	why := p.limitReached(now + d + 1)
 	if d < min(p.opts.MinStep, most) {
 		return p.hold(why)
 	}
 	return Decision{Action: Advance, Share: now + d, Reason: why}
 }
 
-// largest returns the largest of 0..most for which misfit has no reason;
+// largestAllowed returns the largest of 0..most for which misfit has no reason;
 // misfit must not be asked about 0, which always fits.
-func (p *plan) largest(most catalogue.Share, misfit func(catalogue.Share) Reason) catalogue.Share {
+func (p *plan) largestAllowed(most catalogue.Share, misfit func(catalogue.Share) Reason) catalogue.Share {
 	n := sort.Search(int(most), func(i int) bool {
 		return misfit(catalogue.Share(i+1)).Code != None
 	})
 	return catalogue.Share(n)
 }
 
-// misfit returns why the shift can't go up to the share to.
-func (p *plan) misfit(to catalogue.Share) Reason {
+// limitReached returns why the shift can't go up to the share to.
+func (p *plan) limitReached(to catalogue.Share) Reason {
 	for i := range p.flows {
 		f := &p.flows[i]
-		if why := p.overCount(f, to); why.Code != None {
+		if why := p.capReached(f, to); why.Code != None {
 			return why
 		}
-		slots := f.slots(p.opts, p.Shift.Share, to)
+		slots := f.maxSlots(p.opts, p.Shift.Share, to)
 		for _, r := range f.receivers {
-			if why := p.overload(r.load, slots*r.fraction); why.Code != None {
+			if why := p.headroomReached(r.load, slots*r.fraction); why.Code != None {
 				return why
 			}
 		}
@@ -371,29 +371,29 @@
 	return Reason{}
 }
 
-// overCount tells whether the counted share at to would pass the cap. A cap of
+// capReached tells whether the counted share at to would pass the cap. A cap of
 // everything cannot be passed.
-func (p *plan) overCount(f *flow, to catalogue.Share) Reason {
-	share := withMargin(f.forecast(p.Shift.Share, to), f.count.Total)
-	if p.limits.MaxShare >= catalogue.ShareUnit || share <= part(p.limits.MaxShare) {
+func (p *plan) capReached(f *flow, to catalogue.Share) Reason {
+	share := withMargin(f.forecastFraction(p.Shift.Share, to), f.count.Total)
+	if p.limits.MaxShare >= catalogue.ShareUnit || share <= fractionOf(p.limits.MaxShare) {
 		return Reason{}
 	}
-	return Reason{Code: CountedShare, Service: f.service, Share: share, Ahead: true, Bound: part(p.limits.MaxShare)}
+	return Reason{Code: CountedShare, Service: f.service, Share: share, Forecast: true, Bound: fractionOf(p.limits.MaxShare)}
 }
 
-// overload tells whether need more slots would leave a region less than the
+// headroomReached tells whether need more slots would leave a region less than the
 // least headroom, beside what other shifts have reserved.
-func (p *plan) overload(l *Load, need float64) Reason {
-	held, holder := reserved(p.Reserved, l.Region, l.Service)
-	alone := l.Capacity*(1-part(p.limits.MinHeadroom)) - l.InFlight
+func (p *plan) headroomReached(l *Load, need float64) Reason {
+	held, holder := reservedSlots(p.Reserved, l.Region, l.Service)
+	alone := l.Capacity*(1-fractionOf(p.limits.MinHeadroom)) - l.InFlight
 	have := alone - held
 	if need <= have {
 		return Reason{}
 	}
-	why := Reason{Code: NoHeadroom, Region: l.Region, Service: l.Service, Need: need, Have: max(0, have)}
+	why := Reason{Code: NoHeadroom, Region: l.Region, Service: l.Service, SlotsNeeded: need, SlotsFree: max(0, have)}
 	if need <= alone {
 		why.Code = SharedHeadroom
-		why.Other = holder
+		why.OtherShift = holder
 	}
 	return why
 }
--- a/decide/shift/plan_test.go
+++ b/decide/shift/plan_test.go
@@ -34,18 +34,18 @@
 			Limits: catalogue.Limits{MaxShare: 5000},
 		},
 		Services: []fleet.ServiceName{worldService},
-		Progress: Progress{Stepped: at(time.Hour)},
+		Progress: Progress{SteppedAt: at(time.Hour)},
 		Evidence: &Evidence{Loads: []Load{load("attiki"), load("kriti")}, Counts: []Count{count}},
 	}
 }
 
-func sender(in *Input) *Load    { return &in.Evidence.Loads[0] }
-func receiving(in *Input) *Load { return &in.Evidence.Loads[1] }
-func counted(in *Input) *Count  { return &in.Evidence.Counts[0] }
+func senderLoad(in *Input) *Load   { return &in.Evidence.Loads[0] }
+func receiverLoad(in *Input) *Load { return &in.Evidence.Loads[1] }
+func countOf(in *Input) *Count     { return &in.Evidence.Counts[0] }
 
-// breach makes errors last for a minute.
-func breach(in *Input) {
-	receiving(in).ErrorShare = 200
+// lastingErrors makes errors last for a minute.
+func lastingErrors(in *Input) {
+	receiverLoad(in).ErrorShare = 200
 	in.Progress.BreachSince, in.Progress.BreachUntil = planNow.Add(-time.Minute), planNow
 }
 
@@ -60,18 +60,18 @@
 		{"whole step", func(in *Input) {}, Advance, 1500, None},
 		{"cap near", func(in *Input) {
 			in.Shift.Limits.MaxShare = 1200
-			counted(in).Total = 0
-			counted(in).ByPosition = [Positions]uint64{}
-			counted(in).Moved = 0
+			countOf(in).Total = 0
+			countOf(in).ByPosition = [Positions]uint64{}
+			countOf(in).Moved = 0
 		}, Advance, 1200, None},
 		{"cap reached", func(in *Input) { in.Shift.Share = 5000 }, Finish, 5000, None},
 		{"draft", func(in *Input) { in.Shift.State = catalogue.Draft }, Hold, 1000, NotRunning},
 		{"paused", func(in *Input) { in.Shift.State = catalogue.Paused }, Hold, 1000, NotRunning},
-		{"cut off", func(in *Input) { in.Frozen = true }, Hold, 1000, PlatformCutOff},
+		{"cut off", func(in *Input) { in.CutOff = true }, Hold, 1000, PlatformCutOff},
 		{"before window", func(in *Input) { in.Shift.Limits.Window.Start = planNow.Wall().Add(1) }, Hold, 1000, OutsideWindow},
 		{"after window", func(in *Input) { in.Shift.Limits.Window.End = planNow.Wall() }, Hold, 1000, OutsideWindow},
 		{"no services", func(in *Input) { in.Services = nil }, Hold, 1000, NoServices},
-		{"sender dead", func(in *Input) { sender(in).State = fleet.Dead }, Hold, 1000, SenderNotLive},
+		{"sender dead", func(in *Input) { senderLoad(in).State = fleet.Dead }, Hold, 1000, SenderNotLive},
 		{"receiver emptying", func(in *Input) {
 			in.Others = []catalogue.Shift{{ID: "other", From: "kriti", To: "makedonia"}}
 		}, Hold, 1000, ReceiverEmptying},
@@ -79,47 +79,50 @@
 			in.Others = []catalogue.Shift{{ID: "other", From: "kriti", Service: "permit-file"}}
 			in.Shift.Service = worldService
 		}, Advance, 1500, None},
-		{"interval, as seen here", func(in *Input) { in.Progress.Stepped = planNow.Add(-29 * time.Second) }, Hold, 1000, WaitingInterval},
+		{"interval, as seen here", func(in *Input) { in.Progress.SteppedAt = planNow.Add(-29 * time.Second) }, Hold, 1000, WaitingInterval},
 		{"interval, as written", func(in *Input) { in.Shift.SteppedAt = int64(planNow.Add(-29 * time.Second)) }, Hold, 1000, WaitingInterval},
 		{"figures from before the step", func(in *Input) {
 			in.Shift.Limits.Interval = 1
-			in.Progress.Stepped = receiving(in).Since.Add(-DefaultSettle + 1)
+			in.Progress.SteppedAt = receiverLoad(in).Since.Add(-DefaultSettle + 1)
 		}, Hold, 1000, AwaitingProof},
 		{"figures begin with the step in effect", func(in *Input) {
 			in.Shift.Limits.Interval = 1
-			in.Progress.Stepped = receiving(in).Since.Add(-DefaultSettle)
+			in.Progress.SteppedAt = receiverLoad(in).Since.Add(-DefaultSettle)
 		}, Advance, 1500, None},
 		{"figures from before callers' old answers ran out", func(in *Input) {
 			in.Shift.Limits.Interval = 1
-			in.Progress.Stepped = receiving(in).Since.Add(-DefaultSettle)
-			in.Progress.Started = receiving(in).Since.Add(-DefaultSettleSteady + 1)
+			in.Progress.SteppedAt = receiverLoad(in).Since.Add(-DefaultSettle)
+			in.Progress.StartedAt = receiverLoad(in).Since.Add(-DefaultSettleSteady + 1)
 		}, Hold, 1000, AwaitingProof},
 		{"count from before the step", func(in *Input) {
 			in.Shift.Limits.Interval = 1
-			in.Progress.Stepped = receiving(in).Since.Add(-DefaultSettle)
-			counted(in).Since--
+			in.Progress.SteppedAt = receiverLoad(in).Since.Add(-DefaultSettle)
+			countOf(in).Since--
 		}, Hold, 1000, AwaitingProof},
 		{"count from before the step, no cap to pass", func(in *Input) {
 			in.Shift.Limits.Interval = 1
 			in.Shift.Limits.MaxShare = catalogue.ShareUnit
-			in.Progress.Stepped = receiving(in).Since.Add(-DefaultSettle)
-			counted(in).Since--
+			in.Progress.SteppedAt = receiverLoad(in).Since.Add(-DefaultSettle)
+			countOf(in).Since--
 		}, Advance, 1500, None},
-		{"old load", func(in *Input) { receiving(in).Until = planNow.Add(-DefaultMaxAge - 1); receiving(in).Since = at(0) }, Hold, 1000, StaleMeasurement},
-		{"old count", func(in *Input) { counted(in).Until = planNow.Add(-DefaultMaxAge - 1); counted(in).Since = at(0) }, Hold, 1000, StaleMeasurement},
-		{"load from the future", func(in *Input) { receiving(in).Until = planNow.Add(1) }, Hold, 1000, StaleMeasurement},
+		{"old load", func(in *Input) {
+			receiverLoad(in).Until = planNow.Add(-DefaultMaxAge - 1)
+			receiverLoad(in).Since = at(0)
+		}, Hold, 1000, StaleMeasurement},
+		{"old count", func(in *Input) { countOf(in).Until = planNow.Add(-DefaultMaxAge - 1); countOf(in).Since = at(0) }, Hold, 1000, StaleMeasurement},
+		{"load from the future", func(in *Input) { receiverLoad(in).Until = planNow.Add(1) }, Hold, 1000, StaleMeasurement},
 		{"no load", func(in *Input) { in.Evidence.Loads = in.Evidence.Loads[:1] }, Hold, 1000, StaleMeasurement},
 		{"no count", func(in *Input) { in.Evidence.Counts = nil }, Hold, 1000, StaleMeasurement},
-		{"load lacks reports", func(in *Input) { receiving(in).Missing = 1 }, Hold, 1000, StaleMeasurement},
-		{"in flight not a number", func(in *Input) { receiving(in).InFlight = math.NaN() }, Hold, 1000, StaleMeasurement},
-		{"endless capacity", func(in *Input) { receiving(in).Capacity = math.Inf(1) }, Hold, 1000, StaleMeasurement},
-		{"count against itself", func(in *Input) { counted(in).Total++ }, Hold, 1000, StaleMeasurement},
-		{"cold", func(in *Input) { receiving(in).Warming = true }, Hold, 1000, ColdCache},
-		{"slow", func(in *Input) { receiving(in).P99 = 2*time.Second + 1 }, Hold, 1000, Latency},
-		{"errors", func(in *Input) { receiving(in).ErrorShare = 101 }, Hold, 1000, Errors},
-		{"errors of few requests", func(in *Input) { receiving(in).ErrorShare = 101; receiving(in).Requests = 49 }, Advance, 1500, None},
-		{"part of a step", func(in *Input) { receiving(in).InFlight = 31 }, Advance, 1200, NoHeadroom},
-		{"no headroom", func(in *Input) { receiving(in).InFlight = 31.9 }, Hold, 1000, NoHeadroom},
+		{"load lacks reports", func(in *Input) { receiverLoad(in).Missing = 1 }, Hold, 1000, StaleMeasurement},
+		{"in flight not a number", func(in *Input) { receiverLoad(in).InFlight = math.NaN() }, Hold, 1000, StaleMeasurement},
+		{"endless capacity", func(in *Input) { receiverLoad(in).Capacity = math.Inf(1) }, Hold, 1000, StaleMeasurement},
+		{"count against itself", func(in *Input) { countOf(in).Total++ }, Hold, 1000, StaleMeasurement},
+		{"cold", func(in *Input) { receiverLoad(in).Warming = true }, Hold, 1000, ColdCache},
+		{"slow", func(in *Input) { receiverLoad(in).P99 = 2*time.Second + 1 }, Hold, 1000, Latency},
+		{"errors", func(in *Input) { receiverLoad(in).ErrorShare = 101 }, Hold, 1000, Errors},
+		{"errors of few requests", func(in *Input) { receiverLoad(in).ErrorShare = 101; receiverLoad(in).Requests = 49 }, Advance, 1500, None},
+		{"part of a step", func(in *Input) { receiverLoad(in).InFlight = 31 }, Advance, 1200, NoHeadroom},
+		{"no headroom", func(in *Input) { receiverLoad(in).InFlight = 31.9 }, Hold, 1000, NoHeadroom},
 		{"headroom reserved", func(in *Input) {
 			in.Reserved = []Reservation{{Shift: "other", Region: "kriti", Service: worldService, Slots: 12}}
 		}, Hold, 1000, SharedHeadroom},
@@ -127,38 +130,38 @@
 			in.Reserved = []Reservation{{Shift: "other", Region: "kriti", Service: worldService, Slots: math.Inf(1)}}
 		}, Hold, 1000, SharedHeadroom},
 		{"busy block ahead", func(in *Input) {
-			counted(in).Total += 300000
-			counted(in).ByPosition[12] += 300000
+			countOf(in).Total += 300000
+			countOf(in).ByPosition[12] += 300000
 		}, Advance, 1200, CountedShare},
 		{"share over the cap", func(in *Input) { in.Shift.Limits.MaxShare = 500 }, Recede, 500, CountedShare},
 		{"count over the cap", func(in *Input) {
-			counted(in).Total += 300000
-			counted(in).ByPosition[7] += 300000
-			counted(in).Moved += 300000
+			countOf(in).Total += 300000
+			countOf(in).ByPosition[7] += 300000
+			countOf(in).Moved += 300000
 		}, Recede, 700, CountedShare},
 		{"count over the cap, paused", func(in *Input) {
 			in.Shift.State = catalogue.Paused
-			counted(in).Total += 300000
-			counted(in).ByPosition[7] += 300000
-			counted(in).Moved += 300000
+			countOf(in).Total += 300000
+			countOf(in).ByPosition[7] += 300000
+			countOf(in).Moved += 300000
 		}, Recede, 700, CountedShare},
-		{"receiver dead", func(in *Input) { receiving(in).State = fleet.Dead }, Recede, 0, ReceiverNotLive},
-		{"receiver without targets", func(in *Input) { receiving(in).Capacity = 0 }, Recede, 0, ReceiverNotLive},
-		{"receiver dead, nothing moved", func(in *Input) { receiving(in).State = fleet.Dead; in.Shift.Share = 0 }, Hold, 0, ReceiverNotLive},
-		{"receiver dead, sender nearly full", func(in *Input) { receiving(in).State = fleet.Dead; sender(in).InFlight = 30 }, Recede, 500, ReceiverNotLive},
-		{"receiver dead, sender full", func(in *Input) { receiving(in).State = fleet.Dead; sender(in).InFlight = 32 }, Hold, 1000, NoHeadroom},
-		{"receiver dead, sender leaving", func(in *Input) { receiving(in).State = fleet.Dead; sender(in).State = fleet.Leaving }, Hold, 1000, SenderNotLive},
-		{"receiver dead, many steps", func(in *Input) { receiving(in).State = fleet.Dead; in.Shift.Limits.Step = 100 }, Recede, 600, ReceiverNotLive},
+		{"receiver dead", func(in *Input) { receiverLoad(in).State = fleet.Dead }, Recede, 0, ReceiverNotLive},
+		{"receiver without targets", func(in *Input) { receiverLoad(in).Capacity = 0 }, Recede, 0, ReceiverNotLive},
+		{"receiver dead, nothing moved", func(in *Input) { receiverLoad(in).State = fleet.Dead; in.Shift.Share = 0 }, Hold, 0, ReceiverNotLive},
+		{"receiver dead, sender nearly full", func(in *Input) { receiverLoad(in).State = fleet.Dead; senderLoad(in).InFlight = 30 }, Recede, 500, ReceiverNotLive},
+		{"receiver dead, sender full", func(in *Input) { receiverLoad(in).State = fleet.Dead; senderLoad(in).InFlight = 32 }, Hold, 1000, NoHeadroom},
+		{"receiver dead, sender leaving", func(in *Input) { receiverLoad(in).State = fleet.Dead; senderLoad(in).State = fleet.Leaving }, Hold, 1000, SenderNotLive},
+		{"receiver dead, many steps", func(in *Input) { receiverLoad(in).State = fleet.Dead; in.Shift.Limits.Step = 100 }, Recede, 600, ReceiverNotLive},
 		{"receiver dead, last step back not shown", func(in *Input) {
-			receiving(in).State = fleet.Dead
-			in.Progress = Progress{Stepped: planNow.Add(-10 * time.Second), Fell: true}
+			receiverLoad(in).State = fleet.Dead
+			in.Progress = Progress{SteppedAt: planNow.Add(-10 * time.Second), LastStepDown: true}
 		}, Hold, 1000, AwaitingProof},
 		{"receiver dead, last step forward not shown", func(in *Input) {
-			receiving(in).State = fleet.Dead
-			in.Progress = Progress{Stepped: planNow.Add(-10 * time.Second)}
+			receiverLoad(in).State = fleet.Dead
+			in.Progress = Progress{SteppedAt: planNow.Add(-10 * time.Second)}
 		}, Recede, 0, ReceiverNotLive},
-		{"errors for long", breach, RollBack, 0, RollingBack},
-		{"errors for long, sender full", func(in *Input) { breach(in); sender(in).InFlight = 32 }, Hold, 1000, RollingBack},
+		{"errors for long", lastingErrors, RollBack, 0, RollingBack},
+		{"errors for long, sender full", func(in *Input) { lastingErrors(in); senderLoad(in).InFlight = 32 }, Hold, 1000, RollingBack},
 		{"errors have ceased while rolling back", func(in *Input) { in.Shift.Hold = "rolling-back: errors" }, RollBack, 0, RollingBack},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -170,14 +173,14 @@
 			is.Equal(d.Share, c.share)
 			is.Equal(d.Reason.Code, c.code)
 			is.Equal(ParseCode(d.Reason.String()), c.code)
-			is.Equal(len(Check(Options{}, in, d)), 0)
+			is.Equal(len(CheckInvariants(Options{}, in, d)), 0)
 		})
 	}
 }
 
 // TestCheck: every rule of Check finds the decision that breaks it, so that
 // the randomised runs, which rest on it, can fail.
-func TestCheck(t *testing.T) {
+func TestCheckInvariantsFindsEachViolation(t *testing.T) {
 	rise := Decision{Action: Advance, Share: 1500}
 	for _, c := range []struct {
 		rule   Rule
@@ -187,35 +190,35 @@
 		{RuleCap, rise, func(in *Input) { in.Shift.Limits.MaxShare = 1400 }},
 		{RuleStep, Decision{Action: Advance, Share: 1501}, func(in *Input) {}},
 		{RuleStep, Decision{Action: Hold, Share: 900}, func(in *Input) {}},
-		{RuleInterval, rise, func(in *Input) { in.Progress.Stepped = planNow.Add(-29 * time.Second) }},
+		{RuleInterval, rise, func(in *Input) { in.Progress.SteppedAt = planNow.Add(-29 * time.Second) }},
 		{RuleWindow, rise, func(in *Input) { in.Shift.Limits.Window.End = planNow.Wall() }},
-		{RuleFrozen, rise, func(in *Input) { in.Frozen = true }},
+		{RuleCutOff, rise, func(in *Input) { in.CutOff = true }},
 		{RuleState, rise, func(in *Input) { in.Shift.State = catalogue.Paused }},
-		{RuleProof, rise, func(in *Input) { receiving(in).Until = planNow.Add(-7 * time.Second) }},
-		{RuleProof, rise, func(in *Input) { receiving(in).Missing = 1 }},
+		{RuleProof, rise, func(in *Input) { receiverLoad(in).Until = planNow.Add(-7 * time.Second) }},
+		{RuleProof, rise, func(in *Input) { receiverLoad(in).Missing = 1 }},
 		{RuleProof, rise, func(in *Input) {
-			in.Progress.Stepped = planNow.Add(-31 * time.Second)
-			counted(in).Since = planNow.Add(-22 * time.Second)
+			in.Progress.SteppedAt = planNow.Add(-31 * time.Second)
+			countOf(in).Since = planNow.Add(-22 * time.Second)
 		}},
-		{RuleProof, rise, func(in *Input) { in.Progress.Started = planNow.Add(-28 * time.Second) }},
+		{RuleProof, rise, func(in *Input) { in.Progress.StartedAt = planNow.Add(-28 * time.Second) }},
 		{RuleProof, rise, func(in *Input) { in.Evidence.Counts = nil }},
-		{RuleHeadroom, rise, func(in *Input) { receiving(in).InFlight = 31.5 }},
-		{RuleCount, rise, func(in *Input) { counted(in).Total += 300000; counted(in).ByPosition[12] += 300000 }},
+		{RuleHeadroom, rise, func(in *Input) { receiverLoad(in).InFlight = 31.5 }},
+		{RuleCount, rise, func(in *Input) { countOf(in).Total += 300000; countOf(in).ByPosition[12] += 300000 }},
 	} {
 		t.Run(string(c.rule), func(t *testing.T) {
 			is := is.New(t)
 			in := planInput()
 			c.change(&in)
-			broken := Check(Options{}, in, c.d)
+			broken := CheckInvariants(Options{}, in, c.d)
 			is.Equal(len(broken) > 0, true)
 			is.Equal(broken[0].Rule, c.rule)
 		})
 	}
 }
 
-// runnerOf returns a Runner that holds the lease and has planInput's evidence
+// newPlanRunner returns a Runner that holds the lease and has planInput's evidence
 // and shift, seen for the first time at now.
-func runnerOf(now clock.Time, share catalogue.Share) *Runner {
+func newPlanRunner(now clock.Time, share catalogue.Share) *Runner {
 	in := planInput()
 	s := in.Shift
 	s.Share, s.Revision, s.Service = share, 5, worldService
@@ -239,33 +242,33 @@
 // TestTakeover: symptom: two steps within one interval. Sequence: a runner
 // dies just after a step; a process that has only just started takes over.
 // Cause: it can't know when the step was taken, so it takes it as taken now.
-func TestTakeover(t *testing.T) {
+func TestTakeoverWaitsWholeInterval(t *testing.T) {
 	is := is.New(t)
-	r := runnerOf(planNow, 1000)
+	r := newPlanRunner(planNow, 1000)
 	is.Equal(len(writes(r.Step(planNow, Duty{Held: true, Until: clock.Never}, nil))), 0)
 	is.Equal(r.Status(nil)[0].Decision.Reason.Code, WaitingInterval)
 	held := r.reservations()
 	is.Equal(len(held), 1) // the step may not show yet
 	is.Equal(held[0].Region, fleet.Region("kriti"))
-	is.Equal(held[0].Slots, 2.0)        // a step of 5% of 20 slots, cold
-	is.True(r.entries[0].progress.Fell) // nor is it known which way it went
+	is.Equal(held[0].Slots, 2.0)                // a step of 5% of 20 slots, cold
+	is.True(r.entries[0].progress.LastStepDown) // nor is it known which way it went
 }
 
 // TestOldCatalogue: symptom: a shift goes back to a share it had before.
 // Sequence: the platform's service returns with older data. Cause: a revision
 // taken for newer than it is.
-func TestOldCatalogue(t *testing.T) {
+func TestOlderCatalogueIsIgnored(t *testing.T) {
 	is := is.New(t)
-	r := runnerOf(planNow, 1000)
+	r := newPlanRunner(planNow, 1000)
 	r.Step(planNow, Configured{Catalogue: &catalogue.Catalogue{Revision: 4}}, nil)
 	is.Equal(len(r.Status(nil)), 1)
 }
 
 // TestFailedWrite: symptom: hundreds of writes a second. Sequence: a write is
 // refused without effect, and made again at once, and so on. Cause: no wait.
-func TestFailedWrite(t *testing.T) {
+func TestFailedWriteIsRetriedAfterDelay(t *testing.T) {
 	is := is.New(t)
-	r := runnerOf(planNow, 0)
+	r := newPlanRunner(planNow, 0)
 	w := writes(r.Step(planNow, Duty{Held: true, Until: clock.Never}, nil))
 	is.Equal(len(w), 1)
 	is.Equal(w[0].Share, catalogue.DefaultStep)
--- a/decide/shift/random_test.go
+++ b/decide/shift/random_test.go
@@ -25,13 +25,13 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"add":       h.add,
 			"evidence":  h.evidence,
-			"good":      h.good,
+			"good":      h.goodEvidence,
 			"catalogue": h.configure,
 			"operator":  h.operator,
 			"lease":     h.leaseEvent,
 			"platform":  h.platformEvent,
 			"result":    h.result,
-			"time":      h.pass,
+			"time":      h.advanceTime,
 			"":          h.check,
 		})
 		events += h.events
@@ -51,8 +51,8 @@
 	r         *Runner
 	now       clock.Time
 	cat       catalogue.Catalogue
-	given     catalogue.Catalogue // the one the Runner has
-	held      Duty
+	delivered catalogue.Catalogue // the one the Runner has
+	lease     Duty
 	reachable bool
 	open      map[string]Write // by shift
 	lastRise  map[string]clock.Time
@@ -64,20 +64,20 @@
 	h.events++
 	for _, e := range h.r.Step(h.now, ev, nil) {
 		if w, ok := e.(Write); ok {
-			h.wrote(w)
+			h.checkWrite(w)
 		}
 	}
 }
 
-// wrote checks one write and keeps it open.
-func (h *harness) wrote(w Write) {
-	s, ok := h.given.Shift(w.Shift)
+// checkWrite checks one write and keeps it open.
+func (h *harness) checkWrite(w Write) {
+	s, ok := h.delivered.Shift(w.Shift)
 	l := s.Limits.WithDefaults()
 	_, second := h.open[w.Shift]
 	switch {
 	case !ok || !s.State.Moves():
 		h.t.Fatalf("write of a shift that moves nothing: %+v", w)
-	case !h.held.Held || h.now >= h.held.Until || !h.reachable:
+	case !h.lease.Held || h.now >= h.lease.Until || !h.reachable:
 		h.t.Fatalf("write without lease or platform: %+v", w)
 	case second:
 		h.t.Fatalf("second write while one is open: %+v", w)
@@ -122,8 +122,8 @@
 	h.cat.Shifts = append(h.cat.Shifts[:len(h.cat.Shifts):len(h.cat.Shifts)], s)
 }
 
-// number draws a figure that may be no number at all.
-func number(t *rapid.T, label string) float64 {
+// drawNumber draws a figure that may be no number at all.
+func drawNumber(t *rapid.T, label string) float64 {
 	odd := []float64{math.NaN(), math.Inf(1), -1, 0, 1e18}
 	if rapid.IntRange(0, 9).Draw(t, label+" odd") == 0 {
 		return rapid.SampledFrom(odd).Draw(t, label)
@@ -145,7 +145,7 @@
 		e.Loads = append(e.Loads, Load{
 			Region: r, Service: worldService, Span: h.span(t),
 			State:    fleet.State(rapid.IntRange(0, 2).Draw(t, "state") / 2),
-			Capacity: number(t, "capacity"), InFlight: number(t, "in flight"),
+			Capacity: drawNumber(t, "capacity"), InFlight: drawNumber(t, "in flight"),
 			Requests: 1000, ErrorShare: catalogue.Share(rapid.IntRange(0, 120).Draw(t, "errors")),
 			Missing: rapid.IntRange(0, 4).Draw(t, "missing") / 4,
 		})
@@ -162,17 +162,17 @@
 	h.step(Measured{Evidence: e})
 }
 
-// good brings evidence that lets shifts advance, so that runs get anywhere.
-func (h *harness) good(t *rapid.T) {
+// goodEvidence brings evidence that lets shifts advance, so that runs get anywhere.
+func (h *harness) goodEvidence(t *rapid.T) {
 	h.now = h.now.Add(time.Duration(rapid.IntRange(1, 60).Draw(t, "seconds")) * time.Second)
 	h.reachable = true
 	h.step(Platform{Reachable: true})
-	h.held = Duty{Held: true, Until: h.now.Add(time.Minute)}
-	h.step(h.held)
+	h.lease = Duty{Held: true, Until: h.now.Add(time.Minute)}
+	h.step(h.lease)
 	span := Span{Since: h.now.Add(-2 * time.Second), Until: h.now}
 	var e Evidence
 	for _, r := range regionNames {
-		e.Loads = append(e.Loads, Load{Region: r, Service: worldService, Span: span, Capacity: 40, InFlight: number(t, "in flight") / 3, Requests: 1000})
+		e.Loads = append(e.Loads, Load{Region: r, Service: worldService, Span: span, Capacity: 40, InFlight: drawNumber(t, "in flight") / 3, Requests: 1000})
 	}
 	for _, s := range h.cat.Shifts {
 		c := Count{Shift: s.ID, Service: worldService, Span: span, Total: 100000, Moved: uint64(s.Share) * 10, Busy: 20 * time.Second}
@@ -184,7 +184,7 @@
 	h.step(Measured{Evidence: e})
 	for _, s := range h.cat.Shifts {
 		if w, ok := h.open[s.ID]; ok && s.Revision == w.Expect {
-			h.applied(w)
+			h.applyWrite(w)
 			h.step(WriteResult{ID: w.ID, Verdict: verdict.Ran})
 		}
 	}
@@ -193,9 +193,9 @@
 
 // configure hands the Runner the newest catalogue.
 func (h *harness) configure(t *rapid.T) {
-	h.given = h.cat
+	h.delivered = h.cat
 	for id, w := range h.open {
-		if s, ok := h.given.Shift(id); ok && s.Revision > w.Expect {
+		if s, ok := h.delivered.Shift(id); ok && s.Revision > w.Expect {
 			delete(h.open, id)
 		}
 	}
@@ -226,8 +226,8 @@
 }
 
 func (h *harness) leaseEvent(t *rapid.T) {
-	h.held = Duty{Held: rapid.IntRange(0, 3).Draw(t, "held") > 0, Until: h.now.Add(time.Duration(rapid.IntRange(0, 90).Draw(t, "lease")) * time.Second)}
-	h.step(h.held)
+	h.lease = Duty{Held: rapid.IntRange(0, 3).Draw(t, "held") > 0, Until: h.now.Add(time.Duration(rapid.IntRange(0, 90).Draw(t, "lease")) * time.Second)}
+	h.step(h.lease)
 }
 
 func (h *harness) platformEvent(t *rapid.T) {
@@ -245,7 +245,7 @@
 		res := WriteResult{ID: w.ID, Verdict: rapid.SampledFrom([]verdict.Verdict{verdict.Ran, verdict.NotRun, verdict.MayHaveRun}).Draw(t, "verdict")}
 		s, _ := h.cat.Shift(id)
 		if res.Verdict != verdict.NotRun && s.Revision == w.Expect {
-			h.applied(w)
+			h.applyWrite(w)
 		} else if s.Revision != w.Expect {
 			res.Verdict, res.Conflict = verdict.NotRun, true
 		}
@@ -258,8 +258,8 @@
 	t.Skip("no write is open")
 }
 
-// applied carries out a write by compare-and-swap.
-func (h *harness) applied(w Write) {
+// applyWrite carries out a write by compare-and-swap.
+func (h *harness) applyWrite(w Write) {
 	h.cat.Revision++
 	h.cat.Shifts = append([]catalogue.Shift(nil), h.cat.Shifts...)
 	for i := range h.cat.Shifts {
@@ -277,7 +277,7 @@
 	}
 }
 
-func (h *harness) pass(t *rapid.T) {
+func (h *harness) advanceTime(t *rapid.T) {
 	h.now = h.now.Add(time.Duration(rapid.IntRange(0, 40000).Draw(t, "ms")) * time.Millisecond)
 	h.step(Tick{})
 }
@@ -288,8 +288,8 @@
 	}
 }
 
-// fewBlocks a region keep the random worlds quick under the race detector.
-const fewBlocks = 200
+// randomWorldBlocks a region keep the random worlds quick under the race detector.
+const randomWorldBlocks = 200
 
 // TestRandomWorld lets shifts run in the world model under random load, lag,
 // cold caches, skew and faults. No region passes its true capacity, no shift
@@ -299,7 +299,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		headroom := rapid.IntRange(300, 2500).Draw(t, "headroom")
 		load := rapid.Float64Range(0.3, 0.97-float64(headroom)/10000).Draw(t, "load")
-		w := newWorld(rapid.Uint64().Draw(t, "seed"), fewBlocks, load, 40)
+		w := newWorld(rapid.Uint64().Draw(t, "seed"), randomWorldBlocks, load, 40)
 		w.lag = time.Duration(rapid.IntRange(1000, 5000).Draw(t, "lag")) * time.Millisecond
 		w.cold = rapid.Float64Range(1, 2).Draw(t, "cold")
 		// No headroom covers demand that swings by more.
@@ -311,7 +311,7 @@
 		w.runner("b")
 		w.run(15 * time.Second)
 		for i := range rapid.IntRange(1, 3).Draw(t, "shifts") {
-			w.add(randomShift(t, i, headroom))
+			w.startShift(randomShift(t, i, headroom))
 		}
 		for range 10 {
 			worldFault(t, w)
@@ -341,7 +341,7 @@
 		b.weight *= 1 - heavy
 	}
 	for i := range w.regions {
-		w.blocks[i*fewBlocks+7].weight += total[i] * heavy
+		w.blocks[i*randomWorldBlocks+7].weight += total[i] * heavy
 	}
 }
 
@@ -393,8 +393,8 @@
 		}
 	}
 	for _, s := range w.cat.Shifts {
-		if m := w.movedBy(s.ID); m > part(s.Limits.MaxShare)+tolerance {
-			t.Fatalf("shift %s moves %.2f%% of cap %.2f%%", s.ID, 100*m, 100*part(s.Limits.MaxShare))
+		if m := w.movedBy(s.ID); m > fractionOf(s.Limits.MaxShare)+tolerance {
+			t.Fatalf("shift %s moves %.2f%% of cap %.2f%%", s.ID, 100*m, 100*fractionOf(s.Limits.MaxShare))
 		}
 	}
 	for _, k := range w.runners {
--- a/decide/shift/reason.go
+++ b/decide/shift/reason.go
@@ -38,21 +38,21 @@
 // Reason is a Code with the figures that explain it; those that don't apply
 // are zero.
 type Reason struct {
-	Code    Code
-	Cause   Code // of RollingBack: what led to it, or what it waits for
-	Region  fleet.Region
-	Service fleet.ServiceName
-	Other   string  // id of the shift that holds the headroom or empties the receiver
-	Need    float64 // slots that the step may take
-	Have    float64 // slots left by MinHeadroom
-	Share   float64 // counted or error share, 0 to 1
-	Ahead   bool    // Share is what a step may come to, sampling included
-	Bound   float64 // its limit, 0 to 1
-	P99     time.Duration
-	Limit   time.Duration // bound on P99
-	Age     time.Duration // of the oldest figure
-	Until   clock.Time    // when waiting ends
-	Missing int           // entry VMs that have not reported
+	Code        Code
+	Cause       Code // of RollingBack: what led to it, or what it waits for
+	Region      fleet.Region
+	Service     fleet.ServiceName
+	OtherShift  string  // id of the shift that holds the headroom or empties the receiver
+	SlotsNeeded float64 // slots that the step may take
+	SlotsFree   float64 // slots left by MinHeadroom
+	Share       float64 // counted or error share, 0 to 1
+	Forecast    bool    // Share is what a step may come to, sampling included
+	Bound       float64 // its limit, 0 to 1
+	P99         time.Duration
+	Limit       time.Duration // bound on P99
+	Age         time.Duration // of the oldest figure
+	Until       clock.Time    // when waiting ends
+	Missing     int           // entry VMs that have not reported
 }
 
 // separator stands between the code and its explanation in a Hold text.
@@ -85,23 +85,23 @@
 	case StaleMeasurement:
 		return r.explainStale()
 	case AwaitingProof:
-		return fmt.Sprintf("%s has no figures since the last step took effect", r.place())
+		return fmt.Sprintf("%s has no figures since the last step took effect", r.location())
 	case NoHeadroom:
-		return fmt.Sprintf("the step may take %.1f slots, %s has %.1f left above its least headroom", r.Need, r.place(), r.Have)
+		return fmt.Sprintf("the step may take %.1f slots, %s has %.1f left above its least headroom", r.SlotsNeeded, r.location(), r.SlotsFree)
 	case SharedHeadroom:
-		return fmt.Sprintf("the step may take %.1f slots, %s has %.1f left beside shift %s", r.Need, r.place(), r.Have, r.Other)
+		return fmt.Sprintf("the step may take %.1f slots, %s has %.1f left beside shift %s", r.SlotsNeeded, r.location(), r.SlotsFree, r.OtherShift)
 	case ColdCache:
-		return fmt.Sprintf("%s is warming up", r.place())
+		return fmt.Sprintf("%s is warming up", r.location())
 	case Latency:
-		return fmt.Sprintf("p99 at %s is %s, bound %s", r.place(), r.P99, r.Limit)
+		return fmt.Sprintf("p99 at %s is %s, bound %s", r.location(), r.P99, r.Limit)
 	case Errors:
-		return fmt.Sprintf("%s of answers at %s failed, bound %s", percent(r.Share), r.place(), percent(r.Bound))
+		return fmt.Sprintf("%s of answers at %s failed, bound %s", percent(r.Share), r.location(), percent(r.Bound))
 	case CountedShare:
-		return fmt.Sprintf("%s %s of the requests counted%s, cap %s", r.tense(), percent(r.Share), r.of(), percent(r.Bound))
+		return fmt.Sprintf("%s %s of the requests counted%s, cap %s", r.movesPhrase(), percent(r.Share), r.ofService(), percent(r.Bound))
 	case ReceiverNotLive, SenderNotLive:
-		return fmt.Sprintf("%s can't serve", r.place())
+		return fmt.Sprintf("%s can't serve", r.location())
 	case ReceiverEmptying:
-		return fmt.Sprintf("shift %s moves traffic out of %s", r.Other, r.Region)
+		return fmt.Sprintf("shift %s moves traffic out of %s", r.OtherShift, r.Region)
 	case RollingBack:
 		r.Code, r.Cause = r.Cause, None
 		return r.String()
@@ -113,32 +113,32 @@
 func (r Reason) explainStale() string {
 	switch {
 	case r.Missing > 0:
-		return fmt.Sprintf("%d entry VMs have not reported for %s", r.Missing, r.place())
+		return fmt.Sprintf("%d entry VMs have not reported for %s", r.Missing, r.location())
 	case r.Age > 0:
-		return fmt.Sprintf("figures of %s are %s old", r.place(), r.Age.Round(100*time.Millisecond))
+		return fmt.Sprintf("figures of %s are %s old", r.location(), r.Age.Round(100*time.Millisecond))
 	default:
-		return fmt.Sprintf("no usable figures of %s", r.place())
+		return fmt.Sprintf("no usable figures of %s", r.location())
 	}
 }
 
-// place returns "region/service", as far as they are set.
-func (r Reason) place() string {
+// location returns "region/service", as far as they are set.
+func (r Reason) location() string {
 	if r.Service == "" {
 		return string(r.Region)
 	}
 	return string(r.Region) + "/" + string(r.Service)
 }
 
-func (r Reason) of() string {
+func (r Reason) ofService() string {
 	if r.Service == "" {
 		return ""
 	}
 	return " of " + string(r.Service)
 }
 
-// tense tells what is moved now from what a step might move.
-func (r Reason) tense() string {
-	if r.Ahead {
+// movesPhrase tells what is moved now from what a step might move.
+func (r Reason) movesPhrase() string {
+	if r.Forecast {
 		return "the next step may move"
 	}
 	return "moves"
@@ -146,5 +146,5 @@
 
 func percent(f float64) string { return fmt.Sprintf("%.2f%%", 100*f) }
 
-// part converts a share to 0..1.
-func part(s catalogue.Share) float64 { return float64(s) / catalogue.ShareUnit }
+// fractionOf converts a share to 0..1.
+func fractionOf(s catalogue.Share) float64 { return float64(s) / catalogue.ShareUnit }
--- a/decide/shift/reserve.go
+++ b/decide/shift/reserve.go
@@ -20,45 +20,45 @@
 // pendingStep is a change of share that is being written or that has yet to
 // show: the share was Low or High before and will be the other.
 type pendingStep struct {
-	Shift     catalogue.Shift
-	Services  []fleet.ServiceName
-	Low, High catalogue.Share
-	Rise      bool
-	Shows     clock.Time // from when on figures show it; Never while it is being written
+	Shift       catalogue.Shift
+	Services    []fleet.ServiceName
+	Low, High   catalogue.Share
+	Rise        bool
+	VisibleFrom clock.Time // from when on figures show it; Never while it is being written
 }
 
-// reserve appends the reservations of a pending step. A receiver whose figures
+// appendReservations appends the reservations of a pending step. A receiver whose figures
 // began after the step took effect shows its load already. A step back loads
 // the sender in the same way as a rise loads receivers.
-func reserve(o Options, st pendingStep, e *Evidence, out []Reservation) []Reservation {
+func appendReservations(o Options, st pendingStep, e *Evidence, out []Reservation) []Reservation {
 	for _, f := range flowsOf(o, &st.Shift, st.Services, e) {
 		if !st.Rise {
 			f.receivers = []receiver{{region: st.Shift.From, load: f.sender, fraction: 1}}
 		}
 		for _, r := range f.receivers {
-			if r.load != nil && !r.load.Since.Before(st.Shows) {
+			if r.load != nil && !r.load.Since.Before(st.VisibleFrom) {
 				continue
 			}
 			out = append(out, Reservation{
 				Shift:   st.Shift.ID,
 				Region:  r.region,
 				Service: f.service,
-				Slots:   slotsOrUnknown(o, &f, st) * r.fraction,
+				Slots:   expectedSlots(o, &f, st) * r.fraction,
 			})
 		}
 	}
 	return out
 }
 
-func slotsOrUnknown(o Options, f *flow, st pendingStep) float64 {
+func expectedSlots(o Options, f *flow, st pendingStep) float64 {
 	if f.count == nil || !f.count.valid() {
 		return math.Inf(1)
 	}
-	return f.slots(o, st.Low, st.High)
+	return f.maxSlots(o, st.Low, st.High)
 }
 
-// reserved sums the reservations at a region and names the largest holder.
-func reserved(all []Reservation, r fleet.Region, s fleet.ServiceName) (slots float64, holder string) {
+// reservedSlots sums the reservations at a region and names the largest holder.
+func reservedSlots(all []Reservation, r fleet.Region, s fleet.ServiceName) (slots float64, holder string) {
 	most := 0.0
 	for i := range all {
 		v := &all[i]
--- a/decide/shift/runner.go
+++ b/decide/shift/runner.go
@@ -10,34 +10,34 @@
 // in every process, so that whoever takes over has seen the last steps. It is
 // not safe for concurrent use.
 type Runner struct {
-	opts       Options
-	now        clock.Time // highest instant seen
-	catalogue  *catalogue.Catalogue
-	evidence   Evidence
-	duty       Duty
-	reachable  bool
-	entries    []*entry // moving shifts, in the order of their ids
-	writes     uint64   // last Write.ID
-	wake       clock.Time
-	violations uint64
-	broken     []Violation // of the last Step
+	opts           Options
+	now            clock.Time // highest instant seen
+	catalogue      *catalogue.Catalogue
+	evidence       Evidence
+	duty           Duty
+	reachable      bool
+	entries        []*entry // moving shifts, in the order of their ids
+	writes         uint64   // last Write.ID
+	wakeAt         clock.Time
+	violationCount uint64
+	lastViolations []Violation // of the last Step
 }
 
 // entry is one moving shift.
 type entry struct {
-	shift    catalogue.Shift
-	progress Progress
-	decision Decision
-	since    clock.Time // since when the decision's code has been the same
-	write    write
-	retryAt  clock.Time // no write before, after one that failed
-	moved    pendingStep
+	shift     catalogue.Shift
+	progress  Progress
+	decision  Decision
+	codeSince clock.Time // since when the decision's code has been the same
+	write     pendingWrite
+	retryAt   clock.Time // no write before, after one that failed
+	lastStep  pendingStep
 }
 
-// write is an outstanding write. It stays outstanding until it is known not to
+// pendingWrite is an outstanding write. It stays outstanding until it is known not to
 // have run, or until the catalogue shows the entry at a higher revision than
 // the write expected: from then on compare-and-swap refuses it.
-type write struct {
+type pendingWrite struct {
 	id      uint64 // 0: none
 	expect  uint64
 	share   catalogue.Share
@@ -46,34 +46,34 @@
 
 // NewRunner returns a Runner without catalogue, evidence, lease or platform.
 func NewRunner(o Options) *Runner {
-	return &Runner{opts: o.withDefaults(), wake: clock.Never}
+	return &Runner{opts: o.withDefaults(), wakeAt: clock.Never}
 }
 
 // Step takes one event observed at now and appends the effects to out.
 func (r *Runner) Step(now clock.Time, ev Event, out []Effect) []Effect {
 	r.now = max(r.now, now)
-	r.broken = r.broken[:0]
+	r.lastViolations = r.lastViolations[:0]
 	switch e := ev.(type) {
 	case Configured:
 		r.configure(e.Catalogue)
 	case Measured:
 		r.evidence = e.Evidence
-		r.observe()
+		r.trackErrors()
 	case Duty:
 		r.duty = e
 	case Platform:
 		r.reachable = e.Reachable
 	case WriteResult:
-		r.settle(e)
+		r.recordResult(e)
 	}
 	out = r.evaluate(out)
-	return r.schedule(out)
+	return r.scheduleTick(out)
 }
 
 // Violations returns how many broken invariants were found since the start,
 // and those of the last Step.
 func (r *Runner) Violations() (total uint64, last []Violation) {
-	return r.violations, r.broken
+	return r.violationCount, r.lastViolations
 }
 
 // Status is the present decision for one shift, for operators.
@@ -94,10 +94,10 @@
 	return out
 }
 
-// leads reports whether this process may write. A lease that has run out by
+// holdsLease reports whether this process may write. A lease that has run out by
 // the own clock is not held, whatever the last Duty said: the process may have
 // been paused since.
-func (r *Runner) leads() bool {
+func (r *Runner) holdsLease() bool {
 	return r.duty.Held && r.now.Before(r.duty.Until)
 }
 
@@ -110,11 +110,11 @@
 	old := r.entries
 	r.entries = nil
 	for _, s := range moving(c) {
-		r.entries = append(r.entries, r.merge(find(old, s.ID), s))
+		r.entries = append(r.entries, r.updateEntry(findEntry(old, s.ID), s))
 	}
 }
 
-func find(entries []*entry, id string) *entry {
+func findEntry(entries []*entry, id string) *entry {
 	for _, e := range entries {
 		if e.shift.ID == id {
 			return e
@@ -123,58 +123,58 @@
 	return nil
 }
 
-// merge brings an entry to the version s of its shift.
-func (r *Runner) merge(e *entry, s catalogue.Shift) *entry {
+// updateEntry brings an entry to the version s of its shift.
+func (r *Runner) updateEntry(e *entry, s catalogue.Shift) *entry {
 	if e == nil {
-		e = &entry{since: r.now}
+		e = &entry{codeSince: r.now}
 		if s.Share > 0 {
-			e.adopt(r.now, s)
+			e.assumeRecentStep(r.now, s)
 		}
 	}
 	if s.Revision > e.write.expect {
-		e.write = write{}
+		e.write = pendingWrite{}
 	}
 	if s.Share != e.shift.Share {
-		e.stepped(r.now, s)
+		e.recordStep(r.now, s)
 	}
 	if s.State == catalogue.Running && e.shift.State != catalogue.Running {
-		e.progress.Started = r.now
+		e.progress.StartedAt = r.now
 	}
 	e.shift = s
 	return e
 }
 
-// adopt makes the entry of a shift that had moved before this process knew it.
+// assumeRecentStep makes the entry of a shift that had moved before this process knew it.
 // The last step may have been taken just now, and either way: so the share is
 // taken as just reached by a whole step.
-func (e *entry) adopt(now clock.Time, s catalogue.Shift) {
+func (e *entry) assumeRecentStep(now clock.Time, s catalogue.Shift) {
 	step := s.Limits.WithDefaults().Step
 	e.shift.Share = s.Share - min(s.Share, step)
-	e.stepped(now, s)
+	e.recordStep(now, s)
 	e.shift.Share = s.Share
-	e.progress.Fell = true
+	e.progress.LastStepDown = true
 }
 
-// stepped records that the share of s is in force.
-func (e *entry) stepped(now clock.Time, s catalogue.Shift) {
+// recordStep records that the share of s is in force.
+func (e *entry) recordStep(now clock.Time, s catalogue.Shift) {
 	before := e.shift.Share
-	e.progress = Progress{Stepped: now, Started: e.progress.Started, Fell: s.Share < before}
-	e.moved = pendingStep{
+	e.progress = Progress{SteppedAt: now, StartedAt: e.progress.StartedAt, LastStepDown: s.Share < before}
+	e.lastStep = pendingStep{
 		Low:  min(before, s.Share),
 		High: max(before, s.Share),
 		Rise: s.Share > before,
 	}
 }
 
-// observe follows breaches of error bounds.
-func (r *Runner) observe() {
+// trackErrors follows breaches of error bounds.
+func (r *Runner) trackErrors() {
 	for i, e := range r.entries {
-		e.progress = Observe(r.opts, r.input(i, nil))
+		e.progress = TrackErrors(r.opts, r.input(i, nil))
 	}
 }
 
-// settle takes the result of a write.
-func (r *Runner) settle(res WriteResult) {
+// recordResult takes the result of a write.
+func (r *Runner) recordResult(res WriteResult) {
 	for _, e := range r.entries {
 		if e.write.id == 0 || e.write.id != res.ID {
 			continue
@@ -183,7 +183,7 @@
 		case res.Conflict || res.Verdict == verdict.Ran:
 			e.write.settled = true
 		case res.Verdict == verdict.NotRun && !e.write.settled:
-			e.write = write{}
+			e.write = pendingWrite{}
 			e.retryAt = r.now.Add(r.opts.RetryAfter)
 		}
 	}
@@ -195,24 +195,24 @@
 	for i, e := range r.entries {
 		in := r.input(i, held)
 		d := Plan(r.opts, in)
-		if broken := Check(r.opts, in, d); len(broken) > 0 {
-			r.violations += uint64(len(broken))
-			r.broken = append(r.broken, broken...)
+		if broken := CheckInvariants(r.opts, in, d); len(broken) > 0 {
+			r.violationCount += uint64(len(broken))
+			r.lastViolations = append(r.lastViolations, broken...)
 			d = Decision{Action: Hold, Share: e.shift.Share, Reason: d.Reason}
 		}
-		e.decide(r.now, d)
-		if w, ok := r.write(e); ok {
+		e.setDecision(r.now, d)
+		if w, ok := r.startWrite(e); ok {
 			out = append(out, w)
-			held = reserve(r.opts, r.pending(e), &r.evidence, held)
+			held = appendReservations(r.opts, r.pendingStepOf(e), &r.evidence, held)
 		}
 	}
 	return out
 }
 
-// decide takes a decision and follows how long its code has stood.
-func (e *entry) decide(now clock.Time, d Decision) {
+// setDecision takes a decision and follows how long its code has stood.
+func (e *entry) setDecision(now clock.Time, d Decision) {
 	if d.Reason.Code != e.decision.Reason.Code || d.Action != e.decision.Action {
-		e.since = now
+		e.codeSince = now
 	}
 	e.decision = d
 }
@@ -226,7 +226,7 @@
 		Services: servicesOf(r.catalogue, &e.shift),
 		Progress: e.progress,
 		Evidence: &r.evidence,
-		Frozen:   !r.reachable,
+		CutOff:   !r.reachable,
 	}
 	for _, v := range held {
 		if v.Shift != e.shift.ID {
@@ -246,40 +246,40 @@
 func (r *Runner) reservations() []Reservation {
 	var held []Reservation
 	for _, e := range r.entries {
-		if e.moved.High > e.moved.Low {
-			st := e.moved
+		if e.lastStep.High > e.lastStep.Low {
+			st := e.lastStep
 			st.Shift = e.shift
 			st.Services = servicesOf(r.catalogue, &e.shift)
-			st.Shows = e.progress.provenAfter(r.opts, e.shift.State)
-			held = reserve(r.opts, st, &r.evidence, held)
+			st.VisibleFrom = e.progress.provenAfter(r.opts, e.shift.State)
+			held = appendReservations(r.opts, st, &r.evidence, held)
 		}
 		if e.write.id != 0 {
-			held = reserve(r.opts, r.pending(e), &r.evidence, held)
+			held = appendReservations(r.opts, r.pendingStepOf(e), &r.evidence, held)
 		}
 	}
 	return held
 }
 
-// pending returns the step of an outstanding write.
-func (r *Runner) pending(e *entry) pendingStep {
+// pendingStepOf returns the step of an outstanding write.
+func (r *Runner) pendingStepOf(e *entry) pendingStep {
 	return pendingStep{
-		Shift:    e.shift,
-		Services: servicesOf(r.catalogue, &e.shift),
-		Low:      min(e.shift.Share, e.write.share),
-		High:     max(e.shift.Share, e.write.share),
-		Rise:     e.write.share > e.shift.Share,
-		Shows:    clock.Never,
+		Shift:       e.shift,
+		Services:    servicesOf(r.catalogue, &e.shift),
+		Low:         min(e.shift.Share, e.write.share),
+		High:        max(e.shift.Share, e.write.share),
+		Rise:        e.write.share > e.shift.Share,
+		VisibleFrom: clock.Never,
 	}
 }
 
-// schedule asks for a Tick while there is something to advance.
-func (r *Runner) schedule(out []Effect) []Effect {
-	if r.wake <= r.now {
-		r.wake = clock.Never
+// scheduleTick asks for a Tick while there is something to advance.
+func (r *Runner) scheduleTick(out []Effect) []Effect {
+	if r.wakeAt <= r.now {
+		r.wakeAt = clock.Never
 	}
-	if len(r.entries) == 0 || !r.leads() || r.wake != clock.Never {
+	if len(r.entries) == 0 || !r.holdsLease() || r.wakeAt != clock.Never {
 		return out
 	}
-	r.wake = r.now.Add(r.opts.Check)
-	return append(out, Wake{At: r.wake})
+	r.wakeAt = r.now.Add(r.opts.CheckInterval)
+	return append(out, Wake{At: r.wakeAt})
 }
--- a/decide/shift/seam_test.go
+++ b/decide/shift/seam_test.go
@@ -14,7 +14,7 @@
 // Sequence: a shift stops at its cap; a client that it has moved grows; the
 // count passes the cap.
 // Cause: a catalogue that took steps of running shifts only.
-func TestLowersStoppedShift(t *testing.T) {
+func TestCountOverCapLowersStoppedShift(t *testing.T) {
 	for _, state := range []catalogue.ShiftState{catalogue.Paused, catalogue.Done} {
 		is := is.New(t)
 		s := catalogue.Shift{ID: "drain", From: "attiki", To: "kriti", State: state, Share: 1000, Revision: 1, Limits: catalogue.Limits{MaxShare: 1000}}
--- a/decide/shift/session_test.go
+++ b/decide/shift/session_test.go
@@ -20,7 +20,7 @@
 	datadriven.Walk(t, "testdata/sessions", func(t *testing.T, path string) {
 		s := &session{}
 		datadriven.RunTest(t, path, s.run)
-		s.check(t)
+		s.checkInvariants(t)
 	})
 }
 
@@ -30,7 +30,7 @@
 	text  strings.Builder
 }
 
-func (s *session) check(t *testing.T) {
+func (s *session) checkInvariants(t *testing.T) {
 	for name, k := range s.w.runners {
 		if n, _ := k.r.Violations(); n > 0 {
 			t.Errorf("runner %s broke %d invariants", name, n)
@@ -56,7 +56,7 @@
 	case "set":
 		s.set(t, d)
 	case "run":
-		s.w.run(duration(t, d, "for"))
+		s.w.run(durationArg(t, d, "for"))
 		s.summary()
 	default:
 		t.Fatalf("unknown command %q", d.Cmd)
@@ -67,7 +67,7 @@
 func (s *session) world(t *testing.T, d *datadriven.TestData) {
 	load := 60
 	d.MaybeScanArgs(t, "load", &load)
-	s.w = newWorld(1, worldBlocks, float64(load)/100, 40)
+	s.w = newWorld(1, worldBlocksPerRegion, float64(load)/100, 40)
 	s.w.log = s.log
 	s.start = s.w.now
 	s.w.runner("a")
@@ -87,7 +87,7 @@
 	d.MaybeScanArgs(t, "cap", &most)
 	d.MaybeScanArgs(t, "step", &step)
 	d.MaybeScanArgs(t, "headroom", &headroom)
-	s.w.add(catalogue.Shift{ID: id, From: fleet.Region(from), To: fleet.Region(to), Limits: catalogue.Limits{
+	s.w.startShift(catalogue.Shift{ID: id, From: fleet.Region(from), To: fleet.Region(to), Limits: catalogue.Limits{
 		MaxShare: catalogue.Share(most), Step: catalogue.Share(step), MinHeadroom: catalogue.Share(headroom),
 	}})
 }
@@ -106,13 +106,13 @@
 		case "paused":
 			s.w.runner(rest).paused = v == "yes"
 		case "delay":
-			s.w.runner(rest).delay = parse(t, v)
+			s.w.runner(rest).delay = parseDuration(t, v)
 		case "answers":
 			s.w.runner(rest).verdict = map[string]verdict.Verdict{"lost": verdict.MayHaveRun, "come": verdict.Ran}[v]
 		case "heavy":
 			var weight float64
 			fmt.Sscan(v, &weight)
-			s.heavy(rest, weight)
+			s.setHeavyBlock(rest, weight)
 		default:
 			s.setRegion(t, key, rest, v)
 		}
@@ -142,9 +142,9 @@
 	t.Fatalf("unknown region %q", name)
 }
 
-// heavy gives the block of attiki with the lowest position in the shift the
+// setHeavyBlock gives the block of attiki with the lowest position in the shift the
 // given part of its region's traffic.
-func (s *session) heavy(id string, weight float64) {
+func (s *session) setHeavyBlock(id string, weight float64) {
 	var lowest *worldBlock
 	rest := 0.0
 	for _, b := range s.w.blocks {
@@ -171,13 +171,13 @@
 	s.log("load: %s", strings.Join(parts, "; "))
 }
 
-func duration(t *testing.T, d *datadriven.TestData, key string) time.Duration {
+func durationArg(t *testing.T, d *datadriven.TestData, key string) time.Duration {
 	var v string
 	d.ScanArgs(t, key, &v)
-	return parse(t, v)
+	return parseDuration(t, v)
 }
 
-func parse(t *testing.T, v string) time.Duration {
+func parseDuration(t *testing.T, v string) time.Duration {
 	out, err := time.ParseDuration(v)
 	if err != nil {
 		t.Fatal(err)
--- a/decide/shift/table_test.go
+++ b/decide/shift/table_test.go
@@ -20,7 +20,7 @@
 }
 
 // TestNested: a growing share only adds blocks, and moves its part of them.
-func TestNested(t *testing.T) {
+func TestGrowingShareOnlyAddsBlocks(t *testing.T) {
 	is := is.New(t)
 	const blocks = 20000
 	rng := rand.New(rand.NewPCG(1, 2))
@@ -50,7 +50,7 @@
 // TestSeveralFromOneRegion: blocks of both shifts go with the lower id, each
 // shift moves at most its share, and the order in the catalogue is of no
 // account.
-func TestSeveralFromOneRegion(t *testing.T) {
+func TestShiftsFromOneRegion(t *testing.T) {
 	is := is.New(t)
 	a, b := running("a", "attiki", "kriti", 3000), running("b", "attiki", "", 5000)
 	one, two := tableOf(a, b), tableOf(b, a)
@@ -69,7 +69,7 @@
 	is.True(count["b"] > 3300 && count["b"] < 3700) // half of what a leaves
 }
 
-func TestTableLeavesOthersAlone(t *testing.T) {
+func TestTableMovesOnlyMatchingTraffic(t *testing.T) {
 	is := is.New(t)
 	s := running("drain", "attiki", "kriti", catalogue.ShareUnit)
 	s.Service = worldService
@@ -89,7 +89,7 @@
 // TestGate: symptom: one caller's block grows, and the shift moves half of all
 // look-ups under a cap of a tenth. Sequence: every second look-up comes from a
 // block below the share. Cause: a share of blocks is not one of look-ups.
-func TestGate(t *testing.T) {
+func TestGateKeepsCap(t *testing.T) {
 	is := is.New(t)
 	s := running("drain", "attiki", "kriti", 1000)
 	s.Service = worldService
@@ -133,7 +133,7 @@
 	is.True(got.valid())
 	is.Equal(got.Total, uint64(10000))
 	is.Equal(got.Demand(), 10.0) // 10 ms each, 1000 a second
-	is.True(got.below(5000) == float64(got.Moved)/10000)
+	is.True(got.fractionBelow(5000) == float64(got.Moved)/10000)
 	is.Equal(counts[1].Total, uint64(0))
 	next := k.Take(at(20*time.Second), nil)
 	is.Equal(next[0].Total, uint64(0))
--- a/decide/shift/world_test.go
+++ b/decide/shift/world_test.go
@@ -17,13 +17,13 @@
 )
 
 const (
-	worldService = fleet.ServiceName("calc-lookup")
-	worldTTL     = 5 * time.Second  // callers keep look-up answers of a running shift
-	worldSteady  = 20 * time.Second // and others
-	worldSpread  = 2 * time.Second  // a catalogue is in force everywhere
-	worldWarm    = 20 * time.Second // a moved block costs more for so long
-	worldWindow  = 2 * time.Second  // of reports
-	worldBlocks  = 600              // a region
+	worldService         = fleet.ServiceName("calc-lookup")
+	worldTTL             = 5 * time.Second  // callers keep look-up answers of a running shift
+	worldSteadyTTL       = 20 * time.Second // and others
+	worldSpread          = 2 * time.Second  // a catalogue is in force everywhere
+	worldWarmUp          = 20 * time.Second // a moved block costs more for so long
+	worldReportWindow    = 2 * time.Second  // of reports
+	worldBlocksPerRegion = 600              // a region
 )
 
 // world is a model of regions under load, apart from the code that plans: it
@@ -58,14 +58,14 @@
 }
 
 type worldBlock struct {
-	hash    uint64
-	home    int
-	at      int
-	weight  float64       // slots
-	delay   time.Duration // from a new table to the next look-up
-	first   time.Duration // the same, for the answer kept when a shift starts
-	since   clock.Time    // when it came to where it is
-	movedBy string
+	hash       uint64
+	home       int
+	at         int
+	weight     float64       // slots
+	delay      time.Duration // from a new table to the next look-up
+	firstDelay time.Duration // the same, for the answer kept when a shift starts
+	since      clock.Time    // when it came to where it is
+	movedBy    string
 }
 
 type published struct {
@@ -113,9 +113,9 @@
 		for b := range blocks {
 			w.blocks = append(w.blocks, &worldBlock{
 				hash: xxhash.Sum64String(fmt.Sprint(seed, i, b)), home: i, at: i,
-				weight: load * capacity / float64(blocks),
-				delay:  worldSpread + time.Duration(w.rng.Int64N(int64(worldTTL))),
-				first:  worldSpread + time.Duration(w.rng.Int64N(int64(worldSteady))),
+				weight:     load * capacity / float64(blocks),
+				delay:      worldSpread + time.Duration(w.rng.Int64N(int64(worldTTL))),
+				firstDelay: worldSpread + time.Duration(w.rng.Int64N(int64(worldSteadyTTL))),
 			})
 		}
 	}
@@ -126,8 +126,8 @@
 
 func at(d time.Duration) clock.Time { return clock.Time(0).Add(d) }
 
-// add starts a shift.
-func (w *world) add(s catalogue.Shift) {
+// startShift starts a shift.
+func (w *world) startShift(s catalogue.Shift) {
 	w.cat.Revision++
 	for _, r := range w.regions {
 		if r.name == s.From {
@@ -172,13 +172,13 @@
 		r.load = 0
 	}
 	for _, b := range w.blocks {
-		to := w.place(b)
+		to := w.regionOf(b)
 		if to != b.at {
 			b.at, b.since = to, w.now
 		}
 		cost := 1.0
-		if age := w.now.Sub(b.since); b.since != 0 && age < worldWarm {
-			cost += (w.cold - 1) * (1 - float64(age)/float64(worldWarm))
+		if age := w.now.Sub(b.since); b.since != 0 && age < worldWarmUp {
+			cost += (w.cold - 1) * (1 - float64(age)/float64(worldWarmUp))
 		}
 		jitter := 1 + w.noise*(2*w.rng.Float64()-1)
 		w.regions[to].load += b.weight * cost * jitter
@@ -188,10 +188,10 @@
 	}
 }
 
-func (w *world) place(b *worldBlock) int {
+func (w *world) regionOf(b *worldBlock) int {
 	t := w.inForce[0].table
 	for i := len(w.inForce) - 1; i > 0; i-- {
-		asks := max(w.inForce[i].at.Add(b.delay), w.regions[b.home].started.Add(b.first))
+		asks := max(w.inForce[i].at.Add(b.delay), w.regions[b.home].started.Add(b.firstDelay))
 		if asks <= w.now {
 			t = w.inForce[i].table
 			break
@@ -242,7 +242,7 @@
 func (w *world) evidence() Evidence {
 	var e Evidence
 	until := w.now.Add(-w.lag)
-	span := Span{Since: until.Add(-worldWindow), Until: until}
+	span := Span{Since: until.Add(-worldReportWindow), Until: until}
 	var in []sample
 	for _, s := range w.samples {
 		if s.at > span.Since && s.at <= span.Until {
@@ -258,19 +258,19 @@
 			l.InFlight += s.loads[i] / float64(len(in))
 		}
 		if r.silent != 0 {
-			l.Span = Span{Since: r.silent.Add(-worldWindow), Until: r.silent}
+			l.Span = Span{Since: r.silent.Add(-worldReportWindow), Until: r.silent}
 		}
 		if r.dead {
 			l.State = fleet.Dead
 		}
 		e.Loads = append(e.Loads, l)
 	}
-	e.Counts = w.counted(until)
+	e.Counts = w.recentCounts(until)
 	return e
 }
 
-// counted joins the counts of the last CountWindow, as far as they reach.
-func (w *world) counted(until clock.Time) []Count {
+// recentCounts joins the counts of the last CountWindow, as far as they reach.
+func (w *world) recentCounts(until clock.Time) []Count {
 	var out []Count
 	for _, s := range w.samples {
 		if s.at <= until.Add(-CountWindow) || s.at > until {
@@ -319,15 +319,15 @@
 	}
 	for _, s := range k.r.Status(nil) {
 		code := s.Decision.Action.String() + " " + string(s.Decision.Reason.Code)
-		if s.Decision.Action == Hold && k.last[s.Shift] != code && loud(s.Decision.Reason.Code) {
+		if s.Decision.Action == Hold && k.last[s.Shift] != code && isLogged(s.Decision.Reason.Code) {
 			w.log("%s holds %s at %d: %s", name, s.Shift, s.Decision.Share, s.Decision.Reason)
 		}
 		k.last[s.Shift] = code
 	}
 }
 
-// loud leaves out the waits of an undisturbed shift.
-func loud(c Code) bool { return c != AwaitingProof && c != WaitingInterval }
+// isLogged leaves out the waits of an undisturbed shift.
+func isLogged(c Code) bool { return c != AwaitingProof && c != WaitingInterval }
 
 // carryOut brings due writes to the catalogue, as the driver would.
 func (w *world) carryOut(name string, k *worldRunner) {
--- a/decide/shift/write.go
+++ b/decide/shift/write.go
@@ -2,26 +2,26 @@
 
 import "github.com/azurethread/azurethread/decide/catalogue"
 
-// write returns the write that carries out the entry's decision, if there is
+// startWrite returns the write that carries out the entry's decision, if there is
 // one and it may be made now, and notes it as outstanding. While the platform
 // can't be reached there is none, as every plan holds with PlatformCutOff.
-func (r *Runner) write(e *entry) (Write, bool) {
-	if !r.leads() || e.write.id != 0 || r.now.Before(e.retryAt) {
+func (r *Runner) startWrite(e *entry) (Write, bool) {
+	if !r.holdsLease() || e.write.id != 0 || r.now.Before(e.retryAt) {
 		return Write{}, false
 	}
-	w, ok := e.change(r)
+	w, ok := e.plannedWrite(r)
 	if !ok {
 		return Write{}, false
 	}
 	r.writes++
 	w.ID = r.writes
-	e.write = write{id: w.ID, expect: w.Expect, share: w.Share}
+	e.write = pendingWrite{id: w.ID, expect: w.Expect, share: w.Share}
 	return w, true
 }
 
-// change returns the entry as the decision would have it, and false if it is
+// plannedWrite returns the entry as the decision would have it, and false if it is
 // so already.
-func (e *entry) change(r *Runner) (Write, bool) {
+func (e *entry) plannedWrite(r *Runner) (Write, bool) {
 	s := &e.shift
 	w := Write{
 		Shift:     s.ID,
@@ -37,13 +37,13 @@
 	if e.decision.Action != Hold {
 		return w, true
 	}
-	return w, e.tellsHold(r)
+	return w, e.publishesHold(r)
 }
 
-// tellsHold reports whether operators must be told of the hold through the
+// publishesHold reports whether operators must be told of the hold through the
 // catalogue. Waits that belong to an undisturbed advance are not worth a write,
 // nor are reasons that come and go, nor new figures under the same code.
-func (e *entry) tellsHold(r *Runner) bool {
+func (e *entry) publishesHold(r *Runner) bool {
 	code := e.decision.Reason.Code
 	switch code {
 	case WaitingInterval, AwaitingProof, PlatformCutOff, NotRunning:
@@ -52,5 +52,5 @@
 	if e.shift.State != catalogue.Running || code == ParseCode(e.shift.Hold) {
 		return false
 	}
-	return r.now.Sub(e.since) >= r.opts.HoldAfter
+	return r.now.Sub(e.codeSince) >= r.opts.HoldAfter
 }
--- a/decide/steer/bench_test.go
+++ b/decide/steer/bench_test.go
@@ -15,16 +15,16 @@
 // plannedBlocks is the number of client blocks that capacity is worked out for.
 const plannedBlocks = 2_300_000
 
-// benchAddrs is the number of clients that look-up benchmarks go through; a
+// benchClients is the number of clients that look-up benchmarks go through; a
 // power of two.
-const benchAddrs = 1 << 16
+const benchClients = 1 << 16
 
 func benchLookup(v *steer.View, addrs []netip.Addr) func(*testing.B) {
 	return func(b *testing.B) {
 		out := make([]steer.Choice, 4)
 		b.ReportAllocs()
 		for i := 0; b.Loop(); i++ {
-			v.Lookup(service, addrs[i&(benchAddrs-1)], out)
+			v.Lookup(service, addrs[i&(benchClients-1)], out)
 		}
 	}
 }
@@ -33,10 +33,10 @@
 	for _, c := range []struct {
 		size   steertest.Size
 		blocks int
-	}{{today, 1000}, {steertest.Planned, plannedBlocks}} {
+	}{{smallFleet, 1000}, {steertest.Planned, plannedBlocks}} {
 		tab := blocktest.Table(c.blocks, c.size.Topology(), true, 1)
 		v := steer.New(c.size.Inputs(tab))
-		b.Run(fmt.Sprintf("blocks=%d/sites=%d", c.blocks, c.size.Sites), benchLookup(v, blocktest.Addrs(tab, benchAddrs, 1)))
+		b.Run(fmt.Sprintf("blocks=%d/sites=%d", c.blocks, c.size.Sites), benchLookup(v, blocktest.Addrs(tab, benchClients, 1)))
 	}
 }
 
--- a/decide/steer/lookup.go
+++ b/decide/steer/lookup.go
@@ -19,8 +19,8 @@
 	TTLMoving = 5 * time.Second
 )
 
-// NearlyFull is the weight at or below which a domain counts as nearly full.
-const NearlyFull = FullWeight / 2
+// NearlyFullWeight is the weight at or below which a domain counts as nearly full.
+const NearlyFullWeight = FullWeight / 2
 
 // MaxChoices is the largest number of entry VMs in an answer.
 const MaxChoices = 8
@@ -68,7 +68,7 @@
 	a := Answer{Home: c.home.name, Block: c.hash, Known: c.known, TTL: TTLSteady}
 
 	target, preferred := c.home.region, c.home.domains
-	if to, id, moved := v.shifted(service, c, row); moved {
+	if to, id, moved := v.shiftTarget(service, c, row); moved {
 		target, preferred = to, nil
 		a.Moved, a.ShiftID = true, id
 	}
@@ -81,9 +81,9 @@
 	}
 	var r ranking
 	v.rank(&r, target, c.hash, row, preferred)
-	a.N = v.fill(out, &r, c, row, target)
+	a.N = v.fillChoices(out, &r, c, row, target)
 	a.Region = v.regions[target].name
-	if v.moving(service, c.home.name) || v.weights[row][r.at[0].domain] <= NearlyFull {
+	if v.shiftRunning(service, c.home.name) || v.weights[row][r.candidates[0].domain] <= NearlyFullWeight {
 		a.TTL = TTLMoving
 	}
 	return a
@@ -108,11 +108,11 @@
 	return len(v.weights) - 1
 }
 
-// shifted returns the region to which a traffic shift moves the client.
+// shiftTarget returns the region to which a traffic shift moves the client.
 //
 // A shift whose receiver has no live entry VM moves nobody: its clients would
 // find nothing there, while their home region may still serve them.
-func (v *View) shifted(service fleet.ServiceName, c client, row int) (to int, id string, moved bool) {
+func (v *View) shiftTarget(service fleet.ServiceName, c client, row int) (to int, id string, moved bool) {
 	if v.shifts == nil {
 		return -1, "", false
 	}
@@ -128,8 +128,8 @@
 	return to, id, to >= 0
 }
 
-// moving reports whether a running shift takes traffic of service out of home.
-func (v *View) moving(service fleet.ServiceName, home fleet.Region) bool {
+// shiftRunning reports whether a running shift takes traffic of service out of home.
+func (v *View) shiftRunning(service fleet.ServiceName, home fleet.Region) bool {
 	for i := range v.running {
 		r := &v.running[i]
 		if r.From == home && (r.Service == "" || r.Service == service) {
@@ -139,10 +139,10 @@
 	return false
 }
 
-// fill writes the choices: the best entry VM of each domain, then the second
+// fillChoices writes the choices: the best entry VM of each domain, then the second
 // ones. Where the region has one domain only, the last choice is in another
 // region, so that the loss of a domain leaves the caller somewhere to go.
-func (v *View) fill(out []Choice, r *ranking, c client, row, target int) int {
+func (v *View) fillChoices(out []Choice, r *ranking, c client, row, target int) int {
 	local := out
 	if r.n == 1 && len(out) > 1 {
 		local = out[:len(out)-1]
@@ -162,18 +162,18 @@
 	}
 	var far ranking
 	v.rank(&far, other, c.hash, row, nil)
-	out[n] = v.vms[far.at[0].best]
+	out[n] = v.vms[far.candidates[0].best]
 	return n + 1
 }
 
 func (v *View) fillLocal(out []Choice, r *ranking) int {
 	n := 0
 	for i := 0; i < r.n && n < len(out); i++ {
-		out[n] = v.vms[r.at[i].best]
+		out[n] = v.vms[r.candidates[i].best]
 		n++
 	}
 	for i := 0; i < r.n && n < len(out); i++ {
-		if s := r.at[i].second; s >= 0 {
+		if s := r.candidates[i].second; s >= 0 {
 			out[n] = v.vms[s]
 			n++
 		}
--- a/decide/steer/lookup_test.go
+++ b/decide/steer/lookup_test.go
@@ -16,26 +16,26 @@
 
 const service = fleet.ServiceName("calc-lookup")
 
-// today is the size of a deployment of today, with one site a domain.
-var today = steertest.Size{Regions: 3, Domains: 6, Sites: 6, VMs: 12}
+// smallFleet is the size of a deployment of today, with one site a domain.
+var smallFleet = steertest.Size{Regions: 3, Domains: 6, Sites: 6, VMs: 12}
 
-// medium has enough of everything for shares to be measured.
-var medium = steertest.Size{Regions: 4, Domains: 12, Sites: 48, VMs: 192}
+// mediumFleet has enough of everything for shares to be measured.
+var mediumFleet = steertest.Size{Regions: 4, Domains: 12, Sites: 48, VMs: 192}
 
-// half moves blocks of odd hash out of one region.
-type half struct {
+// oddHashShift moves blocks of odd hash out of one region.
+type oddHashShift struct {
 	from, to fleet.Region
 }
 
-func (h half) Region(s fleet.ServiceName, home fleet.Region, hash uint64) (fleet.Region, string, bool) {
+func (h oddHashShift) Region(s fleet.ServiceName, home fleet.Region, hash uint64) (fleet.Region, string, bool) {
 	if home != h.from || s != service || hash%2 == 0 {
 		return "", "", false
 	}
 	return h.to, "rehearsal-1", true
 }
 
-// look returns the answer for every address.
-func look(v *steer.View, addrs []netip.Addr) (answers []steer.Answer, choices [][]steer.Choice) {
+// lookupAll returns the answer for every address.
+func lookupAll(v *steer.View, addrs []netip.Addr) (answers []steer.Answer, choices [][]steer.Choice) {
 	for _, a := range addrs {
 		out := make([]steer.Choice, 4)
 		ans := v.Lookup(service, a, out)
@@ -45,7 +45,7 @@
 	return answers, choices
 }
 
-func domainsOf(choices []steer.Choice) int {
+func distinctDomains(choices []steer.Choice) int {
 	var names []fleet.Domain
 	for _, c := range choices {
 		names = append(names, c.Domain)
@@ -54,7 +54,7 @@
 	return len(slices.Compact(names))
 }
 
-func distinct(choices []steer.Choice) int {
+func distinctVMs(choices []steer.Choice) int {
 	vms := map[fleet.VMID]bool{}
 	for _, c := range choices {
 		vms[c.VM] = true
@@ -62,13 +62,13 @@
 	return len(vms)
 }
 
-func TestAnswerStaysHomeAndSpansTwoDomains(t *testing.T) {
-	for _, size := range []steertest.Size{today, medium} {
+func TestAnswerIsInHomeRegionAndSpansTwoDomains(t *testing.T) {
+	for _, size := range []steertest.Size{smallFleet, mediumFleet} {
 		is := is.New(t)
 		tab := blocktest.Table(1000, size.Topology(), true, 1)
 		v := steer.New(size.Inputs(tab))
 		addrs := blocktest.Addrs(tab, 1000, 1)
-		answers, choices := look(v, addrs)
+		answers, choices := lookupAll(v, addrs)
 		for i, a := range answers {
 			m, _ := tab.Lookup(addrs[i])
 			home := tab.Home(m.Home)
@@ -79,23 +79,23 @@
 			is.Equal(a.TTL, steer.TTLSteady)
 			is.True(a.N >= 2)
 			is.Equal(choices[i][0].Domain, home.Domains[0]) // the preferred one
-			is.True(domainsOf(choices[i][:2]) == 2)
-			is.Equal(distinct(choices[i]), a.N)
+			is.True(distinctDomains(choices[i][:2]) == 2)
+			is.Equal(distinctVMs(choices[i]), a.N)
 		}
 	}
 }
 
-func TestUnknownClientIsAtHomeHere(t *testing.T) {
+func TestUnknownClientUsesOwnRegion(t *testing.T) {
 	is := is.New(t)
-	in := today.Inputs(nil)
+	in := smallFleet.Inputs(nil)
 	in.Self = "r02"
-	answers, choices := look(steer.New(in), []netip.Addr{
+	answers, choices := lookupAll(steer.New(in), []netip.Addr{
 		netip.MustParseAddr("192.0.2.7"), netip.MustParseAddr("192.0.2.250"), netip.MustParseAddr("fe80::1%eth0"),
 	})
 	for i, a := range answers {
 		is.True(!a.Known)
 		is.Equal(a.Region, fleet.Region("r02"))
-		is.True(domainsOf(choices[i]) >= 2)
+		is.True(distinctDomains(choices[i]) >= 2)
 	}
 	is.Equal(answers[0].Block, answers[1].Block) // one /24
 }
@@ -104,12 +104,12 @@
 // Sequence: an entry VM announces that it leaves, or is found dead.
 // Cause: a look-up must answer live entry VMs only; the others stay listed
 // until the platform's lagging list drops them.
-func TestLeavingAndDeadAreNotAnswered(t *testing.T) {
+func TestOnlyLiveVMsAreAnswered(t *testing.T) {
 	is := is.New(t)
-	tab := blocktest.Table(1000, today.Topology(), false, 1)
-	in := today.Inputs(tab)
+	tab := blocktest.Table(1000, smallFleet.Topology(), false, 1)
+	in := smallFleet.Inputs(tab)
 	in.VMs[0].State, in.VMs[1].State = fleet.Leaving, fleet.Dead
-	_, choices := look(steer.New(in), blocktest.Addrs(tab, 1000, 1))
+	_, choices := lookupAll(steer.New(in), blocktest.Addrs(tab, 1000, 1))
 	for _, c := range choices {
 		for _, x := range c {
 			is.True(x.VM != in.VMs[0].ID && x.VM != in.VMs[1].ID)
@@ -127,19 +127,19 @@
 // Symptom: a domain's loss leaves callers with no address to try.
 // Sequence: a region is down to one failure domain, which then fails.
 // Cause: the second choice must be outside that domain, hence in another region.
-func TestLastDomainOfRegionIsBackedByAnotherRegion(t *testing.T) {
+func TestRegionWithOneDomainAddsChoiceElsewhere(t *testing.T) {
 	is := is.New(t)
-	tab := blocktest.Table(1000, today.Topology(), false, 1)
-	in := today.Inputs(tab)
+	tab := blocktest.Table(1000, smallFleet.Topology(), false, 1)
+	in := smallFleet.Inputs(tab)
 	for i := range in.VMs {
 		if in.VMs[i].Domain == "r01-d1" {
 			in.VMs[i].State = fleet.Dead
 		}
 	}
-	answers, choices := look(steer.New(in), blocktest.Addrs(tab, 1000, 1))
+	answers, choices := lookupAll(steer.New(in), blocktest.Addrs(tab, 1000, 1))
 	for i, a := range answers {
 		is.Equal(a.Region, a.Home)
-		is.True(domainsOf(choices[i]) >= 2)
+		is.True(distinctDomains(choices[i]) >= 2)
 	}
 }
 
@@ -149,18 +149,18 @@
 // again when the region is back.
 func TestLostRegionSpreadsByWeight(t *testing.T) {
 	is := is.New(t)
-	tab := blocktest.Table(40_000, medium.Topology(), false, 1)
-	in := medium.Inputs(tab)
+	tab := blocktest.Table(40_000, mediumFleet.Topology(), false, 1)
+	in := mediumFleet.Inputs(tab)
 	for i := range in.VMs {
 		if in.VMs[i].Region == "r00" {
 			in.VMs[i].State = fleet.Dead
 		}
 	}
 	in.Weights = map[steer.DomainService]steer.Weight{}
-	for _, d := range medium.Topology()["r01"] {
+	for _, d := range mediumFleet.Topology()["r01"] {
 		in.Weights[steer.DomainService{Domain: d, Service: service}] = steer.FullWeight / 2
 	}
-	answers, _ := look(steer.New(in), blocktest.Addrs(tab, 20_000, 1))
+	answers, _ := lookupAll(steer.New(in), blocktest.Addrs(tab, 20_000, 1))
 	lost := map[fleet.Region]float64{}
 	total := 0.0
 	for _, a := range answers {
@@ -181,11 +181,11 @@
 
 func TestShiftMovesItsClients(t *testing.T) {
 	is := is.New(t)
-	tab := blocktest.Table(2000, today.Topology(), true, 1)
-	in := today.Inputs(tab)
-	in.Shifts = half{from: "r00", to: "r01"}
+	tab := blocktest.Table(2000, smallFleet.Topology(), true, 1)
+	in := smallFleet.Inputs(tab)
+	in.Shifts = oddHashShift{from: "r00", to: "r01"}
 	in.Running = []steer.Route{{Service: service, From: "r00", To: "r01"}}
-	answers, choices := look(steer.New(in), blocktest.Addrs(tab, 2000, 1))
+	answers, choices := lookupAll(steer.New(in), blocktest.Addrs(tab, 2000, 1))
 	moved := 0
 	for i, a := range answers {
 		want := a.Home == "r00" && a.Block%2 == 1
@@ -206,10 +206,10 @@
 
 func TestShiftToEveryOtherRegion(t *testing.T) {
 	is := is.New(t)
-	tab := blocktest.Table(2000, today.Topology(), false, 1)
-	in := today.Inputs(tab)
-	in.Shifts = half{from: "r00"}
-	answers, _ := look(steer.New(in), blocktest.Addrs(tab, 2000, 1))
+	tab := blocktest.Table(2000, smallFleet.Topology(), false, 1)
+	in := smallFleet.Inputs(tab)
+	in.Shifts = oddHashShift{from: "r00"}
+	answers, _ := lookupAll(steer.New(in), blocktest.Addrs(tab, 2000, 1))
 	to := map[fleet.Region]int{}
 	for _, a := range answers {
 		if a.Moved {
@@ -226,15 +226,15 @@
 // count as moved.
 func TestShiftToLostRegionMovesNobody(t *testing.T) {
 	is := is.New(t)
-	tab := blocktest.Table(2000, today.Topology(), false, 1)
-	in := today.Inputs(tab)
-	in.Shifts = half{from: "r00", to: "r01"}
+	tab := blocktest.Table(2000, smallFleet.Topology(), false, 1)
+	in := smallFleet.Inputs(tab)
+	in.Shifts = oddHashShift{from: "r00", to: "r01"}
 	for i := range in.VMs {
 		if in.VMs[i].Region == "r01" {
 			in.VMs[i].State = fleet.Dead
 		}
 	}
-	answers, _ := look(steer.New(in), blocktest.Addrs(tab, 2000, 1))
+	answers, _ := lookupAll(steer.New(in), blocktest.Addrs(tab, 2000, 1))
 	for _, a := range answers {
 		is.True(!a.Moved)
 		is.True(a.Region != "r01")
@@ -247,23 +247,23 @@
 // Cause: equal inputs must give equal Views whatever their order.
 func TestOrderOfInputsDoesNotMatter(t *testing.T) {
 	is := is.New(t)
-	tab := blocktest.Table(1000, medium.Topology(), false, 1)
+	tab := blocktest.Table(1000, mediumFleet.Topology(), false, 1)
 	addrs := blocktest.Addrs(tab, 500, 1)
-	in := medium.Inputs(tab)
-	_, want := look(steer.New(in), addrs)
+	in := mediumFleet.Inputs(tab)
+	_, want := lookupAll(steer.New(in), addrs)
 	slices.Reverse(in.VMs)
 	stale := in.VMs[0]
 	stale.Incarnation = 0
 	in.VMs = append(in.VMs, stale) // an earlier incarnation still listed
-	_, got := look(steer.New(in), addrs)
+	_, got := lookupAll(steer.New(in), addrs)
 	is.Equal(got, want)
 }
 
 func TestLookupAllocatesNothing(t *testing.T) {
 	is := is.New(t)
-	tab := blocktest.Table(2000, today.Topology(), true, 1)
-	in := today.Inputs(tab)
-	in.Shifts = half{from: "r00"}
+	tab := blocktest.Table(2000, smallFleet.Topology(), true, 1)
+	in := smallFleet.Inputs(tab)
+	in.Shifts = oddHashShift{from: "r00"}
 	in.Running = []steer.Route{{From: "r00"}}
 	v := steer.New(in)
 	addrs := blocktest.Addrs(tab, 100, 1)
--- a/decide/steer/move_test.go
+++ b/decide/steer/move_test.go
@@ -12,8 +12,8 @@
 	"github.com/azurethread/azurethread/decide/steer"
 )
 
-// firsts returns the first choice of every address.
-func firsts(in steer.Inputs, n int) []steer.Choice {
+// firstChoices returns the first choice of every address.
+func firstChoices(in steer.Inputs, n int) []steer.Choice {
 	v := steer.New(in)
 	var out []steer.Choice
 	for _, a := range blocktest.Addrs(in.Blocks, n, 3) {
@@ -30,8 +30,8 @@
 func TestSiteLossMovesOnlyItsClients(t *testing.T) {
 	is := is.New(t)
 	for _, preferred := range []bool{false, true} {
-		in := medium.Inputs(blocktest.Table(20_000, medium.Topology(), preferred, 1))
-		before := firsts(in, 20_000)
+		in := mediumFleet.Inputs(blocktest.Table(20_000, mediumFleet.Topology(), preferred, 1))
+		before := firstChoices(in, 20_000)
 		lost := in.VMs[5].Site
 		for i := range in.VMs {
 			if in.VMs[i].Site == lost {
@@ -39,7 +39,7 @@
 			}
 		}
 		moved := 0
-		for i, after := range firsts(in, 20_000) {
+		for i, after := range firstChoices(in, 20_000) {
 			if before[i].Site != lost {
 				is.Equal(after, before[i])
 				continue
@@ -47,7 +47,7 @@
 			moved++
 			is.True(after.Site != lost)
 		}
-		is.True(within(float64(moved)/20_000, 1.0/float64(medium.Sites), 0.005))
+		is.True(within(float64(moved)/20_000, 1.0/float64(mediumFleet.Sites), 0.005))
 	}
 }
 
@@ -58,11 +58,11 @@
 func TestWeightChangeMovesOnlyItsShare(t *testing.T) {
 	is := is.New(t)
 	for _, preferred := range []bool{false, true} {
-		in := medium.Inputs(blocktest.Table(20_000, medium.Topology(), preferred, 1))
-		before := firsts(in, 20_000)
+		in := mediumFleet.Inputs(blocktest.Table(20_000, mediumFleet.Topology(), preferred, 1))
+		before := firstChoices(in, 20_000)
 		key := steer.DomainService{Domain: "r01-d1", Service: service}
 		in.Weights = map[steer.DomainService]steer.Weight{key: steer.FullWeight / 10 * 9}
-		after := firsts(in, 20_000)
+		after := firstChoices(in, 20_000)
 		moved, mine := 0.0, 0.0
 		for i := range after {
 			if before[i].Domain == key.Domain {
@@ -81,13 +81,13 @@
 		}
 		is.True(within(moved/mine, want, 0.03))
 		in.Weights[key] = steer.FullWeight
-		is.Equal(firsts(in, 20_000), before)
+		is.Equal(firstChoices(in, 20_000), before)
 	}
 }
 
-// loop is a domain whose clients follow the weight once their answers end,
+// feedbackLoop is a domain whose clients follow the weight once their answers end,
 // and whose load reports describe the past.
-type loop struct {
+type feedbackLoop struct {
 	damper  steer.Damper
 	history []steer.Weight // one a second
 	changes int            // changes of direction
@@ -96,7 +96,7 @@
 
 var loopKey = steer.DomainService{Domain: "attiki-1", Service: service}
 
-func (l *loop) weight() steer.Weight {
+func (l *feedbackLoop) weight() steer.Weight {
 	if w, ok := l.damper.Weights()[loopKey]; ok {
 		return w
 	}
@@ -106,7 +106,7 @@
 // run offers load, as a share of the domain's capacity, for some seconds.
 // Callers act on a weight lag seconds old; a report is 3 seconds old. It
 // returns the last report.
-func (l *loop) run(load float64, seconds, lag int) (headroom float64) {
+func (l *feedbackLoop) run(load float64, seconds, lag int) (headroom float64) {
 	const reportAge = 3
 	for range seconds {
 		now := len(l.history)
@@ -122,7 +122,7 @@
 	return headroom
 }
 
-func (l *loop) step(up bool) {
+func (l *feedbackLoop) step(up bool) {
 	if up != l.up {
 		l.changes++
 	}
@@ -138,7 +138,7 @@
 	lag := int(steer.TTLSteady / time.Second)
 	for _, load := range []float64{1.05, 1.4, 3, 8} {
 		is := is.New(t)
-		var l loop
+		var l feedbackLoop
 		l.run(load, 3600, lag)
 		rest := l.weight()
 		headroom := l.run(load, 3600, lag)
@@ -156,7 +156,7 @@
 // Sequence: a report 15 s old makes the weight fall; another, measured a moment
 // before the fall could show in the load, arrives after it.
 // Cause: the fall was dated by the report and not by the instant it was made.
-func TestStepIsDatedWhenMade(t *testing.T) {
+func TestStepCountsFromItsOwnTime(t *testing.T) {
 	is := is.New(t)
 	var d steer.Damper
 	now := clock.FromWall(time.Unix(1000, 0))
--- a/decide/steer/rendezvous.go
+++ b/decide/steer/rendezvous.go
@@ -26,26 +26,26 @@
 
 // ranking holds the best failure domains of a region, best first.
 type ranking struct {
-	at [MaxChoices]candidate
-	n  int
+	candidates [MaxChoices]candidate
+	n          int
 }
 
 // insert adds c, dropping the worst candidate where the ranking is full.
 func (r *ranking) insert(c candidate) {
 	i := r.n
-	if i == len(r.at) {
+	if i == len(r.candidates) {
 		i--
-		if !c.better(&r.at[i]) {
+		if !c.better(&r.candidates[i]) {
 			return
 		}
 	} else {
 		r.n++
 	}
-	for i > 0 && c.better(&r.at[i-1]) {
-		r.at[i] = r.at[i-1]
+	for i > 0 && c.better(&r.candidates[i-1]) {
+		r.candidates[i] = r.candidates[i-1]
 		i--
 	}
-	r.at[i] = c
+	r.candidates[i] = c
 }
 
 // rank orders the failure domains of a region for a block.
@@ -57,46 +57,46 @@
 // taken.
 func (v *View) rank(r *ranking, region int, hash uint64, row int, preferred []int) {
 	g := &v.regions[region]
-	even := v.even[row][region]
+	even := v.evenWeights[row][region]
 	for i := g.from; i < g.to; i++ {
-		first, second := v.draw(i, hash)
-		c := candidate{domain: i, tier: notPreferred, best: v.drawn(i, first), second: -1}
+		first, second := v.topScores(i, hash)
+		c := candidate{domain: i, tier: notPreferred, best: v.vmOfScore(i, first), second: -1}
 		if second != 0 {
-			c.second = v.drawn(i, second)
+			c.second = v.vmOfScore(i, second)
 		}
 		w := v.weights[row][i]
-		if t := tierOf(i, preferred); t != notPreferred && keeps(hash, v.domains[i].seed, w) {
+		if t := tierOf(i, preferred); t != notPreferred && keepsBlock(hash, v.domains[i].seed, w) {
 			c.tier = t
 		}
 		c.score = float64(first)
 		if !even {
-			c.score = -float64(w) / math.Log(unit(first))
+			c.score = -float64(w) / math.Log(unitInterval(first))
 		}
 		r.insert(c)
 	}
 }
 
-// drawIndex is the low part of a draw, which holds the place of the entry VM
+// scoreIndexMask is the low part of a draw, which holds the place of the entry VM
 // in its domain; the rest is random.
-const drawIndex = 1<<16 - 1
+const scoreIndexMask = 1<<16 - 1
 
-// draw returns the two best draws of the entry VMs of domain d; the second is
+// topScores returns the two best draws of the entry VMs of domain d; the second is
 // 0 where there is only one VM.
 //
 // The maxima are taken without branches, as which draw wins is random and
 // every wrong guess of the processor costs more than the draw.
-func (v *View) draw(d int, hash uint64) (first, second uint64) {
+func (v *View) topScores(d int, hash uint64) (first, second uint64) {
 	from, to := v.domains[d].from, v.domains[d].to
 	for i, seed := range v.seeds[from:to] {
-		x := mix(hash^seed)&^drawIndex | uint64(i)&drawIndex
+		x := mix(hash^seed)&^scoreIndexMask | uint64(i)&scoreIndexMask
 		second = max(second, min(first, x))
 		first = max(first, x)
 	}
 	return first, second
 }
 
-// drawn returns the index in View.vms of the entry VM that made the draw.
-func (v *View) drawn(d int, x uint64) int { return v.domains[d].from + int(x&drawIndex) }
+// vmOfScore returns the index in View.vms of the entry VM that made the draw.
+func (v *View) vmOfScore(d int, x uint64) int { return v.domains[d].from + int(x&scoreIndexMask) }
 
 func tierOf(d int, preferred []int) int {
 	for i, p := range preferred {
@@ -107,9 +107,9 @@
 	return notPreferred
 }
 
-// keeps reports whether a preferred domain of weight w keeps the block. The
+// keepsBlock reports whether a preferred domain of weight w keeps the block. The
 // kept blocks of a smaller weight are among those of a larger one.
-func keeps(hash, seed uint64, w Weight) bool {
+func keepsBlock(hash, seed uint64, w Weight) bool {
 	hi, _ := bits.Mul64(mix(hash^seed), uint64(FullWeight))
 	return hi < uint64(w)
 }
@@ -122,7 +122,7 @@
 		if i == except || i == c.home.region {
 			continue
 		}
-		s := -v.totals[row][i] / math.Log(unit(mix(c.hash^v.regions[i].seed)))
+		s := -v.regionWeights[row][i] / math.Log(unitInterval(mix(c.hash^v.regions[i].seed)))
 		if s > score {
 			best, score = i, s
 		}
@@ -130,8 +130,8 @@
 	return best
 }
 
-// unit maps x to the open interval (0, 1).
-func unit(x uint64) float64 {
+// unitInterval maps x to the open interval (0, 1).
+func unitInterval(x uint64) float64 {
 	return (float64(x>>11) + 0.5) / (1 << 53)
 }
 
--- a/decide/steer/slopes_moves_test.go
+++ b/decide/steer/slopes_moves_test.go
@@ -11,23 +11,23 @@
 	"github.com/azurethread/azurethread/decide/steer/steertest"
 )
 
-// moves measures which clients move, over all blocks of the planned fleet.
-func (r *recorder) moves() {
+// measureMoves measures which clients move, over all blocks of the planned fleet.
+func (r *recorder) measureMoves() {
 	for _, prefer := range []bool{true, false} {
 		suffix, kind := "", ""
 		if !prefer {
 			suffix, kind = "-free", " without preferred domains"
 		}
 		in := steertest.Planned.Inputs(blocktest.Table(plannedBlocks, steertest.Planned.Topology(), prefer, 1))
-		m := moves{r: r, in: in, addrs: blocktest.Addrs(in.Blocks, 1_000_000, 2), suffix: suffix, kind: kind}
-		m.before = m.firsts()
-		m.spread()
-		m.siteLoss()
-		m.weightChange()
+		m := moveMeasurement{r: r, in: in, addrs: blocktest.Addrs(in.Blocks, 1_000_000, 2), suffix: suffix, kind: kind}
+		m.before = m.firstChoices()
+		m.measureSpread()
+		m.measureSiteLoss()
+		m.measureWeightChange()
 	}
 }
 
-type moves struct {
+type moveMeasurement struct {
 	r            *recorder
 	in           steer.Inputs
 	addrs        []netip.Addr
@@ -35,7 +35,7 @@
 	suffix, kind string
 }
 
-func (m *moves) firsts() []steer.Choice {
+func (m *moveMeasurement) firstChoices() []steer.Choice {
 	v := steer.New(m.in)
 	out := make([]steer.Choice, len(m.addrs))
 	for i, a := range m.addrs {
@@ -44,12 +44,12 @@
 	return out
 }
 
-func (m *moves) one(name, title, unit string, y float64) {
+func (m *moveMeasurement) record(name, title, unit string, y float64) {
 	m.r.add(name+m.suffix+"/once", title+m.kind, unit, "sites", slope.Point{X: float64(steertest.Planned.Sites), Y: y})
 }
 
-// spread compares the load of the sites, each VM taken as equally strong.
-func (m *moves) spread() {
+// measureSpread compares the load of the sites, each VM taken as equally strong.
+func (m *moveMeasurement) measureSpread() {
 	clients := make(map[fleet.Site]float64)
 	for _, c := range m.before {
 		clients[c.Site]++
@@ -63,11 +63,11 @@
 	for site, n := range clients {
 		worst = max(worst, n/vms[site]/mean)
 	}
-	m.one("spread", "clients per entry VM, most loaded site to mean", "ratio", worst)
+	m.record("spread", "clients per entry VM, most loaded site to mean", "ratio", worst)
 }
 
-// siteLoss takes out each of some sites in turn.
-func (m *moves) siteLoss() {
+// measureSiteLoss takes out each of some sites in turn.
+func (m *moveMeasurement) measureSiteLoss() {
 	const lost = 47 // every 20th site
 	moved, others := 0.0, 0.0
 	vms := m.in.VMs
@@ -79,7 +79,7 @@
 				m.in.VMs[j].State = fleet.Dead
 			}
 		}
-		for j, c := range m.firsts() {
+		for j, c := range m.firstChoices() {
 			switch {
 			case m.before[j].Site == site:
 				moved++
@@ -91,16 +91,16 @@
 	m.in.VMs = vms
 	total := float64(lost * len(m.addrs))
 	sites := float64(steertest.Planned.Sites)
-	m.one("site-loss", "clients moved by the loss of a site, in parts of the ideal 1/sites", "ratio", (moved+others)/total*sites)
-	m.one("site-loss-others", "clients of other sites moved by it, in parts of 1/sites", "ratio", others/total*sites)
+	m.record("site-loss", "clients moved by the loss of a site, in parts of the ideal 1/sites", "ratio", (moved+others)/total*sites)
+	m.record("site-loss-others", "clients of other sites moved by it, in parts of 1/sites", "ratio", others/total*sites)
 }
 
-// weightChange lowers the weight of one domain by 1%.
-func (m *moves) weightChange() {
+// measureWeightChange lowers the weight of one domain by 1%.
+func (m *moveMeasurement) measureWeightChange() {
 	key := steer.DomainService{Domain: "r05-d1", Service: service}
 	m.in.Weights = map[steer.DomainService]steer.Weight{key: steer.FullWeight / 100 * 99}
 	moved, others, mine := 0.0, 0.0, 0.0
-	for j, c := range m.firsts() {
+	for j, c := range m.firstChoices() {
 		if m.before[j].Domain == key.Domain {
 			mine++
 		}
@@ -112,6 +112,6 @@
 			others++
 		}
 	}
-	m.one("weight-change", "clients of a domain moved by 1% less weight, in parts of its clients", "ratio", moved/mine)
-	m.one("weight-change-others", "clients of other domains moved by it", "clients", others)
+	m.record("weight-change", "clients of a domain moved by 1% less weight, in parts of its clients", "ratio", moved/mine)
+	m.record("weight-change-others", "clients of other domains moved by it", "clients", others)
 }
--- a/decide/steer/slopes_test.go
+++ b/decide/steer/slopes_test.go
@@ -36,12 +36,12 @@
 		t.Skip("measures only with -slopes FILE")
 	}
 	r := recorder{t: t, date: time.Now().UTC().Format(time.DateOnly)}
-	r.swap() // first, while nothing else has grown the process
-	r.blocks()
-	r.sites()
-	r.patches()
-	r.views()
-	r.moves()
+	r.measureReload() // first, while nothing else has grown the process
+	r.measureBlocks()
+	r.measureSites()
+	r.measurePatches()
+	r.measureViews()
+	r.measureMoves()
 	r.write()
 }
 
@@ -90,8 +90,8 @@
 	return out
 }
 
-// points pairs sizes with values.
-func points(xs []int, ys []float64) []slope.Point {
+// pairPoints pairs sizes with values.
+func pairPoints(xs []int, ys []float64) []slope.Point {
 	out := make([]slope.Point, len(xs))
 	for i := range xs {
 		out[i] = slope.Point{X: float64(xs[i]), Y: ys[i]}
@@ -119,7 +119,7 @@
 	return func() float64 {
 		b := testing.Benchmark(func(b *testing.B) {
 			for i := 0; b.Loop(); i++ {
-				tab.Lookup(addrs[i&(benchAddrs-1)])
+				tab.Lookup(addrs[i&(benchClients-1)])
 			}
 		})
 		return float64(b.T.Nanoseconds()) / float64(b.N)
@@ -128,15 +128,15 @@
 
 var blockSizes = []int{144_000, 288_000, 575_000, 1_150_000, plannedBlocks, 2 * plannedBlocks}
 
-// blocks varies the number of blocks at the planned fleet.
-func (r *recorder) blocks() {
+// measureBlocks varies the number of blocks at the planned fleet.
+func (r *recorder) measureBlocks() {
 	var lookup, find, build, decode []func() float64
 	var bytes, chunkBytes []float64
 	for _, n := range blockSizes {
 		list := blocktest.Blocks(n, steertest.Planned.Topology(), true, 1)
 		build = append(build, func() float64 { return 1e3 * seconds(func() { tableOf(list) }) })
 		tab := tableOf(list)
-		addrs := blocktest.Addrs(tab, benchAddrs, 1)
+		addrs := blocktest.Addrs(tab, benchClients, 1)
 		lookup = append(lookup, lookupTime(steer.New(steertest.Planned.Inputs(tab)), addrs))
 		find = append(find, findTime(tab, addrs))
 		bytes = append(bytes, float64(tab.Bytes()))
@@ -147,12 +147,12 @@
 		chunkBytes = append(chunkBytes, float64(sizeOf(chunks)))
 		decode = append(decode, func() float64 { return 1e3 * seconds(func() { r.decode(m, chunks) }) })
 	}
-	r.add("table/blocks", "memory of the table", "bytes", "blocks", points(blockSizes, bytes)...)
-	r.add("chunks/blocks", "size of all chunks", "bytes", "blocks", points(blockSizes, chunkBytes)...)
-	r.add("lookup/blocks", "look-up decision", "ns", "blocks", points(blockSizes, medians(lookup))...)
-	r.add("find/blocks", "search of the table alone", "ns", "blocks", points(blockSizes, medians(find))...)
-	r.add("build/blocks", "build of the table from blocks in memory", "ms", "blocks", points(blockSizes, medians(build))...)
-	r.add("decode/blocks", "build of the table from chunks", "ms", "blocks", points(blockSizes, medians(decode))...)
+	r.add("table/blocks", "memory of the table", "bytes", "blocks", pairPoints(blockSizes, bytes)...)
+	r.add("chunks/blocks", "size of all chunks", "bytes", "blocks", pairPoints(blockSizes, chunkBytes)...)
+	r.add("lookup/blocks", "look-up decision", "ns", "blocks", pairPoints(blockSizes, medians(lookup))...)
+	r.add("find/blocks", "search of the table alone", "ns", "blocks", pairPoints(blockSizes, medians(find))...)
+	r.add("build/blocks", "build of the table from blocks in memory", "ms", "blocks", pairPoints(blockSizes, medians(build))...)
+	r.add("decode/blocks", "build of the table from chunks", "ms", "blocks", pairPoints(blockSizes, medians(decode))...)
 }
 
 func (r *recorder) decode(m block.Manifest, chunks [][]byte) *block.Table {
@@ -171,8 +171,8 @@
 	return n
 }
 
-// sites varies the fleet at the planned blocks and regions.
-func (r *recorder) sites() {
+// measureSites varies the fleet at the planned blocks and regions.
+func (r *recorder) measureSites() {
 	preferred := blocktest.Table(plannedBlocks, steertest.Planned.Topology(), true, 1)
 	r.add("lookup/sites", "look-up decision", "ns", "sites", r.bySites(preferred, nil)...)
 
@@ -191,7 +191,7 @@
 var siteSizes = []int{118, 235, 470, 940, 1880}
 
 func (r *recorder) bySites(tab *block.Table, weights map[steer.DomainService]steer.Weight) []slope.Point {
-	addrs := blocktest.Addrs(tab, benchAddrs, 1)
+	addrs := blocktest.Addrs(tab, benchClients, 1)
 	var times []func() float64
 	for _, n := range siteSizes {
 		size := steertest.Planned
@@ -200,11 +200,11 @@
 		in.Weights = weights
 		times = append(times, lookupTime(steer.New(in), addrs))
 	}
-	return points(siteSizes, medians(times))
+	return pairPoints(siteSizes, medians(times))
 }
 
-// patches varies the number of blocks that a delta changes.
-func (r *recorder) patches() {
+// measurePatches varies the number of blocks that a delta changes.
+func (r *recorder) measurePatches() {
 	topology := steertest.Planned.Topology()
 	blocks := blocktest.Blocks(plannedBlocks, topology, true, 1)
 	tab := tableOf(blocks)
@@ -219,13 +219,13 @@
 			})
 		})
 	}
-	r.add("patch/changed", "patch of the table at 2.3 M blocks", "ms", "changed blocks", points(patchSizes, medians(times))...)
+	r.add("patch/changed", "patch of the table at 2.3 M blocks", "ms", "changed blocks", pairPoints(patchSizes, medians(times))...)
 }
 
 var vmSizes = []int{412, 825, 1650, 3300, 6600}
 
-// views varies the number of entry VMs.
-func (r *recorder) views() {
+// measureViews varies the number of entry VMs.
+func (r *recorder) measureViews() {
 	tab := blocktest.Table(plannedBlocks, steertest.Planned.Topology(), true, 1)
 	var build []func() float64
 	var memory []float64
@@ -236,8 +236,8 @@
 		build = append(build, func() float64 { return 1e6 * seconds(func() { steer.New(in) }) })
 		memory = append(memory, viewBytes(in))
 	}
-	r.add("view/vms", "build of a view", "us", "entry VMs", points(vmSizes, medians(build))...)
-	r.add("view-bytes/vms", "memory of a view beside the table", "bytes", "entry VMs", points(vmSizes, memory)...)
+	r.add("view/vms", "build of a view", "us", "entry VMs", pairPoints(vmSizes, medians(build))...)
+	r.add("view-bytes/vms", "memory of a view beside the table", "bytes", "entry VMs", pairPoints(vmSizes, memory)...)
 }
 
 // viewBytes measures the memory of a view, as the mean over many.
@@ -261,9 +261,9 @@
 	return float64(m.HeapAlloc)
 }
 
-// swap measures the memory of a process that holds a table, and its peak while
+// measureReload measures the memory of a process that holds a table, and its peak while
 // it loads the next one from each kind of source.
-func (r *recorder) swap() {
+func (r *recorder) measureReload() {
 	text := r.textFile()
 	chunks, m := r.chunks()
 	debug.FreeOSMemory()
--- a/decide/steer/view.go
+++ b/decide/steer/view.go
@@ -66,12 +66,12 @@
 	// weights holds one row per service named in Inputs.Weights and a last
 	// row of full weights for all others; a row has one weight per domain.
 	weights [][]Weight
-	// even marks, in the same rows, the regions all of whose domains have one
+	// evenWeights marks, in the same rows, the regions all of whose domains have one
 	// weight.
-	even [][]bool
-	// totals is the weight of each region: VMs times weight over its domains,
+	evenWeights [][]bool
+	// regionWeights is the weight of each region: VMs times weight over its domains,
 	// in the same rows.
-	totals [][]float64
+	regionWeights [][]float64
 }
 
 // domain is a failure domain with live entry VMs.
@@ -194,17 +194,17 @@
 	}
 	for _, s := range servicesOf(weights) {
 		v.byService[s] = len(v.weights)
-		v.weights = append(v.weights, fullRow(len(v.domains)))
+		v.weights = append(v.weights, fullWeights(len(v.domains)))
 	}
-	v.weights = append(v.weights, fullRow(len(v.domains)))
+	v.weights = append(v.weights, fullWeights(len(v.domains)))
 	for k, w := range weights {
 		if d, ok := byDomain[k.Domain]; ok {
 			v.weights[v.byService[k.Service]][d] = min(w, FullWeight)
 		}
 	}
 	for _, row := range v.weights {
-		v.totals = append(v.totals, v.regionTotals(row))
-		v.even = append(v.even, v.evenRegions(row))
+		v.regionWeights = append(v.regionWeights, v.sumRegionWeights(row))
+		v.evenWeights = append(v.evenWeights, v.evenRegions(row))
 	}
 }
 
@@ -217,7 +217,7 @@
 	return slices.Compact(names)
 }
 
-func fullRow(n int) []Weight {
+func fullWeights(n int) []Weight {
 	row := make([]Weight, n)
 	for i := range row {
 		row[i] = FullWeight
@@ -225,7 +225,7 @@
 	return row
 }
 
-func (v *View) regionTotals(row []Weight) []float64 {
+func (v *View) sumRegionWeights(row []Weight) []float64 {
 	totals := make([]float64, len(v.regions))
 	for i, r := range v.regions {
 		for j := r.from; j < r.to; j++ {
--- a/decide/steer/weight.go
+++ b/decide/steer/weight.go
@@ -25,8 +25,8 @@
 	// LowHeadroom is the free share of capacity below which the weight falls
 	// by a tenth.
 	LowHeadroom = 0.10
-	// NoHeadroom is the one below which it falls by a fifth.
-	NoHeadroom = 0.02
+	// CriticalHeadroom is the one below which it falls by a fifth.
+	CriticalHeadroom = 0.02
 	// HighHeadroom is the one above which it rises by a tenth.
 	HighHeadroom = 0.25
 	// AmpleHeadroom is the one above which it rises by a quarter.
@@ -43,10 +43,10 @@
 // Damper is ready for use; domains without reports have FullWeight. It is not
 // safe for concurrent use.
 type Damper struct {
-	states map[DomainService]damped
+	states map[DomainService]domainWeight
 }
 
-type damped struct {
+type domainWeight struct {
 	weight    Weight
 	steppedAt clock.Time
 }
@@ -73,16 +73,16 @@
 		return false
 	}
 	if d.states == nil {
-		d.states = make(map[DomainService]damped)
+		d.states = make(map[DomainService]domainWeight)
 	}
-	d.states[key] = damped{weight: next, steppedAt: now}
+	d.states[key] = domainWeight{weight: next, steppedAt: now}
 	return true
 }
 
 // nextWeight applies one step. Headroom that is not a number changes nothing.
 func nextWeight(w Weight, headroom float64) Weight {
 	switch {
-	case headroom < NoHeadroom:
+	case headroom < CriticalHeadroom:
 		w -= w / 5
 	case headroom < LowHeadroom:
 		w -= w / 10
@@ -108,5 +108,5 @@
 // Retain forgets the domains for which keep returns false, such as those that
 // have left the fleet.
 func (d *Damper) Retain(keep func(DomainService) bool) {
-	maps.DeleteFunc(d.states, func(k DomainService, _ damped) bool { return !keep(k) })
+	maps.DeleteFunc(d.states, func(k DomainService, _ domainWeight) bool { return !keep(k) })
 }
