--- a/decide/shift/counter.go
+++ b/decide/shift/counter.go
@@ -8,14 +8,14 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// Counter counts requests by shift at one entry VM. It is not safe for
-// concurrent use.
+// Counter counts the requests of each moving shift at one entry VM. It is not
+// safe for concurrent use.
 type Counter struct {
 	since    clock.Time
-	counters []shiftCounter // by id and service
+	counters []shiftCounter // one per shift and service
 }
 
-// shiftCounter is the count of one shift and one service.
+// shiftCounter counts the requests of one shift and one service.
 type shiftCounter struct {
 	from  fleet.Region
 	salt  salt
@@ -50,8 +50,8 @@
 }
 
 // Served counts one request of clients at home in the given region. movedBy is
-// the shift that took it to another region, or empty; busy is how long it kept
-// a target's slot.
+// the shift that moved it to another region, or empty; busy is how long it
+// occupied a target's slot.
 func (k *Counter) Served(service fleet.ServiceName, home fleet.Region, block uint64, movedBy string, busy time.Duration) {
 	for i := range k.counters {
 		t := &k.counters[i]
@@ -68,7 +68,7 @@
 }
 
 // Take appends the counts of the window that ends now to out and starts the
-// next one.
+// next window.
 func (k *Counter) Take(now clock.Time, out []Count) []Count {
 	for i := range k.counters {
 		c := &k.counters[i].count
@@ -80,13 +80,13 @@
 	return out
 }
 
-// CountWindow is the length of window that evidence should hold counts of.
-// Shorter ones have so few requests that sampling alone carries a count over
-// its cap, and the shift would swing.
+// CountWindow is the window length that the counts in evidence should cover.
+// Shorter windows hold so few requests that sampling alone can put a count over
+// its cap, and the shift would oscillate.
 const CountWindow = 10 * time.Second
 
-// Merge adds the count of other entry VMs, over a window of the same length.
-// The result is as old as the older of the two.
+// Merge adds the count of other entry VMs over a window of the same length.
+// The result has the age of the older count.
 func (c *Count) Merge(o *Count) {
 	span := Span{Since: clock.Min(c.Since, o.Since), Until: clock.Min(c.Until, o.Until)}
 	c.add(o)
--- a/decide/shift/flow.go
+++ b/decide/shift/flow.go
@@ -8,7 +8,7 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// flow is what a shift moves of one service, with the figures about it. A
+// flow is the traffic of one service that a shift moves, with its figures. A
 // missing figure is nil.
 type flow struct {
 	service   fleet.ServiceName
@@ -17,14 +17,14 @@
 	receivers []receiver
 }
 
-// receiver is one region that a flow goes to.
+// receiver is one region that receives a flow.
 type receiver struct {
 	region   fleet.Region
 	load     *Load
-	fraction float64 // largest part of the flow that it may get
+	fraction float64 // largest part of the flow that it may receive
 }
 
-// flowsOf gathers the flows of s.
+// flowsOf returns one flow per service of s.
 func flowsOf(o Options, s *catalogue.Shift, services []fleet.ServiceName, e *Evidence) []flow {
 	flows := make([]flow, 0, len(services))
 	for _, name := range services {
@@ -39,10 +39,10 @@
 	return flows
 }
 
-// splitByCapacity divides a flow among all regions but its sender, by capacity. Regions
-// that can't serve get nothing; look-ups answer with the others. Where a
-// region's part really lies depends on hashes and weights, so each is reckoned
-// with SplitFactor times its part.
+// splitByCapacity divides a flow among all regions but its sender in proportion
+// to their capacity. Regions that can't serve receive nothing, as look-ups
+// don't return them. The actual part of a region depends on hashes and weights,
+// so SplitFactor times its proportional part is assumed.
 func splitByCapacity(o Options, s *catalogue.Shift, name fleet.ServiceName, e *Evidence) []receiver {
 	var out []receiver
 	total := 0.0
@@ -66,10 +66,12 @@
 	return out
 }
 
-// maxSlots returns the most slots that the flow may newly keep busy elsewhere if
-// the share goes from low to high. Where the blocks between them carry more
-// than their part of the requests, the count says so; where they carry less,
-// that may change, and their part is reckoned with. What moves is cold.
+// maxSlots returns the largest number of additional slots that the flow may
+// occupy in other regions if the share rises from low to high. Blocks between
+// the two that carry more than their proportional part of the requests count
+// with the counted part. Blocks that carry less may carry more later, so they
+// count with their proportional part. Moved clients meet cold caches, hence
+// ColdFactor.
 func (f *flow) maxSlots(o Options, low, high catalogue.Share) float64 {
 	if low >= high || f.count.Total == 0 {
 		return 0
@@ -78,7 +80,7 @@
 	return f.count.Demand() * math.Max(counted, fractionOf(high-low)) * o.ColdFactor
 }
 
-// movedFraction returns the part of the flow's requests that the shift moves.
+// movedFraction returns the counted fraction of requests that the shift moves.
 func (f *flow) movedFraction() float64 {
 	if f.count.Total == 0 {
 		return 0
@@ -86,19 +88,21 @@
 	return float64(f.count.Moved) / float64(f.count.Total)
 }
 
-// forecastFraction returns the part of the requests that would be moved at share high,
-// when the share is now. What is moved beyond the count by position, such as by
-// callers holding on to old answers, is taken to stay.
+// forecastFraction returns the fraction of requests that would be moved at
+// share high if the share is now. Requests that are moved beyond the count by
+// position, such as by callers that still use old answers, are assumed to
+// remain.
 func (f *flow) forecastFraction(now, high catalogue.Share) float64 {
 	excess := math.Max(0, f.movedFraction()-f.count.fractionBelow(now))
 	return math.Min(1, f.count.fractionBelow(high)+excess)
 }
 
-// marginDeviations is how many standard deviations of sampling a forecast
-// must stay below the cap.
+// marginDeviations is the sampling margin of a forecast below the cap, in
+// standard deviations.
 const marginDeviations = 3
 
-// withMargin returns p and the sampling margin of a part counted over total.
+// withMargin returns the fraction p, counted over total requests, plus its
+// sampling margin.
 func withMargin(p float64, total uint64) float64 {
 	if total == 0 {
 		return p
--- a/decide/shift/gate.go
+++ b/decide/shift/gate.go
@@ -8,24 +8,25 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// GateWindow is the time over which a Gate holds the cap.
+// GateWindow is the time over which a Gate enforces the cap.
 const GateWindow = time.Minute
 
-// Gate holds the cap at the look-ups of one entry VM, without any report from
-// elsewhere.
+// Gate enforces the cap at the look-ups of one entry VM, from local counts
+// alone.
 //
-// What goes wrong without it: a block under the share grows tenfold, and until
-// that is counted, reported and acted upon, the shift moves more than its cap.
-// The gate answers a look-up with a move only while the moves answered in this
-// window stay within the cap. If every entry VM does so, all together do. It
-// bounds look-ups; callers that cache answers for different times can still
-// send unequal numbers of requests, which Counter counts. It is not safe for
-// concurrent use.
+// Without it, a block below the share that grows tenfold would make the shift
+// exceed its cap until the growth is counted, reported and acted upon. The gate
+// allows a look-up to be moved only while the moves of the present window stay
+// within the cap. If every entry VM does so, the fleet as a whole does. The gate
+// bounds look-ups, not requests: callers that cache answers for different times
+// can send unequal numbers of requests, which Counter counts. It is not safe
+// for concurrent use.
 type Gate struct {
 	since clock.Time
 	gates []shiftGate
 }
 
+// shiftGate counts the look-ups of one shift and one service.
 type shiftGate struct {
 	shift   string
 	from    fleet.Region
@@ -48,8 +49,8 @@
 
 // Pass counts a look-up by a client at home in the given region and reports
 // whether the shift movedBy may move it. It must be called for every look-up,
-// also for those that no shift moves, with an empty movedBy: the cap is a
-// share of them all. A shift that the gate does not know moves nothing.
+// with an empty movedBy if no shift moves it, because the cap is a share of all
+// look-ups. An unknown shift may move nothing.
 func (g *Gate) Pass(now clock.Time, service fleet.ServiceName, home fleet.Region, movedBy string) bool {
 	if now.Sub(g.since) >= GateWindow {
 		g.reset(now)
--- a/decide/shift/invariant.go
+++ b/decide/shift/invariant.go
@@ -24,8 +24,8 @@
 	RuleCount    Rule = "rise-over-counted-cap"
 )
 
-// Violation is an invariant found broken. Decisions that break one are not
-// carried out: the shift stays where it is, and the fault is counted.
+// Violation is a broken invariant. A decision that breaks one is not carried
+// out: the share stays unchanged and the violation is counted.
 type Violation struct {
 	Shift  string
 	Rule   Rule
@@ -37,8 +37,8 @@
 	return fmt.Sprintf("shift %s: %s: %s", v.Shift, v.Rule, v.Detail)
 }
 
-// checker collects the violations of one decision. It states the promises
-// plainly from the input, apart from the code that plans.
+// checker collects the violations of one decision. It derives the guarantees
+// directly from the input, independently of the planning code.
 type checker struct {
 	opts   Options
 	in     *Input
@@ -46,16 +46,17 @@
 	out    []Violation
 }
 
-// CheckInvariants returns every invariant that d breaks for the input it was made from.
+// CheckInvariants returns the invariants that the decision d, made from in,
+// breaks.
 func CheckInvariants(o Options, in Input, d Decision) []Violation {
 	c := &checker{opts: o.withDefaults(), in: &in, limits: in.Shift.Limits.WithDefaults()}
 	now := in.Shift.Share
 	if d.Action == Hold {
-		c.expect(d.Share == now, RuleStep, "a hold changes the share")
+		c.expect(d.Share == now, RuleStep, "hold changes the share from %d to %d", now, d.Share)
 		return c.out
 	}
-	c.expect(d.Share <= c.limits.MaxShare, RuleCap, "%d of %d", d.Share, c.limits.MaxShare)
-	c.expect(!in.CutOff, RuleCutOff, "%s", d.Action)
+	c.expect(d.Share <= c.limits.MaxShare, RuleCap, "share %d, cap %d", d.Share, c.limits.MaxShare)
+	c.expect(!in.CutOff, RuleCutOff, "%s while the platform is unreachable", d.Action)
 	if d.Share > now {
 		c.checkRise(d.Share)
 	}
@@ -72,11 +73,11 @@
 func (c *checker) checkRise(to catalogue.Share) {
 	s := &c.in.Shift
 	rise := to - s.Share
-	c.expect(rise <= c.limits.Step, RuleStep, "%d of %d", rise, c.limits.Step)
-	c.expect(s.State == catalogue.Running, RuleState, "%s", s.State)
-	c.expect(c.limits.Window.Contains(c.in.Now.Wall()), RuleWindow, "%s", c.in.Now.Wall())
+	c.expect(rise <= c.limits.Step, RuleStep, "rise of %d, largest step %d", rise, c.limits.Step)
+	c.expect(s.State == catalogue.Running, RuleState, "state is %s", s.State)
+	c.expect(c.limits.Window.Contains(c.in.Now.Wall()), RuleWindow, "at %s", c.in.Now.Wall())
 	waited := c.in.Now.Sub(c.in.Progress.SteppedAt)
-	c.expect(waited >= time.Duration(c.limits.Interval), RuleInterval, "%s", waited)
+	c.expect(waited >= time.Duration(c.limits.Interval), RuleInterval, "%s after the last step, interval %s", waited, time.Duration(c.limits.Interval))
 	for _, f := range flowsOf(c.opts, s, c.in.Services, c.in.Evidence) {
 		c.checkFlow(&f, to)
 	}
@@ -98,18 +99,18 @@
 	}
 	if f.count.Total > 0 && c.limits.MaxShare < catalogue.ShareUnit {
 		counted := f.count.fractionBelow(to)
-		c.expect(counted <= fractionOf(c.limits.MaxShare), RuleCount, "%.4f of %.4f", counted, fractionOf(c.limits.MaxShare))
+		c.expect(counted <= fractionOf(c.limits.MaxShare), RuleCount, "counted share %.4f of %s, cap %.4f", counted, f.service, fractionOf(c.limits.MaxShare))
 	}
 }
 
-// checkProof checks that a figure is fresh and, where it must show the last step,
-// that it does.
-func (c *checker) checkProof(s Span, missing int, of string, shows bool) {
+// checkProof checks that a figure is fresh and, if coversStep is set, that its
+// window began after the last step took effect.
+func (c *checker) checkProof(s Span, missing int, of string, coversStep bool) {
 	c.expect(missing == 0, RuleProof, "%s lacks %d reports", of, missing)
 	age := c.in.Now.Sub(s.Until)
 	c.expect(age >= 0 && age <= c.opts.MaxAge, RuleProof, "%s is %s old", of, age)
 	p := &c.in.Progress
-	if !shows || p.SteppedAt == clock.Time(0) {
+	if !coversStep || p.SteppedAt == clock.Time(0) {
 		return
 	}
 	since := s.Since.Sub(p.SteppedAt)
@@ -118,13 +119,13 @@
 	c.expect(since >= c.opts.SettleSteady, RuleProof, "%s begins %s after the start", of, since)
 }
 
-// checkHeadroom reckons with the even part of the warm load, which is the least
-// that the step is expected to bring.
+// checkHeadroom assumes the proportional part of the warm load, which is the
+// least that the step is expected to add.
 func (c *checker) checkHeadroom(f *flow, r receiver, to catalogue.Share) {
 	held, _ := reservedSlots(c.in.Reserved, r.region, f.service)
 	need := f.count.Demand() * fractionOf(to-c.in.Shift.Share) * r.fraction
 	after := r.load.InFlight + held + need
 	bound := r.load.Capacity * (1 - fractionOf(c.limits.MinHeadroom))
 	const rounding = 1e-6
-	c.expect(after <= bound+rounding, RuleHeadroom, "%s: %.2f of %.2f slots", r.region, after, bound)
+	c.expect(after <= bound+rounding, RuleHeadroom, "%s would have %.2f slots busy, bound %.2f", r.region, after, bound)
 }
--- a/decide/shift/back.go
+++ b/decide/shift/lower.go
@@ -7,8 +7,8 @@
 )
 
 // enforceCap lowers the share if it or the counted share is over the cap. It
-// doesn't wait for the interval or for the sender's headroom: the cap is a
-// promise, and Gate has been holding look-ups to it in the meantime.
+// doesn't wait for the interval or for the sender's headroom: the cap is
+// guaranteed, and Gate already limits look-ups to it.
 func (p *plan) enforceCap() (Decision, bool) {
 	s := &p.Shift
 	if s.Share > p.limits.MaxShare {
@@ -22,23 +22,25 @@
 		if !p.countIsCurrent(f) || f.movedFraction() <= fractionOf(p.limits.MaxShare) {
 			continue
 		}
-		why := Reason{Code: CountedShare, Service: f.service, Share: f.movedFraction(), Bound: fractionOf(p.limits.MaxShare)}
-		return p.lowerShare(p.largestShareUnderCap(f), why)
+		reason := Reason{Code: CountedShare, Service: f.service, Share: f.movedFraction(), Bound: fractionOf(p.limits.MaxShare)}
+		return p.lowerShare(p.largestShareUnderCap(f), reason)
 	}
 	return Decision{}, false
 }
 
-func (p *plan) lowerShare(to catalogue.Share, why Reason) (Decision, bool) {
+// lowerShare returns the decision to lower the share for the given reason. A
+// rollback in progress keeps its code.
+func (p *plan) lowerShare(to catalogue.Share, reason Reason) (Decision, bool) {
 	if ParseCode(p.Shift.Hold) == RollingBack {
-		why = asRollBack(why)
+		reason = asRollBack(reason)
 	}
-	return Decision{Action: Recede, Share: to, Reason: why}, true
+	return Decision{Action: Recede, Share: to, Reason: reason}, true
 }
 
-// countIsCurrent reports whether the count was made wholly at the present
-// share. An older one would lower the share a second time for one excess. A
-// count that is late or lacks some VMs still shows an excess, so neither age
-// nor completeness matters here.
+// countIsCurrent reports whether the whole count was made at the present share.
+// An older count would lower the share a second time for the same excess. A
+// count that is late or lacks some VMs still proves an excess, so its age and
+// completeness are not checked.
 func (p *plan) countIsCurrent(f *flow) bool {
 	if p.Shift.Share == 0 || f.count == nil || !f.count.valid() || f.count.Since >= f.count.Until {
 		return false
@@ -46,8 +48,8 @@
 	return !f.count.Since.Before(p.provenAfter())
 }
 
-// largestShareUnderCap returns the largest share below the present one at which the count,
-// with its margin, is within the cap.
+// largestShareUnderCap returns the largest share below the present one at which
+// the count, with its margin, is within the cap.
 func (p *plan) largestShareUnderCap(f *flow) catalogue.Share {
 	for to := p.Shift.Share - 1; to > 0; to-- {
 		if p.capReached(f, to).Code == None {
@@ -57,8 +59,8 @@
 	return 0
 }
 
-// exceedsErrorBound reports whether fresh figures of a region show errors over the
-// bound.
+// exceedsErrorBound reports whether fresh figures of a region show errors over
+// the bound.
 func (p *plan) exceedsErrorBound(l *Load) bool {
 	return l != nil && l.valid() && l.fresh(p.Now, p.opts.MaxAge) &&
 		l.Requests >= p.opts.BreachRequests && l.ErrorShare > p.limits.MaxErrorShare
@@ -74,7 +76,8 @@
 	}
 }
 
-// receiverOverErrorBound returns a receiver whose errors are over the bound, or nil.
+// receiverOverErrorBound returns the load of a receiver whose errors are over
+// the bound, or nil.
 func (p *plan) receiverOverErrorBound() *Load {
 	for i := range p.flows {
 		for _, r := range p.flows[i].receivers {
@@ -86,9 +89,9 @@
 	return nil
 }
 
-// TrackErrors returns the progress after the evidence of in: it follows how long
-// errors have been over their bound. Figures that are not fresh neither
-// lengthen a breach nor end it.
+// TrackErrors returns the progress updated from the evidence of in: since when
+// errors have been over their bound. Figures that are not fresh neither extend
+// a breach nor end it.
 func TrackErrors(o Options, in Input) Progress {
 	p := newPlan(o, in)
 	next := in.Progress
@@ -117,10 +120,11 @@
 	return true
 }
 
-// rollBackReason reports whether the shift is to be rolled back, and why. One
-// that has begun to roll back goes on, whatever the figures say: as its share
-// falls errors cease, and a shift that turned round then would swing for good.
-// That it has begun is kept in the catalogue, for the next runner.
+// rollBackReason reports whether the shift is to be rolled back, and why. A
+// rollback that has begun continues whatever the figures show: errors cease as
+// the share falls, and a shift that advanced again then would oscillate without
+// end. Its start is recorded in the catalogue, so that the next runner
+// continues it.
 func (p *plan) rollBackReason() (Reason, bool) {
 	if ParseCode(p.Shift.Hold) == RollingBack {
 		return Reason{Code: RollingBack}, true
@@ -135,45 +139,45 @@
 	return Reason{}, false
 }
 
-// asRollBack makes why the cause of rolling back.
-func asRollBack(why Reason) Reason {
-	if why.Code == RollingBack {
-		return why
+// asRollBack returns the reason of a rollback caused by reason.
+func asRollBack(reason Reason) Reason {
+	if reason.Code == RollingBack {
+		return reason
 	}
-	why.Cause = why.Code
-	why.Code = RollingBack
-	return why
+	reason.Cause = reason.Code
+	reason.Code = RollingBack
+	return reason
 }
 
-// rollBack moves back on the way to rolled-back.
-func (p *plan) rollBack(why Reason) Decision {
+// rollBack lowers the share of a shift that is being rolled back.
+func (p *plan) rollBack(reason Reason) Decision {
 	to, blocked := p.nextLowerShare()
 	if blocked.Code != None {
 		return p.hold(asRollBack(blocked))
 	}
-	return Decision{Action: RollBack, Share: to, Reason: why}
+	return Decision{Action: RollBack, Share: to, Reason: reason}
 }
 
-// recede moves back because a receiver is failing; the shift goes on if the
-// receiver returns.
-func (p *plan) recede(why Reason) Decision {
+// recede lowers the share because a receiver is failing; the shift advances
+// again if the receiver recovers.
+func (p *plan) recede(reason Reason) Decision {
 	to, blocked := p.nextLowerShare()
 	if blocked.Code != None {
 		return p.hold(blocked)
 	}
-	return Decision{Action: Recede, Share: to, Reason: why}
+	return Decision{Action: Recede, Share: to, Reason: reason}
 }
 
-// nextLowerShare returns the lowest share that a step back may go to, or why there is
-// none: it goes into what the sender can bear, on proof that the sender has
-// absorbed the last step.
+// nextLowerShare returns the lowest share that a step back may go to, or why
+// there is none. A step back is limited to the sender's headroom and needs
+// proof that the sender absorbed the last step.
 func (p *plan) nextLowerShare() (catalogue.Share, Reason) {
 	now := p.Shift.Share
 	if now == 0 {
 		return 0, Reason{}
 	}
-	if why := p.missingSenderProof(); why.Code != None {
-		return now, why
+	if reason := p.missingSenderProof(); reason.Code != None {
+		return now, reason
 	}
 	most := min(int(now), int(p.limits.Step)*p.opts.BackSteps)
 	d := p.largestAllowed(catalogue.Share(most), func(d catalogue.Share) Reason { return p.senderLimitReached(now - d) })
@@ -183,10 +187,10 @@
 	return now - d, Reason{}
 }
 
-// missingSenderProof returns why nothing can be moved back now. The figures must
-// show the last step if it was one back. One forward took load off the sender,
-// so figures from before it err on the safe side, and a shift that has just
-// stepped into trouble need not wait.
+// missingSenderProof returns why nothing can be moved back now. If the last
+// step was a step back, the figures must include it. A step forward took load
+// off the sender, so figures from before it overstate the load, which is safe,
+// and a shift whose last step caused errors need not wait.
 func (p *plan) missingSenderProof() Reason {
 	after := clock.Time(0)
 	if p.Progress.LastStepDown {
@@ -197,21 +201,23 @@
 		if f.sender != nil && f.sender.State != fleet.Live {
 			return Reason{Code: SenderNotLive, Region: p.Shift.From, Service: f.service}
 		}
-		if why := p.missingLoadProof(f.sender, p.Shift.From, f.service, after); why.Code != None {
-			return why
+		if reason := p.missingLoadProof(f.sender, p.Shift.From, f.service, after); reason.Code != None {
+			return reason
 		}
-		if why := p.missingCountProof(f, after); why.Code != None {
-			return why
+		if reason := p.missingCountProof(f, after); reason.Code != None {
+			return reason
 		}
 	}
 	return Reason{}
 }
 
+// senderLimitReached returns why the sender can't take back the load between
+// the share to and the present one.
 func (p *plan) senderLimitReached(to catalogue.Share) Reason {
 	for i := range p.flows {
 		f := &p.flows[i]
-		if why := p.headroomReached(f.sender, f.maxSlots(p.opts, to, p.Shift.Share)); why.Code != None {
-			return why
+		if reason := p.headroomReached(f.sender, f.maxSlots(p.opts, to, p.Shift.Share)); reason.Code != None {
+			return reason
 		}
 	}
 	return Reason{}
--- a/decide/shift/options.go
+++ b/decide/shift/options.go
@@ -6,35 +6,36 @@
 	"github.com/azurethread/azurethread/decide/catalogue"
 )
 
-// Options tune planning; limits that operators set are in catalogue.Limits.
-// Zero values take the defaults.
+// Options tune planning; the limits that operators set are in
+// catalogue.Limits. Zero values take the defaults.
 type Options struct {
-	// MaxAge is the age beyond which a figure is no evidence.
+	// MaxAge is the age beyond which a figure is not used.
 	MaxAge time.Duration
-	// Settle is how long a step of a running shift takes to be in effect
-	// everywhere: the spread of the configuration, and the time that callers
-	// keep look-up answers meanwhile. Figures prove a step only if their
-	// window began that long after it.
+	// Settle is the time until a step of a running shift is in effect
+	// everywhere: the propagation of the configuration plus the time for
+	// which callers keep look-up answers of a running shift. Figures prove a
+	// step only if their window began that long after it.
 	Settle time.Duration
-	// SettleSteady is the same for answers that callers got while the shift
-	// was not running, which they keep for longer.
+	// SettleSteady is the same for answers that callers received while the
+	// shift was not running, which they keep for longer.
 	SettleSteady time.Duration
-	// BreachFor is how long errors must stay over their bound, over fresh
-	// figures, before the shift rolls back.
+	// BreachFor is how long fresh figures must show errors over their bound
+	// before the shift rolls back.
 	BreachFor time.Duration
 	// BreachRequests is the least number of requests in a window for its
-	// error share to mean anything.
+	// error share to be used.
 	BreachRequests uint64
-	// ColdFactor is how many times its warm load a client may cost a receiver
-	// whose caches don't know it yet.
+	// ColdFactor is the cost of a client at a receiver with cold caches, as a
+	// multiple of its cost with warm caches.
 	ColdFactor float64
-	// SplitFactor is how many times its even part one receiver may get of a
-	// shift that moves to every other region.
+	// SplitFactor is the largest part that one receiver of a shift to every
+	// other region may receive, as a multiple of its proportional part.
 	SplitFactor float64
-	// MinStep is the least advance worth a write; less fits, and the shift
-	// holds.
+	// MinStep is the smallest advance that is written; if the limits allow
+	// less, the shift holds.
 	MinStep catalogue.Share
-	// BackSteps is the most steps that a shift moves back at once.
+	// BackSteps is the largest number of steps by which the share is lowered
+	// at once.
 	BackSteps int
 	// CheckInterval is the time between two evaluations without events.
 	CheckInterval time.Duration
@@ -45,8 +46,8 @@
 	RetryAfter time.Duration
 }
 
-// The defaults of Options. The settling times are 5 s and 20 s, the times to
-// live of look-up answers, and 5 s for the configuration's spread.
+// The defaults of Options. The settling times are the times to live of look-up
+// answers, 5 s and 20 s, plus 5 s for the propagation of the configuration.
 const (
 	DefaultMaxAge                         = 6 * time.Second
 	DefaultSettle                         = 10 * time.Second
--- a/decide/shift/plan.go
+++ b/decide/shift/plan.go
@@ -14,11 +14,11 @@
 
 // The actions.
 const (
-	Hold     Action = iota // leave the share
+	Hold     Action = iota // keep the share
 	Advance                // raise the share
-	Recede                 // lower the share and go on
+	Recede                 // lower the share; the shift stays in its state
 	RollBack               // lower the share; at 0 the shift is rolled back
-	Finish                 // the cap is reached and proven
+	Finish                 // the cap is reached and its load proven
 )
 
 var actionNames = [...]string{
@@ -32,16 +32,16 @@
 // String returns the lower-case name, such as "advance".
 func (a Action) String() string { return actionNames[a] }
 
-// Decision is the outcome of a plan. Reason says why the shift does not go
-// further than Share; it is empty for a whole step and for Finish.
+// Decision is the result of Plan. Reason states why the share is not raised
+// beyond Share; it is empty for a whole step and for Finish.
 type Decision struct {
 	Action Action
 	Share  catalogue.Share
 	Reason Reason
 }
 
-// State returns the state that the decision brings the shift to, or empty if it
-// stays in the one it is in.
+// State returns the new state of the shift, or empty if the decision doesn't
+// change it.
 func (d Decision) State() catalogue.ShiftState {
 	switch {
 	case d.Action == Finish:
@@ -53,29 +53,31 @@
 	}
 }
 
-// Input is all that a plan for one shift rests on.
+// Input is everything from which a shift is planned.
 type Input struct {
 	Now      clock.Time
 	Shift    catalogue.Shift
-	Services []fleet.ServiceName // those that the shift moves
+	Services []fleet.ServiceName // the services that the shift moves
 	Progress Progress
 	Evidence *Evidence
 	Others   []catalogue.Shift // all other moving shifts
-	Reserved []Reservation     // headroom that their steps hold
+	Reserved []Reservation     // headroom reserved by their steps
 	CutOff   bool              // the platform can't be reached
 }
 
-// Progress is what the planning process itself has seen of a shift. It is lost
-// with the process; a new one takes the present share as just reached.
+// Progress is what the planning process itself has observed of a shift. It is
+// lost with the process; a new process assumes that the present share has just
+// been reached.
 type Progress struct {
 	// SteppedAt is when the present share was first seen in force; 0 if the
 	// shift has not moved anything yet.
 	SteppedAt clock.Time
 	// StartedAt is when the shift was first seen running, after another state.
 	StartedAt clock.Time
-	// LastStepDown says that the last change lowered the share, or is not known.
+	// LastStepDown is true if the last change lowered the share or its
+	// direction is not known.
 	LastStepDown bool
-	// BreachSince and BreachUntil bound the unbroken run of fresh windows
+	// BreachSince and BreachUntil bound the uninterrupted run of fresh windows
 	// with errors over the bound; both 0 if there is none.
 	BreachSince, BreachUntil clock.Time
 }
@@ -88,8 +90,7 @@
 	flows  []flow
 }
 
-// Plan decides what one shift does next. The same input always gives the same
-// decision.
+// Plan decides the next step of one shift. It is deterministic.
 func Plan(o Options, in Input) Decision {
 	return newPlan(o, in).decide()
 }
@@ -118,14 +119,14 @@
 	if s.State != catalogue.Running {
 		return p.hold(Reason{Code: NotRunning})
 	}
-	if why, back := p.rollBackReason(); back {
-		return p.rollBack(why)
+	if reason, back := p.rollBackReason(); back {
+		return p.rollBack(reason)
 	}
-	if why := p.failingReceiver(); why.Code != None && s.Share > 0 {
-		return p.recede(why)
+	if reason := p.failingReceiver(); reason.Code != None && s.Share > 0 {
+		return p.recede(reason)
 	}
-	if why := p.stepObstacle(); why.Code != None {
-		return p.hold(why)
+	if reason := p.stepObstacle(); reason.Code != None {
+		return p.hold(reason)
 	}
 	if s.Share >= p.limits.MaxShare {
 		return Decision{Action: Finish, Share: s.Share}
@@ -133,11 +134,13 @@
 	return p.advance()
 }
 
-func (p *plan) hold(why Reason) Decision {
-	return Decision{Action: Hold, Share: p.Shift.Share, Reason: why}
+// hold returns the decision to keep the share for the given reason.
+func (p *plan) hold(reason Reason) Decision {
+	return Decision{Action: Hold, Share: p.Shift.Share, Reason: reason}
 }
 
-// stepObstacle returns the first reason for which no step can be taken at all.
+// stepObstacle returns the first reason for which no step of any size can be
+// taken.
 func (p *plan) stepObstacle() Reason {
 	for _, check := range []func() Reason{
 		p.outsideWindow,
@@ -149,8 +152,8 @@
 		p.missingProof,
 		p.unhealthyReceiver,
 	} {
-		if why := check(); why.Code != None {
-			return why
+		if reason := check(); reason.Code != None {
+			return reason
 		}
 	}
 	return Reason{}
@@ -180,8 +183,9 @@
 	return Reason{}
 }
 
-// failingReceiver reports a receiver that fresh figures show to be unable to
-// serve. A receiver without fresh figures is another matter: nothing is known.
+// failingReceiver reports a receiver that can't serve according to fresh
+// figures. A receiver without fresh figures is not reported, as its state is
+// unknown.
 func (p *plan) failingReceiver() Reason {
 	for i := range p.flows {
 		f := &p.flows[i]
@@ -199,8 +203,8 @@
 }
 
 // emptyingReceiver reports another shift that moves traffic out of a receiver.
-// Operators start one only in an emergency, and then this shift must not work
-// against it.
+// Operators start such a shift only in an emergency, and this shift must not
+// counteract it.
 func (p *plan) emptyingReceiver() Reason {
 	for i := range p.Others {
 		o := &p.Others[i]
@@ -216,9 +220,10 @@
 
 func overlaps(a, b fleet.ServiceName) bool { return a == "" || b == "" || a == b }
 
-// withinInterval holds until Limits.Interval has passed since the last step, both by
-// the instant in the catalogue, from the clock of whichever VM wrote it, and by
-// when this process saw it: a clock that runs behind must not shorten the wait.
+// withinInterval holds the shift until Limits.Interval has passed since the
+// last step. Both the instant in the catalogue, from the clock of the VM that
+// wrote it, and the instant at which this process saw the step count: a clock
+// that is behind must not shorten the wait.
 func (p *plan) withinInterval() Reason {
 	stepped := max(p.Progress.SteppedAt, clock.Time(p.Shift.SteppedAt))
 	if stepped == 0 {
@@ -234,9 +239,10 @@
 	return Reason{Code: WaitingInterval, Until: t}
 }
 
-// provenAfter returns the instant from which on figures show the last step.
-// Callers that asked before the shift ran keep their answers for longer, so
-// the first steps take longer to show, and so does one while it is paused.
+// provenAfter returns the instant from which on figures include the effect of
+// the last step. Callers keep answers that they received while the shift was
+// not running for longer, so the first steps after a start, and a step while
+// the shift is paused, take longer to show.
 func (p *Progress) provenAfter(o Options, state catalogue.ShiftState) clock.Time {
 	if p.SteppedAt == 0 {
 		return 0
@@ -251,18 +257,18 @@
 	return p.Progress.provenAfter(p.opts, p.Shift.State)
 }
 
-// missingProof returns why the figures don't prove that the last step was
-// absorbed.
+// missingProof returns why the figures don't prove that the receivers absorbed
+// the last step.
 func (p *plan) missingProof() Reason {
 	after := p.provenAfter()
 	for i := range p.flows {
 		f := &p.flows[i]
-		if why := p.missingCountProof(f, after); why.Code != None {
-			return why
+		if reason := p.missingCountProof(f, after); reason.Code != None {
+			return reason
 		}
 		for _, r := range f.receivers {
-			if why := p.missingLoadProof(r.load, r.region, f.service, after); why.Code != None {
-				return why
+			if reason := p.missingLoadProof(r.load, r.region, f.service, after); reason.Code != None {
+				return reason
 			}
 		}
 	}
@@ -270,67 +276,68 @@
 }
 
 func (p *plan) missingCountProof(f *flow, after clock.Time) Reason {
-	at := Reason{Region: p.Shift.From, Service: f.service}
+	reason := Reason{Region: p.Shift.From, Service: f.service}
 	if f.count == nil || !f.count.valid() {
-		at.Code = StaleMeasurement
-		return at
+		reason.Code = StaleMeasurement
+		return reason
 	}
 	if p.limits.MaxShare >= catalogue.ShareUnit {
-		after = 0 // the moved share can't pass the cap; only demand is needed
+		after = 0 // a share can't exceed a cap of 100%; only demand is needed
 	}
-	return p.missingWindowProof(f.count.Span, f.count.Missing, at, after)
+	return p.missingWindowProof(f.count.Span, f.count.Missing, reason, after)
 }
 
 func (p *plan) missingLoadProof(l *Load, r fleet.Region, s fleet.ServiceName, after clock.Time) Reason {
-	at := Reason{Region: r, Service: s}
+	reason := Reason{Region: r, Service: s}
 	if l == nil || !l.valid() {
-		at.Code = StaleMeasurement
-		return at
+		reason.Code = StaleMeasurement
+		return reason
 	}
-	return p.missingWindowProof(l.Span, l.Missing, at, after)
+	return p.missingWindowProof(l.Span, l.Missing, reason, after)
 }
 
-// missingWindowProof judges a window. What goes wrong without the second test: a
-// step is judged by figures from before it, which look as good as ever, and
-// the next steps follow until the receiver is over its capacity.
-func (p *plan) missingWindowProof(s Span, missing int, at Reason, after clock.Time) Reason {
+// missingWindowProof returns why figures of the window s are no proof. Without
+// the second test a step would be judged by figures from before it, which show
+// none of its load, and further steps would follow until the receiver is over
+// its capacity.
+func (p *plan) missingWindowProof(s Span, missing int, reason Reason, after clock.Time) Reason {
 	switch {
 	case missing > 0 || !s.fresh(p.Now, p.opts.MaxAge):
-		at.Code = StaleMeasurement
-		at.Missing = missing
-		at.Age = p.Now.Sub(s.Until)
-		return at
+		reason.Code = StaleMeasurement
+		reason.Missing = missing
+		reason.Age = p.Now.Sub(s.Until)
+		return reason
 	case s.Since.Before(after):
-		at.Code = AwaitingProof
-		return at
+		reason.Code = AwaitingProof
+		return reason
 	default:
 		return Reason{}
 	}
 }
 
-// unhealthyReceiver returns why receivers that have proven figures take no more.
+// unhealthyReceiver returns why a receiver with proven figures can't take more.
 func (p *plan) unhealthyReceiver() Reason {
 	bound := time.Duration(p.limits.MaxP99)
 	for i := range p.flows {
 		f := &p.flows[i]
 		for _, r := range f.receivers {
-			at := Reason{Region: r.region, Service: f.service}
+			reason := Reason{Region: r.region, Service: f.service}
 			switch {
 			case p.exceedsErrorBound(r.load):
 				return p.errorReason(r.load)
 			case r.load.Warming:
-				at.Code = ColdCache
-				return at
+				reason.Code = ColdCache
+				return reason
 			case r.load.P99 > bound:
-				at.Code, at.P99, at.Limit = Latency, r.load.P99, bound
-				return at
+				reason.Code, reason.P99, reason.Limit = Latency, r.load.P99, bound
+				return reason
 			}
 		}
 	}
 	return Reason{}
 }
 
-// advance takes the largest step that fits.
+// advance takes the largest step that the limits allow.
 func (p *plan) advance() Decision {
 	now := p.Shift.Share
 	most := min(p.limits.Step, p.limits.MaxShare-now)
@@ -338,41 +345,41 @@
 	if d == most {
 		return Decision{Action: Advance, Share: now + d}
 	}
-	why := p.limitReached(now + d + 1)
+	reason := p.limitReached(now + d + 1)
 	if d < min(p.opts.MinStep, most) {
-		return p.hold(why)
+		return p.hold(reason)
 	}
-	return Decision{Action: Advance, Share: now + d, Reason: why}
+	return Decision{Action: Advance, Share: now + d, Reason: reason}
 }
 
-// largestAllowed returns the largest of 0..most for which misfit has no reason;
-// misfit must not be asked about 0, which always fits.
-func (p *plan) largestAllowed(most catalogue.Share, misfit func(catalogue.Share) Reason) catalogue.Share {
+// largestAllowed returns the largest of 0..most for which limit returns no
+// reason. 0 is always allowed, and limit is not called for it.
+func (p *plan) largestAllowed(most catalogue.Share, limit func(catalogue.Share) Reason) catalogue.Share {
 	n := sort.Search(int(most), func(i int) bool {
-		return misfit(catalogue.Share(i+1)).Code != None
+		return limit(catalogue.Share(i+1)).Code != None
 	})
 	return catalogue.Share(n)
 }
 
-// limitReached returns why the shift can't go up to the share to.
+// limitReached returns why the share can't be raised to the share to.
 func (p *plan) limitReached(to catalogue.Share) Reason {
 	for i := range p.flows {
 		f := &p.flows[i]
-		if why := p.capReached(f, to); why.Code != None {
-			return why
+		if reason := p.capReached(f, to); reason.Code != None {
+			return reason
 		}
 		slots := f.maxSlots(p.opts, p.Shift.Share, to)
 		for _, r := range f.receivers {
-			if why := p.headroomReached(r.load, slots*r.fraction); why.Code != None {
-				return why
+			if reason := p.headroomReached(r.load, slots*r.fraction); reason.Code != None {
+				return reason
 			}
 		}
 	}
 	return Reason{}
 }
 
-// capReached tells whether the counted share at to would pass the cap. A cap of
-// everything cannot be passed.
+// capReached returns a reason if the counted share at to would exceed the cap.
+// A cap of 100% cannot be exceeded.
 func (p *plan) capReached(f *flow, to catalogue.Share) Reason {
 	share := withMargin(f.forecastFraction(p.Shift.Share, to), f.count.Total)
 	if p.limits.MaxShare >= catalogue.ShareUnit || share <= fractionOf(p.limits.MaxShare) {
@@ -381,19 +388,19 @@
 	return Reason{Code: CountedShare, Service: f.service, Share: share, Forecast: true, Bound: fractionOf(p.limits.MaxShare)}
 }
 
-// headroomReached tells whether need more slots would leave a region less than the
-// least headroom, beside what other shifts have reserved.
+// headroomReached returns a reason if need more slots, on top of those that
+// other shifts have reserved, would leave a region less than MinHeadroom.
 func (p *plan) headroomReached(l *Load, need float64) Reason {
 	held, holder := reservedSlots(p.Reserved, l.Region, l.Service)
-	alone := l.Capacity*(1-fractionOf(p.limits.MinHeadroom)) - l.InFlight
-	have := alone - held
-	if need <= have {
+	unreserved := l.Capacity*(1-fractionOf(p.limits.MinHeadroom)) - l.InFlight
+	free := unreserved - held
+	if need <= free {
 		return Reason{}
 	}
-	why := Reason{Code: NoHeadroom, Region: l.Region, Service: l.Service, SlotsNeeded: need, SlotsFree: max(0, have)}
-	if need <= alone {
-		why.Code = SharedHeadroom
-		why.OtherShift = holder
+	reason := Reason{Code: NoHeadroom, Region: l.Region, Service: l.Service, SlotsNeeded: need, SlotsFree: max(0, free)}
+	if need <= unreserved {
+		reason.Code = SharedHeadroom
+		reason.OtherShift = holder
 	}
-	return why
+	return reason
 }
--- a/decide/shift/position.go
+++ b/decide/shift/position.go
@@ -14,7 +14,8 @@
 
 func saltOf(id string) salt { return salt(xxhash.Sum64String(id)) }
 
-// position returns the place of a block in a shift, 0..ShareUnit-1.
+// position returns the position of a client block, given by its hash, in the
+// shift: 0..ShareUnit-1.
 func (s salt) position(block uint64) catalogue.Share {
 	var b [16]byte
 	binary.LittleEndian.PutUint64(b[:8], uint64(s))
@@ -23,13 +24,14 @@
 	return catalogue.Share(p)
 }
 
-// Position returns the place of a block, given by its hash, in the shift of
-// the given id: 0..ShareUnit-1. A shift moves the positions below its share.
+// Position returns the position of a client block, given by its hash, in the
+// shift of the given id: 0..ShareUnit-1. A shift moves the blocks whose
+// positions lie below its share.
 func Position(id string, block uint64) catalogue.Share {
 	return saltOf(id).position(block)
 }
 
-// Moved reports whether s moves the block in its present state.
+// Moved reports whether s, in its present state, moves the block.
 func Moved(s *catalogue.Shift, block uint64) bool {
 	return s.State.Moves() && Position(s.ID, block) < s.Share
 }
--- a/decide/shift/reason.go
+++ b/decide/shift/reason.go
@@ -10,52 +10,53 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// Code names why a shift holds, recedes or takes less than a whole step.
+// Code is the kind of reason for which a shift holds, recedes or takes less
+// than a whole step.
 type Code string
 
-// The codes. docs/operators/shifts.md says what an operator does about each.
+// The codes. docs/operators/shifts.md describes what operators do about each.
 const (
 	None             Code = ""
 	NotRunning       Code = "not-running"       // draft, approved, paused, done or rolled back
-	PlatformCutOff   Code = "platform-cut-off"  // frozen: the catalogue can't be written
+	PlatformCutOff   Code = "platform-cut-off"  // the platform is unreachable, the catalogue can't be written
 	OutsideWindow    Code = "outside-window"    // Limits.Window
-	WaitingInterval  Code = "waiting-interval"  // Limits.Interval, or the last move back has yet to show
+	WaitingInterval  Code = "waiting-interval"  // Limits.Interval, or the last step back is not in the figures yet
 	StaleMeasurement Code = "stale-measurement" // no fresh, complete figures
 	AwaitingProof    Code = "awaiting-proof"    // the figures are from before the last step took effect
 	NoHeadroom       Code = "no-headroom"       // Limits.MinHeadroom
-	SharedHeadroom   Code = "shared-headroom"   // another shift's step holds the headroom
+	SharedHeadroom   Code = "shared-headroom"   // another shift's step has reserved the headroom
 	ColdCache        Code = "cold-cache"        // the receiver is warming up
 	Latency          Code = "latency"           // Limits.MaxP99
 	Errors           Code = "errors"            // Limits.MaxErrorShare
-	CountedShare     Code = "counted-share"     // Limits.MaxShare, by count
+	CountedShare     Code = "counted-share"     // Limits.MaxShare, applied to counted requests
 	ReceiverNotLive  Code = "receiver-not-live" // dead, leaving or without targets
 	ReceiverEmptying Code = "receiver-emptying" // another shift moves traffic out of it
 	SenderNotLive    Code = "sender-not-live"   // nothing to move, or nowhere to move back to
-	RollingBack      Code = "rolling-back"      // on its way to rolled-back; doesn't turn round
-	NoServices       Code = "no-services"       // the catalogue has no service that it moves
+	RollingBack      Code = "rolling-back"      // until rolled-back; doesn't advance again
+	NoServices       Code = "no-services"       // the catalogue has no service that the shift moves
 )
 
-// Reason is a Code with the figures that explain it; those that don't apply
+// Reason is a Code with the figures that explain it; fields that don't apply
 // are zero.
 type Reason struct {
 	Code        Code
-	Cause       Code // of RollingBack: what led to it, or what it waits for
+	Cause       Code // of RollingBack: what caused it or what delays it
 	Region      fleet.Region
 	Service     fleet.ServiceName
-	OtherShift  string  // id of the shift that holds the headroom or empties the receiver
+	OtherShift  string  // id of the shift that reserved the headroom or drains the receiver
 	SlotsNeeded float64 // slots that the step may take
-	SlotsFree   float64 // slots left by MinHeadroom
+	SlotsFree   float64 // free slots beyond MinHeadroom
 	Share       float64 // counted or error share, 0 to 1
-	Forecast    bool    // Share is what a step may come to, sampling included
-	Bound       float64 // its limit, 0 to 1
+	Forecast    bool    // Share is the forecast after a step, with its sampling margin
+	Bound       float64 // limit of Share, 0 to 1
 	P99         time.Duration
 	Limit       time.Duration // bound on P99
 	Age         time.Duration // of the oldest figure
-	Until       clock.Time    // when waiting ends
+	Until       clock.Time    // when the wait ends
 	Missing     int           // entry VMs that have not reported
 }
 
-// separator stands between the code and its explanation in a Hold text.
+// separator is the text between the code and its explanation in a Hold text.
 const separator = ": "
 
 // String returns the code and an explanation for operators, as stored in
@@ -71,8 +72,9 @@
 	return string(r.Code) + separator + text
 }
 
-// ParseCode returns the code of a text made by Reason.String. Any other text,
-// such as an operator's, gives a Code that equals none of this package's.
+// ParseCode returns the code of a text made by Reason.String. For any other
+// text, such as an operator's, it returns a Code that is not one of this
+// package's.
 func ParseCode(hold string) Code {
 	code, _, _ := strings.Cut(hold, separator)
 	return Code(code)
@@ -121,7 +123,7 @@
 	}
 }
 
-// location returns "region/service", as far as they are set.
+// location returns "region/service", or the region alone if no service is set.
 func (r Reason) location() string {
 	if r.Service == "" {
 		return string(r.Region)
@@ -136,7 +138,8 @@
 	return " of " + string(r.Service)
 }
 
-// movesPhrase tells what is moved now from what a step might move.
+// movesPhrase returns the verb for Share: what the shift moves now, or what the
+// next step may move.
 func (r Reason) movesPhrase() string {
 	if r.Forecast {
 		return "the next step may move"
--- a/decide/shift/reserve.go
+++ b/decide/shift/reserve.go
@@ -8,8 +8,8 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// Reservation is load that a step of another shift will bring to a region and
-// that the region's figures do not show yet.
+// Reservation is load that a step of another shift will add to a region and
+// that the region's figures do not include yet.
 type Reservation struct {
 	Shift   string
 	Region  fleet.Region
@@ -17,19 +17,20 @@
 	Slots   float64 // infinite where the step's load is unknown
 }
 
-// pendingStep is a change of share that is being written or that has yet to
-// show: the share was Low or High before and will be the other.
+// pendingStep is a change of share between Low and High that is being written
+// or that the figures do not include yet.
 type pendingStep struct {
 	Shift       catalogue.Shift
 	Services    []fleet.ServiceName
 	Low, High   catalogue.Share
-	Rise        bool
-	VisibleFrom clock.Time // from when on figures show it; Never while it is being written
+	Rise        bool       // from Low to High, otherwise from High to Low
+	VisibleFrom clock.Time // from when on figures include it; Never while it is being written
 }
 
-// appendReservations appends the reservations of a pending step. A receiver whose figures
-// began after the step took effect shows its load already. A step back loads
-// the sender in the same way as a rise loads receivers.
+// appendReservations appends the reservations of a pending step. Receivers
+// whose figures began after the step took effect are left out, as their figures
+// include its load. A step back adds load to the sender as a rise does to the
+// receivers.
 func appendReservations(o Options, st pendingStep, e *Evidence, out []Reservation) []Reservation {
 	for _, f := range flowsOf(o, &st.Shift, st.Services, e) {
 		if !st.Rise {
@@ -50,6 +51,8 @@
 	return out
 }
 
+// expectedSlots returns the slots that a pending step may take, or infinity if
+// there is no valid count.
 func expectedSlots(o Options, f *flow, st pendingStep) float64 {
 	if f.count == nil || !f.count.valid() {
 		return math.Inf(1)
@@ -57,7 +60,8 @@
 	return f.maxSlots(o, st.Low, st.High)
 }
 
-// reservedSlots sums the reservations at a region and names the largest holder.
+// reservedSlots returns the slots reserved at a region and the shift that has
+// reserved the most.
 func reservedSlots(all []Reservation, r fleet.Region, s fleet.ServiceName) (slots float64, holder string) {
 	most := 0.0
 	for i := range all {
--- a/decide/shift/runner.go
+++ b/decide/shift/runner.go
@@ -6,12 +6,12 @@
 	"github.com/azurethread/azurethread/decide/verdict"
 )
 
-// Runner advances all shifts of a catalogue while it holds the lease. It runs
-// in every process, so that whoever takes over has seen the last steps. It is
-// not safe for concurrent use.
+// Runner advances all shifts of a catalogue while its process holds the lease.
+// It runs in every process, so that the next holder has already observed the
+// last steps. It is not safe for concurrent use.
 type Runner struct {
 	opts           Options
-	now            clock.Time // highest instant seen
+	now            clock.Time // latest instant seen
 	catalogue      *catalogue.Catalogue
 	evidence       Evidence
 	duty           Duty
@@ -20,7 +20,7 @@
 	writes         uint64   // last Write.ID
 	wakeAt         clock.Time
 	violationCount uint64
-	lastViolations []Violation // of the last Step
+	lastViolations []Violation // found by the last Step
 }
 
 // entry is one moving shift.
@@ -28,28 +28,29 @@
 	shift     catalogue.Shift
 	progress  Progress
 	decision  Decision
-	codeSince clock.Time // since when the decision's code has been the same
+	codeSince clock.Time // when the decision last changed its code or action
 	write     pendingWrite
-	retryAt   clock.Time // no write before, after one that failed
+	retryAt   clock.Time // earliest next write, after one that failed
 	lastStep  pendingStep
 }
 
-// pendingWrite is an outstanding write. It stays outstanding until it is known not to
-// have run, or until the catalogue shows the entry at a higher revision than
-// the write expected: from then on compare-and-swap refuses it.
+// pendingWrite is an outstanding write. It stays outstanding until it is known
+// not to have run, or until the catalogue has the entry at a higher revision
+// than the write expected: from then on compare-and-swap refuses it.
 type pendingWrite struct {
 	id      uint64 // 0: none
 	expect  uint64
 	share   catalogue.Share
-	settled bool // accepted or refused as a conflict; only the catalogue is awaited
+	settled bool // accepted or refused as a conflict; the catalogue update is still awaited
 }
 
-// NewRunner returns a Runner without catalogue, evidence, lease or platform.
+// NewRunner returns a Runner without a catalogue, evidence or the lease, and
+// with the platform unreachable.
 func NewRunner(o Options) *Runner {
 	return &Runner{opts: o.withDefaults(), wakeAt: clock.Never}
 }
 
-// Step takes one event observed at now and appends the effects to out.
+// Step processes one event observed at now and appends the effects to out.
 func (r *Runner) Step(now clock.Time, ev Event, out []Effect) []Effect {
 	r.now = max(r.now, now)
 	r.lastViolations = r.lastViolations[:0]
@@ -70,8 +71,8 @@
 	return r.scheduleTick(out)
 }
 
-// Violations returns how many broken invariants were found since the start,
-// and those of the last Step.
+// Violations returns the number of broken invariants found since the start,
+// and those found by the last Step.
 func (r *Runner) Violations() (total uint64, last []Violation) {
 	return r.violationCount, r.lastViolations
 }
@@ -80,8 +81,8 @@
 type Status struct {
 	Shift    string
 	Decision Decision
-	// Writing says that a write's outcome is not known. Unless the platform
-	// is down, it stays so for seconds at most.
+	// Writing is true while a write's outcome is not known, which lasts for
+	// seconds at most unless the platform is down.
 	Writing bool
 }
 
@@ -94,14 +95,15 @@
 	return out
 }
 
-// holdsLease reports whether this process may write. A lease that has run out by
-// the own clock is not held, whatever the last Duty said: the process may have
-// been paused since.
+// holdsLease reports whether this process may write. A lease that has expired
+// by the local clock is not held, whatever the last Duty stated: the process
+// may have been paused since.
 func (r *Runner) holdsLease() bool {
 	return r.duty.Held && r.now.Before(r.duty.Until)
 }
 
-// configure takes a catalogue, unless it is older than the one in force.
+// configure puts a catalogue in force unless it is not newer than the present
+// one.
 func (r *Runner) configure(c *catalogue.Catalogue) {
 	if c == nil || (r.catalogue != nil && c.Revision <= r.catalogue.Revision) {
 		return
@@ -123,7 +125,8 @@
 	return nil
 }
 
-// updateEntry brings an entry to the version s of its shift.
+// updateEntry updates an entry, or makes it if it is nil, to the version s of
+// its shift.
 func (r *Runner) updateEntry(e *entry, s catalogue.Shift) *entry {
 	if e == nil {
 		e = &entry{codeSince: r.now}
@@ -144,9 +147,10 @@
 	return e
 }
 
-// assumeRecentStep makes the entry of a shift that had moved before this process knew it.
-// The last step may have been taken just now, and either way: so the share is
-// taken as just reached by a whole step.
+// assumeRecentStep sets the progress of a shift that had moved traffic before
+// this process knew it. The last step may have been taken just now and in
+// either direction, so the entry assumes that a whole step has just reached the
+// share.
 func (e *entry) assumeRecentStep(now clock.Time, s catalogue.Shift) {
 	step := s.Limits.WithDefaults().Step
 	e.shift.Share = s.Share - min(s.Share, step)
@@ -166,14 +170,14 @@
 	}
 }
 
-// trackErrors follows breaches of error bounds.
+// trackErrors updates how long error bounds have been exceeded.
 func (r *Runner) trackErrors() {
 	for i, e := range r.entries {
 		e.progress = TrackErrors(r.opts, r.input(i, nil))
 	}
 }
 
-// recordResult takes the result of a write.
+// recordResult applies the result of a write.
 func (r *Runner) recordResult(res WriteResult) {
 	for _, e := range r.entries {
 		if e.write.id == 0 || e.write.id != res.ID {
@@ -209,7 +213,8 @@
 	return out
 }
 
-// setDecision takes a decision and follows how long its code has stood.
+// setDecision stores a decision and the time at which its code or action
+// changed.
 func (e *entry) setDecision(now clock.Time, d Decision) {
 	if d.Reason.Code != e.decision.Reason.Code || d.Action != e.decision.Action {
 		e.codeSince = now
@@ -217,7 +222,7 @@
 	e.decision = d
 }
 
-// input gathers what the plan for entry i rests on.
+// input returns the input of the plan for entry i.
 func (r *Runner) input(i int, held []Reservation) Input {
 	e := r.entries[i]
 	in := Input{
@@ -241,8 +246,8 @@
 	return in
 }
 
-// reservations returns the headroom held by steps that don't show in the
-// figures yet: those seen in force lately and those being written.
+// reservations returns the headroom reserved by steps that the figures don't
+// include yet: those that came into force lately and those being written.
 func (r *Runner) reservations() []Reservation {
 	var held []Reservation
 	for _, e := range r.entries {
@@ -272,7 +277,7 @@
 	}
 }
 
-// scheduleTick asks for a Tick while there is something to advance.
+// scheduleTick requests a Tick while there is a shift to advance.
 func (r *Runner) scheduleTick(out []Effect) []Effect {
 	if r.wakeAt <= r.now {
 		r.wakeAt = clock.Never
--- a/decide/shift/table.go
+++ b/decide/shift/table.go
@@ -8,13 +8,13 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// Table answers where shifts send a block of clients. It is immutable and safe
-// for concurrent use.
+// Table returns the region to which shifts move a client block. It is
+// immutable and safe for concurrent use.
 type Table struct {
 	routes map[fleet.Region][]route
 }
 
-// route is one moving shift, ready for look-ups.
+// route is one moving shift in the form that look-ups use.
 type route struct {
 	id      string
 	service fleet.ServiceName // empty: every service
@@ -23,7 +23,7 @@
 	share   catalogue.Share
 }
 
-// NewTable builds the table of the shifts that move traffic in c.
+// NewTable builds the table of the shifts of c that move traffic.
 func NewTable(c *catalogue.Catalogue) *Table {
 	t := &Table{routes: make(map[fleet.Region][]route)}
 	for _, s := range moving(c) {
@@ -36,9 +36,10 @@
 	return t
 }
 
-// Region returns where the block of clients at home in the given region is
-// sent for a service, and by which shift. If moved is true and to is empty,
-// the shift sends it to any other region, by weight. It allocates nothing.
+// Region returns the region to which the client block, at home in the given
+// region, is moved for a service, and the shift that moves it. If moved is true
+// and to is empty, the block goes to any other region, by weight. It allocates
+// nothing.
 func (t *Table) Region(service fleet.ServiceName, home fleet.Region, block uint64) (to fleet.Region, shiftID string, moved bool) {
 	for i := range t.routes[home] {
 		r := &t.routes[home][i]
@@ -52,8 +53,8 @@
 	return "", "", false
 }
 
-// moving returns the shifts of c that move traffic, in the order of their ids,
-// which is the order in which they take blocks and headroom.
+// moving returns the shifts of c that move traffic, in the order of their ids.
+// Shifts take blocks and headroom in this order.
 func moving(c *catalogue.Catalogue) []catalogue.Shift {
 	if c == nil {
 		return nil
--- a/decide/shift/write.go
+++ b/decide/shift/write.go
@@ -2,9 +2,10 @@
 
 import "github.com/azurethread/azurethread/decide/catalogue"
 
-// startWrite returns the write that carries out the entry's decision, if there is
-// one and it may be made now, and notes it as outstanding. While the platform
-// can't be reached there is none, as every plan holds with PlatformCutOff.
+// startWrite returns the write that carries out the entry's decision and
+// records it as outstanding. It returns false if no write is needed or allowed
+// now. While the platform can't be reached none is needed, as every plan holds
+// with PlatformCutOff.
 func (r *Runner) startWrite(e *entry) (Write, bool) {
 	if !r.holdsLease() || e.write.id != 0 || r.now.Before(e.retryAt) {
 		return Write{}, false
@@ -19,8 +20,8 @@
 	return w, true
 }
 
-// plannedWrite returns the entry as the decision would have it, and false if it is
-// so already.
+// plannedWrite returns the write that makes the entry match the decision, and
+// false if none is needed.
 func (e *entry) plannedWrite(r *Runner) (Write, bool) {
 	s := &e.shift
 	w := Write{
@@ -40,9 +41,9 @@
 	return w, e.publishesHold(r)
 }
 
-// publishesHold reports whether operators must be told of the hold through the
-// catalogue. Waits that belong to an undisturbed advance are not worth a write,
-// nor are reasons that come and go, nor new figures under the same code.
+// publishesHold reports whether a hold is written to the catalogue for
+// operators to see. Waits of a normal advance are not written, nor are
+// short-lived reasons, nor new figures under the same code.
 func (e *entry) publishesHold(r *Runner) bool {
 	code := e.decision.Reason.Code
 	switch code {
