--- a/decide/catalogue/catalogue.go
+++ b/decide/catalogue/catalogue.go
@@ -1,9 +1,9 @@
-// Package catalogue holds what operators decide: the services, and the
-// traffic shifts with their owners, classes and limits.
+// Package catalogue defines the configuration that operators set: the services,
+// and the traffic shifts with their owners, classes and limits.
 //
-// A Catalogue is immutable once published. Its Revision is one totally
-// ordered number: the platform's compare-and-swap gives out each revision
-// once, and no daemon ever applies a lower one than it has seen.
+// A Catalogue is immutable once published. Revisions are totally ordered: the
+// platform's compare-and-swap assigns each revision once, and no daemon applies
+// a lower revision than one that it has seen.
 package catalogue
 
 import (
@@ -23,30 +23,31 @@
 type Priority string
 
 const (
-	// Interactive work has a person waiting, such as a table look-up.
+	// Interactive requests have a person waiting, such as a table look-up.
 	Interactive Priority = "interactive"
-	// Deferrable work may wait in a queue, such as a permit submission.
+	// Deferrable requests may wait in a queue, such as a permit submission.
 	Deferrable Priority = "deferrable"
 )
 
-// Service describes how requests of one service are treated.
+// Service defines how requests of one service are treated.
 type Service struct {
 	Name fleet.ServiceName `json:"name" yaml:"name"`
-	// Idempotent says that running a request twice does no harm. The safe
+	// Idempotent is true if running a request twice does no harm. The safe
 	// default is false.
 	Idempotent bool `json:"idempotent" yaml:"idempotent"`
-	// Priority under overload; empty means deferrable.
+	// Priority is the service's priority under overload; empty means
+	// deferrable.
 	Priority Priority `json:"priority" yaml:"priority"`
-	// Timeout bounds a request that states no deadline. Zero means 10 s.
+	// Timeout bounds a request without a deadline of its own. Zero means 10 s.
 	Timeout Duration `json:"timeout" yaml:"timeout"`
-	// TokenOptional lets callers of a non-idempotent service send without a
-	// one-time token; their own re-sends are then not recognised.
+	// TokenOptional lets callers of a non-idempotent service omit the one-time
+	// token; requests that they send again are then not recognised.
 	TokenOptional bool `json:"token_optional" yaml:"token_optional"`
 	// Revision is the catalogue revision that last changed this service.
 	Revision uint64 `json:"revision" yaml:"revision"`
 }
 
-// Class is the kind of traffic shift; it decides who must approve.
+// Class is the kind of traffic shift; it determines who must approve it.
 type Class string
 
 const (
@@ -54,17 +55,19 @@
 	Rehearsal Class = "rehearsal"
 	// Maintenance shifts are planned drains and need approval by a second operator.
 	Maintenance Class = "maintenance"
-	// Emergency shifts may be approved by their author; the audit log says so.
+	// Emergency shifts may be approved by their author; the audit log records it.
 	Emergency Class = "emergency"
 )
 
-// NeedsSecondOperator reports whether the author may not approve alone.
+// NeedsSecondOperator reports whether an operator other than the author must
+// approve.
 func (c Class) NeedsSecondOperator() bool { return c != Emergency }
 
 // ShiftState is the life-cycle state of a traffic shift.
 type ShiftState string
 
-// The states of a traffic shift, in the order of an undisturbed one.
+// The states of a traffic shift. Without a pause or rollback it passes from
+// draft through approved and running to done.
 const (
 	Draft      ShiftState = "draft"
 	Approved   ShiftState = "approved"
@@ -75,11 +78,11 @@
 )
 
 // Moves reports whether traffic is moved in this state: a paused shift keeps
-// its share, and a finished one keeps it until removed or rolled back.
+// its share, and a done shift keeps it until it is removed or rolled back.
 func (s ShiftState) Moves() bool { return s == Running || s == Paused || s == Done }
 
-// ShareUnit is the whole of a share: shares are counted in parts of 10,000,
-// so one unit is 0.01%.
+// ShareUnit is the share of all traffic: shares are in units of 1/10,000, so
+// one unit is 0.01%.
 const ShareUnit = 10000
 
 // Share is a part of the traffic, in units of 1/ShareUnit.
@@ -89,7 +92,7 @@
 // is moved to region To, step by step.
 type Shift struct {
 	ID      string            `json:"id" yaml:"id"`
-	Owner   string            `json:"owner" yaml:"owner"`   // team answerable for the shift
+	Owner   string            `json:"owner" yaml:"owner"`   // team responsible for the shift
 	Author  string            `json:"author" yaml:"author"` // operator who last changed it
 	Class   Class             `json:"class" yaml:"class"`
 	Service fleet.ServiceName `json:"service" yaml:"service"` // empty: every service
@@ -101,17 +104,17 @@
 	ApprovedBy string     `json:"approved_by" yaml:"approved_by"`
 	Share      Share      `json:"share" yaml:"share"`           // share moved now, at most Limits.MaxShare
 	SteppedAt  int64      `json:"stepped_at" yaml:"stepped_at"` // Unix ns of the last step
-	Hold       string     `json:"hold,omitempty" yaml:"hold"`   // why the shift stands still; empty while it advances
+	Hold       string     `json:"hold,omitempty" yaml:"hold"`   // why the shift holds; empty while it advances
 	Revision   uint64     `json:"revision" yaml:"revision"`     // catalogue revision that last changed this entry
-	Generation uint64     `json:"generation" yaml:"generation"` // rises with every change of what operators wrote
+	Generation uint64     `json:"generation" yaml:"generation"` // rises with every draft that an operator writes
 }
 
-// Limits bound a shift. A zero limit takes the documented default.
+// Limits bound a shift. A zero limit takes its default.
 type Limits struct {
 	// MaxShare is the cap: the largest share of From's traffic moved, in
-	// 1/10,000. It has no default and must be stated.
+	// 1/10,000. It has no default and must be set.
 	MaxShare Share `json:"max_share" yaml:"max_share"`
-	// Step is the largest increase at once; default 500 (5%).
+	// Step is the largest increase per step; default 500 (5%).
 	Step Share `json:"step" yaml:"step"`
 	// Interval is the least time between two steps; default 30s.
 	Interval Duration `json:"interval" yaml:"interval"`
@@ -124,7 +127,7 @@
 	// MaxP99 is the receiver's p99 latency above which the shift holds;
 	// default 2s.
 	MaxP99 Duration `json:"max_p99" yaml:"max_p99"`
-	// Window limits the calendar time in which the shift may advance.
+	// Window is the calendar time in which the shift may advance.
 	Window Window `json:"window" yaml:"window"`
 }
 
@@ -134,7 +137,7 @@
 	End   time.Time `json:"end" yaml:"end"`
 }
 
-// Contains reports whether w holds the instant t.
+// Contains reports whether the instant t lies in w.
 func (w Window) Contains(t time.Time) bool {
 	if !w.Start.IsZero() && t.Before(w.Start) {
 		return false
@@ -142,7 +145,7 @@
 	return w.End.IsZero() || t.Before(w.End)
 }
 
-// The defaults of limits and services that state none.
+// The defaults of limits and services.
 const (
 	DefaultStep          Share = 500
 	DefaultInterval            = 30 * time.Second
