--- a/decide/steer/lookup.go
+++ b/decide/steer/lookup.go
@@ -10,16 +10,16 @@
 
 // Times to live of answers.
 const (
-	// TTLSteady is given while nothing moves. It bounds how long a caller
-	// keeps using an entry VM that has left or an outdated weight.
+	// TTLSteady is the normal time to live. It bounds how long a caller uses
+	// an entry VM that has left or an outdated weight.
 	TTLSteady = 20 * time.Second
-	// TTLMoving is given while a shift steps the client's traffic, while the
-	// chosen domain is nearly full, and to clients away from their home
-	// region, so that the next change reaches callers soon.
+	// TTLMoving applies while a shift of the client's traffic is running,
+	// while the chosen domain is nearly full, and to clients whose home region
+	// has no live entry VM, so that callers see the next change soon.
 	TTLMoving = 5 * time.Second
 )
 
-// NearlyFullWeight is the weight at or below which a domain counts as nearly full.
+// NearlyFullWeight is the weight at or below which a domain is nearly full.
 const NearlyFullWeight = FullWeight / 2
 
 // MaxChoices is the largest number of entry VMs in an answer.
@@ -34,24 +34,24 @@
 	Site   fleet.Site
 }
 
-// Answer is the result of a look-up. The choices are in the slice that the
-// caller has handed in.
+// Answer is the result of a look-up. Its choices are in the slice passed to
+// Lookup.
 type Answer struct {
 	N      int           // number of choices; 0 when no entry VM is live
 	TTL    time.Duration // how long the caller may keep the answer
 	Home   fleet.Region  // the client's own region
 	Region fleet.Region  // the region of the first choice; empty when N is 0
-	// Block is the hash of the client's block; shares of traffic are counted
-	// by it.
+	// Block is the hash of the client's block, by which shares of traffic are
+	// counted.
 	Block uint64
-	// Known is false for clients that no block holds.
+	// Known is false for clients that are in no block.
 	Known bool
-	// Moved is true where the shift ShiftID sends the client to Region.
+	// Moved is true if the shift ShiftID moves the client to Region.
 	Moved   bool
 	ShiftID string
 }
 
-// client is what a look-up knows about the client's block.
+// client is the client's block and its home.
 type client struct {
 	hash  uint64
 	home  homeRef
@@ -59,7 +59,7 @@
 }
 
 // Lookup fills out with entry VMs for a client of service, best first, and
-// describes them. It uses at most MaxChoices elements of out, should be given
+// describes them. It uses at most MaxChoices elements of out, which should have
 // at least two, and allocates nothing.
 func (v *View) Lookup(service fleet.ServiceName, addr netip.Addr, out []Choice) Answer {
 	out = out[:min(len(out), MaxChoices)]
@@ -89,7 +89,7 @@
 	return a
 }
 
-// client finds the block of addr and its home.
+// client returns the block of addr and its home.
 func (v *View) client(addr netip.Addr) client {
 	if m, ok := v.blocks.Lookup(addr); ok {
 		return client{hash: block.Hash(m.Prefix), home: v.homes[m.Home], known: true}
@@ -100,7 +100,7 @@
 	}
 }
 
-// row returns the index of the service's weights.
+// row returns the index of the service's row of weights.
 func (v *View) row(service fleet.ServiceName) int {
 	if i, ok := v.byService[service]; ok {
 		return i
@@ -110,8 +110,8 @@
 
 // shiftTarget returns the region to which a traffic shift moves the client.
 //
-// A shift whose receiver has no live entry VM moves nobody: its clients would
-// find nothing there, while their home region may still serve them.
+// A shift whose receiver has no live entry VM moves no clients: nothing could
+// serve them there, while their home region may still do so.
 func (v *View) shiftTarget(service fleet.ServiceName, c client, row int) (to int, id string, moved bool) {
 	if v.shifts == nil {
 		return -1, "", false
@@ -128,7 +128,8 @@
 	return to, id, to >= 0
 }
 
-// shiftRunning reports whether a running shift takes traffic of service out of home.
+// shiftRunning reports whether a running shift moves traffic of service out of
+// home.
 func (v *View) shiftRunning(service fleet.ServiceName, home fleet.Region) bool {
 	for i := range v.running {
 		r := &v.running[i]
@@ -139,9 +140,10 @@
 	return false
 }
 
-// fillChoices writes the choices: the best entry VM of each domain, then the second
-// ones. Where the region has one domain only, the last choice is in another
-// region, so that the loss of a domain leaves the caller somewhere to go.
+// fillChoices writes the choices: the best entry VM of each domain, then the
+// second best of each. If the region has only one domain, the last choice is in
+// another region, so that the caller still has an entry VM if the domain is
+// lost.
 func (v *View) fillChoices(out []Choice, r *ranking, c client, row, target int) int {
 	local := out
 	if r.n == 1 && len(out) > 1 {
@@ -153,8 +155,8 @@
 	}
 	other := v.nextRegion(c, row, target)
 	if other < 0 && c.home.region != target {
-		// The client was moved and there is no third region. Home still
-		// beats an answer that one domain's loss makes useless.
+		// The client was moved and there is no third region. The home region
+		// is still better than choices in one domain only.
 		other = c.home.region
 	}
 	if other < 0 {
@@ -166,6 +168,7 @@
 	return n + 1
 }
 
+// fillLocal writes the choices of the region that r ranks.
 func (v *View) fillLocal(out []Choice, r *ranking) int {
 	n := 0
 	for i := 0; i < r.n && n < len(out); i++ {
--- a/decide/steer/rendezvous.go
+++ b/decide/steer/rendezvous.go
@@ -8,13 +8,14 @@
 // candidate is a failure domain in the order of an answer.
 type candidate struct {
 	domain int
-	tier   int     // position among the preferred domains that keep the block
-	score  float64 // weighted draw; larger is better
+	tier   int     // index among the block's preferred domains, or notPreferred
+	score  float64 // weighted score; larger is better
 	best   int     // index in View.vms
-	second int     // index in View.vms; -1 where the domain has one entry VM
+	second int     // index in View.vms; -1 if the domain has one entry VM
 }
 
-// notPreferred is the tier of domains that are chosen by score.
+// notPreferred is the tier of domains that are ranked by score: those that the
+// block doesn't prefer, or that don't keep it at their weight.
 const notPreferred = math.MaxInt
 
 func (c *candidate) better(o *candidate) bool {
@@ -30,7 +31,7 @@
 	n          int
 }
 
-// insert adds c, dropping the worst candidate where the ranking is full.
+// insert adds c and drops the worst candidate if the ranking is full.
 func (r *ranking) insert(c candidate) {
 	i := r.n
 	if i == len(r.candidates) {
@@ -50,11 +51,10 @@
 
 // rank orders the failure domains of a region for a block.
 //
-// All entry VMs of a domain have the same weight, so the best weighted draw of
-// the domain is the weighted best draw. That takes one logarithm a domain
-// instead of one a VM and gives the same order; where all domains have the
-// same weight, the order of the draws is the order of the scores, and none is
-// taken.
+// All entry VMs of a domain have the same weight, so only the highest score of
+// the domain needs to be weighted. This takes one logarithm per domain instead
+// of one per VM and gives the same order. If all domains have the same weight,
+// weighting doesn't change the order and no logarithm is taken.
 func (v *View) rank(r *ranking, region int, hash uint64, row int, preferred []int) {
 	g := &v.regions[region]
 	even := v.evenWeights[row][region]
@@ -76,15 +76,15 @@
 	}
 }
 
-// scoreIndexMask is the low part of a draw, which holds the place of the entry VM
-// in its domain; the rest is random.
+// scoreIndexMask masks the low bits of a score, which hold the index of the
+// entry VM in its domain; the other bits are a hash.
 const scoreIndexMask = 1<<16 - 1
 
-// topScores returns the two best draws of the entry VMs of domain d; the second is
-// 0 where there is only one VM.
+// topScores returns the two highest scores of the entry VMs of domain d; the
+// second is 0 if there is only one VM.
 //
-// The maxima are taken without branches, as which draw wins is random and
-// every wrong guess of the processor costs more than the draw.
+// The maxima are computed without branches: which score is higher is random,
+// and a mispredicted branch costs more than computing the score.
 func (v *View) topScores(d int, hash uint64) (first, second uint64) {
 	from, to := v.domains[d].from, v.domains[d].to
 	for i, seed := range v.seeds[from:to] {
@@ -95,9 +95,11 @@
 	return first, second
 }
 
-// vmOfScore returns the index in View.vms of the entry VM that made the draw.
+// vmOfScore returns the index in View.vms of the entry VM of domain d that has
+// the score x.
 func (v *View) vmOfScore(d int, x uint64) int { return v.domains[d].from + int(x&scoreIndexMask) }
 
+// tierOf returns the index of domain d in preferred, or notPreferred.
 func tierOf(d int, preferred []int) int {
 	for i, p := range preferred {
 		if p == d {
@@ -107,15 +109,17 @@
 	return notPreferred
 }
 
-// keepsBlock reports whether a preferred domain of weight w keeps the block. The
-// kept blocks of a smaller weight are among those of a larger one.
+// keepsBlock reports whether a preferred domain of weight w keeps the block.
+// The blocks kept at a smaller weight are a subset of those kept at a larger
+// one.
 func keepsBlock(hash, seed uint64, w Weight) bool {
 	hi, _ := bits.Mul64(mix(hash^seed), uint64(FullWeight))
 	return hi < uint64(w)
 }
 
-// nextRegion chooses a region other than except by rendezvous over the
-// regions' weights for the service's row, or -1 where there is none.
+// nextRegion selects a region other than except and the client's home by
+// rendezvous hashing over the regions' weights in the service's row. It returns
+// -1 if there is none.
 func (v *View) nextRegion(c client, row, except int) int {
 	best, score := -1, math.Inf(-1)
 	for i := range v.regions {
@@ -135,8 +139,8 @@
 	return (float64(x>>11) + 0.5) / (1 << 53)
 }
 
-// mix spreads x over all 64 bits (the finaliser of MurmurHash3), so that the
-// draws of VMs whose seeds differ in few bits are independent.
+// mix is the finaliser of MurmurHash3. It spreads differences over all 64 bits,
+// so that the scores of VMs whose seeds differ in few bits are independent.
 func mix(x uint64) uint64 {
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
--- a/decide/steer/slope/slope.go
+++ b/decide/steer/slope/slope.go
@@ -1,9 +1,9 @@
-// Package slope defines the measured series that capacity is worked out from.
+// Package slope defines the measured series from which capacity is computed.
 //
 // A benchmark that measures a cost at several sizes writes a File; `azurethread
-// capacity` fits a line to each series and extends it to the size asked for.
-// One shape for all of them lets the page say of every figure by which command
-// and on which machine it was measured.
+// capacity` fits a line to each series and extrapolates it to the requested
+// size. With one format for all series, the capacity page can state the command
+// and the machine behind every figure.
 package slope
 
 // File is the content of one file of series.
@@ -14,12 +14,12 @@
 // Series is one cost measured at several sizes.
 type Series struct {
 	Name    string  `json:"name"`    // such as "lookup/blocks"; unique over all files
-	Title   string  `json:"title"`   // what is measured, in a few words
+	Title   string  `json:"title"`   // short description of the measured cost
 	Unit    string  `json:"unit"`    // of Y
-	X       string  `json:"x"`       // what is varied, such as "blocks"
+	X       string  `json:"x"`       // the quantity that is varied, such as "blocks"
 	Points  []Point `json:"points"`  // ascending by X
-	Command string  `json:"command"` // that measures the series anew
-	Cores   int     `json:"cores"`   // cores the run could use
+	Command string  `json:"command"` // command that measures the series again
+	Cores   int     `json:"cores"`   // cores available to the run
 	Date    string  `json:"date"`    // of the run, as YYYY-MM-DD
 }
 
--- a/decide/steer/steertest/steertest.go
+++ b/decide/steer/steertest/steertest.go
@@ -1,4 +1,4 @@
-// Package steertest makes fleets of entry VMs for tests and benchmarks.
+// Package steertest generates fleets of entry VMs for tests and benchmarks.
 package steertest
 
 import (
@@ -15,14 +15,14 @@
 	Regions, Domains, Sites, VMs int
 }
 
-// Planned is the fleet that docs/CAPACITY.md is worked out for.
+// Planned is the size of fleet that docs/CAPACITY.md assumes.
 var Planned = Size{Regions: 22, Domains: 77, Sites: 940, VMs: 3300}
 
 // Topology returns the regions and failure domains of s.
 func (s Size) Topology() block.Topology { return blocktest.Topology(s.Regions, s.Domains) }
 
-// Fleet returns the entry VMs of s, all live. Sites are dealt out to domains
-// and VMs to sites in turn, so that their numbers differ by one at most.
+// Fleet returns the entry VMs of s, all live. Sites are assigned to domains and
+// VMs to sites round-robin, so that their numbers differ by one at most.
 func (s Size) Fleet() []fleet.VM {
 	vms := make([]fleet.VM, s.VMs)
 	for i := range vms {
--- a/decide/steer/view.go
+++ b/decide/steer/view.go
@@ -10,11 +10,11 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// Shifts resolves where traffic shifts send a client's requests.
+// Shifts resolves the region to which traffic shifts move a client block.
 type Shifts interface {
-	// Region returns the region that the block of clients is sent to instead
-	// of home. Where moved is true and to is empty, the block goes to any
-	// other region by weight.
+	// Region returns the region to which the block is moved from home. If
+	// moved is true and to is empty, the block goes to any other region, by
+	// weight.
 	Region(service fleet.ServiceName, home fleet.Region, block uint64) (to fleet.Region, shiftID string, moved bool)
 }
 
@@ -25,7 +25,7 @@
 }
 
 // Route is the traffic of one service from one region to another. An empty
-// Service stands for every service, an empty To for every other region.
+// Service means every service, an empty To every other region.
 type Route struct {
 	Service  fleet.ServiceName
 	From, To fleet.Region
@@ -34,23 +34,24 @@
 // Inputs is what a View is built from. The View keeps no reference to the
 // slices and maps; Blocks and Shifts must not change afterwards.
 type Inputs struct {
-	// Self is the region of this entry VM; clients that no block holds are
-	// taken to be at home in it.
+	// Self is the region of this entry VM, and the home region of clients
+	// that are in no block.
 	Self   fleet.Region
-	Blocks *block.Table // nil: every client is at home in Self
-	VMs    []fleet.VM   // any state; only Live ones are answered
-	// Weights are the shares of its normal traffic that each failure domain
-	// takes of each service, as Damper gives them. A missing one is FullWeight.
+	Blocks *block.Table // nil: Self is the home region of every client
+	VMs    []fleet.VM   // in any state; answers contain only Live ones
+	// Weights holds, for each failure domain and service, the share of its
+	// normal traffic that the domain takes, as determined by Damper. A
+	// missing weight is FullWeight.
 	Weights map[DomainService]Weight
-	Shifts  Shifts // nil: nothing is shifted
-	// Running are the routes of the shifts that are being stepped now.
+	Shifts  Shifts // nil: no shifts
+	// Running holds the routes of the running shifts.
 	Running []Route
 }
 
-// View is an immutable snapshot that look-ups are answered from. It is safe
-// for use by many goroutines.
+// View is an immutable snapshot from which look-ups are answered. It is safe
+// for concurrent use.
 type View struct {
-	self     int // index of the own region; -1 where it has no entry VM
+	self     int // index of the own region; -1 if it has no live entry VM
 	selfName fleet.Region
 	blocks   *block.Table
 	shifts   Shifts
@@ -66,11 +67,11 @@
 	// weights holds one row per service named in Inputs.Weights and a last
 	// row of full weights for all others; a row has one weight per domain.
 	weights [][]Weight
-	// evenWeights marks, in the same rows, the regions all of whose domains have one
-	// weight.
+	// evenWeights marks, in the same rows, the regions whose domains all have
+	// the same weight.
 	evenWeights [][]bool
-	// regionWeights is the weight of each region: VMs times weight over its domains,
-	// in the same rows.
+	// regionWeights holds, in the same rows, the weight of each region: the
+	// sum of VMs times weight over its domains.
 	regionWeights [][]float64
 }
 
@@ -88,8 +89,8 @@
 	from, to int // its domains in View.domains
 }
 
-// homeRef is a block.Home in indexes of the View. The region is -1 where it
-// has no live entry VM; preferred domains without one are left out.
+// homeRef is a block.Home as indexes into the View. The region is -1 if it has
+// no live entry VM; preferred domains without one are left out.
 type homeRef struct {
 	region  int
 	name    fleet.Region
@@ -147,7 +148,7 @@
 }
 
 // seedOf hashes a name with its kind: an entry VM may have its domain's name,
-// and their draws must still be independent.
+// and their scores must still be independent.
 func seedOf[T ~string](kind string, name T) uint64 {
 	return xxhash.Sum64String(kind + "/" + string(name))
 }
@@ -159,8 +160,8 @@
 	return -1
 }
 
-// addHomes resolves the names of the table's homes once, so that look-ups
-// compare numbers.
+// addHomes resolves the names of the table's homes to indexes, so that look-ups
+// compare no names.
 func (v *View) addHomes(t *block.Table) {
 	v.homes = make([]homeRef, t.Homes())
 	for i := range v.homes {
@@ -185,8 +186,8 @@
 	return out
 }
 
-// addWeights lays the weights out in rows by service. Its loops run over the
-// map in any order and write each value to its own place.
+// addWeights arranges the weights in rows by service. The result doesn't depend
+// on the order of iteration, as each weight has a place of its own.
 func (v *View) addWeights(weights map[DomainService]Weight) {
 	byDomain := make(map[fleet.Domain]int, len(v.domains))
 	for i, d := range v.domains {
@@ -247,8 +248,8 @@
 	return even
 }
 
-// compareVMs orders by region, domain and id; of one id, the latest
-// incarnation comes first.
+// compareVMs orders by region, domain and id, and VMs of one id by descending
+// incarnation.
 func compareVMs(a, b fleet.VM) int {
 	return cmp.Or(
 		cmp.Compare(a.Region, b.Region),
--- a/decide/steer/weight.go
+++ b/decide/steer/weight.go
@@ -11,35 +11,39 @@
 // units of 1/FullWeight.
 type Weight uint16
 
-// FullWeight is the weight of a domain that takes all of its traffic.
+// FullWeight is the weight of a domain that takes all of its normal traffic.
 const FullWeight Weight = 10000
 
-// The rule by which a Damper turns headroom into weights.
+// The parameters by which a Damper derives weights from headroom.
 //
-// Between LowHeadroom and HighHeadroom a weight rests. A step multiplies the
-// weight, and with it the load, and no step is large enough to carry the load
-// from one side of that band to the other: at most 0.75 of the capacity times
-// 1.1 stays below 0.9, and at least 0.9 times 0.9, or 0.98 times 0.8, stays
-// above 0.75. So weights come to rest instead of swinging, whatever the load.
+// Between LowHeadroom and HighHeadroom a weight stays unchanged. A step
+// multiplies the weight, and with it the load, and no step is large enough to
+// move the load from one side of that band to the other: at most 0.75 of the
+// capacity times 1.1 stays below 0.9, and at least 0.9 times 0.9, or 0.98 times
+// 0.8, stays above 0.75. Weights therefore converge instead of oscillating,
+// whatever the load.
 const (
 	// LowHeadroom is the free share of capacity below which the weight falls
 	// by a tenth.
 	LowHeadroom = 0.10
-	// CriticalHeadroom is the one below which it falls by a fifth.
+	// CriticalHeadroom is the free share of capacity below which the weight
+	// falls by a fifth.
 	CriticalHeadroom = 0.02
-	// HighHeadroom is the one above which it rises by a tenth.
+	// HighHeadroom is the free share of capacity above which the weight rises
+	// by a tenth.
 	HighHeadroom = 0.25
-	// AmpleHeadroom is the one above which it rises by a quarter.
+	// AmpleHeadroom is the free share of capacity above which the weight rises
+	// by a quarter.
 	AmpleHeadroom = 0.50
-	// MinWeight keeps a little traffic on a domain, without which its
-	// headroom could not be measured again.
+	// MinWeight keeps some traffic on a domain, without which its headroom
+	// could not be measured again.
 	MinWeight Weight = FullWeight / 50
-	// Settle is how long a step takes to show: callers keep answers for
-	// TTLSteady, and 5 s cover the age and averaging of load reports.
+	// Settle is the time until load reports show a step: callers keep answers
+	// for TTLSteady, and 5 s cover the age and averaging of load reports.
 	Settle = TTLSteady + 5*time.Second
 )
 
-// Damper keeps the weights of all failure domains and services. The zero
+// Damper maintains the weights of all failure domains and services. The zero
 // Damper is ready for use; domains without reports have FullWeight. It is not
 // safe for concurrent use.
 type Damper struct {
@@ -51,15 +55,15 @@
 	steppedAt clock.Time
 }
 
-// Observe takes at now a report of the free share of a domain's capacity for a
-// service, from 0 to 1, as measured at the instant measuredAt, and returns
-// whether the weight has changed.
+// Observe processes at now a report of the free share of a domain's capacity
+// for a service, from 0 to 1, measured at measuredAt. It reports whether the
+// weight has changed.
 //
-// A report measured before the last step can have shown in the load is
-// ignored. Acting on it would count the same shortage twice: the weight would
-// fall too far, the load would flow back, and the domains would swing. The step
-// counts from now, when it is taken, and not from the report behind it, which
-// may be many seconds old.
+// A report measured before the last step could affect the load is ignored.
+// Acting on it would count the same shortage twice: the weight would fall too
+// far, the load would return, and the domains would oscillate. The time of the
+// step is now, when it is taken, and not that of its report, which may be many
+// seconds old.
 func (d *Damper) Observe(key DomainService, headroom float64, now, measuredAt clock.Time) bool {
 	s, known := d.states[key]
 	if !known {
@@ -79,7 +83,7 @@
 	return true
 }
 
-// nextWeight applies one step. Headroom that is not a number changes nothing.
+// nextWeight applies one step. NaN headroom leaves the weight unchanged.
 func nextWeight(w Weight, headroom float64) Weight {
 	switch {
 	case headroom < CriticalHeadroom:
@@ -105,8 +109,8 @@
 	return weights
 }
 
-// Retain forgets the domains for which keep returns false, such as those that
-// have left the fleet.
+// Retain deletes the weights of domains for which keep returns false, such as
+// those that have left the fleet.
 func (d *Damper) Retain(keep func(DomainService) bool) {
 	maps.DeleteFunc(d.states, func(k DomainService, _ domainWeight) bool { return !keep(k) })
 }
