--- a/decide/shift/drain_test.go
+++ b/decide/shift/drain_test.go
@@ -8,10 +8,10 @@
 	"github.com/azurethread/azurethread/decide/catalogue"
 )
 
-// drainPolicy advances the share of a drain; the baselines know no figures.
+// drainPolicy advances the share of a drain. The baselines use no figures.
 type drainPolicy struct {
 	name  string
-	share func(since, interval time.Duration) catalogue.Share // nil: the Runner
+	share func(since, interval time.Duration) catalogue.Share // nil: the Runner decides
 }
 
 // drainStep is the step of every policy but all-at-once.
@@ -28,7 +28,7 @@
 // BenchmarkDrain drains one region of three in the world model, in virtual
 // time: run it with -benchtime 1x. Metrics: the highest load of a receiver in
 // percent of its capacity, the part of the region's load that is moved after
-// 20 minutes, and the time in which what is moved then (but 1%) had moved.
+// 20 minutes, and the time until all of that part but 1% had moved.
 func BenchmarkDrain(b *testing.B) {
 	for _, d := range drainCases() {
 		for _, p := range drainPolicies {
@@ -44,7 +44,7 @@
 // drainCase is one row of the benchmark.
 type drainCase struct {
 	headroom catalogue.Share
-	load     int // percent of capacity, in every region
+	load     int // percent of capacity, the same in every region
 	interval time.Duration
 	lag      time.Duration // age of reports
 }
@@ -96,7 +96,7 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// setShare sets the share of the only shift without asking anybody.
+// setShare sets the share of the only shift, bypassing the Runner.
 func (w *world) setShare(share catalogue.Share) {
 	if w.cat.Shifts[0].Share == share {
 		return
--- a/decide/shift/main_test.go
+++ b/decide/shift/main_test.go
@@ -6,11 +6,11 @@
 	"testing"
 )
 
-// The randomised runs of CI are repeatable and take seconds. Long runs give
-// -rapid.seed, -rapid.steps and -rapid.checks themselves.
+// By default the randomised tests are repeatable and take seconds. Long runs
+// set -rapid.seed, -rapid.steps and -rapid.checks.
 const (
 	fixedSeed  = "20261202"
-	fixedSteps = "200" // actions a run, on average
+	fixedSteps = "200" // mean number of actions per run
 )
 
 func TestMain(m *testing.M) {
--- a/decide/shift/plan_test.go
+++ b/decide/shift/plan_test.go
@@ -13,11 +13,11 @@
 	"github.com/azurethread/azurethread/decide/verdict"
 )
 
-// planNow is when the shift of planInput, stepped to 1000 an hour ago, is
-// planned.
+// planNow is the instant at which planInput is planned, one hour after its
+// shift stepped to 1000.
 var planNow = at(2 * time.Hour)
 
-// planInput is a shift that would take a whole step.
+// planInput returns the input of a shift that would take a whole step.
 func planInput() Input {
 	span := Span{Since: planNow.Add(-4 * time.Second), Until: planNow.Add(-2 * time.Second)}
 	load := func(r fleet.Region) Load {
@@ -43,7 +43,7 @@
 func receiverLoad(in *Input) *Load { return &in.Evidence.Loads[1] }
 func countOf(in *Input) *Count     { return &in.Evidence.Counts[0] }
 
-// lastingErrors makes errors last for a minute.
+// lastingErrors makes the receiver's errors exceed their bound for a minute.
 func lastingErrors(in *Input) {
 	receiverLoad(in).ErrorShare = 200
 	in.Progress.BreachSince, in.Progress.BreachUntil = planNow.Add(-time.Minute), planNow
@@ -58,7 +58,7 @@
 		code   Code
 	}{
 		{"whole step", func(in *Input) {}, Advance, 1500, None},
-		{"cap near", func(in *Input) {
+		{"cap closer than a step", func(in *Input) {
 			in.Shift.Limits.MaxShare = 1200
 			countOf(in).Total = 0
 			countOf(in).ByPosition = [Positions]uint64{}
@@ -72,24 +72,24 @@
 		{"after window", func(in *Input) { in.Shift.Limits.Window.End = planNow.Wall() }, Hold, 1000, OutsideWindow},
 		{"no services", func(in *Input) { in.Services = nil }, Hold, 1000, NoServices},
 		{"sender dead", func(in *Input) { senderLoad(in).State = fleet.Dead }, Hold, 1000, SenderNotLive},
-		{"receiver emptying", func(in *Input) {
+		{"receiver being drained", func(in *Input) {
 			in.Others = []catalogue.Shift{{ID: "other", From: "kriti", To: "makedonia"}}
 		}, Hold, 1000, ReceiverEmptying},
-		{"other service emptying", func(in *Input) {
+		{"receiver drained of another service", func(in *Input) {
 			in.Others = []catalogue.Shift{{ID: "other", From: "kriti", Service: "permit-file"}}
 			in.Shift.Service = worldService
 		}, Advance, 1500, None},
-		{"interval, as seen here", func(in *Input) { in.Progress.SteppedAt = planNow.Add(-29 * time.Second) }, Hold, 1000, WaitingInterval},
-		{"interval, as written", func(in *Input) { in.Shift.SteppedAt = int64(planNow.Add(-29 * time.Second)) }, Hold, 1000, WaitingInterval},
+		{"interval by this process's clock", func(in *Input) { in.Progress.SteppedAt = planNow.Add(-29 * time.Second) }, Hold, 1000, WaitingInterval},
+		{"interval by the catalogue", func(in *Input) { in.Shift.SteppedAt = int64(planNow.Add(-29 * time.Second)) }, Hold, 1000, WaitingInterval},
 		{"figures from before the step", func(in *Input) {
 			in.Shift.Limits.Interval = 1
 			in.Progress.SteppedAt = receiverLoad(in).Since.Add(-DefaultSettle + 1)
 		}, Hold, 1000, AwaitingProof},
-		{"figures begin with the step in effect", func(in *Input) {
+		{"figures begin when the step is in effect", func(in *Input) {
 			in.Shift.Limits.Interval = 1
 			in.Progress.SteppedAt = receiverLoad(in).Since.Add(-DefaultSettle)
 		}, Advance, 1500, None},
-		{"figures from before callers' old answers ran out", func(in *Input) {
+		{"figures from before callers' old answers expired", func(in *Input) {
 			in.Shift.Limits.Interval = 1
 			in.Progress.SteppedAt = receiverLoad(in).Since.Add(-DefaultSettle)
 			in.Progress.StartedAt = receiverLoad(in).Since.Add(-DefaultSettleSteady + 1)
@@ -99,7 +99,7 @@
 			in.Progress.SteppedAt = receiverLoad(in).Since.Add(-DefaultSettle)
 			countOf(in).Since--
 		}, Hold, 1000, AwaitingProof},
-		{"count from before the step, no cap to pass", func(in *Input) {
+		{"count from before the step, cap of 100%", func(in *Input) {
 			in.Shift.Limits.Interval = 1
 			in.Shift.Limits.MaxShare = catalogue.ShareUnit
 			in.Progress.SteppedAt = receiverLoad(in).Since.Add(-DefaultSettle)
@@ -115,11 +115,11 @@
 		{"no count", func(in *Input) { in.Evidence.Counts = nil }, Hold, 1000, StaleMeasurement},
 		{"load lacks reports", func(in *Input) { receiverLoad(in).Missing = 1 }, Hold, 1000, StaleMeasurement},
 		{"in flight not a number", func(in *Input) { receiverLoad(in).InFlight = math.NaN() }, Hold, 1000, StaleMeasurement},
-		{"endless capacity", func(in *Input) { receiverLoad(in).Capacity = math.Inf(1) }, Hold, 1000, StaleMeasurement},
-		{"count against itself", func(in *Input) { countOf(in).Total++ }, Hold, 1000, StaleMeasurement},
-		{"cold", func(in *Input) { receiverLoad(in).Warming = true }, Hold, 1000, ColdCache},
-		{"slow", func(in *Input) { receiverLoad(in).P99 = 2*time.Second + 1 }, Hold, 1000, Latency},
-		{"errors", func(in *Input) { receiverLoad(in).ErrorShare = 101 }, Hold, 1000, Errors},
+		{"infinite capacity", func(in *Input) { receiverLoad(in).Capacity = math.Inf(1) }, Hold, 1000, StaleMeasurement},
+		{"inconsistent count", func(in *Input) { countOf(in).Total++ }, Hold, 1000, StaleMeasurement},
+		{"cold cache", func(in *Input) { receiverLoad(in).Warming = true }, Hold, 1000, ColdCache},
+		{"p99 over the bound", func(in *Input) { receiverLoad(in).P99 = 2*time.Second + 1 }, Hold, 1000, Latency},
+		{"errors over the bound", func(in *Input) { receiverLoad(in).ErrorShare = 101 }, Hold, 1000, Errors},
 		{"errors of few requests", func(in *Input) { receiverLoad(in).ErrorShare = 101; receiverLoad(in).Requests = 49 }, Advance, 1500, None},
 		{"part of a step", func(in *Input) { receiverLoad(in).InFlight = 31 }, Advance, 1200, NoHeadroom},
 		{"no headroom", func(in *Input) { receiverLoad(in).InFlight = 31.9 }, Hold, 1000, NoHeadroom},
@@ -129,7 +129,7 @@
 		{"unknown load reserved", func(in *Input) {
 			in.Reserved = []Reservation{{Shift: "other", Region: "kriti", Service: worldService, Slots: math.Inf(1)}}
 		}, Hold, 1000, SharedHeadroom},
-		{"busy block ahead", func(in *Input) {
+		{"busy block within the next step", func(in *Input) {
 			countOf(in).Total += 300000
 			countOf(in).ByPosition[12] += 300000
 		}, Advance, 1200, CountedShare},
@@ -151,17 +151,17 @@
 		{"receiver dead, sender nearly full", func(in *Input) { receiverLoad(in).State = fleet.Dead; senderLoad(in).InFlight = 30 }, Recede, 500, ReceiverNotLive},
 		{"receiver dead, sender full", func(in *Input) { receiverLoad(in).State = fleet.Dead; senderLoad(in).InFlight = 32 }, Hold, 1000, NoHeadroom},
 		{"receiver dead, sender leaving", func(in *Input) { receiverLoad(in).State = fleet.Dead; senderLoad(in).State = fleet.Leaving }, Hold, 1000, SenderNotLive},
-		{"receiver dead, many steps", func(in *Input) { receiverLoad(in).State = fleet.Dead; in.Shift.Limits.Step = 100 }, Recede, 600, ReceiverNotLive},
-		{"receiver dead, last step back not shown", func(in *Input) {
+		{"receiver dead, more than BackSteps to move back", func(in *Input) { receiverLoad(in).State = fleet.Dead; in.Shift.Limits.Step = 100 }, Recede, 600, ReceiverNotLive},
+		{"receiver dead, last step back not in the figures", func(in *Input) {
 			receiverLoad(in).State = fleet.Dead
 			in.Progress = Progress{SteppedAt: planNow.Add(-10 * time.Second), LastStepDown: true}
 		}, Hold, 1000, AwaitingProof},
-		{"receiver dead, last step forward not shown", func(in *Input) {
+		{"receiver dead, last step forward not in the figures", func(in *Input) {
 			receiverLoad(in).State = fleet.Dead
 			in.Progress = Progress{SteppedAt: planNow.Add(-10 * time.Second)}
 		}, Recede, 0, ReceiverNotLive},
-		{"errors for long", lastingErrors, RollBack, 0, RollingBack},
-		{"errors for long, sender full", func(in *Input) { lastingErrors(in); senderLoad(in).InFlight = 32 }, Hold, 1000, RollingBack},
+		{"lasting errors", lastingErrors, RollBack, 0, RollingBack},
+		{"lasting errors, sender full", func(in *Input) { lastingErrors(in); senderLoad(in).InFlight = 32 }, Hold, 1000, RollingBack},
 		{"errors have ceased while rolling back", func(in *Input) { in.Shift.Hold = "rolling-back: errors" }, RollBack, 0, RollingBack},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -178,8 +178,9 @@
 	}
 }
 
-// TestCheck: every rule of Check finds the decision that breaks it, so that
-// the randomised runs, which rest on it, can fail.
+// TestCheckInvariantsFindsEachViolation checks that each rule of
+// CheckInvariants finds a decision that breaks it. The randomised tests rely on
+// CheckInvariants and could not fail otherwise.
 func TestCheckInvariantsFindsEachViolation(t *testing.T) {
 	rise := Decision{Action: Advance, Share: 1500}
 	for _, c := range []struct {
@@ -216,8 +217,8 @@
 	}
 }
 
-// newPlanRunner returns a Runner that holds the lease and has planInput's evidence
-// and shift, seen for the first time at now.
+// newPlanRunner returns a Runner without the lease that has planInput's
+// evidence and shift, first seen at now, with the given share.
 func newPlanRunner(now clock.Time, share catalogue.Share) *Runner {
 	in := planInput()
 	s := in.Shift
@@ -239,24 +240,25 @@
 	return out
 }
 
-// TestTakeover: symptom: two steps within one interval. Sequence: a runner
-// dies just after a step; a process that has only just started takes over.
-// Cause: it can't know when the step was taken, so it takes it as taken now.
+// TestTakeoverWaitsWholeInterval guards against two steps within one interval
+// when a runner dies just after a step and a newly started process takes over.
+// The new process can't know when the step was taken and must assume that it
+// was taken now.
 func TestTakeoverWaitsWholeInterval(t *testing.T) {
 	is := is.New(t)
 	r := newPlanRunner(planNow, 1000)
 	is.Equal(len(writes(r.Step(planNow, Duty{Held: true, Until: clock.Never}, nil))), 0)
 	is.Equal(r.Status(nil)[0].Decision.Reason.Code, WaitingInterval)
 	held := r.reservations()
-	is.Equal(len(held), 1) // the step may not show yet
+	is.Equal(len(held), 1) // the figures may not include the step yet
 	is.Equal(held[0].Region, fleet.Region("kriti"))
 	is.Equal(held[0].Slots, 2.0)                // a step of 5% of 20 slots, cold
-	is.True(r.entries[0].progress.LastStepDown) // nor is it known which way it went
+	is.True(r.entries[0].progress.LastStepDown) // the direction of the step is not known
 }
 
-// TestOldCatalogue: symptom: a shift goes back to a share it had before.
-// Sequence: the platform's service returns with older data. Cause: a revision
-// taken for newer than it is.
+// TestOlderCatalogueIsIgnored guards against a shift returning to an earlier
+// share when the platform's service comes back with older data: the runner must
+// not put an older revision in force.
 func TestOlderCatalogueIsIgnored(t *testing.T) {
 	is := is.New(t)
 	r := newPlanRunner(planNow, 1000)
@@ -264,8 +266,8 @@
 	is.Equal(len(r.Status(nil)), 1)
 }
 
-// TestFailedWrite: symptom: hundreds of writes a second. Sequence: a write is
-// refused without effect, and made again at once, and so on. Cause: no wait.
+// TestFailedWriteIsRetriedAfterDelay guards against hundreds of writes a second
+// when a write is refused without effect and repeated at once, without a wait.
 func TestFailedWriteIsRetriedAfterDelay(t *testing.T) {
 	is := is.New(t)
 	r := newPlanRunner(planNow, 0)
--- a/decide/shift/random_test.go
+++ b/decide/shift/random_test.go
@@ -14,9 +14,9 @@
 )
 
 // TestRandomEvidence drives a Runner with evidence that is stale, late,
-// incomplete, contradictory or not even numbers, and with leases, outages,
-// conflicts and lost answers at random. Whatever it is told, its writes keep
-// the limits that can be judged without believing the evidence.
+// incomplete, inconsistent or not numeric, and with random leases, outages,
+// conflicts and lost answers. Whatever the input, its writes must keep all
+// limits that can be checked without relying on the evidence.
 func TestRandomEvidence(t *testing.T) {
 	events, rises := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -45,16 +45,16 @@
 
 var regionNames = []fleet.Region{"attiki", "kriti", "makedonia"}
 
-// harness holds what the test knows apart from the Runner.
+// harness holds the state of the test, independent of the Runner's.
 type harness struct {
 	t         *rapid.T
 	r         *Runner
 	now       clock.Time
 	cat       catalogue.Catalogue
-	delivered catalogue.Catalogue // the one the Runner has
+	delivered catalogue.Catalogue // last catalogue that the Runner received
 	lease     Duty
 	reachable bool
-	open      map[string]Write // by shift
+	open      map[string]Write // outstanding writes by shift
 	lastRise  map[string]clock.Time
 	events    int
 	rises     int
@@ -69,28 +69,28 @@
 	}
 }
 
-// checkWrite checks one write and keeps it open.
+// checkWrite checks one write and records it as outstanding.
 func (h *harness) checkWrite(w Write) {
 	s, ok := h.delivered.Shift(w.Shift)
 	l := s.Limits.WithDefaults()
 	_, second := h.open[w.Shift]
 	switch {
 	case !ok || !s.State.Moves():
-		h.t.Fatalf("write of a shift that moves nothing: %+v", w)
+		h.t.Fatalf("write for a shift that is not moving traffic: %+v", w)
 	case !h.lease.Held || h.now >= h.lease.Until || !h.reachable:
-		h.t.Fatalf("write without lease or platform: %+v", w)
+		h.t.Fatalf("write without the lease or the platform: %+v", w)
 	case second:
-		h.t.Fatalf("second write while one is open: %+v", w)
+		h.t.Fatalf("second write while one is outstanding: %+v", w)
 	case w.Expect != s.Revision:
-		h.t.Fatalf("write based on %d, entry at %d", w.Expect, s.Revision)
+		h.t.Fatalf("write expects revision %d, entry is at %d", w.Expect, s.Revision)
 	case w.Share > l.MaxShare || (w.Share > s.Share && w.Share-s.Share > l.Step):
-		h.t.Fatalf("from %d to %d under %+v", s.Share, w.Share, l)
+		h.t.Fatalf("share changes from %d to %d under limits %+v", s.Share, w.Share, l)
 	case w.Share > s.Share && (s.State != catalogue.Running || ParseCode(s.Hold) == RollingBack):
-		h.t.Fatalf("rise of a shift that is %s, %q", s.State, s.Hold)
+		h.t.Fatalf("share of shift %s rises in state %s, hold %q", w.Shift, s.State, s.Hold)
 	case w.Share > s.Share && !l.Window.Contains(h.now.Wall()):
-		h.t.Fatalf("rise outside the window")
+		h.t.Fatalf("share of shift %s rises outside its window, at %s", w.Shift, h.now.Wall())
 	case w.Share > s.Share && h.lastRise[w.Shift] != 0 && h.now.Sub(h.lastRise[w.Shift]) < time.Duration(l.Interval):
-		h.t.Fatalf("rise after %s", h.now.Sub(h.lastRise[w.Shift]))
+		h.t.Fatalf("share of shift %s rises %s after the last rise", w.Shift, h.now.Sub(h.lastRise[w.Shift]))
 	}
 	h.open[w.Shift] = w
 	if w.Share > s.Share {
@@ -111,7 +111,7 @@
 		},
 	}
 	// Most shifts go from the first two regions to the third; the others hold
-	// because a receiver is being emptied.
+	// because a receiver is being drained.
 	s.From, s.To = regionNames[len(h.cat.Shifts)%2], "makedonia"
 	if rapid.IntRange(0, 5).Draw(t, "any receiver") == 0 {
 		s.To = ""
@@ -122,7 +122,7 @@
 	h.cat.Shifts = append(h.cat.Shifts[:len(h.cat.Shifts):len(h.cat.Shifts)], s)
 }
 
-// drawNumber draws a figure that may be no number at all.
+// drawNumber draws a figure that may be NaN, infinite or out of range.
 func drawNumber(t *rapid.T, label string) float64 {
 	odd := []float64{math.NaN(), math.Inf(1), -1, 0, 1e18}
 	if rapid.IntRange(0, 9).Draw(t, label+" odd") == 0 {
@@ -162,7 +162,8 @@
 	h.step(Measured{Evidence: e})
 }
 
-// goodEvidence brings evidence that lets shifts advance, so that runs get anywhere.
+// goodEvidence delivers evidence under which shifts can advance, so that runs
+// make progress.
 func (h *harness) goodEvidence(t *rapid.T) {
 	h.now = h.now.Add(time.Duration(rapid.IntRange(1, 60).Draw(t, "seconds")) * time.Second)
 	h.reachable = true
@@ -191,7 +192,7 @@
 	h.configure(t)
 }
 
-// configure hands the Runner the newest catalogue.
+// configure delivers the latest catalogue to the Runner.
 func (h *harness) configure(t *rapid.T) {
 	h.delivered = h.cat
 	for id, w := range h.open {
@@ -203,13 +204,13 @@
 	h.step(Configured{Catalogue: &c})
 }
 
-// operator changes an entry, so that an open write conflicts.
+// operator changes an entry, so that an outstanding write conflicts.
 func (h *harness) operator(t *rapid.T) {
 	states := []catalogue.ShiftState{catalogue.Running, catalogue.Running, catalogue.Paused, catalogue.Done}
 	h.update(t, func(s *catalogue.Shift) {
 		s.State, s.Hold = rapid.SampledFrom(states).Draw(t, "state"), ""
 		if s.Share == s.Limits.MaxShare {
-			s.Share = 0 // started anew
+			s.Share = 0 // the shift is started again
 		}
 	})
 }
@@ -235,7 +236,8 @@
 	h.step(Platform{Reachable: h.reachable})
 }
 
-// result settles an open write in one of the ways that a platform can.
+// result delivers one of the results that the platform can give for an
+// outstanding write.
 func (h *harness) result(t *rapid.T) {
 	for _, id := range []string{"x", "y", "z"} {
 		w, ok := h.open[id]
@@ -255,7 +257,7 @@
 		h.step(res)
 		return
 	}
-	t.Skip("no write is open")
+	t.Skip("no outstanding write")
 }
 
 // applyWrite carries out a write by compare-and-swap.
@@ -288,12 +290,13 @@
 	}
 }
 
-// randomWorldBlocks a region keep the random worlds quick under the race detector.
+// randomWorldBlocks is the number of blocks per region in random worlds. It is
+// small so that the test is quick under the race detector.
 const randomWorldBlocks = 200
 
-// TestRandomWorld lets shifts run in the world model under random load, lag,
-// cold caches, skew and faults. No region passes its true capacity, no shift
-// its cap, as the model counts them, and the catalogue accepts every write.
+// TestRandomWorld runs shifts in the world model under random load, lag, cold
+// caches, skew and faults. By the model's own figures no region may exceed its
+// capacity and no shift its cap, and the catalogue must accept every write.
 func TestRandomWorld(t *testing.T) {
 	moved := 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -302,7 +305,7 @@
 		w := newWorld(rapid.Uint64().Draw(t, "seed"), randomWorldBlocks, load, 40)
 		w.lag = time.Duration(rapid.IntRange(1000, 5000).Draw(t, "lag")) * time.Millisecond
 		w.cold = rapid.Float64Range(1, 2).Draw(t, "cold")
-		// No headroom covers demand that swings by more.
+		// Demand that varies by more is not covered by the headroom.
 		w.noise = rapid.Float64Range(0, float64(headroom)/20000).Draw(t, "noise")
 		if rapid.Bool().Draw(t, "skew") {
 			skew(w, rapid.Float64Range(0.05, 0.4).Draw(t, "heavy"))
@@ -346,8 +349,8 @@
 }
 
 func randomShift(t *rapid.T, i, headroom int) catalogue.Shift {
-	// Shifts leave the first two regions for the third, or one of the first
-	// two for all others, so that none works against another.
+	// All shifts go from one of the first two regions to the third, so that
+	// none moves traffic out of another's receiver.
 	s := catalogue.Shift{ID: string(rune('x' + i)), From: regionNames[i%2], To: "makedonia"}
 	if i == 2 {
 		s.From = regionNames[0]
@@ -384,17 +387,17 @@
 	}
 }
 
-// checkWorld allows a sampling tolerance on the cap only: counts are samples.
+// checkWorld allows a tolerance on the cap only, because counts are samples.
 func checkWorld(t *rapid.T, w *world) {
 	const tolerance = 0.01
 	for _, r := range w.regions {
 		if r.peak > 1 {
-			t.Fatalf("%s reached %.1f%% of its capacity", r.name, 100*r.peak)
+			t.Fatalf("region %s reached %.1f%% of its capacity", r.name, 100*r.peak)
 		}
 	}
 	for _, s := range w.cat.Shifts {
 		if m := w.movedBy(s.ID); m > fractionOf(s.Limits.MaxShare)+tolerance {
-			t.Fatalf("shift %s moves %.2f%% of cap %.2f%%", s.ID, 100*m, 100*fractionOf(s.Limits.MaxShare))
+			t.Fatalf("shift %s moves %.2f%%, cap %.2f%%", s.ID, 100*m, 100*fractionOf(s.Limits.MaxShare))
 		}
 	}
 	for _, k := range w.runners {
--- a/decide/shift/session_test.go
+++ b/decide/shift/session_test.go
@@ -14,8 +14,8 @@
 	"github.com/azurethread/azurethread/decide/verdict"
 )
 
-// TestSessions runs the golden sessions under testdata: a world of three
-// regions, and the runners of the processes a and b.
+// TestSessions runs the golden sessions under testdata in a world of three
+// regions with the runners of two processes, a and b.
 func TestSessions(t *testing.T) {
 	datadriven.Walk(t, "testdata/sessions", func(t *testing.T, path string) {
 		s := &session{}
@@ -92,7 +92,7 @@
 	}})
 }
 
-// set changes the world: its faults and who holds the lease.
+// set changes faults of the world and the holder of the lease.
 func (s *session) set(t *testing.T, d *datadriven.TestData) {
 	for _, arg := range d.CmdArgs {
 		v := arg.Vals[0]
@@ -142,8 +142,8 @@
 	t.Fatalf("unknown region %q", name)
 }
 
-// setHeavyBlock gives the block of attiki with the lowest position in the shift the
-// given part of its region's traffic.
+// setHeavyBlock gives the block of attiki with the lowest position in the shift
+// the given part of its region's traffic.
 func (s *session) setHeavyBlock(id string, weight float64) {
 	var lowest *worldBlock
 	rest := 0.0
--- a/decide/shift/seam_test.go
+++ b/decide/shift/stopped_test.go
@@ -9,11 +9,10 @@
 	"github.com/azurethread/azurethread/decide/change"
 )
 
-// Symptom: a paused or done shift stays over its cap, and its runner's write is
+// A shift stops at its cap, a client that it has moved grows, and the count
+// exceeds the cap. If the catalogue accepted steps of running shifts only, a
+// paused or done shift would stay over its cap and the runner's write would be
 // refused every two seconds.
-// Sequence: a shift stops at its cap; a client that it has moved grows; the
-// count passes the cap.
-// Cause: a catalogue that took steps of running shifts only.
 func TestCountOverCapLowersStoppedShift(t *testing.T) {
 	for _, state := range []catalogue.ShiftState{catalogue.Paused, catalogue.Done} {
 		is := is.New(t)
--- a/decide/shift/table_test.go
+++ b/decide/shift/table_test.go
@@ -19,7 +19,8 @@
 	return catalogue.Shift{ID: id, From: from, To: to, Share: share, State: catalogue.Running, Limits: catalogue.Limits{MaxShare: share}}
 }
 
-// TestNested: a growing share only adds blocks, and moves its part of them.
+// TestGrowingShareOnlyAddsBlocks checks that a growing share only adds blocks
+// and moves its proportional part of them.
 func TestGrowingShareOnlyAddsBlocks(t *testing.T) {
 	is := is.New(t)
 	const blocks = 20000
@@ -32,7 +33,7 @@
 			s := running("drain", "attiki", "kriti", catalogue.Share(i*1000))
 			_, id, now := tableOf(s).Region("x", "attiki", b)
 			is.Equal(now, Moved(&s, b))
-			is.True(now || !before) // a block never returns as the share grows
+			is.True(now || !before) // no block moves back as the share grows
 			is.True(!now || id == "drain")
 			before = now
 			if now {
@@ -47,9 +48,9 @@
 	is.Equal(moved[10], blocks)
 }
 
-// TestSeveralFromOneRegion: blocks of both shifts go with the lower id, each
-// shift moves at most its share, and the order in the catalogue is of no
-// account.
+// TestShiftsFromOneRegion checks that the shift with the lower id moves the
+// blocks that two shifts select, that each moves at most its share, and that
+// the order in the catalogue doesn't matter.
 func TestShiftsFromOneRegion(t *testing.T) {
 	is := is.New(t)
 	a, b := running("a", "attiki", "kriti", 3000), running("b", "attiki", "", 5000)
@@ -66,7 +67,7 @@
 		count[id]++
 	}
 	is.True(count["a"] > 2800 && count["a"] < 3200)
-	is.True(count["b"] > 3300 && count["b"] < 3700) // half of what a leaves
+	is.True(count["b"] > 3300 && count["b"] < 3700) // half of the blocks that a doesn't move
 }
 
 func TestTableMovesOnlyMatchingTraffic(t *testing.T) {
@@ -79,16 +80,16 @@
 	_, _, moved := table.Region("permit-file", "attiki", 1)
 	is.True(!moved)
 	_, _, moved = table.Region(worldService, "kriti", 1)
-	is.True(!moved) // the receiver's own
+	is.True(!moved) // at home in the receiver
 	_, _, moved = table.Region(worldService, "makedonia", 1)
 	is.True(!moved) // rolled back
 	_, _, moved = table.Region(worldService, "attiki", 1)
 	is.True(moved)
 }
 
-// TestGate: symptom: one caller's block grows, and the shift moves half of all
-// look-ups under a cap of a tenth. Sequence: every second look-up comes from a
-// block below the share. Cause: a share of blocks is not one of look-ups.
+// TestGateKeepsCap guards against a shift that moves half of all look-ups under
+// a cap of a tenth because one caller's block grows and makes every second
+// look-up: a share of blocks is not a share of look-ups.
 func TestGateKeepsCap(t *testing.T) {
 	is := is.New(t)
 	s := running("drain", "attiki", "kriti", 1000)
@@ -106,7 +107,7 @@
 		}
 		is.True(moved*10 <= total)
 	}
-	is.True(moved >= 999) // and it uses what the cap allows
+	is.True(moved >= 999) // the cap is used in full
 	is.True(!g.Pass(0, worldService, "attiki", "unknown"))
 	is.True(!g.Pass(0, worldService, "kriti", "drain"))
 	is.True(!g.Pass(at(2*GateWindow), worldService, "attiki", "drain")) // a new window
--- a/decide/shift/world_test.go
+++ b/decide/shift/world_test.go
@@ -18,40 +18,40 @@
 
 const (
 	worldService         = fleet.ServiceName("calc-lookup")
-	worldTTL             = 5 * time.Second  // callers keep look-up answers of a running shift
-	worldSteadyTTL       = 20 * time.Second // and others
-	worldSpread          = 2 * time.Second  // a catalogue is in force everywhere
-	worldWarmUp          = 20 * time.Second // a moved block costs more for so long
-	worldReportWindow    = 2 * time.Second  // of reports
-	worldBlocksPerRegion = 600              // a region
+	worldTTL             = 5 * time.Second  // time to live of look-up answers while a shift is running
+	worldSteadyTTL       = 20 * time.Second // time to live of other look-up answers
+	worldSpread          = 2 * time.Second  // until a catalogue is in force everywhere
+	worldWarmUp          = 20 * time.Second // for which a moved block costs more
+	worldReportWindow    = 2 * time.Second  // measurement window of reports
+	worldBlocksPerRegion = 600
 )
 
-// world is a model of regions under load, apart from the code that plans: it
-// knows where every block of clients really is and what it costs there.
+// world is a model of regions under load, independent of the planning code: it
+// holds the actual region of every client block and its cost there.
 type world struct {
 	now      clock.Time
 	rng      *rand.Rand
 	regions  []*worldRegion
 	blocks   []*worldBlock
 	lag      time.Duration // age of reports
-	cold     float64       // cost of a block that has just moved
-	noise    float64       // relative, on every block's weight, each second
+	cold     float64       // cost of a block that has just moved, as a multiple of its weight
+	noise    float64       // relative change of every block's weight, each second
 	cat      catalogue.Catalogue
 	inForce  []published
 	samples  []sample
 	runners  map[string]*worldRunner
-	lease    string
-	platform bool
+	lease    string // name of the holder
+	platform bool   // reachable
 	log      func(string, ...any)
-	refused  error // a write that the catalogue refused, but for conflicts
+	refused  error // from a write that the catalogue refused, except conflicts
 }
 
 type worldRegion struct {
 	name     fleet.Region
 	capacity float64
-	started  clock.Time // of the last shift out of it
+	started  clock.Time // when the last shift out of it started
 	dead     bool
-	silent   clock.Time // since when there are no reports; 0: there are
+	silent   clock.Time // since when there are no reports; 0 if there are
 	errors   catalogue.Share
 	load     float64
 	peak     float64 // highest load over capacity
@@ -60,11 +60,11 @@
 type worldBlock struct {
 	hash       uint64
 	home       int
-	at         int
+	at         int           // present region
 	weight     float64       // slots
 	delay      time.Duration // from a new table to the next look-up
 	firstDelay time.Duration // the same, for the answer kept when a shift starts
-	since      clock.Time    // when it came to where it is
+	since      clock.Time    // when it moved to its present region
 	movedBy    string
 }
 
@@ -82,12 +82,12 @@
 type worldRunner struct {
 	r       *Runner
 	out     []Effect
-	seen    uint64 // catalogue revision
+	seen    uint64 // last catalogue revision delivered
 	paused  bool
 	writes  []delayedWrite
-	delay   time.Duration // of writes
-	last    map[string]string
-	verdict verdict.Verdict // of writes that are carried out
+	delay   time.Duration     // of writes
+	last    map[string]string // last action and code by shift
+	verdict verdict.Verdict   // of writes that are carried out
 }
 
 type delayedWrite struct {
@@ -95,8 +95,8 @@
 	w  Write
 }
 
-// newWorld builds three regions of equal capacity, in slots, each with the given
-// number of blocks at home, whose load is the given part of it.
+// newWorld builds three regions of equal capacity, in slots. Each has the given
+// number of blocks at home, whose load is the given part of the capacity.
 func newWorld(seed uint64, blocks int, load, capacity float64) *world {
 	w := &world{
 		now:      at(time.Hour),
@@ -144,7 +144,7 @@
 	w.inForce = append(w.inForce, published{at: w.now, table: NewTable(&c)})
 }
 
-// runner returns the runner of a process, started on first use.
+// runner returns the runner of a process and creates it on first use.
 func (w *world) runner(name string) *worldRunner {
 	if w.runners[name] == nil {
 		w.runners[name] = &worldRunner{r: NewRunner(Options{}), last: map[string]string{}, verdict: verdict.Ran}
@@ -152,7 +152,7 @@
 	return w.runners[name]
 }
 
-// run lets the time pass, a second at a time.
+// run advances the world by d in steps of one second.
 func (w *world) run(d time.Duration) {
 	for end := w.now.Add(d); w.now < end; {
 		w.now = w.now.Add(time.Second)
@@ -166,7 +166,7 @@
 	}
 }
 
-// move sends each block where the table it has last asked sends it.
+// move places each block according to the table of its last look-up.
 func (w *world) move() {
 	for _, r := range w.regions {
 		r.load = 0
@@ -188,6 +188,7 @@
 	}
 }
 
+// regionOf returns the index of the region in which a block is served now.
 func (w *world) regionOf(b *worldBlock) int {
 	t := w.inForce[0].table
 	for i := len(w.inForce) - 1; i > 0; i-- {
@@ -213,7 +214,7 @@
 	return b.home
 }
 
-// measure takes a sample of loads and, through real Counters, of counts.
+// measure records a sample of loads and, from a real Counter, of counts.
 func (w *world) measure() {
 	s := sample{at: w.now}
 	for _, r := range w.regions {
@@ -221,7 +222,7 @@
 	}
 	k := NewCounter(w.now.Add(-time.Second), &w.cat)
 	for _, b := range w.blocks {
-		// One request of 50 ms for each 1/20 slot that the block keeps busy.
+		// One request of 50 ms for each 1/20 slot that the block occupies.
 		n := b.weight * 20
 		requests := int(n)
 		if w.rng.Float64() < n-float64(requests) {
@@ -238,7 +239,7 @@
 	}
 }
 
-// evidence is what reports of the given age show.
+// evidence returns what reports of the age w.lag show.
 func (w *world) evidence() Evidence {
 	var e Evidence
 	until := w.now.Add(-w.lag)
@@ -269,7 +270,7 @@
 	return e
 }
 
-// recentCounts joins the counts of the last CountWindow, as far as they reach.
+// recentCounts joins the available counts of the last CountWindow.
 func (w *world) recentCounts(until clock.Time) []Count {
 	var out []Count
 	for _, s := range w.samples {
@@ -287,7 +288,7 @@
 	return out
 }
 
-// step feeds one runner what it would see now.
+// step delivers the present events to one runner.
 func (w *world) step(name string, k *worldRunner) {
 	w.carryOut(name, k)
 	if k.paused {
@@ -326,10 +327,10 @@
 	}
 }
 
-// isLogged leaves out the waits of an undisturbed shift.
+// isLogged is false for the waits of a normal advance.
 func isLogged(c Code) bool { return c != AwaitingProof && c != WaitingInterval }
 
-// carryOut brings due writes to the catalogue, as the driver would.
+// carryOut applies due writes to the catalogue, as the driver does.
 func (w *world) carryOut(name string, k *worldRunner) {
 	var later []delayedWrite
 	for _, d := range k.writes {
@@ -357,7 +358,7 @@
 	k.writes = later
 }
 
-// operation is what the driver makes of a Write.
+// operation returns the operation into which the driver turns a Write.
 func operation(w Write) change.Operation {
 	op := change.Operation{ID: strconv.FormatUint(w.ID, 10), Operator: change.RunnerName}
 	if w.State == catalogue.RolledBack {
@@ -385,7 +386,7 @@
 }
 
 // movedBy returns the part of the load of a shift's sender that the shift has
-// taken elsewhere.
+// moved.
 func (w *world) movedBy(id string) float64 {
 	s, _ := w.cat.Shift(id)
 	all, away := 0.0, 0.0
--- a/decide/steer/bench_test.go
+++ b/decide/steer/bench_test.go
@@ -12,11 +12,11 @@
 	"github.com/azurethread/azurethread/decide/steer/steertest"
 )
 
-// plannedBlocks is the number of client blocks that capacity is worked out for.
+// plannedBlocks is the number of client blocks that capacity planning assumes.
 const plannedBlocks = 2_300_000
 
-// benchClients is the number of clients that look-up benchmarks go through; a
-// power of two.
+// benchClients is the number of clients that look-up benchmarks cycle through.
+// It must be a power of two.
 const benchClients = 1 << 16
 
 func benchLookup(v *steer.View, addrs []netip.Addr) func(*testing.B) {
@@ -68,8 +68,8 @@
 
 var patchSizes = []int{1, 10, 100, 1000, 10_000}
 
-// deltaOf returns a delta that gives n blocks, spread over the table, another
-// home.
+// deltaOf returns a delta that changes the home of n blocks, spread over the
+// table.
 func deltaOf(tab *block.Table, blocks []block.Block, n int) block.Delta {
 	changed := slices.Clone(blocks)
 	for i := range n {
@@ -83,7 +83,7 @@
 	b := block.NewBuilder(nil)
 	for _, x := range blocks {
 		if err := b.Add(x.Prefix, x.Home); err != nil {
-			panic(err) // the generator makes valid blocks only
+			panic(err) // generated blocks are always valid
 		}
 	}
 	t, err := b.Build()
--- a/decide/steer/lookup_test.go
+++ b/decide/steer/lookup_test.go
@@ -16,13 +16,13 @@
 
 const service = fleet.ServiceName("calc-lookup")
 
-// smallFleet is the size of a deployment of today, with one site a domain.
+// smallFleet has the size of a present deployment, with one site per domain.
 var smallFleet = steertest.Size{Regions: 3, Domains: 6, Sites: 6, VMs: 12}
 
-// mediumFleet has enough of everything for shares to be measured.
+// mediumFleet is large enough to measure shares of clients.
 var mediumFleet = steertest.Size{Regions: 4, Domains: 12, Sites: 48, VMs: 192}
 
-// oddHashShift moves blocks of odd hash out of one region.
+// oddHashShift moves the blocks with an odd hash out of one region.
 type oddHashShift struct {
 	from, to fleet.Region
 }
@@ -34,7 +34,7 @@
 	return h.to, "rehearsal-1", true
 }
 
-// lookupAll returns the answer for every address.
+// lookupAll returns the answer and the choices for every address.
 func lookupAll(v *steer.View, addrs []netip.Addr) (answers []steer.Answer, choices [][]steer.Choice) {
 	for _, a := range addrs {
 		out := make([]steer.Choice, 4)
@@ -45,6 +45,7 @@
 	return answers, choices
 }
 
+// distinctDomains returns the number of failure domains in choices.
 func distinctDomains(choices []steer.Choice) int {
 	var names []fleet.Domain
 	for _, c := range choices {
@@ -54,6 +55,7 @@
 	return len(slices.Compact(names))
 }
 
+// distinctVMs returns the number of entry VMs in choices.
 func distinctVMs(choices []steer.Choice) int {
 	vms := map[fleet.VMID]bool{}
 	for _, c := range choices {
@@ -100,10 +102,9 @@
 	is.Equal(answers[0].Block, answers[1].Block) // one /24
 }
 
-// Symptom: callers keep being sent to a VM that refuses them.
-// Sequence: an entry VM announces that it leaves, or is found dead.
-// Cause: a look-up must answer live entry VMs only; the others stay listed
-// until the platform's lagging list drops them.
+// Guards against sending callers to an entry VM that refuses them. A VM that is
+// leaving or dead stays in the platform's list, which lags, so look-ups must
+// answer with live VMs only.
 func TestOnlyLiveVMsAreAnswered(t *testing.T) {
 	is := is.New(t)
 	tab := blocktest.Table(1000, smallFleet.Topology(), false, 1)
@@ -124,9 +125,9 @@
 	is.Equal(a.Region, fleet.Region(""))
 }
 
-// Symptom: a domain's loss leaves callers with no address to try.
-// Sequence: a region is down to one failure domain, which then fails.
-// Cause: the second choice must be outside that domain, hence in another region.
+// Guards against callers without any usable address when a region has one
+// failure domain left and that domain fails: the last choice must be in another
+// region.
 func TestRegionWithOneDomainAddsChoiceElsewhere(t *testing.T) {
 	is := is.New(t)
 	tab := blocktest.Table(1000, smallFleet.Topology(), false, 1)
@@ -143,10 +144,10 @@
 	}
 }
 
-// Symptom: the nearest region breaks down after the loss of its neighbour.
-// Sequence: all entry VMs of a region die.
-// Cause: its clients must spread over all others by weight, and soon be told
-// again when the region is back.
+// Guards against overloading one region after the loss of another. When all
+// entry VMs of a region die, its clients must spread over all other regions by
+// weight, with a short time to live so that they return soon after the region
+// does.
 func TestLostRegionSpreadsByWeight(t *testing.T) {
 	is := is.New(t)
 	tab := blocktest.Table(40_000, mediumFleet.Topology(), false, 1)
@@ -220,10 +221,9 @@
 	is.Equal(to["r00"], 0)
 }
 
-// Symptom: clients get no usable answer during a rehearsal.
-// Sequence: the receiver of a running shift loses all entry VMs.
-// Cause: the shift still names it; its clients must stay at home, and not
-// count as moved.
+// Guards against unusable answers when the receiver of a running shift, such as
+// a rehearsal, loses all its entry VMs. The shift still names that region, so
+// its clients must stay at home and not count as moved.
 func TestShiftToLostRegionMovesNobody(t *testing.T) {
 	is := is.New(t)
 	tab := blocktest.Table(2000, smallFleet.Topology(), false, 1)
@@ -242,9 +242,8 @@
 	}
 }
 
-// Symptom: the answer to one client alternates between daemons.
-// Sequence: two daemons learn the same fleet in different order.
-// Cause: equal inputs must give equal Views whatever their order.
+// Guards against answers to one client that differ between daemons because they
+// received the same fleet in a different order.
 func TestOrderOfInputsDoesNotMatter(t *testing.T) {
 	is := is.New(t)
 	tab := blocktest.Table(1000, mediumFleet.Topology(), false, 1)
--- a/decide/steer/move_test.go
+++ b/decide/steer/move_test.go
@@ -12,7 +12,7 @@
 	"github.com/azurethread/azurethread/decide/steer"
 )
 
-// firstChoices returns the first choice of every address.
+// firstChoices returns the first choice of n clients.
 func firstChoices(in steer.Inputs, n int) []steer.Choice {
 	v := steer.New(in)
 	var out []steer.Choice
@@ -24,9 +24,8 @@
 	return out
 }
 
-// Symptom: caches turn cold all over a region when one site fails.
-// Sequence: all entry VMs of one site die.
-// Cause: clients of other sites must keep their entry VM.
+// Guards against cold caches in a whole region when one site fails: clients of
+// other sites must keep their entry VM.
 func TestSiteLossMovesOnlyItsClients(t *testing.T) {
 	is := is.New(t)
 	for _, preferred := range []bool{false, true} {
@@ -51,10 +50,10 @@
 	}
 }
 
-// Symptom: a small change of a weight moves clients between domains that it
-// does not concern. Sequence: a domain's weight falls by 10%, then rises again.
-// Cause: only clients of that domain may leave it, in the share of the change,
-// and the same ones must come back.
+// Guards against a weight change that moves clients between other domains. When
+// a domain's weight falls by 10%, only clients of that domain may move, in
+// proportion to the change, and the same clients must return when it rises
+// again.
 func TestWeightChangeMovesOnlyItsShare(t *testing.T) {
 	is := is.New(t)
 	for _, preferred := range []bool{false, true} {
@@ -74,7 +73,8 @@
 				is.Equal(after[i].Region, before[i].Region)
 			}
 		}
-		// By rendezvous a weight of 0.9 among three keeps 0.9/2.9 of 1/3.
+		// Under rendezvous hashing a domain of weight 0.9 beside two of weight
+		// 1 has 0.9/2.9 of the clients instead of 1/3.
 		want := 1 - 0.9/2.9*3
 		if preferred {
 			want = 0.1
@@ -85,11 +85,11 @@
 	}
 }
 
-// feedbackLoop is a domain whose clients follow the weight once their answers end,
-// and whose load reports describe the past.
+// feedbackLoop models a domain whose clients follow its weight when their
+// answers expire and whose load reports lag.
 type feedbackLoop struct {
 	damper  steer.Damper
-	history []steer.Weight // one a second
+	history []steer.Weight // one per second
 	changes int            // changes of direction
 	up      bool
 }
@@ -103,9 +103,9 @@
 	return steer.FullWeight
 }
 
-// run offers load, as a share of the domain's capacity, for some seconds.
-// Callers act on a weight lag seconds old; a report is 3 seconds old. It
-// returns the last report.
+// run applies load, as a share of the domain's capacity, for the given number
+// of seconds. Callers use a weight that is lag seconds old; a report is 3
+// seconds old. It returns the last report.
 func (l *feedbackLoop) run(load float64, seconds, lag int) (headroom float64) {
 	const reportAge = 3
 	for range seconds {
@@ -129,11 +129,11 @@
 	l.up = up
 }
 
-// Symptom: two domains take turns at being full and idle, minutes apart.
-// Sequence: a domain is overloaded, its weight falls, and reports of the old
-// load keep arriving while callers still use their old answers.
-// Cause: a weight that follows each report falls until its first effect
-// shows, which is too far, and rises too far in the same way.
+// Guards against two domains that alternate between full and idle, minutes
+// apart. After the weight of an overloaded domain falls, reports of the old load
+// keep arriving while callers still use their old answers. A weight that follows
+// each report falls until its first effect shows, which is too far, and then
+// rises too far in the same way.
 func TestWeightsDoNotOscillate(t *testing.T) {
 	lag := int(steer.TTLSteady / time.Second)
 	for _, load := range []float64{1.05, 1.4, 3, 8} {
@@ -142,8 +142,8 @@
 		l.run(load, 3600, lag)
 		rest := l.weight()
 		headroom := l.run(load, 3600, lag)
-		is.Equal(l.weight(), rest) // comes to rest
-		is.Equal(l.changes, 0)     // without ever turning
+		is.Equal(l.weight(), rest) // has converged
+		is.Equal(l.changes, 0)     // without a change of direction
 		is.True(headroom >= steer.LowHeadroom && headroom <= steer.HighHeadroom)
 
 		l.run(0.5, 7200, lag)
@@ -152,17 +152,17 @@
 	}
 }
 
-// Symptom: a weight falls twice for one shortage.
-// Sequence: a report 15 s old makes the weight fall; another, measured a moment
-// before the fall could show in the load, arrives after it.
-// Cause: the fall was dated by the report and not by the instant it was made.
+// Guards against a weight that falls twice for one shortage: a report 15 s old
+// lowers it, and a second report arrives that was measured just before that step
+// could affect the load. The settling time must count from the step and not from
+// the report that caused it.
 func TestStepCountsFromItsOwnTime(t *testing.T) {
 	is := is.New(t)
 	var d steer.Damper
 	now := clock.FromWall(time.Unix(1000, 0))
 	is.True(d.Observe(loopKey, 0, now, now.Add(-15*time.Second)))
 	later := now.Add(steer.Settle - time.Second)
-	is.True(!d.Observe(loopKey, 0, later, later)) // cannot show the fall yet
+	is.True(!d.Observe(loopKey, 0, later, later)) // can't show the step yet
 	after := now.Add(steer.Settle)
 	is.True(d.Observe(loopKey, 0, after, after))
 }
--- a/decide/steer/slopes_moves_test.go
+++ b/decide/steer/slopes_moves_test.go
@@ -11,7 +11,8 @@
 	"github.com/azurethread/azurethread/decide/steer/steertest"
 )
 
-// measureMoves measures which clients move, over all blocks of the planned fleet.
+// measureMoves measures which clients move, over all blocks of the planned
+// fleet.
 func (r *recorder) measureMoves() {
 	for _, prefer := range []bool{true, false} {
 		suffix, kind := "", ""
@@ -44,11 +45,12 @@
 	return out
 }
 
+// record adds a series of one point, at the number of sites.
 func (m *moveMeasurement) record(name, title, unit string, y float64) {
 	m.r.add(name+m.suffix+"/once", title+m.kind, unit, "sites", slope.Point{X: float64(steertest.Planned.Sites), Y: y})
 }
 
-// measureSpread compares the load of the sites, each VM taken as equally strong.
+// measureSpread compares the load of the sites, with equal capacity for each VM.
 func (m *moveMeasurement) measureSpread() {
 	clients := make(map[fleet.Site]float64)
 	for _, c := range m.before {
@@ -66,7 +68,7 @@
 	m.record("spread", "clients per entry VM, most loaded site to mean", "ratio", worst)
 }
 
-// measureSiteLoss takes out each of some sites in turn.
+// measureSiteLoss removes each of a sample of sites in turn.
 func (m *moveMeasurement) measureSiteLoss() {
 	const lost = 47 // every 20th site
 	moved, others := 0.0, 0.0
--- a/decide/steer/slopes_test.go
+++ b/decide/steer/slopes_test.go
@@ -26,17 +26,18 @@
 
 const slopesCommand = "go test -run TestWriteSlopes -timeout 30m ./decide/steer -slopes docs/capacity/lookup.json"
 
-// repeats is how often each duration is measured; the median counts.
+// repeats is the number of measurements of each duration, of which the median
+// is used.
 const repeats = 5
 
 // TestWriteSlopes measures and writes the series of docs/capacity/lookup.json.
-// It takes some minutes and a machine that does nothing else.
+// It takes some minutes and needs an otherwise idle machine.
 func TestWriteSlopes(t *testing.T) {
 	if *slopesPath == "" {
 		t.Skip("measures only with -slopes FILE")
 	}
 	r := recorder{t: t, date: time.Now().UTC().Format(time.DateOnly)}
-	r.measureReload() // first, while nothing else has grown the process
+	r.measureReload() // first, before other measurements enlarge the process
 	r.measureBlocks()
 	r.measureSites()
 	r.measurePatches()
@@ -73,8 +74,8 @@
 	}
 }
 
-// medians runs each measure several times, all of them in turn, so that other
-// work on the machine slows no size more than the others.
+// medians runs the measures in turn, several times over, so that other work on
+// the machine affects all sizes equally. It returns the median of each.
 func medians(measures []func() float64) []float64 {
 	all := make([][]float64, len(measures))
 	for range repeats {
@@ -90,7 +91,7 @@
 	return out
 }
 
-// pairPoints pairs sizes with values.
+// pairPoints returns the points of sizes and their values.
 func pairPoints(xs []int, ys []float64) []slope.Point {
 	out := make([]slope.Point, len(xs))
 	for i := range xs {
@@ -99,14 +100,14 @@
 	return out
 }
 
-// seconds measures the duration of f.
+// seconds returns the duration of f.
 func seconds(f func()) float64 {
 	start := time.Now()
 	f()
 	return time.Since(start).Seconds()
 }
 
-// lookupTime returns the measure of a look-up, in nanoseconds.
+// lookupTime returns a measure of the duration of a look-up, in nanoseconds.
 func lookupTime(v *steer.View, addrs []netip.Addr) func() float64 {
 	return func() float64 {
 		b := testing.Benchmark(benchLookup(v, addrs))
@@ -114,7 +115,8 @@
 	}
 }
 
-// findTime returns the measure of a search of the table.
+// findTime returns a measure of the duration of a search of the table, in
+// nanoseconds.
 func findTime(tab *block.Table, addrs []netip.Addr) func() float64 {
 	return func() float64 {
 		b := testing.Benchmark(func(b *testing.B) {
@@ -128,7 +130,7 @@
 
 var blockSizes = []int{144_000, 288_000, 575_000, 1_150_000, plannedBlocks, 2 * plannedBlocks}
 
-// measureBlocks varies the number of blocks at the planned fleet.
+// measureBlocks varies the number of blocks at the planned size of fleet.
 func (r *recorder) measureBlocks() {
 	var lookup, find, build, decode []func() float64
 	var bytes, chunkBytes []float64
@@ -171,7 +173,8 @@
 	return n
 }
 
-// measureSites varies the fleet at the planned blocks and regions.
+// measureSites varies the number of sites and entry VMs at the planned numbers
+// of blocks and regions.
 func (r *recorder) measureSites() {
 	preferred := blocktest.Table(plannedBlocks, steertest.Planned.Topology(), true, 1)
 	r.add("lookup/sites", "look-up decision", "ns", "sites", r.bySites(preferred, nil)...)
@@ -240,7 +243,7 @@
 	r.add("view-bytes/vms", "memory of a view beside the table", "bytes", "entry VMs", pairPoints(vmSizes, memory)...)
 }
 
-// viewBytes measures the memory of a view, as the mean over many.
+// viewBytes returns the memory of a view, as the mean over many.
 func viewBytes(in steer.Inputs) float64 {
 	views := make([]*steer.View, 64)
 	before := heapInUse()
@@ -255,14 +258,14 @@
 
 func heapInUse() float64 {
 	runtime.GC()
-	runtime.GC() // finishes what the first one has left to sweep
+	runtime.GC() // completes the sweep of the first
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return float64(m.HeapAlloc)
 }
 
-// measureReload measures the memory of a process that holds a table, and its peak while
-// it loads the next one from each kind of source.
+// measureReload measures the memory of a process that holds a table, and the
+// peak while it loads the next one from each kind of source.
 func (r *recorder) measureReload() {
 	text := r.textFile()
 	chunks, m := r.chunks()
@@ -330,7 +333,7 @@
 	return tab
 }
 
-// resetPeak makes the kernel count this process's VmHWM anew.
+// resetPeak makes the kernel reset this process's VmHWM.
 func (r *recorder) resetPeak() {
 	if err := os.WriteFile("/proc/self/clear_refs", []byte("5"), 0); err != nil {
 		r.t.Fatal(err)
