--- a/decide/catalogue/catalogue.go
+++ b/decide/catalogue/catalogue.go
@@ -81,8 +81,7 @@
 // its share, and a done shift keeps it until it is removed or rolled back.
 func (s ShiftState) Moves() bool { return s == Running || s == Paused || s == Done }
 
-// ShareUnit is the share of all traffic: shares are in units of 1/10,000, so
-// one unit is 0.01%.
+// ShareUnit is the share of all traffic: 10,000 units, so one unit is 0.01%.
 const ShareUnit = 10000
 
 // Share is a part of the traffic, in units of 1/ShareUnit.
--- a/decide/shift/runner.go
+++ b/decide/shift/runner.go
@@ -102,8 +102,7 @@
 	return r.duty.Held && r.now.Before(r.duty.Until)
 }
 
-// configure puts a catalogue in force unless it is not newer than the present
-// one.
+// configure puts a catalogue in force if it is newer than the present one.
 func (r *Runner) configure(c *catalogue.Catalogue) {
 	if c == nil || (r.catalogue != nil && c.Revision <= r.catalogue.Revision) {
 		return
@@ -125,8 +124,8 @@
 	return nil
 }
 
-// updateEntry updates an entry, or makes it if it is nil, to the version s of
-// its shift.
+// updateEntry updates an entry to the version s of its shift. It creates the
+// entry if e is nil.
 func (r *Runner) updateEntry(e *entry, s catalogue.Shift) *entry {
 	if e == nil {
 		e = &entry{codeSince: r.now}
