--- a/decide/shift/drain_test.go
+++ b/decide/shift/drain_test.go
@@ -8,10 +8,10 @@
 	"github.com/azurethread/azurethread/decide/catalogue"
 )
 
-// drainPolicy advances the share of a drain; the baselines know no figures.
+// drainPolicy advances the share of a drain. The baselines use no figures.
 type drainPolicy struct {
 	name  string
-	share func(since, interval time.Duration) catalogue.Share // nil: the Runner
+	share func(since, interval time.Duration) catalogue.Share // nil: the Runner decides
 }
 
 // drainStep is the step of every policy but all-at-once.
@@ -28,7 +28,7 @@
 // BenchmarkDrain drains one region of three in the world model, in virtual
 // time: run it with -benchtime 1x. Metrics: the highest load of a receiver in
 // percent of its capacity, the part of the region's load that is moved after
-// 20 minutes, and the time in which what is moved then (but 1%) had moved.
+// 20 minutes, and the time until all of that part but 1% had moved.
 func BenchmarkDrain(b *testing.B) {
 	for _, d := range drainCases() {
 		for _, p := range drainPolicies {
@@ -44,7 +44,7 @@
 // drainCase is one row of the benchmark.
 type drainCase struct {
 	headroom catalogue.Share
-	load     int // percent of capacity, in every region
+	load     int // percent of capacity, the same in every region
 	interval time.Duration
 	lag      time.Duration // age of reports
 }
@@ -67,20 +67,20 @@
 }
 
 func drain(b *testing.B, p drainPolicy, d drainCase) {
-	w := newWorld(7, worldBlocks, float64(d.load)/100, 40)
+	w := newWorld(7, worldBlocksPerRegion, float64(d.load)/100, 40)
 	w.lag, w.noise = d.lag, 0.02
 	if p.share == nil {
 		w.runner("a")
 	}
 	w.run(15 * time.Second)
-	w.add(catalogue.Shift{ID: "drain", From: "attiki", Limits: catalogue.Limits{
+	w.startShift(catalogue.Shift{ID: "drain", From: "attiki", Limits: catalogue.Limits{
 		MaxShare: catalogue.ShareUnit, Step: drainStep, MinHeadroom: d.headroom, Interval: catalogue.Duration(d.interval),
 	}})
 	start := w.now
 	var moved []float64
 	for w.now.Sub(start) < 20*time.Minute {
 		if p.share != nil {
-			w.force(p.share(w.now.Sub(start), d.interval))
+			w.setShare(p.share(w.now.Sub(start), d.interval))
 		}
 		w.run(time.Second)
 		moved = append(moved, w.movedBy("drain"))
@@ -96,8 +96,8 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// force sets the share of the only shift without asking anybody.
-func (w *world) force(share catalogue.Share) {
+// setShare sets the share of the only shift, bypassing the Runner.
+func (w *world) setShare(share catalogue.Share) {
 	if w.cat.Shifts[0].Share == share {
 		return
 	}
--- a/decide/shift/random_test.go
+++ b/decide/shift/random_test.go
@@ -14,9 +14,9 @@
 )
 
 // TestRandomEvidence drives a Runner with evidence that is stale, late,
-// incomplete, contradictory or not even numbers, and with leases, outages,
-// conflicts and lost answers at random. Whatever it is told, its writes keep
-// the limits that can be judged without believing the evidence.
+// incomplete, inconsistent or not numeric, and with random leases, outages,
+// conflicts and lost answers. Whatever the input, its writes must keep all
+// limits that can be checked without relying on the evidence.
 func TestRandomEvidence(t *testing.T) {
 	events, rises := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -25,13 +25,13 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"add":       h.add,
 			"evidence":  h.evidence,
-			"good":      h.good,
+			"good":      h.goodEvidence,
 			"catalogue": h.configure,
 			"operator":  h.operator,
 			"lease":     h.leaseEvent,
 			"platform":  h.platformEvent,
 			"result":    h.result,
-			"time":      h.pass,
+			"time":      h.advanceTime,
 			"":          h.check,
 		})
 		events += h.events
@@ -45,16 +45,16 @@
 
 var regionNames = []fleet.Region{"attiki", "kriti", "makedonia"}
 
-// harness holds what the test knows apart from the Runner.
+// harness holds the state of the test, independent of the Runner's.
 type harness struct {
 	t         *rapid.T
 	r         *Runner
 	now       clock.Time
 	cat       catalogue.Catalogue
-	given     catalogue.Catalogue // the one the Runner has
-	held      Duty
+	delivered catalogue.Catalogue // last catalogue that the Runner received
+	lease     Duty
 	reachable bool
-	open      map[string]Write // by shift
+	open      map[string]Write // outstanding writes by shift
 	lastRise  map[string]clock.Time
 	events    int
 	rises     int
@@ -64,33 +64,33 @@
 	h.events++
 	for _, e := range h.r.Step(h.now, ev, nil) {
 		if w, ok := e.(Write); ok {
-			h.wrote(w)
+			h.checkWrite(w)
 		}
 	}
 }
 
-// wrote checks one write and keeps it open.
-func (h *harness) wrote(w Write) {
-	s, ok := h.given.Shift(w.Shift)
+// checkWrite checks one write and records it as outstanding.
+func (h *harness) checkWrite(w Write) {
+	s, ok := h.delivered.Shift(w.Shift)
 	l := s.Limits.WithDefaults()
 	_, second := h.open[w.Shift]
 	switch {
 	case !ok || !s.State.Moves():
-		h.t.Fatalf("write of a shift that moves nothing: %+v", w)
-	case !h.held.Held || h.now >= h.held.Until || !h.reachable:
-		h.t.Fatalf("write without lease or platform: %+v", w)
+		h.t.Fatalf("write for a shift that is not moving traffic: %+v", w)
+	case !h.lease.Held || h.now >= h.lease.Until || !h.reachable:
+		h.t.Fatalf("write without the lease or the platform: %+v", w)
 	case second:
-		h.t.Fatalf("second write while one is open: %+v", w)
+		h.t.Fatalf("second write while one is outstanding: %+v", w)
 	case w.Expect != s.Revision:
-		h.t.Fatalf("write based on %d, entry at %d", w.Expect, s.Revision)
+		h.t.Fatalf("write expects revision %d, entry is at %d", w.Expect, s.Revision)
 	case w.Share > l.MaxShare || (w.Share > s.Share && w.Share-s.Share > l.Step):
-		h.t.Fatalf("from %d to %d under %+v", s.Share, w.Share, l)
+		h.t.Fatalf("share changes from %d to %d under limits %+v", s.Share, w.Share, l)
 	case w.Share > s.Share && (s.State != catalogue.Running || ParseCode(s.Hold) == RollingBack):
-		h.t.Fatalf("rise of a shift that is %s, %q", s.State, s.Hold)
+		h.t.Fatalf("share of shift %s rises in state %s, hold %q", w.Shift, s.State, s.Hold)
 	case w.Share > s.Share && !l.Window.Contains(h.now.Wall()):
-		h.t.Fatalf("rise outside the window")
+		h.t.Fatalf("share of shift %s rises outside its window, at %s", w.Shift, h.now.Wall())
 	case w.Share > s.Share && h.lastRise[w.Shift] != 0 && h.now.Sub(h.lastRise[w.Shift]) < time.Duration(l.Interval):
-		h.t.Fatalf("rise after %s", h.now.Sub(h.lastRise[w.Shift]))
+		h.t.Fatalf("share of shift %s rises %s after the last rise", w.Shift, h.now.Sub(h.lastRise[w.Shift]))
 	}
 	h.open[w.Shift] = w
 	if w.Share > s.Share {
@@ -111,7 +111,7 @@
 		},
 	}
 	// Most shifts go from the first two regions to the third; the others hold
-	// because a receiver is being emptied.
+	// because a receiver is being drained.
 	s.From, s.To = regionNames[len(h.cat.Shifts)%2], "makedonia"
 	if rapid.IntRange(0, 5).Draw(t, "any receiver") == 0 {
 		s.To = ""
@@ -122,8 +122,8 @@
 	h.cat.Shifts = append(h.cat.Shifts[:len(h.cat.Shifts):len(h.cat.Shifts)], s)
 }
 
-// number draws a figure that may be no number at all.
-func number(t *rapid.T, label string) float64 {
+// drawNumber draws a figure that may be NaN, infinite or out of range.
+func drawNumber(t *rapid.T, label string) float64 {
 	odd := []float64{math.NaN(), math.Inf(1), -1, 0, 1e18}
 	if rapid.IntRange(0, 9).Draw(t, label+" odd") == 0 {
 		return rapid.SampledFrom(odd).Draw(t, label)
@@ -145,7 +145,7 @@
 		e.Loads = append(e.Loads, Load{
 			Region: r, Service: worldService, Span: h.span(t),
 			State:    fleet.State(rapid.IntRange(0, 2).Draw(t, "state") / 2),
-			Capacity: number(t, "capacity"), InFlight: number(t, "in flight"),
+			Capacity: drawNumber(t, "capacity"), InFlight: drawNumber(t, "in flight"),
 			Requests: 1000, ErrorShare: catalogue.Share(rapid.IntRange(0, 120).Draw(t, "errors")),
 			Missing: rapid.IntRange(0, 4).Draw(t, "missing") / 4,
 		})
@@ -162,17 +162,18 @@
 	h.step(Measured{Evidence: e})
 }
 
-// good brings evidence that lets shifts advance, so that runs get anywhere.
-func (h *harness) good(t *rapid.T) {
+// goodEvidence delivers evidence under which shifts can advance, so that runs
+// make progress.
+func (h *harness) goodEvidence(t *rapid.T) {
 	h.now = h.now.Add(time.Duration(rapid.IntRange(1, 60).Draw(t, "seconds")) * time.Second)
 	h.reachable = true
 	h.step(Platform{Reachable: true})
-	h.held = Duty{Held: true, Until: h.now.Add(time.Minute)}
-	h.step(h.held)
+	h.lease = Duty{Held: true, Until: h.now.Add(time.Minute)}
+	h.step(h.lease)
 	span := Span{Since: h.now.Add(-2 * time.Second), Until: h.now}
 	var e Evidence
 	for _, r := range regionNames {
-		e.Loads = append(e.Loads, Load{Region: r, Service: worldService, Span: span, Capacity: 40, InFlight: number(t, "in flight") / 3, Requests: 1000})
+		e.Loads = append(e.Loads, Load{Region: r, Service: worldService, Span: span, Capacity: 40, InFlight: drawNumber(t, "in flight") / 3, Requests: 1000})
 	}
 	for _, s := range h.cat.Shifts {
 		c := Count{Shift: s.ID, Service: worldService, Span: span, Total: 100000, Moved: uint64(s.Share) * 10, Busy: 20 * time.Second}
@@ -184,18 +185,18 @@
 	h.step(Measured{Evidence: e})
 	for _, s := range h.cat.Shifts {
 		if w, ok := h.open[s.ID]; ok && s.Revision == w.Expect {
-			h.applied(w)
+			h.applyWrite(w)
 			h.step(WriteResult{ID: w.ID, Verdict: verdict.Ran})
 		}
 	}
 	h.configure(t)
 }
 
-// configure hands the Runner the newest catalogue.
+// configure delivers the latest catalogue to the Runner.
 func (h *harness) configure(t *rapid.T) {
-	h.given = h.cat
+	h.delivered = h.cat
 	for id, w := range h.open {
-		if s, ok := h.given.Shift(id); ok && s.Revision > w.Expect {
+		if s, ok := h.delivered.Shift(id); ok && s.Revision > w.Expect {
 			delete(h.open, id)
 		}
 	}
@@ -203,13 +204,13 @@
 	h.step(Configured{Catalogue: &c})
 }
 
-// operator changes an entry, so that an open write conflicts.
+// operator changes an entry, so that an outstanding write conflicts.
 func (h *harness) operator(t *rapid.T) {
 	states := []catalogue.ShiftState{catalogue.Running, catalogue.Running, catalogue.Paused, catalogue.Done}
 	h.update(t, func(s *catalogue.Shift) {
 		s.State, s.Hold = rapid.SampledFrom(states).Draw(t, "state"), ""
 		if s.Share == s.Limits.MaxShare {
-			s.Share = 0 // started anew
+			s.Share = 0 // the shift is started again
 		}
 	})
 }
@@ -226,8 +227,8 @@
 }
 
 func (h *harness) leaseEvent(t *rapid.T) {
-	h.held = Duty{Held: rapid.IntRange(0, 3).Draw(t, "held") > 0, Until: h.now.Add(time.Duration(rapid.IntRange(0, 90).Draw(t, "lease")) * time.Second)}
-	h.step(h.held)
+	h.lease = Duty{Held: rapid.IntRange(0, 3).Draw(t, "held") > 0, Until: h.now.Add(time.Duration(rapid.IntRange(0, 90).Draw(t, "lease")) * time.Second)}
+	h.step(h.lease)
 }
 
 func (h *harness) platformEvent(t *rapid.T) {
@@ -235,7 +236,8 @@
 	h.step(Platform{Reachable: h.reachable})
 }
 
-// result settles an open write in one of the ways that a platform can.
+// result delivers one of the results that the platform can give for an
+// outstanding write.
 func (h *harness) result(t *rapid.T) {
 	for _, id := range []string{"x", "y", "z"} {
 		w, ok := h.open[id]
@@ -245,7 +247,7 @@
 		res := WriteResult{ID: w.ID, Verdict: rapid.SampledFrom([]verdict.Verdict{verdict.Ran, verdict.NotRun, verdict.MayHaveRun}).Draw(t, "verdict")}
 		s, _ := h.cat.Shift(id)
 		if res.Verdict != verdict.NotRun && s.Revision == w.Expect {
-			h.applied(w)
+			h.applyWrite(w)
 		} else if s.Revision != w.Expect {
 			res.Verdict, res.Conflict = verdict.NotRun, true
 		}
@@ -255,11 +257,11 @@
 		h.step(res)
 		return
 	}
-	t.Skip("no write is open")
+	t.Skip("no outstanding write")
 }
 
-// applied carries out a write by compare-and-swap.
-func (h *harness) applied(w Write) {
+// applyWrite carries out a write by compare-and-swap.
+func (h *harness) applyWrite(w Write) {
 	h.cat.Revision++
 	h.cat.Shifts = append([]catalogue.Shift(nil), h.cat.Shifts...)
 	for i := range h.cat.Shifts {
@@ -277,7 +279,7 @@
 	}
 }
 
-func (h *harness) pass(t *rapid.T) {
+func (h *harness) advanceTime(t *rapid.T) {
 	h.now = h.now.Add(time.Duration(rapid.IntRange(0, 40000).Draw(t, "ms")) * time.Millisecond)
 	h.step(Tick{})
 }
@@ -288,21 +290,22 @@
 	}
 }
 
-// fewBlocks a region keep the random worlds quick under the race detector.
-const fewBlocks = 200
+// randomWorldBlocks is the number of blocks per region in random worlds. It is
+// small so that the test is quick under the race detector.
+const randomWorldBlocks = 200
 
-// TestRandomWorld lets shifts run in the world model under random load, lag,
-// cold caches, skew and faults. No region passes its true capacity, no shift
-// its cap, as the model counts them, and the catalogue accepts every write.
+// TestRandomWorld runs shifts in the world model under random load, lag, cold
+// caches, skew and faults. By the model's own figures no region may exceed its
+// capacity and no shift its cap, and the catalogue must accept every write.
 func TestRandomWorld(t *testing.T) {
 	moved := 0
 	rapid.Check(t, func(t *rapid.T) {
 		headroom := rapid.IntRange(300, 2500).Draw(t, "headroom")
 		load := rapid.Float64Range(0.3, 0.97-float64(headroom)/10000).Draw(t, "load")
-		w := newWorld(rapid.Uint64().Draw(t, "seed"), fewBlocks, load, 40)
+		w := newWorld(rapid.Uint64().Draw(t, "seed"), randomWorldBlocks, load, 40)
 		w.lag = time.Duration(rapid.IntRange(1000, 5000).Draw(t, "lag")) * time.Millisecond
 		w.cold = rapid.Float64Range(1, 2).Draw(t, "cold")
-		// No headroom covers demand that swings by more.
+		// Demand that varies by more is not covered by the headroom.
 		w.noise = rapid.Float64Range(0, float64(headroom)/20000).Draw(t, "noise")
 		if rapid.Bool().Draw(t, "skew") {
 			skew(w, rapid.Float64Range(0.05, 0.4).Draw(t, "heavy"))
@@ -311,7 +314,7 @@
 		w.runner("b")
 		w.run(15 * time.Second)
 		for i := range rapid.IntRange(1, 3).Draw(t, "shifts") {
-			w.add(randomShift(t, i, headroom))
+			w.startShift(randomShift(t, i, headroom))
 		}
 		for range 10 {
 			worldFault(t, w)
@@ -341,13 +344,13 @@
 		b.weight *= 1 - heavy
 	}
 	for i := range w.regions {
-		w.blocks[i*fewBlocks+7].weight += total[i] * heavy
+		w.blocks[i*randomWorldBlocks+7].weight += total[i] * heavy
 	}
 }
 
 func randomShift(t *rapid.T, i, headroom int) catalogue.Shift {
-	// Shifts leave the first two regions for the third, or one of the first
-	// two for all others, so that none works against another.
+	// All shifts go from one of the first two regions to the third, so that
+	// none moves traffic out of another's receiver.
 	s := catalogue.Shift{ID: string(rune('x' + i)), From: regionNames[i%2], To: "makedonia"}
 	if i == 2 {
 		s.From = regionNames[0]
@@ -384,17 +387,17 @@
 	}
 }
 
-// checkWorld allows a sampling tolerance on the cap only: counts are samples.
+// checkWorld allows a tolerance on the cap only, because counts are samples.
 func checkWorld(t *rapid.T, w *world) {
 	const tolerance = 0.01
 	for _, r := range w.regions {
 		if r.peak > 1 {
-			t.Fatalf("%s reached %.1f%% of its capacity", r.name, 100*r.peak)
+			t.Fatalf("region %s reached %.1f%% of its capacity", r.name, 100*r.peak)
 		}
 	}
 	for _, s := range w.cat.Shifts {
-		if m := w.movedBy(s.ID); m > part(s.Limits.MaxShare)+tolerance {
-			t.Fatalf("shift %s moves %.2f%% of cap %.2f%%", s.ID, 100*m, 100*part(s.Limits.MaxShare))
+		if m := w.movedBy(s.ID); m > fractionOf(s.Limits.MaxShare)+tolerance {
+			t.Fatalf("shift %s moves %.2f%%, cap %.2f%%", s.ID, 100*m, 100*fractionOf(s.Limits.MaxShare))
 		}
 	}
 	for _, k := range w.runners {
--- a/decide/steer/slopes_test.go
+++ b/decide/steer/slopes_test.go
@@ -26,22 +26,23 @@
 
 const slopesCommand = "go test -run TestWriteSlopes -timeout 30m ./decide/steer -slopes docs/capacity/lookup.json"
 
-// repeats is how often each duration is measured; the median counts.
+// repeats is the number of measurements of each duration, of which the median
+// is used.
 const repeats = 5
 
 // TestWriteSlopes measures and writes the series of docs/capacity/lookup.json.
-// It takes some minutes and a machine that does nothing else.
+// It takes some minutes and needs an otherwise idle machine.
 func TestWriteSlopes(t *testing.T) {
 	if *slopesPath == "" {
 		t.Skip("measures only with -slopes FILE")
 	}
 	r := recorder{t: t, date: time.Now().UTC().Format(time.DateOnly)}
-	r.swap() // first, while nothing else has grown the process
-	r.blocks()
-	r.sites()
-	r.patches()
-	r.views()
-	r.moves()
+	r.measureReload() // first, before other measurements enlarge the process
+	r.measureBlocks()
+	r.measureSites()
+	r.measurePatches()
+	r.measureViews()
+	r.measureMoves()
 	r.write()
 }
 
@@ -73,8 +74,8 @@
 	}
 }
 
-// medians runs each measure several times, all of them in turn, so that other
-// work on the machine slows no size more than the others.
+// medians runs the measures in turn, several times over, so that other work on
+// the machine affects all sizes equally. It returns the median of each.
 func medians(measures []func() float64) []float64 {
 	all := make([][]float64, len(measures))
 	for range repeats {
@@ -90,8 +91,8 @@
 	return out
 }
 
-// points pairs sizes with values.
-func points(xs []int, ys []float64) []slope.Point {
+// pairPoints returns the points of sizes and their values.
+func pairPoints(xs []int, ys []float64) []slope.Point {
 	out := make([]slope.Point, len(xs))
 	for i := range xs {
 		out[i] = slope.Point{X: float64(xs[i]), Y: ys[i]}
@@ -99,14 +100,14 @@
 	return out
 }
 
-// seconds measures the duration of f.
+// seconds returns the duration of f.
 func seconds(f func()) float64 {
 	start := time.Now()
 	f()
 	return time.Since(start).Seconds()
 }
 
-// lookupTime returns the measure of a look-up, in nanoseconds.
+// lookupTime returns a measure of the duration of a look-up, in nanoseconds.
 func lookupTime(v *steer.View, addrs []netip.Addr) func() float64 {
 	return func() float64 {
 		b := testing.Benchmark(benchLookup(v, addrs))
@@ -114,12 +115,13 @@
 	}
 }
 
-// findTime returns the measure of a search of the table.
+// findTime returns a measure of the duration of a search of the table, in
+// nanoseconds.
 func findTime(tab *block.Table, addrs []netip.Addr) func() float64 {
 	return func() float64 {
 		b := testing.Benchmark(func(b *testing.B) {
 			for i := 0; b.Loop(); i++ {
-				tab.Lookup(addrs[i&(benchAddrs-1)])
+				tab.Lookup(addrs[i&(benchClients-1)])
 			}
 		})
 		return float64(b.T.Nanoseconds()) / float64(b.N)
@@ -128,15 +130,15 @@
 
 var blockSizes = []int{144_000, 288_000, 575_000, 1_150_000, plannedBlocks, 2 * plannedBlocks}
 
-// blocks varies the number of blocks at the planned fleet.
-func (r *recorder) blocks() {
+// measureBlocks varies the number of blocks at the planned size of fleet.
+func (r *recorder) measureBlocks() {
 	var lookup, find, build, decode []func() float64
 	var bytes, chunkBytes []float64
 	for _, n := range blockSizes {
 		list := blocktest.Blocks(n, steertest.Planned.Topology(), true, 1)
 		build = append(build, func() float64 { return 1e3 * seconds(func() { tableOf(list) }) })
 		tab := tableOf(list)
-		addrs := blocktest.Addrs(tab, benchAddrs, 1)
+		addrs := blocktest.Addrs(tab, benchClients, 1)
 		lookup = append(lookup, lookupTime(steer.New(steertest.Planned.Inputs(tab)), addrs))
 		find = append(find, findTime(tab, addrs))
 		bytes = append(bytes, float64(tab.Bytes()))
@@ -147,12 +149,12 @@
 		chunkBytes = append(chunkBytes, float64(sizeOf(chunks)))
 		decode = append(decode, func() float64 { return 1e3 * seconds(func() { r.decode(m, chunks) }) })
 	}
-	r.add("table/blocks", "memory of the table", "bytes", "blocks", points(blockSizes, bytes)...)
-	r.add("chunks/blocks", "size of all chunks", "bytes", "blocks", points(blockSizes, chunkBytes)...)
-	r.add("lookup/blocks", "look-up decision", "ns", "blocks", points(blockSizes, medians(lookup))...)
-	r.add("find/blocks", "search of the table alone", "ns", "blocks", points(blockSizes, medians(find))...)
-	r.add("build/blocks", "build of the table from blocks in memory", "ms", "blocks", points(blockSizes, medians(build))...)
-	r.add("decode/blocks", "build of the table from chunks", "ms", "blocks", points(blockSizes, medians(decode))...)
+	r.add("table/blocks", "memory of the table", "bytes", "blocks", pairPoints(blockSizes, bytes)...)
+	r.add("chunks/blocks", "size of all chunks", "bytes", "blocks", pairPoints(blockSizes, chunkBytes)...)
+	r.add("lookup/blocks", "look-up decision", "ns", "blocks", pairPoints(blockSizes, medians(lookup))...)
+	r.add("find/blocks", "search of the table alone", "ns", "blocks", pairPoints(blockSizes, medians(find))...)
+	r.add("build/blocks", "build of the table from blocks in memory", "ms", "blocks", pairPoints(blockSizes, medians(build))...)
+	r.add("decode/blocks", "build of the table from chunks", "ms", "blocks", pairPoints(blockSizes, medians(decode))...)
 }
 
 func (r *recorder) decode(m block.Manifest, chunks [][]byte) *block.Table {
@@ -171,8 +173,9 @@
 	return n
 }
 
-// sites varies the fleet at the planned blocks and regions.
-func (r *recorder) sites() {
+// measureSites varies the number of sites and entry VMs at the planned numbers
+// of blocks and regions.
+func (r *recorder) measureSites() {
 	preferred := blocktest.Table(plannedBlocks, steertest.Planned.Topology(), true, 1)
 	r.add("lookup/sites", "look-up decision", "ns", "sites", r.bySites(preferred, nil)...)
 
@@ -191,7 +194,7 @@
 var siteSizes = []int{118, 235, 470, 940, 1880}
 
 func (r *recorder) bySites(tab *block.Table, weights map[steer.DomainService]steer.Weight) []slope.Point {
-	addrs := blocktest.Addrs(tab, benchAddrs, 1)
+	addrs := blocktest.Addrs(tab, benchClients, 1)
 	var times []func() float64
 	for _, n := range siteSizes {
 		size := steertest.Planned
@@ -200,11 +203,11 @@
 		in.Weights = weights
 		times = append(times, lookupTime(steer.New(in), addrs))
 	}
-	return points(siteSizes, medians(times))
+	return pairPoints(siteSizes, medians(times))
 }
 
-// patches varies the number of blocks that a delta changes.
-func (r *recorder) patches() {
+// measurePatches varies the number of blocks that a delta changes.
+func (r *recorder) measurePatches() {
 	topology := steertest.Planned.Topology()
 	blocks := blocktest.Blocks(plannedBlocks, topology, true, 1)
 	tab := tableOf(blocks)
@@ -219,13 +222,13 @@
 			})
 		})
 	}
-	r.add("patch/changed", "patch of the table at 2.3 M blocks", "ms", "changed blocks", points(patchSizes, medians(times))...)
+	r.add("patch/changed", "patch of the table at 2.3 M blocks", "ms", "changed blocks", pairPoints(patchSizes, medians(times))...)
 }
 
 var vmSizes = []int{412, 825, 1650, 3300, 6600}
 
-// views varies the number of entry VMs.
-func (r *recorder) views() {
+// measureViews varies the number of entry VMs.
+func (r *recorder) measureViews() {
 	tab := blocktest.Table(plannedBlocks, steertest.Planned.Topology(), true, 1)
 	var build []func() float64
 	var memory []float64
@@ -236,11 +239,11 @@
 		build = append(build, func() float64 { return 1e6 * seconds(func() { steer.New(in) }) })
 		memory = append(memory, viewBytes(in))
 	}
-	r.add("view/vms", "build of a view", "us", "entry VMs", points(vmSizes, medians(build))...)
-	r.add("view-bytes/vms", "memory of a view beside the table", "bytes", "entry VMs", points(vmSizes, memory)...)
+	r.add("view/vms", "build of a view", "us", "entry VMs", pairPoints(vmSizes, medians(build))...)
+	r.add("view-bytes/vms", "memory of a view beside the table", "bytes", "entry VMs", pairPoints(vmSizes, memory)...)
 }
 
-// viewBytes measures the memory of a view, as the mean over many.
+// viewBytes returns the memory of a view, as the mean over many.
 func viewBytes(in steer.Inputs) float64 {
 	views := make([]*steer.View, 64)
 	before := heapInUse()
@@ -255,15 +258,15 @@
 
 func heapInUse() float64 {
 	runtime.GC()
-	runtime.GC() // finishes what the first one has left to sweep
+	runtime.GC() // completes the sweep of the first
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return float64(m.HeapAlloc)
 }
 
-// swap measures the memory of a process that holds a table, and its peak while
-// it loads the next one from each kind of source.
-func (r *recorder) swap() {
+// measureReload measures the memory of a process that holds a table, and the
+// peak while it loads the next one from each kind of source.
+func (r *recorder) measureReload() {
 	text := r.textFile()
 	chunks, m := r.chunks()
 	debug.FreeOSMemory()
@@ -330,7 +333,7 @@
 	return tab
 }
 
-// resetPeak makes the kernel count this process's VmHWM anew.
+// resetPeak makes the kernel reset this process's VmHWM.
 func (r *recorder) resetPeak() {
 	if err := os.WriteFile("/proc/self/clear_refs", []byte("5"), 0); err != nil {
 		r.t.Fatal(err)
