--- a/decide/machine/bench_test.go
+++ b/decide/machine/bench_test.go
@@ -16,48 +16,48 @@
 	} {
 		b.Run(fmt.Sprintf("domains=%d/members=%d", size.domains, size.members), func(b *testing.B) {
 			for range b.N {
-				measure(b, newNetwork(1, size.members, size.members*size.domains, size.members))
+				measureTraffic(b, newNetwork(1, size.members, size.members*size.domains, size.members))
 			}
 		})
 	}
 }
 
-func measure(b *testing.B, n *network) {
-	daemons := float64(len(n.nodes))
+func measureTraffic(b *testing.B, n *network) {
+	daemons := float64(len(n.daemons))
 	n.run(5 * time.Second)
 	const rest = 2 * time.Minute
-	messages, bytes := n.sent(func() { n.run(rest) })
+	messages, bytes := n.countTraffic(func() { n.run(rest) })
 	b.ReportMetric(messages/daemons/rest.Seconds(), "rest-msgs/s/daemon")
 	b.ReportMetric(bytes/daemons/rest.Seconds(), "rest-B/s/daemon")
 
 	at := n.now
-	messages, bytes = n.sent(func() {
+	messages, bytes = n.countTraffic(func() {
 		n.change(addTarget(1000))
 		n.run(time.Second)
 	})
 	b.ReportMetric(messages/daemons, "change-msgs/daemon")
 	b.ReportMetric(bytes/daemons, "change-B/daemon")
 	last := at
-	for _, v := range n.nodes {
-		last = max(last, v.at)
+	for _, v := range n.daemons {
+		last = max(last, v.appliedAt)
 	}
 	b.ReportMetric(last.Sub(at).Seconds()*1000, "change-ms")
 
 	at = n.now
-	joiner := n.nodes[len(n.nodes)-1]
-	_, bytes = n.sent(func() {
+	joiner := n.daemons[len(n.daemons)-1]
+	_, bytes = n.countTraffic(func() {
 		n.start(joiner)
 		n.run(time.Second)
 	})
 	b.ReportMetric(bytes, "join-B")
-	b.ReportMetric(joiner.at.Sub(at).Seconds()*1000, "join-ms")
-	if err := n.settled(); err != nil {
+	b.ReportMetric(joiner.appliedAt.Sub(at).Seconds()*1000, "join-ms")
+	if err := n.checkConverged(); err != nil {
 		b.Fatal(err)
 	}
 }
 
-// sent returns the messages and bytes sent during do.
-func (n *network) sent(do func()) (messages, bytes float64) {
+// countTraffic returns the messages and bytes sent during do.
+func (n *network) countTraffic(do func()) (messages, bytes float64) {
 	n.messages, n.bytes = 0, 0
 	do()
 	return float64(n.messages), float64(n.bytes)
--- a/decide/machine/content.go
+++ b/decide/machine/content.go
@@ -10,28 +10,28 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// content is the domain's part of one list. It is immutable.
-type content struct {
-	point   Point
+// domainList is the domain's part of one list. It is immutable.
+type domainList struct {
+	version   ListVersion
 	vms     []fleet.VM     // in order of id
 	targets []fleet.Target // in order of id
 }
 
-// newContent takes the domain's part of a list. Entries without an id and
+// newDomainList takes the domain's part of a list. Entries without an id and
 // second ones of an id are left out.
-func newContent(l fleet.List, own fleet.Domain) *content {
-	c := &content{vms: slices.Clone(l.VMs)}
+func newDomainList(l fleet.List, own fleet.Domain) *domainList {
+	c := &domainList{vms: slices.Clone(l.VMs)}
 	for _, t := range l.Targets {
 		if t.Domain == own {
 			c.targets = append(c.targets, t)
 		}
 	}
 	c.sort()
-	c.point = Point{Version: l.Version, Hash: c.hash()}
+	c.version = ListVersion{Version: l.Version, Hash: c.hash()}
 	return c
 }
 
-func (c *content) sort() {
+func (c *domainList) sort() {
 	slices.SortStableFunc(c.vms, func(a, b fleet.VM) int { return cmp.Compare(a.ID, b.ID) })
 	slices.SortStableFunc(c.targets, func(a, b fleet.Target) int { return cmp.Compare(a.ID, b.ID) })
 	c.vms = slices.CompactFunc(c.vms, func(a, b fleet.VM) bool { return a.ID == b.ID })
@@ -43,45 +43,45 @@
 // hasher hashes the fields of entries.
 type hasher struct{ xxhash.Digest }
 
-func (h *hasher) text(s string) {
-	h.number(uint64(len(s)))
+func (h *hasher) addString(s string) {
+	h.addUint64(uint64(len(s)))
 	_, _ = h.WriteString(s)
 }
 
-func (h *hasher) number(n uint64) {
+func (h *hasher) addUint64(n uint64) {
 	var b [8]byte
 	binary.LittleEndian.PutUint64(b[:], n)
 	_, _ = h.Write(b[:])
 }
 
-func (c *content) hash() uint64 {
+func (c *domainList) hash() uint64 {
 	var h hasher
 	h.Reset()
 	for i := range c.vms {
 		v := &c.vms[i]
 		for _, s := range []string{string(v.ID), string(v.Region), string(v.Domain), string(v.Site), v.CallAddr, v.PeerAddr, v.AdminAddr} {
-			h.text(s)
+			h.addString(s)
 		}
-		h.number(uint64(v.Incarnation))
-		h.number(uint64(v.State))
+		h.addUint64(uint64(v.Incarnation))
+		h.addUint64(uint64(v.State))
 	}
-	h.number(uint64(len(c.vms)))
+	h.addUint64(uint64(len(c.vms)))
 	for i := range c.targets {
 		t := &c.targets[i]
 		for _, s := range []string{string(t.ID), string(t.Service), string(t.Region), string(t.Domain), string(t.Site), t.Addr} {
-			h.text(s)
+			h.addString(s)
 		}
-		h.number(uint64(t.Slots))
-		h.number(uint64(t.Connections))
-		h.number(uint64(t.State))
+		h.addUint64(uint64(t.Slots))
+		h.addUint64(uint64(t.Connections))
+		h.addUint64(uint64(t.State))
 	}
 	return h.Sum64()
 }
 
-// deltaOf returns the difference between two contents. It reports false if
+// newDelta returns the difference between two contents. It reports false if
 // that has too many entries for a message.
-func deltaOf(from, to *content) (*Delta, bool) {
-	d := &Delta{From: from.point, To: to.point}
+func newDelta(from, to *domainList) (*Delta, bool) {
+	d := &Delta{From: from.version, To: to.version}
 	diff(from.vms, to.vms, func(v *fleet.VM) fleet.VMID { return v.ID }, &d.VMs, &d.RemovedVMs)
 	diff(from.targets, to.targets, func(t *fleet.Target) fleet.TargetID { return t.ID }, &d.Targets, &d.RemovedTargets)
 	return d, d.entries() <= MaxDeltaEntries
@@ -111,8 +111,8 @@
 
 // apply returns the content that d makes of c. It reports false if that isn't
 // what d says, as with another base or a damaged entry.
-func (c *content) apply(d *Delta) (*content, bool) {
-	if c.point != d.From {
+func (c *domainList) apply(d *Delta) (*domainList, bool) {
+	if c.version != d.From {
 		return nil, false
 	}
 	gone := func(v fleet.VM) bool {
@@ -123,17 +123,17 @@
 		return slices.Contains(d.RemovedTargets, t.ID) ||
 			slices.ContainsFunc(d.Targets, func(n fleet.Target) bool { return n.ID == t.ID })
 	}
-	next := &content{
+	next := &domainList{
 		vms:     append(slices.DeleteFunc(slices.Clone(c.vms), gone), d.VMs...),
 		targets: append(slices.DeleteFunc(slices.Clone(c.targets), goneTarget), d.Targets...),
 	}
 	next.sort()
-	next.point = d.To
+	next.version = d.To
 	return next, next.hash() == d.To.Hash
 }
 
 // parts splits c into messages.
-func (c *content) parts() []*Part {
+func (c *domainList) parts() []*Part {
 	var out []*Part
 	for vms := range slices.Chunk(c.vms, MaxPartEntries) {
 		out = append(out, &Part{VMs: vms})
@@ -148,39 +148,39 @@
 		return nil
 	}
 	for i, p := range out {
-		p.Held, p.Part, p.Parts = c.point, uint32(i), uint32(len(out))
+		p.Held, p.Part, p.Parts = c.version, uint32(i), uint32(len(out))
 	}
 	return out
 }
 
 // assembly puts the parts of one list together.
 type assembly struct {
-	point Point
+	version ListVersion
 	parts []*Part
-	have  int
+	received  int
 }
 
 // add takes a part. It returns the content once it is complete and matches its
 // hash.
-func (a *assembly) add(p *Part) *content {
-	if a.point != p.Held || len(a.parts) != int(p.Parts) {
-		*a = assembly{point: p.Held, parts: make([]*Part, p.Parts)}
+func (a *assembly) add(p *Part) *domainList {
+	if a.version != p.Held || len(a.parts) != int(p.Parts) {
+		*a = assembly{version: p.Held, parts: make([]*Part, p.Parts)}
 	}
 	if a.parts[p.Part] == nil {
-		a.have++
+		a.received++
 	}
 	a.parts[p.Part] = p
-	if a.have < len(a.parts) {
+	if a.received < len(a.parts) {
 		return nil
 	}
-	c := &content{point: a.point}
+	c := &domainList{version: a.version}
 	for _, p := range a.parts {
 		c.vms = append(c.vms, p.VMs...)
 		c.targets = append(c.targets, p.Targets...)
 	}
 	*a = assembly{}
 	c.sort()
-	if c.hash() != c.point.Hash {
+	if c.hash() != c.version.Hash {
 		return nil
 	}
 	return c
--- a/decide/machine/machine_test.go
+++ b/decide/machine/machine_test.go
@@ -11,22 +11,22 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-func removeFirst(l *fleet.List) { l.Targets = l.Targets[1:] }
+func removeFirstTarget(l *fleet.List) { l.Targets = l.Targets[1:] }
 
 func addTarget(i int) func(*fleet.List) {
 	return func(l *fleet.List) { l.Targets = append(l.Targets, testTarget(i)) }
 }
 
 // TestSpread: two of many daemons watch, and all have each change at once.
-func TestSpread(t *testing.T) {
+func TestPushReachesAllDaemons(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork(1, 43, 600, 50)
 	n.run(3 * time.Second)
-	is.NoErr(n.settled())
+	is.NoErr(n.checkConverged())
 	n.change(addTarget(60))
 	n.run(50 * time.Millisecond)
-	is.NoErr(n.settled())
-	for i, v := range n.nodes {
+	is.NoErr(n.checkConverged())
+	for i, v := range n.daemons {
 		is.Equal(v.watches, i < 2)
 	}
 }
@@ -34,21 +34,21 @@
 // TestJoin: symptom: a restarted daemon serves nothing for seconds. Sequence:
 // it starts while the platform is down, and the first neighbour that it asks
 // is dead but still listed. Cause: it waits for one answer.
-func TestJoin(t *testing.T) {
+func TestJoinWithDeadNeighbour(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork(1, 8, 600, 50)
 	n.run(3 * time.Second)
-	n.down = true
-	for _, v := range n.nodes[2:4] {
-		v.cut = true
+	n.platformDown = true
+	for _, v := range n.daemons[2:4] {
+		v.isolated = true
 	}
-	joiner := n.nodes[5]
+	joiner := n.daemons[5]
 	for range 20 {
 		n.start(joiner)
 		began := n.now
 		n.run(time.Second)
 		is.True(joiner.applied != nil)
-		is.True(joiner.at.Sub(began) < time.Second)
+		is.True(joiner.appliedAt.Sub(began) < time.Second)
 	}
 }
 
@@ -62,32 +62,32 @@
 	n.run(3 * time.Second)
 	n.change(addTarget(20))
 	n.run(time.Second)
-	n.nodes[0].cut = true
-	n.step(n.nodes[0], &Read{List: old})
-	n.run(2 * LowerFor) // nothing confirms the old list
-	is.Equal(n.nodes[0].point, n.nodes[7].point)
-	n.nodes[0].cut = false
-	n.step(n.nodes[0], &Read{List: old})
-	n.run(2 * LowerFor)
-	is.NoErr(n.settled())
-	is.Equal(n.nodes[0].point.Epoch, uint64(0))
+	n.daemons[0].isolated = true
+	n.step(n.daemons[0], &Read{List: old})
+	n.run(2 * LowerVersionFor) // nothing confirms the old list
+	is.Equal(n.daemons[0].version, n.daemons[7].version)
+	n.daemons[0].isolated = false
+	n.step(n.daemons[0], &Read{List: old})
+	n.run(2 * LowerVersionFor)
+	is.NoErr(n.checkConverged())
+	is.Equal(n.daemons[0].version.Epoch, uint64(0))
 }
 
 // TestReplicaStandsStill: symptom: a domain swings between two lists. Sequence:
 // one reader is connected to a replica of the platform that stands still, while
 // the list doesn't change for long. Cause: the lower version that one reader
 // sees for long is taken for a platform with older data.
-func TestReplicaStandsStill(t *testing.T) {
+func TestStalledReplica(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork(1, 43, 43, 10)
 	n.run(3 * time.Second)
 	old := n.list
 	n.change(addTarget(20))
 	n.run(3 * time.Second)
-	n.nodes[1].replica = &old
-	n.run(10 * LowerFor)
-	is.NoErr(n.settled()) // a new epoch would be a fault
-	is.Equal(n.nodes[1].shown, old.Version)
+	n.daemons[1].stalledReplica = &old
+	n.run(10 * LowerVersionFor)
+	is.NoErr(n.checkConverged()) // a new epoch would be a fault
+	is.Equal(n.daemons[1].shownVersion, old.Version)
 }
 
 // TestPlatformRestored: symptom: a domain works with the machines of last
@@ -104,33 +104,33 @@
 	}
 	n.run(time.Second)
 	n.list, n.restored = old, true
-	n.showAll()
-	n.run(LowerFor - 2*time.Second)
-	is.Equal(n.nodes[7].point.Epoch, uint64(0))
+	n.sendListToWatchers()
+	n.run(LowerVersionFor - 2*time.Second)
+	is.Equal(n.daemons[7].version.Epoch, uint64(0))
 	n.run(2 * confirmEvery)
-	is.Equal(n.nodes[7].point.Epoch, uint64(1))
+	is.Equal(n.daemons[7].version.Epoch, uint64(1))
 	n.run(time.Minute)
-	is.Equal(len(n.nodes[7].applied.Targets), 15) // the newer ones stay
+	is.Equal(len(n.daemons[7].applied.Targets), 15) // the newer ones stay
 	for i := range 5 {
 		n.change(addTarget(20 + i)) // and the platform notices them again
 	}
 	n.change(addTarget(30))
 	n.run(2 * time.Second)
-	is.NoErr(n.settled())
+	is.NoErr(n.checkConverged())
 }
 
 // TestSameNumberOtherContent: symptom: daemons disagree on one version without
 // end. Sequence: the restored platform reaches the version in force with other
 // content before anybody has seen a lower one. Cause: versions alone compared.
-func TestSameNumberOtherContent(t *testing.T) {
+func TestSameVersionWithOtherContent(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork(1, 8, 8, 10)
 	n.run(3 * time.Second)
 	n.restored = true
 	n.list.Targets = slices.Concat(n.list.Targets, []fleet.Target{testTarget(40)})
-	n.showAll()
+	n.sendListToWatchers()
 	n.run(2 * time.Second)
-	is.NoErr(n.settled())
+	is.NoErr(n.checkConverged())
 }
 
 // TestEmptyList: symptom: a domain has no targets. Sequence: a newer version
@@ -142,68 +142,68 @@
 	n.run(3 * time.Second)
 	all := n.list.Targets
 	n.change(func(l *fleet.List) { l.Targets = nil })
-	n.run(Grace - time.Second)
-	is.Equal(len(n.nodes[7].applied.Targets), 10)
+	n.run(TargetGrace - time.Second)
+	is.Equal(len(n.daemons[7].applied.Targets), 10)
 	n.change(func(l *fleet.List) { l.Targets = all[:9] })
-	n.run(Grace - time.Second)
-	is.Equal(len(n.nodes[7].applied.Targets), 9) // the tenth has been absent for Grace
-	is.NoErr(n.settled())
+	n.run(TargetGrace - time.Second)
+	is.Equal(len(n.daemons[7].applied.Targets), 9) // the tenth has been absent for Grace
+	is.NoErr(n.checkConverged())
 	n.change(func(l *fleet.List) { l.Targets[0].State = fleet.Leaving })
-	n.change(removeFirst)
+	n.change(removeFirstTarget)
 	n.run(time.Second)
-	is.NoErr(n.settled()) // one that was leaving isn't kept
+	is.NoErr(n.checkConverged()) // one that was leaving isn't kept
 }
 
 // TestReadersGone: symptom: a domain's list stands still. Sequence: both
 // readers are cut off, and nobody has been told to read in their place. Cause:
 // a daemon that relies on others for the list doesn't notice their silence.
-func TestReadersGone(t *testing.T) {
+func TestReadersCutOff(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork(1, 3, 8, 10)
 	n.run(3 * time.Second)
-	n.nodes[0].cut, n.nodes[1].cut = true, true
+	n.daemons[0].isolated, n.daemons[1].isolated = true, true
 	n.change(addTarget(20))
-	n.run(SilentFor + 3*RankStagger + time.Second)
-	is.True(n.nodes[2].watches)
-	is.Equal(len(n.nodes[2].applied.Targets), 11)
-	n.down = true
+	n.run(SilenceTimeout + 3*RankStagger + time.Second)
+	is.True(n.daemons[2].watches)
+	is.Equal(len(n.daemons[2].applied.Targets), 11)
+	n.platformDown = true
 	n.run(time.Hour)
-	is.Equal(len(n.nodes[2].applied.Targets), 11) // alone, it keeps the last
+	is.Equal(len(n.daemons[2].applied.Targets), 11) // alone, it keeps the last
 }
 
 // TestLeftOut: symptom: one daemon's list is old for good. Sequence: the views
 // of all others leave it out, so no push and no digest comes to it. Cause:
 // nobody answers a digest that is behind.
-func TestLeftOut(t *testing.T) {
+func TestDaemonMissingFromViews(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork(1, 8, 8, 10)
 	n.run(3 * time.Second)
 	var others []fleet.VMID
-	for _, v := range n.nodes[:7] {
+	for _, v := range n.daemons[:7] {
 		others = append(others, v.vm.ID)
 	}
-	for _, v := range n.nodes[:7] {
+	for _, v := range n.daemons[:7] {
 		n.step(v, &Members{IDs: others})
 	}
 	n.change(addTarget(20))
 	n.run(2 * DigestEvery)
-	is.NoErr(n.settled())
-	is.True(!n.nodes[7].watches)
+	is.NoErr(n.checkConverged())
+	is.True(!n.daemons[7].watches)
 }
 
 // TestSpoiltContent: a delta on another base, and parts that don't make the
 // stated content, are never put in force.
-func TestSpoiltContent(t *testing.T) {
+func TestCorruptContentIsRejected(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork(1, 2, 8, 10)
 	n.run(3 * time.Second)
-	v := n.nodes[1]
-	before := v.point
-	to := Point{Version: 200, Hash: 7}
-	n.step(v, &PeerMessage{From: n.nodes[0].vm.ID, Msg: &Delta{From: before, To: to, RemovedTargets: []fleet.TargetID{"calc-0001"}}})
-	n.step(v, &PeerMessage{From: n.nodes[0].vm.ID, Msg: &Part{Held: to, Parts: 1}})
-	n.step(v, &PeerMessage{From: n.nodes[0].vm.ID, Msg: &Part{Held: to, Parts: 0}})
-	is.Equal(v.point, before)
+	v := n.daemons[1]
+	before := v.version
+	to := ListVersion{Version: 200, Hash: 7}
+	n.step(v, &PeerMessage{From: n.daemons[0].vm.ID, Msg: &Delta{From: before, To: to, RemovedTargets: []fleet.TargetID{"calc-0001"}}})
+	n.step(v, &PeerMessage{From: n.daemons[0].vm.ID, Msg: &Part{Held: to, Parts: 1}})
+	n.step(v, &PeerMessage{From: n.daemons[0].vm.ID, Msg: &Part{Held: to, Parts: 0}})
+	is.Equal(v.version, before)
 	is.True((&Delta{From: to, To: before}).Validate() != nil)
 	is.True((&Part{Held: to, Parts: 2, Part: 2}).Validate() != nil)
 	is.True((&Part{Held: to, Parts: 1, VMs: make([]fleet.VM, 1)}).Validate() != nil) // no id
@@ -222,63 +222,63 @@
 		n := newNetwork(rapid.Uint64().Draw(t, "seed"), rapid.IntRange(1, 12).Draw(t, "size"), 10, 10)
 		old := n.list
 		for i := range rapid.IntRange(3, 30).Draw(t, "steps") {
-			n.disturb(t, i, &old)
+			n.injectFault(t, i, &old)
 			n.run(rapid.SampledFrom([]time.Duration{1, 40, 900, 9000, 40000}).Draw(t, "wait") * time.Millisecond)
 		}
-		n.loss, n.down = 0, false
-		n.announce()
-		for _, v := range n.nodes {
-			v.cut = false
-			if v.st == nil {
+		n.lossRate, n.platformDown = 0, false
+		n.announceMembers()
+		for _, v := range n.daemons {
+			v.isolated = false
+			if v.state == nil {
 				n.start(v)
 			}
 		}
-		n.step(n.nodes[0], &Reading{On: true})
-		n.showAll()
-		n.run(EpochGrace + 2*LowerFor)
-		if err := n.settled(); err != nil {
+		n.step(n.daemons[0], &Reading{On: true})
+		n.sendListToWatchers()
+		n.run(NewEpochGrace + 2*LowerVersionFor)
+		if err := n.checkConverged(); err != nil {
 			t.Fatal(err)
 		}
 	})
 }
 
-func (n *network) disturb(t *rapid.T, i int, old *fleet.List) {
-	v := n.nodes[rapid.IntRange(0, len(n.nodes)-1).Draw(t, "node")]
+func (n *network) injectFault(t *rapid.T, i int, old *fleet.List) {
+	v := n.daemons[rapid.IntRange(0, len(n.daemons)-1).Draw(t, "node")]
 	switch rapid.IntRange(0, 10).Draw(t, "what") {
 	case 0, 1:
 		n.change(addTarget(100 + i))
 	case 2:
 		n.change(func(l *fleet.List) {
 			if len(l.Targets) > 0 {
-				removeFirst(l)
+				removeFirstTarget(l)
 			}
 		})
 	case 3:
 		n.change(func(l *fleet.List) { l.Targets[len(l.Targets)-1].State = fleet.Leaving })
 	case 4:
-		v.st = nil
-		n.announce()
+		v.state = nil
+		n.announceMembers()
 	case 5:
 		n.start(v)
 	case 6:
-		v.cut = !v.cut
+		v.isolated = !v.isolated
 	case 7:
-		n.down = !n.down
-		n.loss = rapid.SampledFrom([]float64{0, 0.1, 0.5}).Draw(t, "loss")
+		n.platformDown = !n.platformDown
+		n.lossRate = rapid.SampledFrom([]float64{0, 0.1, 0.5}).Draw(t, "loss")
 	case 8:
-		if v.st != nil {
+		if v.state != nil {
 			n.step(v, &Reading{On: rapid.Bool().Draw(t, "on")})
 		}
 	case 9:
 		if rapid.Bool().Draw(t, "back") {
 			n.list, n.restored = *old, true
-			n.showAll()
+			n.sendListToWatchers()
 			return
 		}
 		*old = n.list
 	case 10: // a view that leaves some out, which the next announcement mends
-		if v.st != nil {
-			n.step(v, &Members{IDs: []fleet.VMID{n.nodes[0].vm.ID, n.nodes[len(n.nodes)/2].vm.ID}})
+		if v.state != nil {
+			n.step(v, &Members{IDs: []fleet.VMID{n.daemons[0].vm.ID, n.daemons[len(n.daemons)/2].vm.ID}})
 		}
 	}
 }
--- a/decide/machine/message.go
+++ b/decide/machine/message.go
@@ -67,8 +67,8 @@
 	return found[0], found[0].Validate()
 }
 
-// Point names a list's content. The zero Point is no list.
-type Point struct {
+// ListVersion names a list's content. The zero Point is no list.
+type ListVersion struct {
 	Epoch   uint64 `json:"epoch"`
 	Version uint64 `json:"version"` // the platform's
 	Hash    uint64 `json:"hash"`    // of the domain's part
@@ -76,7 +76,7 @@
 
 // compare orders points by epoch and version. Two contents of one version are
 // ordered by hash, so that all daemons settle on the same one.
-func (p Point) compare(o Point) int {
+func (p ListVersion) compare(o ListVersion) int {
 	return cmp.Or(
 		cmp.Compare(p.Epoch, o.Epoch),
 		cmp.Compare(p.Version, o.Version),
@@ -86,24 +86,24 @@
 
 // Digest states what the sender holds.
 type Digest struct {
-	Held Point `json:"held"`
+	Held ListVersion `json:"held"`
 	// Age is how long ago the platform last showed Held to any reader, in
 	// milliseconds; Unknown if no digest has stated it.
 	Age uint32 `json:"age"`
 }
 
-// Unknown is the age of what is not known to have happened.
-const Unknown = math.MaxUint32
+// AgeUnknown is the age of what is not known to have happened.
+const AgeUnknown = math.MaxUint32
 
 // Want asks for what is newer than Have; the zero Point asks for all.
 type Want struct {
-	Have Point `json:"have"`
+	Have ListVersion `json:"have"`
 }
 
 // Delta is the difference between two lists.
 type Delta struct {
-	From           Point            `json:"from"`
-	To             Point            `json:"to"`
+	From           ListVersion            `json:"from"`
+	To             ListVersion            `json:"to"`
 	VMs            []fleet.VM       `json:"vms"`
 	Targets        []fleet.Target   `json:"targets"`
 	RemovedVMs     []fleet.VMID     `json:"removed_vms"`
@@ -112,7 +112,7 @@
 
 // Part is one part of a whole list.
 type Part struct {
-	Held    Point          `json:"held"`
+	Held    ListVersion          `json:"held"`
 	Part    uint32         `json:"part"` // from 0
 	Parts   uint32         `json:"parts"`
 	VMs     []fleet.VM     `json:"vms"`
@@ -132,14 +132,14 @@
 	MaxParts        = 256     // of one list
 	maxEpoch        = 1 << 32 // epochs
 	maxVersion      = 1 << 62
-	maxText         = 256 // bytes of an id, name or address
+	maxStringBytes         = 256 // bytes of an id, name or address
 )
 
 // ErrBounds is the cause of every refusal by Validate.
 var ErrBounds = errors.New("machine: message out of bounds")
 
 // Validate refuses points beyond the bounds.
-func (p Point) Validate() error {
+func (p ListVersion) Validate() error {
 	if p.Epoch > maxEpoch || p.Version > maxVersion {
 		return fmt.Errorf("%w: epoch %d, version %d", ErrBounds, p.Epoch, p.Version)
 	}
@@ -164,12 +164,12 @@
 		return err
 	}
 	for _, id := range d.RemovedVMs {
-		if err := checkTexts(string(id)); err != nil {
+		if err := checkStrings(string(id)); err != nil {
 			return err
 		}
 	}
 	for _, id := range d.RemovedTargets {
-		if err := checkTexts(string(id)); err != nil {
+		if err := checkStrings(string(id)); err != nil {
 			return err
 		}
 	}
@@ -196,7 +196,7 @@
 
 // Validate refuses pushes beyond the bounds.
 func (p *Push) Validate() error {
-	if err := checkTexts(string(p.Root)); err != nil {
+	if err := checkStrings(string(p.Root)); err != nil {
 		return err
 	}
 	return p.Delta.Validate()
@@ -205,26 +205,26 @@
 func checkEntries(vms []fleet.VM, targets []fleet.Target) error {
 	for i := range vms {
 		v := &vms[i]
-		if err := checkTexts(string(v.ID), string(v.Region), string(v.Domain), string(v.Site), v.CallAddr, v.PeerAddr, v.AdminAddr); err != nil {
+		if err := checkStrings(string(v.ID), string(v.Region), string(v.Domain), string(v.Site), v.CallAddr, v.PeerAddr, v.AdminAddr); err != nil {
 			return err
 		}
 	}
 	for i := range targets {
 		t := &targets[i]
-		if err := checkTexts(string(t.ID), string(t.Service), string(t.Region), string(t.Domain), string(t.Site), t.Addr); err != nil {
+		if err := checkStrings(string(t.ID), string(t.Service), string(t.Region), string(t.Domain), string(t.Site), t.Addr); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// checkTexts refuses an empty id and overlong texts.
-func checkTexts(id string, others ...string) error {
-	if id == "" || len(id) > maxText {
+// checkStrings refuses an empty id and overlong texts.
+func checkStrings(id string, others ...string) error {
+	if id == "" || len(id) > maxStringBytes {
 		return fmt.Errorf("%w: id of %d bytes", ErrBounds, len(id))
 	}
 	for _, s := range others {
-		if len(s) > maxText {
+		if len(s) > maxStringBytes {
 			return fmt.Errorf("%w: text of %d bytes", ErrBounds, len(s))
 		}
 	}
--- a/decide/machine/net_test.go
+++ b/decide/machine/net_test.go
@@ -14,25 +14,25 @@
 
 const ownDomain = fleet.Domain("attiki-1")
 
-// node is one daemon of the domain.
-type node struct {
+// daemon is one daemon of the domain.
+type daemon struct {
 	vm      fleet.VM
-	st      *State // nil while it is down
+	state      *State // nil while it is down
 	out     Ready
 	wake    clock.Time
 	watches bool
-	replica *fleet.List // of the platform that stands still, if it has one
-	shown   uint64      // version that the platform has shown last
-	cut     bool        // reaches neither members nor the platform
+	stalledReplica *fleet.List // of the platform that stands still, if it has one
+	shownVersion   uint64      // version that the platform has shown last
+	isolated     bool        // reaches neither members nor the platform
 	applied *fleet.List
-	at      clock.Time // when that came into force
-	point   Point
-	absent  map[fleet.TargetID]clock.Time // since when the held list lacks a live target that is in force
+	appliedAt      clock.Time // when that came into force
+	version   ListVersion
+	absentSince  map[fleet.TargetID]clock.Time // since when the held list lacks a live target that is in force
 }
 
 type delivery struct {
-	to *node
-	st *State // the process it is for
+	to *daemon
+	state *State // the process it is for
 	ev Event
 }
 
@@ -40,16 +40,16 @@
 type network struct {
 	now      clock.Time
 	rng      *rand.Rand
-	nodes    []*node
-	byID     map[fleet.VMID]*node
+	daemons    []*daemon
+	byID     map[fleet.VMID]*daemon
 	queue    clocktest.Queue[delivery]
-	loss     float64
+	lossRate     float64
 	list     fleet.List // the platform's
-	down     bool       // the platform
+	platformDown     bool       // the platform
 	restored bool       // whether the platform was ever restored from older data
 	messages int
 	bytes    int
-	faults   []string
+	violations   []string
 }
 
 // confirmEvery is how often the platform answers a watch without a change.
@@ -57,7 +57,7 @@
 
 // newNetwork starts n daemons; the first two are the readers.
 func newNetwork(seed uint64, size, vms, targets int) *network {
-	n := &network{now: clock.Time(time.Hour), rng: rand.New(rand.NewPCG(seed, 1)), byID: map[fleet.VMID]*node{}}
+	n := &network{now: clock.Time(time.Hour), rng: rand.New(rand.NewPCG(seed, 1)), byID: map[fleet.VMID]*daemon{}}
 	n.list.Version = 100
 	for i := range vms {
 		n.list.VMs = append(n.list.VMs, testVM(i))
@@ -66,11 +66,11 @@
 		n.list.Targets = append(n.list.Targets, testTarget(i))
 	}
 	for i := range size {
-		v := &node{vm: testVM(i)}
-		n.nodes = append(n.nodes, v)
+		v := &daemon{vm: testVM(i)}
+		n.daemons = append(n.daemons, v)
 		n.byID[v.vm.ID] = v
 	}
-	for i, v := range n.nodes {
+	for i, v := range n.daemons {
 		n.start(v)
 		if i < 2 {
 			n.step(v, &Reading{On: true})
@@ -93,53 +93,53 @@
 	}
 }
 
-func (n *network) start(v *node) {
-	v.st = New(n.now, v.vm, n.rng.Uint64())
-	v.applied, v.point, v.watches = nil, Point{}, false
-	v.absent = map[fleet.TargetID]clock.Time{}
-	n.announce()
+func (n *network) start(v *daemon) {
+	v.state = New(n.now, v.vm, n.rng.Uint64())
+	v.applied, v.version, v.watches = nil, ListVersion{}, false
+	v.absentSince = map[fleet.TargetID]clock.Time{}
+	n.announceMembers()
 }
 
-func (n *network) announce() {
+func (n *network) announceMembers() {
 	var ids []fleet.VMID
-	for _, v := range n.nodes {
-		if v.st != nil {
+	for _, v := range n.daemons {
+		if v.state != nil {
 			ids = append(ids, v.vm.ID)
 		}
 	}
-	for _, v := range n.nodes {
-		if v.st != nil {
+	for _, v := range n.daemons {
+		if v.state != nil {
 			n.step(v, &Members{IDs: ids})
 		}
 	}
 }
 
-func (n *network) step(v *node, ev Event) {
+func (n *network) step(v *daemon, ev Event) {
 	if r, ok := ev.(*Read); ok {
-		v.shown = r.List.Version
+		v.shownVersion = r.List.Version
 	}
-	v.st.Step(n.now, ev, &v.out)
-	n.check(v)
+	v.state.Step(n.now, ev, &v.out)
+	n.checkStep(v)
 	v.wake = v.out.Wake
 	n.push(v.wake, v, &Tick{})
 	for _, s := range v.out.Sends {
 		n.messages++
 		n.bytes += tallytest.Size(NewBody(s.Msg))
 		to := n.byID[s.To]
-		if to.st != nil && !to.cut && !v.cut && n.rng.Float64() >= n.loss {
+		if to.state != nil && !to.isolated && !v.isolated && n.rng.Float64() >= n.lossRate {
 			n.push(n.now.Add(time.Millisecond+time.Duration(n.rng.Int64N(int64(time.Millisecond)))), to, &PeerMessage{From: v.vm.ID, Msg: s.Msg})
 		}
 	}
 	if v.out.Watch && !v.watches {
-		n.show(v)
-		n.confirm(v)
+		n.sendList(v)
+		n.scheduleConfirmation(v)
 	}
 	v.watches = v.out.Watch
 }
 
-// show brings the platform's list to a daemon.
-func (n *network) show(v *node) {
-	if !n.down && !v.cut {
+// sendList brings the platform's list to a daemon.
+func (n *network) sendList(v *daemon) {
+	if !n.platformDown && !v.isolated {
 		l := n.listFor(v)
 		l.VMs, l.Targets = slices.Clone(l.VMs), slices.Clone(l.Targets)
 		n.push(n.now.Add(2*time.Millisecond), v, &Read{List: l})
@@ -147,18 +147,18 @@
 }
 
 // listFor returns the list that a daemon's replica of the platform shows.
-func (n *network) listFor(v *node) fleet.List {
-	if v.replica != nil {
-		return *v.replica
+func (n *network) listFor(v *daemon) fleet.List {
+	if v.stalledReplica != nil {
+		return *v.stalledReplica
 	}
 	return n.list
 }
 
-// confirm answers the watch of a daemon again and again.
-func (n *network) confirm(v *node) { n.push(n.now.Add(confirmEvery), v, &Unchanged{}) }
+// scheduleConfirmation answers the watch of a daemon again and again.
+func (n *network) scheduleConfirmation(v *daemon) { n.push(n.now.Add(confirmEvery), v, &Unchanged{}) }
 
-func (n *network) push(at clock.Time, to *node, ev Event) {
-	n.queue.Push(at, delivery{to: to, st: to.st, ev: ev})
+func (n *network) push(at clock.Time, to *daemon, ev Event) {
+	n.queue.Push(at, delivery{to: to, state: to.state, ev: ev})
 }
 
 // change makes a new version of the platform's list.
@@ -166,13 +166,13 @@
 	n.list.VMs, n.list.Targets = slices.Clone(n.list.VMs), slices.Clone(n.list.Targets)
 	edit(&n.list)
 	n.list.Version++
-	n.showAll()
+	n.sendListToWatchers()
 }
 
-func (n *network) showAll() {
-	for _, v := range n.nodes {
-		if v.st != nil && v.watches {
-			n.show(v)
+func (n *network) sendListToWatchers() {
+	for _, v := range n.daemons {
+		if v.state != nil && v.watches {
+			n.sendList(v)
 		}
 	}
 }
@@ -181,7 +181,7 @@
 	until := n.now.Add(d)
 	for at, x, ok := n.queue.Pop(until); ok; at, x, ok = n.queue.Pop(until) {
 		n.now = max(n.now, at)
-		if x.to.st != x.st || x.st == nil {
+		if x.to.state != x.state || x.state == nil {
 			continue
 		}
 		switch x.ev.(type) {
@@ -193,12 +193,12 @@
 			if !x.to.watches {
 				continue
 			}
-			n.confirm(x.to)
-			if n.down || x.to.cut {
+			n.scheduleConfirmation(x.to)
+			if n.platformDown || x.to.isolated {
 				continue
 			}
-			if x.to.shown != n.listFor(x.to).Version {
-				n.show(x.to) // the platform answers a watch on another version with its list
+			if x.to.shownVersion != n.listFor(x.to).Version {
+				n.sendList(x.to) // the platform answers a watch on another version with its list
 				continue
 			}
 		}
@@ -207,56 +207,56 @@
 	n.now = until
 }
 
-// check holds a step's effects to the promises of the package.
-func (n *network) check(v *node) {
-	held := v.st.Held()
-	if held.compare(v.point) < 0 {
-		n.fault("%s went back from %v to %v", v.vm.ID, v.point, held)
+// checkStep holds a step's effects to the promises of the package.
+func (n *network) checkStep(v *daemon) {
+	held := v.state.Held()
+	if held.compare(v.version) < 0 {
+		n.recordViolation("%s went back from %v to %v", v.vm.ID, v.version, held)
 	}
 	if held.Epoch > 0 && !n.restored {
-		n.fault("%s began epoch %d, and the platform never went back", v.vm.ID, held.Epoch)
+		n.recordViolation("%s began epoch %d, and the platform never went back", v.vm.ID, held.Epoch)
 	}
-	v.point = held
+	v.version = held
 	if v.out.Apply == nil {
 		return
 	}
 	if v.applied != nil {
-		n.checkVanished(v)
+		n.checkGrace(v)
 	}
-	v.applied, v.at = v.out.Apply, n.now
+	v.applied, v.appliedAt = v.out.Apply, n.now
 }
 
-// checkVanished expects a live target to stay for its grace.
-func (n *network) checkVanished(v *node) {
+// checkGrace expects a live target to stay for its grace.
+func (n *network) checkGrace(v *daemon) {
 	for _, t := range v.applied.Targets {
-		if slices.ContainsFunc(v.st.held.targets, func(h fleet.Target) bool { return h.ID == t.ID }) {
-			delete(v.absent, t.ID)
+		if slices.ContainsFunc(v.state.held.targets, func(h fleet.Target) bool { return h.ID == t.ID }) {
+			delete(v.absentSince, t.ID)
 			continue
 		}
-		if _, ok := v.absent[t.ID]; !ok {
-			v.absent[t.ID] = n.now
+		if _, ok := v.absentSince[t.ID]; !ok {
+			v.absentSince[t.ID] = n.now
 		}
 		stays := slices.ContainsFunc(v.out.Apply.Targets, func(a fleet.Target) bool { return a.ID == t.ID })
-		if !stays && t.State == fleet.Live && n.now.Sub(v.absent[t.ID]) < Grace {
-			n.fault("%s lost %s after %s", v.vm.ID, t.ID, n.now.Sub(v.absent[t.ID]))
+		if !stays && t.State == fleet.Live && n.now.Sub(v.absentSince[t.ID]) < TargetGrace {
+			n.recordViolation("%s lost %s after %s", v.vm.ID, t.ID, n.now.Sub(v.absentSince[t.ID]))
 		}
 	}
 }
 
-func (n *network) fault(format string, args ...any) {
-	if len(n.faults) > 4 {
+func (n *network) recordViolation(format string, args ...any) {
+	if len(n.violations) > 4 {
 		return
 	}
-	n.faults = append(n.faults, fmt.Sprintf(format, args...))
+	n.violations = append(n.violations, fmt.Sprintf(format, args...))
 }
 
-// settled returns what keeps a daemon from holding what the platform holds.
-func (n *network) settled() error {
-	for _, v := range n.nodes {
+// checkConverged returns what keeps a daemon from holding what the platform holds.
+func (n *network) checkConverged() error {
+	for _, v := range n.daemons {
 		switch {
-		case len(n.faults) > 0:
-			return fmt.Errorf("%v", n.faults)
-		case v.st == nil:
+		case len(n.violations) > 0:
+			return fmt.Errorf("%v", n.violations)
+		case v.state == nil:
 		case v.applied == nil:
 			return fmt.Errorf("%s has no list", v.vm.ID)
 		case v.applied.Version != n.list.Version || !slices.Equal(v.applied.Targets, n.list.Targets) || !slices.Equal(v.applied.VMs, n.list.VMs):
--- a/decide/machine/platform.go
+++ b/decide/machine/platform.go
@@ -18,37 +18,37 @@
 		s.adoptShown(0)
 		return
 	}
-	held := s.held.point
+	held := s.held.version
 	switch {
-	case c.point.Version > held.Version:
+	case c.version.Version > held.Version:
 		s.adoptShown(held.Epoch)
-	case c.point.Version < held.Version:
-		s.lower(held)
-	case c.point.Hash != held.Hash:
+	case c.version.Version < held.Version:
+		s.checkLowerVersion(held)
+	case c.version.Hash != held.Hash:
 		// A platform never gives one version two contents, unless it was
 		// restored and has reached the same number again.
 		s.adoptShown(held.Epoch + 1)
 	default:
-		s.platform.lower = clock.Never
+		s.platform.lowerSince = clock.Never
 		s.confirmedAt = s.now
 	}
 }
 
-// lower starts a new epoch if the platform has shown lower versions throughout
+// checkLowerVersion starts a new epoch if the platform has shown lower versions throughout
 // LowerFor, and the list in force to no reader. A single lower version is no
 // proof: a paused reader or a delayed answer shows one too. Nor are lower
 // versions at one reader: a stalled replica of the platform shows them
 // permanently, while other readers see newer ones.
-func (s *State) lower(held Point) {
+func (s *State) checkLowerVersion(held ListVersion) {
 	p := &s.platform
-	gap := s.now.Sub(p.seen)
-	p.seen = s.now
-	if p.lower == clock.Never || p.below != held || gap > LowerGap {
-		p.lower, p.below = s.now, held
+	gap := s.now.Sub(p.lastLowerAt)
+	p.lastLowerAt = s.now
+	if p.lowerSince == clock.Never || p.lowerThan != held || gap > LowerVersionGap {
+		p.lowerSince, p.lowerThan = s.now, held
 		return
 	}
-	confirmed := s.confirmedAt != 0 && s.now.Sub(s.confirmedAt) < LowerFor
-	if s.now.Sub(p.lower) >= LowerFor && !confirmed {
+	confirmed := s.confirmedAt != 0 && s.now.Sub(s.confirmedAt) < LowerVersionFor
+	if s.now.Sub(p.lowerSince) >= LowerVersionFor && !confirmed {
 		s.adoptShown(held.Epoch + 1)
 	}
 }
@@ -57,39 +57,39 @@
 // root of a push.
 func (s *State) adoptShown(epoch uint64) {
 	c := *s.platform.shown
-	c.point.Epoch = epoch
-	s.platform.lower = clock.Never
+	c.version.Epoch = epoch
+	s.platform.lowerSince = clock.Never
 	before := s.held
 	s.adopt(&c)
 	s.confirmedAt = s.now
-	s.originate(before)
+	s.schedulePush(before)
 }
 
 // adopt puts a content in force.
-func (s *State) adopt(c *content) {
+func (s *State) adopt(c *domainList) {
 	before := s.held
 	s.held = c
 	s.confirmedAt = 0
-	s.changed = true
+	s.listChanged = true
 	if before == nil {
 		return
 	}
 	s.history = append(s.history, before)
 	s.history = s.history[max(len(s.history)-maxHistory, 0):]
-	grace := Grace
-	if c.point.Epoch != before.point.Epoch {
-		grace = EpochGrace
+	grace := TargetGrace
+	if c.version.Epoch != before.version.Epoch {
+		grace = NewEpochGrace
 	}
 	for _, t := range before.targets {
 		if t.State == fleet.Live {
 			s.retained = append(s.retained, retainedTarget{target: t, until: s.now.Add(grace)})
 		}
 	}
-	s.retained = slices.DeleteFunc(s.retained, func(k retainedTarget) bool { return c.replaces(&k.target) })
+	s.retained = slices.DeleteFunc(s.retained, func(k retainedTarget) bool { return c.hasReplacement(&k.target) })
 }
 
-// replaces reports whether c holds a target, or another one at its address.
-func (c *content) replaces(t *fleet.Target) bool {
+// hasReplacement reports whether c holds a target, or another one at its address.
+func (c *domainList) hasReplacement(t *fleet.Target) bool {
 	return slices.ContainsFunc(c.targets, func(n fleet.Target) bool {
 		return n.ID == t.ID || n.Addr == t.Addr
 	})
@@ -99,12 +99,12 @@
 func (s *State) expireRetained() {
 	n := len(s.retained)
 	s.retained = slices.DeleteFunc(s.retained, func(k retainedTarget) bool { return k.until <= s.now })
-	s.changed = s.changed || len(s.retained) != n
+	s.listChanged = s.listChanged || len(s.retained) != n
 }
 
-// list returns what is in force.
-func (s *State) list() *fleet.List {
-	l := &fleet.List{Version: s.held.point.Version, VMs: s.held.vms, Targets: slices.Clone(s.held.targets)}
+// effectiveList returns what is in force.
+func (s *State) effectiveList() *fleet.List {
+	l := &fleet.List{Version: s.held.version.Version, VMs: s.held.vms, Targets: slices.Clone(s.held.targets)}
 	for _, k := range s.retained {
 		l.Targets = append(l.Targets, k.target)
 	}
--- a/decide/machine/state.go
+++ b/decide/machine/state.go
@@ -19,22 +19,22 @@
 	PushEvery = 200 * time.Millisecond
 	// WantTimeout is the time after which another member is asked.
 	WantTimeout = 300 * time.Millisecond
-	// LowerFor is how long the platform must have shown a lower version
+	// LowerVersionFor is how long the platform must have shown a lower version
 	// before it counts as restored.
-	LowerFor = time.Minute
-	// LowerGap is the longest time between two answers of the platform that
+	LowerVersionFor = time.Minute
+	// LowerVersionGap is the longest time between two answers of the platform that
 	// count as showing a lower version all along. It must exceed the time
 	// that the platform holds a watch.
-	LowerGap = 45 * time.Second
-	// Grace keeps a target that a newer list doesn't hold.
-	Grace = 10 * time.Second
-	// EpochGrace keeps one that the first list of a new epoch doesn't hold.
-	EpochGrace = 5 * time.Minute
-	// SilentFor is how long a daemon must have got no message from its
+	LowerVersionGap = 45 * time.Second
+	// TargetGrace keeps a target that a newer list doesn't hold.
+	TargetGrace = 10 * time.Second
+	// NewEpochGrace keeps one that the first list of a new epoch doesn't hold.
+	NewEpochGrace = 5 * time.Minute
+	// SilenceTimeout is how long a daemon must have got no message from its
 	// neighbours before it watches the platform without being a reader.
-	SilentFor = 20 * time.Second
-	// JoinWait is the same for a daemon that has no list yet.
-	JoinWait = 2 * time.Second
+	SilenceTimeout = 20 * time.Second
+	// JoinTimeout is the same for a daemon that has no list yet.
+	JoinTimeout = 2 * time.Second
 	// RankStagger is the further wait for each rank, so that a failure that
 	// all daemons see doesn't make them all watch.
 	RankStagger = time.Second
@@ -43,9 +43,9 @@
 const (
 	// maxHistory bounds the contents kept to make deltas from.
 	maxHistory = 8
-	// maxWants bounds the members asked for one list; after them the next
+	// maxWantAttempts bounds the members asked for one list; after them the next
 	// digest has to show again that there is something to ask for.
-	maxWants = 8
+	maxWantAttempts = 8
 )
 
 // State is one daemon's state of the list and its dissemination. It isn't safe
@@ -56,42 +56,42 @@
 	now     clock.Time
 	members []fleet.VMID // of the domain, self included, in order of rank
 
-	held        *content // nil before the first list
-	history     []*content
+	held        *domainList // nil before the first list
+	history     []*domainList
 	retained    []retainedTarget // in order of id
-	changed     bool             // the list in force must be reported
+	listChanged     bool             // the list in force must be reported
 	confirmedAt clock.Time       // when the platform last showed held to any reader; 0: not known
 
-	reading  bool
+	isReader  bool
 	platform platformView
-	push     push
+	push     pendingPush
 	catchUp  catchUp
-	pushed   map[fleet.VMID]Point      // last push passed on, by root
-	served   map[fleet.VMID]clock.Time // last whole list sent, by member
-	heard    clock.Time                // last message of another member
-	digestAt clock.Time
-	digests  int
+	lastForwarded   map[fleet.VMID]ListVersion      // last push passed on, by root
+	fullListSentAt   map[fleet.VMID]clock.Time // last whole list sent, by member
+	lastHeard    clock.Time                // last message of another member
+	nextDigestAt clock.Time
+	digestsSent  int
 }
 
 // platformView is what the platform has shown to this daemon.
 type platformView struct {
-	shown *content   // nil while this daemon doesn't watch
-	lower clock.Time // since when that is lower than below; Never if it isn't
-	below Point
-	seen  clock.Time // when it was last found lower
+	shown *domainList   // nil while this daemon doesn't watch
+	lowerSince clock.Time // since when that is lower than below; Never if it isn't
+	lowerThan ListVersion
+	lastLowerAt  clock.Time // when it was last found lower
 }
 
-// push is the dissemination of changes with this daemon as the root.
-type push struct {
-	base *content // before the first change not yet pushed; nil for none
-	at   clock.Time
-	last clock.Time
+// pendingPush is the dissemination of changes with this daemon as the root.
+type pendingPush struct {
+	base *domainList // before the first change not yet pushed; nil for none
+	dueAt   clock.Time
+	lastSentAt clock.Time
 }
 
 // catchUp is the fetch of a newer list that a member is known to hold.
 type catchUp struct {
-	to       Point
-	wants    int
+	wanted       ListVersion
+	attempts    int
 	deadline clock.Time // Never while there is none
 	parts    assembly
 }
@@ -110,23 +110,23 @@
 		rng:      rand.New(rand.NewPCG(seed, 1)),
 		now:      now,
 		members:  []fleet.VMID{self.ID},
-		platform: platformView{lower: clock.Never},
-		push:     push{at: clock.Never},
+		platform: platformView{lowerSince: clock.Never},
+		push:     pendingPush{dueAt: clock.Never},
 		catchUp:  catchUp{deadline: clock.Never},
-		pushed:   make(map[fleet.VMID]Point),
-		served:   make(map[fleet.VMID]clock.Time),
-		heard:    now,
+		lastForwarded:   make(map[fleet.VMID]ListVersion),
+		fullListSentAt:   make(map[fleet.VMID]clock.Time),
+		lastHeard:    now,
 	}
-	s.digestAt = now.Add(s.around(DigestEvery))
+	s.nextDigestAt = now.Add(s.jitter(DigestEvery))
 	return s
 }
 
 // Held returns the point of the list in force; zero before the first.
-func (s *State) Held() Point {
+func (s *State) Held() ListVersion {
 	if s.held == nil {
-		return Point{}
+		return ListVersion{}
 	}
-	return s.held.point
+	return s.held.version
 }
 
 // Step takes one event and fills out with its effects.
@@ -135,26 +135,26 @@
 	s.now = max(s.now, now)
 	switch e := ev.(type) {
 	case *Read:
-		s.platform.shown = newContent(e.List, s.self.Domain)
+		s.platform.shown = newDomainList(e.List, s.self.Domain)
 		s.compareShown()
 	case *Unchanged:
 		s.compareShown()
 	case *Reading:
-		s.reading = e.On
+		s.isReader = e.On
 	case *Members:
 		s.setMembers(e.IDs, out)
 	case *PeerMessage:
-		s.message(e, out)
+		s.handleMessage(e, out)
 	case *Tick:
 	}
-	s.run(out)
-	if s.changed {
-		s.changed = false
-		out.Apply = s.list()
+	s.runDue(out)
+	if s.listChanged {
+		s.listChanged = false
+		out.Apply = s.effectiveList()
 	}
-	out.Watch = s.watches()
+	out.Watch = s.shouldWatch()
 	if !out.Watch {
-		s.platform = platformView{lower: clock.Never}
+		s.platform = platformView{lowerSince: clock.Never}
 	}
 	out.Wake = s.wake()
 }
@@ -162,54 +162,54 @@
 func (s *State) setMembers(ids []fleet.VMID, out *Ready) {
 	all := append([]fleet.VMID{s.self.ID}, ids...)
 	s.members = slices.Compact(rank.Order("", all))
-	for id := range s.pushed {
+	for id := range s.lastForwarded {
 		if !slices.Contains(s.members, id) {
-			delete(s.pushed, id)
+			delete(s.lastForwarded, id)
 		}
 	}
-	clear(s.served)
+	clear(s.fullListSentAt)
 	if s.held == nil && s.catchUp.deadline == clock.Never {
-		s.askNext(out)
+		s.requestFromAnother(out)
 	}
 }
 
-func (s *State) message(e *PeerMessage, out *Ready) {
+func (s *State) handleMessage(e *PeerMessage, out *Ready) {
 	if e.Msg.Validate() != nil {
 		return
 	}
-	s.heard = s.now
+	s.lastHeard = s.now
 	switch m := e.Msg.(type) {
 	case *Digest:
-		s.digest(e.From, m, out)
+		s.handleDigest(e.From, m, out)
 	case *Want:
 		s.handleWant(e.From, m.Have, out)
 	case *Delta:
-		s.delta(e.From, m, out)
+		s.handleDelta(e.From, m, out)
 	case *Part:
-		s.part(m)
+		s.handlePart(m)
 	case *Push:
-		s.delta(e.From, &m.Delta, out)
-		s.forward(m, out)
+		s.handleDelta(e.From, &m.Delta, out)
+		s.forwardPush(m, out)
 	}
 }
 
-// run does what is due.
-func (s *State) run(out *Ready) {
+// runDue does what is due.
+func (s *State) runDue(out *Ready) {
 	s.expireRetained()
-	if s.push.at <= s.now {
-		s.pushChange(out)
+	if s.push.dueAt <= s.now {
+		s.sendPush(out)
 	}
 	if s.catchUp.deadline <= s.now {
-		s.askNext(out)
+		s.requestFromAnother(out)
 	}
-	if s.digestAt <= s.now {
-		s.digestAt = s.now.Add(s.around(DigestEvery))
+	if s.nextDigestAt <= s.now {
+		s.nextDigestAt = s.now.Add(s.jitter(DigestEvery))
 		s.sendDigest(out)
 	}
 }
 
 func (s *State) wake() clock.Time {
-	w := clock.Min(s.digestAt, clock.Min(s.push.at, s.catchUp.deadline))
+	w := clock.Min(s.nextDigestAt, clock.Min(s.push.dueAt, s.catchUp.deadline))
 	for i := range s.retained {
 		w = clock.Min(w, s.retained[i].until)
 	}
@@ -219,24 +219,24 @@
 	return w
 }
 
-// watches reports whether this daemon should watch the platform.
-func (s *State) watches() bool { return s.reading || s.isolatedAt() <= s.now }
+// shouldWatch reports whether this daemon should watch the platform.
+func (s *State) shouldWatch() bool { return s.isReader || s.isolatedAt() <= s.now }
 
 // isolatedAt returns from when on this daemon watches although it isn't a
 // reader. Without it a daemon missing from its neighbours' membership would
 // keep a stale list, or never get one, although it can reach the platform.
 func (s *State) isolatedAt() clock.Time {
-	wait := SilentFor
+	wait := SilenceTimeout
 	if s.held == nil {
-		wait = JoinWait
+		wait = JoinTimeout
 	}
 	rank := slices.Index(s.members, s.self.ID)
-	return s.heard.Add(wait + time.Duration(rank)*RankStagger)
+	return s.lastHeard.Add(wait + time.Duration(rank)*RankStagger)
 }
 
-// around returns a random duration from 3/4 to 5/4 of d, so that daemons don't
+// jitter returns a random duration from 3/4 to 5/4 of d, so that daemons don't
 // synchronise.
-func (s *State) around(d time.Duration) time.Duration {
+func (s *State) jitter(d time.Duration) time.Duration {
 	return d*3/4 + time.Duration(s.rng.Int64N(int64(d/2)))
 }
 
--- a/decide/member/bench_test.go
+++ b/decide/member/bench_test.go
@@ -30,12 +30,12 @@
 	vms := membertest.Fleet(1, 1, members)
 	for d := 1; d < domains; d++ {
 		region := fleet.Region(fmt.Sprintf("r%02d", d%22))
-		vms = append(vms, membertest.VM(region, fleet.Domain(fmt.Sprintf("%s-x%d", region, d)), 0))
+		vms = append(vms, membertest.NewVM(region, fleet.Domain(fmt.Sprintf("%s-x%d", region, d)), 0))
 	}
 	start(n, vms)
 	n.Run(20 * time.Second)
-	node := n.Node(vms[0].ID)
-	ping := &member.Message{From: vms[1].ID, Incarnation: n.Node(vms[1].ID).VM.Incarnation}
+	node := n.VM(vms[0].ID)
+	ping := &member.Message{From: vms[1].ID, Incarnation: n.VM(vms[1].ID).VM.Incarnation}
 	var out member.Ready
 	now := n.Now
 	b.ReportAllocs()
@@ -84,7 +84,7 @@
 	from := n.Now
 	n.Run(6 * time.Second)
 	last := from
-	for _, node := range n.Nodes {
+	for _, node := range n.VMs {
 		for _, c := range node.Changes {
 			if node.Up && gone[c.VM.ID] && c.VM.State != fleet.Live {
 				last = max(last, c.At)
--- a/decide/member/duty.go
+++ b/decide/member/duty.go
@@ -64,15 +64,15 @@
 		return
 	}
 	for _, id := range reps {
-		if id != s.self.vm.ID && s.begins(id) {
-			s.send(s.byID[id].vm, &Partial{Reaches: s.carriedReaches(false)}, ScopePeer, out)
+		if id != s.self.vm.ID && s.initiatesExchange(id) {
+			s.send(s.byID[id].vm, &Partial{ReachResults: s.latestReachResults(false)}, ScopePeer, out)
 		}
 	}
 }
 
-// begins decides which of two representatives opens their exchange, evenly
+// initiatesExchange decides which of two representatives opens their exchange, evenly
 // over the pairs.
-func (s *State) begins(other fleet.VMID) bool {
+func (s *State) initiatesExchange(other fleet.VMID) bool {
 	own := s.self.vm.ID
 	lower := own < other
 	if (rank(own)^rank(other))&1 == 1 {
@@ -88,31 +88,31 @@
 		return
 	}
 	at := slices.Index(reps, s.collector(reps, s.self))
-	id := reps[(at+s.reportTry)%len(reps)]
-	s.reportTry++
+	id := reps[(at+s.unansweredReports)%len(reps)]
+	s.unansweredReports++
 	s.send(s.byID[id].vm, &Report{}, ScopeOwn, out)
 }
 
 func (s *State) handleReport(m *Message, out *Ready) {
 	to := s.replyAddress(m.From)
-	s.send(to, &ReportAck{Reaches: s.carriedReaches(false)}, ScopeMember, out)
+	s.send(to, &ReportAck{ReachResults: s.latestReachResults(false)}, ScopeMember, out)
 }
 
 func (s *State) handlePartial(m *Message, b *Partial, out *Ready) {
-	s.applyReaches(b.Reaches)
+	s.applyReachResults(b.ReachResults)
 	to, ok := s.address(m.From)
 	if !ok {
 		return
 	}
-	s.send(to, &PartialAck{Reaches: s.carriedReaches(false)}, ScopePeer, out)
+	s.send(to, &PartialAck{ReachResults: s.latestReachResults(false)}, ScopePeer, out)
 }
 
-// groupChanged reports whether Duties differs from the last call.
-func (s *State) groupChanged() bool {
-	if !s.dutyStale {
+// dutiesChanged reports whether Duties differs from the last call.
+func (s *State) dutiesChanged() bool {
+	if !s.dutiesStale {
 		return false
 	}
-	s.dutyStale = false
+	s.dutiesStale = false
 	d := s.Duties()
 	h := uint64(fnvOffset)
 	if d.Representative {
@@ -124,7 +124,7 @@
 	for _, id := range slices.Concat(d.Group, d.Peers) {
 		h = mix(hashString(h, string(id)))
 	}
-	changed := h != s.groupHash
-	s.groupHash = h
+	changed := h != s.dutiesHash
+	s.dutiesHash = h
 	return changed
 }
--- a/decide/member/fact.go
+++ b/decide/member/fact.go
@@ -14,22 +14,22 @@
 // queuedFact is a fact still to be piggybacked on pings and acks.
 type queuedFact struct {
 	id   fleet.VMID
-	left int
+	sendsLeft int
 }
 
-// age is the time since t in ms, as sent on the wire.
-func age(now, t clock.Time) uint32 {
+// ageMillis is the time since t in ms, as sent on the wire.
+func ageMillis(now, t clock.Time) uint32 {
 	ms := now.Sub(t) / time.Millisecond
 	return uint32(min(max(ms, 0), math.MaxUint32))
 }
 
-// since converts a received age to an instant on the own clock.
-func since(now clock.Time, ms uint32) clock.Time {
+// timeFromAge converts a received age to an instant on the own clock.
+func timeFromAge(now clock.Time, ms uint32) clock.Time {
 	return now.Add(-time.Duration(ms) * time.Millisecond)
 }
 
-// fact states what is known of r. With full it carries the addresses.
-func (s *State) fact(r *record, full bool) Fact {
+// factAbout states what is known of r. With full it carries the addresses.
+func (s *State) factAbout(r *record, full bool) Fact {
 	f := Fact{
 		ID:          r.vm.ID,
 		Incarnation: r.vm.Incarnation,
@@ -37,9 +37,9 @@
 	}
 	switch {
 	case r.dead():
-		f.Status, f.Age = Dead, age(s.now, r.diedAt)
+		f.Status, f.Age = Dead, ageMillis(s.now, r.diedAt)
 	case r.suspected():
-		f.Status, f.Age = Suspected, age(s.now, r.suspectedAt)
+		f.Status, f.Age = Suspected, ageMillis(s.now, r.suspectedAt)
 	case r.vm.State == fleet.Leaving:
 		f.Status = Leaving
 	}
@@ -61,35 +61,35 @@
 // applyFact merges a statement about a VM of the own domain.
 func (s *State) applyFact(f *Fact) {
 	if f.ID == s.self.vm.ID {
-		s.applyOwn(f)
+		s.applyFactAboutSelf(f)
 		return
 	}
 	r := s.byID[f.ID]
 	if r == nil {
-		s.learn(f)
+		s.addMember(f)
 		return
 	}
-	switch c := compareAge(f, r); {
+	switch c := compareFact(f, r); {
 	case c < 0:
 		return
 	case c > 0:
-		s.renew(r, f)
+		s.replaceRecord(r, f)
 	default:
-		s.applySame(r, f)
+		s.mergeStatus(r, f)
 	}
 }
 
-// compareAge orders a fact against a record by incarnation and refutations.
-func compareAge(f *Fact, r *record) int {
+// compareFact orders a fact against a record by incarnation and refutations.
+func compareFact(f *Fact, r *record) int {
 	if c := cmp.Compare(f.Incarnation, r.vm.Incarnation); c != 0 {
 		return c
 	}
 	return cmp.Compare(f.Refutations, r.refutations)
 }
 
-// learn adds a VM not known so far. Without addresses it could not be
+// addMember adds a VM not known so far. Without addresses it could not be
 // reached, and a dead one needs no record.
-func (s *State) learn(f *Fact) {
+func (s *State) addMember(f *Fact) {
 	if f.Status == Dead || f.PeerAddr == "" {
 		return
 	}
@@ -101,12 +101,12 @@
 	at, _ := slices.BinarySearchFunc(s.members, r, compareRecords)
 	s.members = slices.Insert(s.members, at, r)
 	s.byID[f.ID] = r
-	r.heard = s.now
-	s.renew(r, f)
+	r.lastHeard = s.now
+	s.replaceRecord(r, f)
 }
 
-// renew replaces what is known of r by a newer fact.
-func (s *State) renew(r *record, f *Fact) {
+// replaceRecord replaces what is known of r by a newer fact.
+func (s *State) replaceRecord(r *record, f *Fact) {
 	wasDead := r.dead()
 	r.vm.Incarnation = f.Incarnation
 	r.refutations = f.Refutations
@@ -118,30 +118,30 @@
 		r.vm.AdminAddr = f.AdminAddr
 	}
 	if wasDead {
-		r.heard = s.now
+		r.lastHeard = s.now
 	}
 	r.vm.State = fleet.Live
 	switch f.Status {
 	case Suspected:
-		r.suspectedAt = since(s.now, f.Age)
+		r.suspectedAt = timeFromAge(s.now, f.Age)
 	case Leaving:
 		r.vm.State = fleet.Leaving
 	case Dead:
-		s.markDead(r, since(s.now, f.Age))
+		s.markDead(r, timeFromAge(s.now, f.Age))
 	}
 	s.membersChanged()
 	s.enqueueFact(r.vm.ID)
 }
 
-// applySame merges a fact of the same incarnation and refutation count.
-func (s *State) applySame(r *record, f *Fact) {
+// mergeStatus merges a fact of the same incarnation and refutation count.
+func (s *State) mergeStatus(r *record, f *Fact) {
 	if r.dead() {
 		return
 	}
 	switch f.Status {
 	case Suspected:
 		if !r.suspected() {
-			s.suspectSince(r, since(s.now, f.Age))
+			s.markSuspected(r, timeFromAge(s.now, f.Age))
 		}
 	case Leaving:
 		if r.vm.State == fleet.Live {
@@ -150,26 +150,26 @@
 			s.enqueueFact(r.vm.ID)
 		}
 	case Dead:
-		s.applyDeath(r, f)
+		s.applyDeadFact(r, f)
 	}
 }
 
-// applyDeath applies another VM's fact that r is dead, unless r has sent a
+// applyDeadFact applies another VM's fact that r is dead, unless r has sent a
 // message within freshFor. Without that check, after a partition the facts of
 // the side that still holds the other dead would drop live VMs until each has
 // refuted. A VM heard from is suspected instead, and probed.
-func (s *State) applyDeath(r *record, f *Fact) {
-	if s.now.Sub(r.heard) > freshFor {
-		s.markDead(r, since(s.now, f.Age))
+func (s *State) applyDeadFact(r *record, f *Fact) {
+	if s.now.Sub(r.lastHeard) > recentlyHeardWithin {
+		s.markDead(r, timeFromAge(s.now, f.Age))
 		return
 	}
 	if !r.suspected() {
-		s.suspectSince(r, s.now)
+		s.markSuspected(r, s.now)
 		s.probeSoon(r.vm.ID)
 	}
 }
 
-func (s *State) suspectSince(r *record, t clock.Time) {
+func (s *State) markSuspected(r *record, t clock.Time) {
 	r.suspectedAt = t
 	s.enqueueFact(r.vm.ID)
 }
@@ -182,11 +182,11 @@
 	s.enqueueFact(r.vm.ID)
 }
 
-// applyOwn refutes facts that state a wrong status of this VM.
-func (s *State) applyOwn(f *Fact) {
+// applyFactAboutSelf refutes facts that state a wrong status of this VM.
+func (s *State) applyFactAboutSelf(f *Fact) {
 	own := s.self
 	if f.Incarnation > own.vm.Incarnation {
-		s.supersede(f)
+		s.handleHigherIncarnation(f)
 		return
 	}
 	if f.Incarnation < own.vm.Incarnation || f.Refutations < own.refutations {
@@ -199,16 +199,16 @@
 	own.refutations = f.Refutations + 1
 	s.membersChanged()
 	s.enqueueFact(own.vm.ID)
-	if s.now.Sub(s.lastRefuted) >= refuteEvery {
+	if s.now.Sub(s.lastRefuted) >= minRefuteInterval {
 		s.lastRefuted = s.now
-		s.broadcast(s.fact(own, true))
+		s.broadcast(s.factAbout(own, true))
 	}
 }
 
-// supersede handles a higher incarnation under the own id. While joining it
+// handleHigherIncarnation handles a higher incarnation under the own id. While joining it
 // is an earlier process whose clock was ahead, so this one takes a higher
 // number; later it is a newer process, and this one must give way.
-func (s *State) supersede(f *Fact) {
+func (s *State) handleHigherIncarnation(f *Fact) {
 	if s.joined {
 		s.superseded = s.superseded || f.Status != Dead
 		return
@@ -223,26 +223,26 @@
 	if r.dead() || r.suspected() {
 		return
 	}
-	s.suspectSince(r, s.now)
-	s.broadcast(s.fact(r, false))
+	s.markSuspected(r, s.now)
+	s.broadcast(s.factAbout(r, false))
 }
 
 // expireSuspicions declares dead whoever has not refuted in time. Every member
 // does so by its own timer, so no further message is needed.
 func (s *State) expireSuspicions() {
 	for _, r := range s.members {
-		if r.suspected() && r.suspectedAt.Add(s.o.SuspectFor) <= s.now {
+		if r.suspected() && r.suspectedAt.Add(s.opts.SuspectFor) <= s.now {
 			s.markDead(r, s.now)
 		}
 	}
 }
 
-// forget drops the tombstones of dead VMs once no late fact about them can
+// expireTombstones drops the tombstones of dead VMs once no late fact about them can
 // arrive.
-func (s *State) forget() {
+func (s *State) expireTombstones() {
 	keep := s.members[:0]
 	for _, r := range s.members {
-		if r.dead() && r.diedAt.Add(tombstoneFor) <= s.now {
+		if r.dead() && r.diedAt.Add(tombstoneTTL) <= s.now {
 			delete(s.byID, r.vm.ID)
 			continue
 		}
@@ -254,14 +254,14 @@
 
 // enqueueFact piggybacks the fact about id on a number of pings and acks.
 func (s *State) enqueueFact(id fleet.VMID) {
-	left := piggybackRounds * bits.Len(uint(len(s.members)))
+	left := piggybackFactor * bits.Len(uint(len(s.members)))
 	for i := range s.piggyback {
 		if s.piggyback[i].id == id {
-			s.piggyback[i].left = left
+			s.piggyback[i].sendsLeft = left
 			return
 		}
 	}
-	s.piggyback = append(s.piggyback, queuedFact{id: id, left: left})
+	s.piggyback = append(s.piggyback, queuedFact{id: id, sendsLeft: left})
 }
 
 // takeFacts takes the facts to piggyback on one message, least often sent
@@ -269,19 +269,19 @@
 func (s *State) takeFacts(about fleet.VMID) []Fact {
 	var out []Fact
 	if r := s.byID[about]; r != nil && (r.dead() || r.suspected()) {
-		out = append(out, s.fact(r, false))
+		out = append(out, s.factAbout(r, false))
 	}
 	if len(s.piggyback) == 0 {
 		return out
 	}
-	slices.SortStableFunc(s.piggyback, func(a, b queuedFact) int { return cmp.Compare(b.left, a.left) })
-	for i := range s.piggyback[:min(piggybackFacts, len(s.piggyback))] {
-		s.piggyback[i].left--
+	slices.SortStableFunc(s.piggyback, func(a, b queuedFact) int { return cmp.Compare(b.sendsLeft, a.sendsLeft) })
+	for i := range s.piggyback[:min(maxPiggybackedFacts, len(s.piggyback))] {
+		s.piggyback[i].sendsLeft--
 		if r := s.byID[s.piggyback[i].id]; r != nil {
-			out = append(out, s.fact(r, !r.dead() && !r.suspected()))
+			out = append(out, s.factAbout(r, !r.dead() && !r.suspected()))
 		}
 	}
-	s.piggyback = slices.DeleteFunc(s.piggyback, func(g queuedFact) bool { return g.left <= 0 })
+	s.piggyback = slices.DeleteFunc(s.piggyback, func(g queuedFact) bool { return g.sendsLeft <= 0 })
 	return out
 }
 
--- a/decide/member/member_test.go
+++ b/decide/member/member_test.go
@@ -48,7 +48,7 @@
 		n := newNetwork(1)
 		start(n, membertest.Fleet(c.regions, c.domains, c.members))
 		is.Equal(len(disagreements(n, up(n))), 0)
-		for _, node := range n.Nodes {
+		for _, node := range n.VMs {
 			is.True(node.State.Joined())
 			is.Equal(len(node.State.Members(nil)), c.members)
 		}
@@ -69,7 +69,7 @@
 			victim := vms[int(seed)%len(vms)].ID
 			n.Stop(victim)
 			n.Run(deadWithin)
-			for _, node := range n.Nodes {
+			for _, node := range n.VMs {
 				is.True(!node.Up || !offered(node, victim))
 			}
 			is.Equal(len(disagreements(n, up(n))), 0)
@@ -86,11 +86,11 @@
 		n := newNetwork(3)
 		vms := membertest.Fleet(c.regions, c.domains, c.members)
 		start(n, vms)
-		leaver := n.Node(vms[0].ID)
+		leaver := n.VM(vms[0].ID)
 		n.Step(leaver, &member.Leave{})
 		n.Run(leavingWithin)
 		is.Equal(len(disagreements(n, up(n))), 0)
-		for _, node := range n.Nodes {
+		for _, node := range n.VMs {
 			if node != leaver && node.VM.Domain == leaver.VM.Domain {
 				vm, ok := node.State.VM(leaver.VM.ID)
 				is.True(ok)
@@ -172,7 +172,7 @@
 		moved.CallAddr = "10.9.9.9:8080"
 		node := n.Start(moved, vms)
 		n.Run(4 * time.Second)
-		for _, other := range n.Nodes {
+		for _, other := range n.VMs {
 			vm, ok := other.State.VM(moved.ID)
 			is.True(ok)
 			is.Equal(vm.Incarnation, node.VM.Incarnation)
@@ -210,7 +210,7 @@
 	n := newNetwork(23)
 	vms := membertest.Fleet(1, 1, 3)
 	start(n, vms)
-	old := n.Node(vms[0].ID)
+	old := n.VM(vms[0].ID)
 	newer := member.Fact{ID: old.VM.ID, Incarnation: old.VM.Incarnation + 1, PeerAddr: old.VM.PeerAddr}
 	n.Step(old, &member.Message{From: vms[1].ID, Incarnation: vms[1].Incarnation,
 		Msg: &member.Spread{Facts: []member.Fact{newer}}})
@@ -229,7 +229,7 @@
 	marks := mark(n)
 	suspect := vms[3].ID
 	suspected := false
-	n.Sent = func(_ *membertest.Node, s *member.Send) {
+	n.Sent = func(_ *membertest.EntryVM, s *member.Send) {
 		if b, ok := s.Msg.(*member.Spread); ok {
 			suspected = suspected || slices.ContainsFunc(b.Facts, func(f member.Fact) bool {
 				return f.ID == suspect && f.Status == member.Suspected
@@ -254,7 +254,7 @@
 	n := newNetwork(31)
 	vms := membertest.Fleet(1, 1, 5)
 	start(n, vms)
-	paused := n.Node(vms[0].ID)
+	paused := n.VM(vms[0].ID)
 	paused.Up = false
 	n.Run(2 * time.Second)
 	paused.Up = true
@@ -282,7 +282,7 @@
 		n.Run(2 * time.Second)
 		var fresh []fleet.VM
 		for i := range members {
-			fresh = append(fresh, membertest.VM(vms[0].Region, vms[0].Domain, 100+i))
+			fresh = append(fresh, membertest.NewVM(vms[0].Region, vms[0].Domain, 100+i))
 		}
 		list := append(slices.Clone(vms), fresh...)
 		for _, vm := range fresh {
@@ -302,11 +302,11 @@
 	vms := membertest.Fleet(1, 1, 3)
 	start(n, vms)
 	marks := mark(n)
-	for _, node := range n.Nodes {
+	for _, node := range n.VMs {
 		n.Step(node, &member.Listed{List: fleet.List{VMs: vms[:1]}})
 	}
 	n.Run(3 * time.Minute)
-	for _, node := range n.Nodes {
+	for _, node := range n.VMs {
 		n.Step(node, &member.Listed{List: fleet.List{VMs: vms[:1]}})
 	}
 	n.Run(time.Minute)
@@ -314,7 +314,7 @@
 	n.Stop(vms[2].ID)
 	n.Run(deadWithin)
 	dead := vms[2]
-	for _, node := range n.Nodes {
+	for _, node := range n.VMs {
 		if node.Up {
 			n.Step(node, &member.Listed{List: fleet.List{VMs: []fleet.VM{dead}}})
 		}
@@ -333,11 +333,11 @@
 	vms := membertest.Fleet(3, 2, 2)
 	start(n, vms)
 	steps := 0
-	n.Stepped = func(*membertest.Node, *member.Ready) { steps++ }
+	n.Stepped = func(*membertest.EntryVM, *member.Ready) { steps++ }
 	n.Run(10 * time.Second)
 	is.True(steps < 10*len(vms)*60)
 	var out member.Ready
-	s := n.Nodes[0].State
+	s := n.VMs[0].State
 	for range 3 {
 		s.Step(n.Now, &member.Tick{}, &out)
 		is.True(out.Wake > n.Now || out.Wake == clock.Never)
--- a/decide/member/membertest/network.go
+++ b/decide/member/membertest/network.go
@@ -16,8 +16,8 @@
 // Epoch is the instant at which a network starts.
 const Epoch = clock.Time(1_800_000_000 * int64(time.Second))
 
-// Node is one entry VM: the process that runs under its id now.
-type Node struct {
+// EntryVM is one entry VM: the process that runs under its id now.
+type EntryVM struct {
 	VM    fleet.VM
 	State *member.State
 	Up    bool
@@ -40,7 +40,7 @@
 // Network delivers messages between nodes.
 type Network struct {
 	Now     clock.Time
-	Nodes   []*Node
+	VMs   []*EntryVM
 	Options member.Options
 	Seed    uint64
 	// Latency of one way; 500 µs if nil.
@@ -48,21 +48,21 @@
 	// Cut reports whether a message from one VM to another is lost.
 	Cut func(from, to *fleet.VM) bool
 	// Sent, if set, sees every message sent.
-	Sent func(from *Node, s *member.Send)
+	Sent func(from *EntryVM, s *member.Send)
 	// Stepped, if set, sees every step's effects.
-	Stepped func(n *Node, out *member.Ready)
+	Stepped func(n *EntryVM, out *member.Ready)
 
-	byID  map[fleet.VMID]*Node
+	byID  map[fleet.VMID]*EntryVM
 	queue clocktest.Queue[*delivery]
 }
 
 // New returns a network without nodes.
 func New(seed uint64) *Network {
-	return &Network{Now: Epoch, Seed: seed, byID: make(map[fleet.VMID]*Node)}
+	return &Network{Now: Epoch, Seed: seed, byID: make(map[fleet.VMID]*EntryVM)}
 }
 
-// VM describes entry VM number i of a domain.
-func VM(region fleet.Region, domain fleet.Domain, i int) fleet.VM {
+// NewVM describes entry VM number i of a domain.
+func NewVM(region fleet.Region, domain fleet.Domain, i int) fleet.VM {
 	id := fleet.VMID(fmt.Sprintf("%s-vm-%d", domain, i))
 	n := 0
 	for _, c := range string(domain) {
@@ -88,7 +88,7 @@
 		for d := range domains {
 			domain := fleet.Domain(fmt.Sprintf("r%02d-d%d", r, d))
 			for i := range members {
-				out = append(out, VM(region, domain, i))
+				out = append(out, NewVM(region, domain, i))
 			}
 		}
 	}
@@ -97,29 +97,29 @@
 
 // Start runs a process for vm, in place of an earlier one, and gives it the
 // list of contacts. Its incarnation is the present instant unless vm has one.
-func (n *Network) Start(vm fleet.VM, contacts []fleet.VM) *Node {
+func (n *Network) Start(vm fleet.VM, contacts []fleet.VM) *EntryVM {
 	if vm.Incarnation == 0 {
 		vm.Incarnation = fleet.Incarnation(n.Now)
 	}
 	node := n.byID[vm.ID]
 	if node == nil {
-		node = &Node{}
+		node = &EntryVM{}
 		n.byID[vm.ID] = node
-		n.Nodes = append(n.Nodes, node)
+		n.VMs = append(n.VMs, node)
 	}
 	node.VM = vm
 	node.Up = true
 	node.Superseded = false
 	node.process++
 	node.wake = 0
-	seed := n.Seed*1000003 + uint64(len(n.Nodes))*31 + uint64(node.process)
+	seed := n.Seed*1000003 + uint64(len(n.VMs))*31 + uint64(node.process)
 	node.State = member.New(vm, seed, n.Options)
 	n.Step(node, &member.Listed{List: fleet.List{VMs: contacts}})
 	return node
 }
 
-// Node returns the node of an id.
-func (n *Network) Node(id fleet.VMID) *Node { return n.byID[id] }
+// VM returns the node of an id.
+func (n *Network) VM(id fleet.VMID) *EntryVM { return n.byID[id] }
 
 // Stop ends the process of a node without a word.
 func (n *Network) Stop(id fleet.VMID) {
@@ -129,7 +129,7 @@
 }
 
 // Step gives an event to a node now and delivers its effects.
-func (n *Network) Step(node *Node, ev member.Event) {
+func (n *Network) Step(node *EntryVM, ev member.Event) {
 	node.State.Step(n.Now, ev, &node.out)
 	if n.Stepped != nil {
 		n.Stepped(node, &node.out)
@@ -147,7 +147,7 @@
 	}
 }
 
-func (n *Network) send(from *Node, s *member.Send) {
+func (n *Network) send(from *EntryVM, s *member.Send) {
 	if n.Sent != nil {
 		n.Sent(from, s)
 	}
@@ -196,7 +196,7 @@
 // delivery is a message, or without one a Tick of the given process.
 type delivery struct {
 	at      clock.Time
-	node    *Node
+	node    *EntryVM
 	process int
 	msg     *member.Message
 }
--- a/decide/member/message.go
+++ b/decide/member/message.go
@@ -35,7 +35,7 @@
 const (
 	MaxFacts   = 512 // facts about members of one domain
 	MaxRows    = 256 // domains of the whole system
-	MaxReaches = 256 // reachability statements; also the most that a VM keeps
+	MaxReachResults = 256 // reachability statements; also the most that a VM keeps
 	RowVMs     = 8   // entry VMs named in a row
 )
 
@@ -91,7 +91,7 @@
 	// that has none, leaving ones are named: they are not offered, but get
 	// updates.
 	VMs []RowVM `json:"vms"`
-	Own uint32  `json:"own"` // how many of VMs the author itself holds live; see mergedVM
+	AuthorVMs uint32  `json:"own"` // how many of VMs the author itself holds live; see mergedVM
 }
 
 // Version names a row that the sender holds.
@@ -101,13 +101,13 @@
 	Author  fleet.VMID   `json:"author"`
 }
 
-// Reach says whether a watcher in SeenDomain gets answers from a domain or,
+// ReachResult says whether a watcher in SeenDomain gets answers from a domain or,
 // with Domain empty, from a whole region.
-type Reach struct {
+type ReachResult struct {
 	Region     fleet.Region `json:"region"`
 	Domain     fleet.Domain `json:"domain"`
-	SeenRegion fleet.Region `json:"seen_region"`
-	SeenDomain fleet.Domain `json:"seen_domain"`
+	WatcherRegion fleet.Region `json:"seen_region"`
+	WatcherDomain fleet.Domain `json:"seen_domain"`
 	Reachable  bool         `json:"reachable"`
 	Age        uint32       `json:"age"` // ms since the watcher measured it
 }
@@ -115,16 +115,16 @@
 // Ping asks for an Ack.
 type Ping struct {
 	Seq     uint32 `json:"seq"`
-	Members uint32 `json:"members"` // hash of the sender's table of its domain
-	Rows    uint32 `json:"rows"`    // hash of the sender's rows
+	MembersHash uint32 `json:"members"` // hash of the sender's table of its domain
+	RowsHash    uint32 `json:"rows"`    // hash of the sender's rows
 	Facts   []Fact `json:"facts"`
 }
 
 // Ack answers a Ping, or a PingReq once its target has answered.
 type Ack struct {
 	Seq     uint32 `json:"seq"`
-	Members uint32 `json:"members"`
-	Rows    uint32 `json:"rows"`
+	MembersHash uint32 `json:"members"`
+	RowsHash    uint32 `json:"rows"`
 	Facts   []Fact `json:"facts"`
 }
 
@@ -132,7 +132,7 @@
 // Seq if Target answers.
 type PingReq struct {
 	Seq    uint32 `json:"seq"`
-	Target RowVM  `json:"target"`
+	VM RowVM  `json:"target"`
 	// Fact, if it has an ID, is passed to Target: the suspicion or death
 	// that it may refute.
 	Fact Fact `json:"fact"`
@@ -143,7 +143,7 @@
 type Sync struct {
 	Domain   fleet.Domain `json:"domain"` // of the sender
 	Region   fleet.Region `json:"region"` // of the rows meant; empty for all
-	Marks    []Fact       `json:"marks"`
+	Digest    []Fact       `json:"marks"`
 	Versions []Version    `json:"versions"`
 }
 
@@ -152,7 +152,7 @@
 	Domain  fleet.Domain `json:"domain"` // of the sender
 	Facts   []Fact       `json:"facts"`
 	Rows    []Row        `json:"rows"`
-	Reaches []Reach      `json:"reaches"`
+	ReachResults []ReachResult      `json:"reaches"`
 }
 
 // Hop says how far the receiver of a Spread forwards it.
@@ -173,7 +173,7 @@
 	Backup  bool    `json:"backup"` // another representative has it too and goes first
 	Facts   []Fact  `json:"facts"`
 	Rows    []Row   `json:"rows"`
-	Reaches []Reach `json:"reaches"`
+	ReachResults []ReachResult `json:"reaches"`
 }
 
 // Report goes from a VM to its representative; the load report is piggybacked on it.
@@ -181,33 +181,33 @@
 
 // ReportAck answers a Report.
 type ReportAck struct {
-	Reaches []Reach `json:"reaches"`
+	ReachResults []ReachResult `json:"reaches"`
 }
 
 // Partial goes from one representative of a domain to another.
 type Partial struct {
-	Reaches []Reach `json:"reaches"`
+	ReachResults []ReachResult `json:"reaches"`
 }
 
 // PartialAck answers a Partial.
 type PartialAck struct {
-	Reaches []Reach `json:"reaches"`
+	ReachResults []ReachResult `json:"reaches"`
 }
 
 // Watch is sent to a representative of a watched domain or region.
 type Watch struct {
 	Seq     uint32       `json:"seq"`
 	Region  fleet.Region `json:"region"` // of the sender
-	Own     uint32       `json:"own"`    // hash of the sender's rows of its region
-	Rows    uint32       `json:"rows"`   // hash of its rows of the receiver's region; inside a region, of all
-	Reaches []Reach      `json:"reaches"`
+	OwnRegionHash     uint32       `json:"own"`    // hash of the sender's rows of its region
+	RowsHash    uint32       `json:"rows"`   // hash of its rows of the receiver's region; inside a region, of all
+	ReachResults []ReachResult      `json:"reaches"`
 }
 
 // WatchAck answers a Watch.
 type WatchAck struct {
 	Seq     uint32  `json:"seq"`
-	Rows    uint32  `json:"rows"` // hash of the same rows at the receiver of the Watch
-	Reaches []Reach `json:"reaches"`
+	RowsHash    uint32  `json:"rows"` // hash of the same rows at the receiver of the Watch
+	ReachResults []ReachResult `json:"reaches"`
 }
 
 // Kind implements Msg.
@@ -246,9 +246,9 @@
 // Kind implements Msg.
 func (*PartialAck) Kind() uint8 { return KindPartialAck }
 
-// Answers reports whether a kind only answers another message. The loss of
+// IsAnswer reports whether a kind only answers another message. The loss of
 // an answer is noticed by the one who asked.
-func Answers(kind uint8) bool {
+func IsAnswer(kind uint8) bool {
 	switch kind {
 	case KindAck, KindSyncAck, KindReportAck, KindWatchAck, KindPartialAck:
 		return true
@@ -290,14 +290,14 @@
 	}
 }
 
-func bound(what string, n, limit int) error {
+func checkLimit(what string, n, limit int) error {
 	if n > limit {
 		return fmt.Errorf("%w: %d %s, at most %d", ErrBounds, n, what, limit)
 	}
 	return nil
 }
 
-func validate(facts []Fact, rows []Row, versions []Version, reaches []Reach) error {
+func validate(facts []Fact, rows []Row, versions []Version, reaches []ReachResult) error {
 	for _, f := range facts {
 		if f.ID == "" || f.Status > Dead {
 			return fmt.Errorf("%w: fact about %q with status %d", ErrBounds, f.ID, f.Status)
@@ -309,10 +309,10 @@
 		}
 	}
 	return errors.Join(
-		bound("facts", len(facts), MaxFacts),
-		bound("rows", len(rows), MaxRows),
-		bound("versions", len(versions), MaxRows),
-		bound("reaches", len(reaches), MaxReaches),
+		checkLimit("facts", len(facts), MaxFacts),
+		checkLimit("rows", len(rows), MaxRows),
+		checkLimit("versions", len(versions), MaxRows),
+		checkLimit("reaches", len(reaches), MaxReachResults),
 	)
 }
 
@@ -325,7 +325,7 @@
 			return fmt.Errorf("%w: row of %s names a VM without id", ErrBounds, r.Domain)
 		}
 	}
-	return bound("VMs in a row", len(r.VMs), RowVMs)
+	return checkLimit("VMs in a row", len(r.VMs), RowVMs)
 }
 
 // Validate implements Msg.
@@ -336,7 +336,7 @@
 
 // Validate implements Msg.
 func (m *PingReq) Validate() error {
-	if m.Target.ID == "" {
+	if m.VM.ID == "" {
 		return fmt.Errorf("%w: ping request without target", ErrBounds)
 	}
 	if m.Fact.ID == "" {
@@ -346,28 +346,28 @@
 }
 
 // Validate implements Msg.
-func (m *Sync) Validate() error { return validate(m.Marks, nil, m.Versions, nil) }
+func (m *Sync) Validate() error { return validate(m.Digest, nil, m.Versions, nil) }
 
 // Validate implements Msg.
-func (m *SyncAck) Validate() error { return validate(m.Facts, m.Rows, nil, m.Reaches) }
+func (m *SyncAck) Validate() error { return validate(m.Facts, m.Rows, nil, m.ReachResults) }
 
 // Validate implements Msg.
-func (m *Spread) Validate() error { return validate(m.Facts, m.Rows, nil, m.Reaches) }
+func (m *Spread) Validate() error { return validate(m.Facts, m.Rows, nil, m.ReachResults) }
 
 // Validate implements Msg.
 func (*Report) Validate() error { return nil }
 
 // Validate implements Msg.
-func (m *ReportAck) Validate() error { return validate(nil, nil, nil, m.Reaches) }
+func (m *ReportAck) Validate() error { return validate(nil, nil, nil, m.ReachResults) }
 
 // Validate implements Msg.
-func (m *Partial) Validate() error { return validate(nil, nil, nil, m.Reaches) }
+func (m *Partial) Validate() error { return validate(nil, nil, nil, m.ReachResults) }
 
 // Validate implements Msg.
-func (m *Watch) Validate() error { return validate(nil, nil, nil, m.Reaches) }
+func (m *Watch) Validate() error { return validate(nil, nil, nil, m.ReachResults) }
 
 // Validate implements Msg.
-func (m *WatchAck) Validate() error { return validate(nil, nil, nil, m.Reaches) }
+func (m *WatchAck) Validate() error { return validate(nil, nil, nil, m.ReachResults) }
 
 // Validate implements Msg.
-func (m *PartialAck) Validate() error { return validate(nil, nil, nil, m.Reaches) }
+func (m *PartialAck) Validate() error { return validate(nil, nil, nil, m.ReachResults) }
--- a/decide/member/options.go
+++ b/decide/member/options.go
@@ -44,49 +44,49 @@
 	backupDelay = 150 * time.Millisecond
 	// joinTimeout ends the wait for an answer of a neighbour at start.
 	joinTimeout = time.Second
-	// joinEvery is the time between two attempts to find a neighbour.
-	joinEvery = 250 * time.Millisecond
-	// syncEvery bounds the exchange of tables with neighbours.
-	syncEvery = time.Second
-	// mismatchFor is how long hashes must differ before tables are exchanged:
+	// joinRetryInterval is the time between two attempts to find a neighbour.
+	joinRetryInterval = 250 * time.Millisecond
+	// minSyncInterval bounds the exchange of tables with neighbours.
+	minSyncInterval = time.Second
+	// mismatchTolerance is how long hashes must differ before tables are exchanged:
 	// an update in transit makes them differ for an instant.
-	mismatchFor = 500 * time.Millisecond
-	// tombstoneFor keeps a dead VM, so that late facts don't revive it.
-	tombstoneFor = 30 * time.Second
-	// freshFor is how long a message from a VM overrides other VMs' facts
+	mismatchTolerance = 500 * time.Millisecond
+	// tombstoneTTL keeps a dead VM, so that late facts don't revive it.
+	tombstoneTTL = 30 * time.Second
+	// recentlyHeardWithin is how long a message from a VM overrides other VMs' facts
 	// that it is dead.
-	freshFor = time.Second
-	// listedGrace keeps a VM that left the platform's list as a contact.
-	listedGrace = time.Minute
-	// reachFor keeps a statement about reachability.
-	reachFor = 20 * time.Second
-	// pauseGap is how late a step may be before the process itself is taken
+	recentlyHeardWithin = time.Second
+	// contactGrace keeps a VM that left the platform's list as a contact.
+	contactGrace = time.Minute
+	// reachResultTTL keeps a statement about reachability.
+	reachResultTTL = 20 * time.Second
+	// pauseThreshold is how late a step may be before the process itself is taken
 	// to have been paused.
-	pauseGap = 300 * time.Millisecond
-	// refuteEvery bounds how often a VM refutes at its own expense.
-	refuteEvery = 100 * time.Millisecond
-	// reportPerVM scales the time between two reports of a VM with the size
+	pauseThreshold = 300 * time.Millisecond
+	// minRefuteInterval bounds how often a VM refutes at its own expense.
+	minRefuteInterval = 100 * time.Millisecond
+	// reportIntervalPerVM scales the time between two reports of a VM with the size
 	// of the domain up to reportMax, from where on the number of
 	// representatives grows, so that the cost of each stays level.
-	reportPerVM = 200 * time.Millisecond
-	reportMin   = time.Second
-	reportMax   = 5 * time.Second
+	reportIntervalPerVM = 200 * time.Millisecond
+	minReportInterval   = time.Second
+	maxReportInterval   = 5 * time.Second
 	// mergedTTL keeps entry VMs that the other side of a partitioned domain
 	// lists.
 	mergedTTL = 8 * time.Second
-	// mergedEvery is the time between two rows of an author of a partitioned
+	// mergedPublishInterval is the time between two rows of an author of a partitioned
 	// domain.
-	mergedEvery = 3 * time.Second
+	mergedPublishInterval = 3 * time.Second
 
 	pushCopies        = 2      // representatives that get an update in each domain or region
-	piggybackFacts    = 3      // facts carried by one ping or answer
-	piggybackRounds   = 1      // multiplied by log2 of the members: how often a fact is carried
+	maxPiggybackedFacts    = 3      // facts carried by one ping or answer
+	piggybackFactor   = 1      // multiplied by log2 of the members: how often a fact is carried
 	minReps           = 2      // representatives of a domain that has as many VMs
 	maxReps           = RowVMs // so that every other domain knows all of them
 	watchFallbacks    = 3      // further representatives asked before a watched one is unreachable
 	probesPerTimeout  = 2      // further successors pinged when one is silent
-	maxReachesCarried = 24     // statements carried by one message
-	contactsPerDomain = 4      // listed VMs kept of each other domain
+	maxSentReachResults = 24     // statements carried by one message
+	maxContactsPerDomain = 4      // listed VMs kept of each other domain
 	maxMismatches     = 64     // VMs whose tables are known to differ
 )
 
--- a/decide/member/outbox.go
+++ b/decide/member/outbox.go
@@ -21,60 +21,60 @@
 	to  extent
 }
 
-type outboxReach struct {
-	reach Reach
-	at    clock.Time // when it was measured
+type outboxReachResult struct {
+	result ReachResult
+	measuredAt    clock.Time // when it was measured
 	to    extent
 }
 
 // outbox gathers updates that are sent together at one instant.
 type outbox struct {
-	at      clock.Time // zero if empty
+	sendAt      clock.Time // zero if empty
 	facts   []Fact
 	rows    []outboxRow
-	reaches []outboxReach
+	reachResults []outboxReachResult
 }
 
 func (n *outbox) due() clock.Time {
-	if n.at == 0 {
+	if n.sendAt == 0 {
 		return clock.Never
 	}
-	return n.at
+	return n.sendAt
 }
 
-func (n *outbox) arm(at clock.Time) {
-	if n.at == 0 {
-		n.at = at
+func (n *outbox) scheduleAt(at clock.Time) {
+	if n.sendAt == 0 {
+		n.sendAt = at
 	}
 }
 
 func (n *outbox) clear() {
-	*n = outbox{facts: n.facts[:0], rows: n.rows[:0], reaches: n.reaches[:0]}
+	*n = outbox{facts: n.facts[:0], rows: n.rows[:0], reachResults: n.reachResults[:0]}
 }
 
 func (n *outbox) addRow(at clock.Time, row Row, to extent) {
 	n.rows = slices.DeleteFunc(n.rows, func(r outboxRow) bool { return r.row.Domain == row.Domain })
 	n.rows = append(n.rows, outboxRow{row: row, to: to})
-	n.arm(at)
+	n.scheduleAt(at)
 }
 
-func (n *outbox) addReach(at clock.Time, r outboxReach) {
-	n.reaches = slices.DeleteFunc(n.reaches, func(o outboxReach) bool { return sameKey(&o.reach, &r.reach) })
-	n.reaches = append(n.reaches, r)
-	n.arm(at)
+func (n *outbox) addReachResult(at clock.Time, r outboxReachResult) {
+	n.reachResults = slices.DeleteFunc(n.reachResults, func(o outboxReachResult) bool { return sameKey(&o.result, &r.result) })
+	n.reachResults = append(n.reachResults, r)
+	n.scheduleAt(at)
 }
 
-// drop removes what another representative has forwarded.
-func (n *outbox) drop(m *Spread) {
+// removeForwarded removes what another representative has forwarded.
+func (n *outbox) removeForwarded(m *Spread) {
 	n.rows = slices.DeleteFunc(n.rows, func(r outboxRow) bool {
 		return slices.ContainsFunc(m.Rows, func(o Row) bool {
 			return o.Domain == r.row.Domain && compareVersions(o.version(), r.row.version()) >= 0
 		})
 	})
-	n.reaches = slices.DeleteFunc(n.reaches, func(r outboxReach) bool {
-		return slices.ContainsFunc(m.Reaches, func(o Reach) bool { return sameKey(&o, &r.reach) })
+	n.reachResults = slices.DeleteFunc(n.reachResults, func(r outboxReachResult) bool {
+		return slices.ContainsFunc(m.ReachResults, func(o ReachResult) bool { return sameKey(&o, &r.result) })
 	})
-	if len(n.rows) == 0 && len(n.reaches) == 0 && len(n.facts) == 0 {
+	if len(n.rows) == 0 && len(n.reachResults) == 0 && len(n.facts) == 0 {
 		n.clear()
 	}
 }
@@ -83,7 +83,7 @@
 func (s *State) broadcast(f Fact) {
 	s.outbox.facts = slices.DeleteFunc(s.outbox.facts, func(o Fact) bool { return o.ID == f.ID })
 	s.outbox.facts = append(s.outbox.facts, f)
-	s.outbox.arm(s.now.Add(flushDelay))
+	s.outbox.scheduleAt(s.now.Add(flushDelay))
 }
 
 // flush sends the outboxes that are due.
@@ -97,7 +97,7 @@
 }
 
 func (s *State) sendOutbox(n *outbox, out *Ready) {
-	if m := s.spreadOf(n, toDomain, HopMember); m != nil {
+	if m := s.buildSpread(n, toDomain, HopMember); m != nil {
 		m.Facts = slices.Clone(n.facts)
 		for _, r := range s.members {
 			if r != s.self && !r.dead() {
@@ -105,41 +105,41 @@
 			}
 		}
 	}
-	if m := s.spreadOf(n, toRegion, HopDomain); m != nil {
-		for _, d := range s.otherDomains() {
-			s.push(d, m, out)
+	if m := s.buildSpread(n, toRegion, HopDomain); m != nil {
+		for _, d := range s.otherDomainReps() {
+			s.pushTo(d, m, out)
 		}
 	}
-	if m := s.spreadOf(n, toAll, HopRegion); m != nil {
-		for _, reps := range s.otherRegions() {
-			s.push(reps, m, out)
+	if m := s.buildSpread(n, toAll, HopRegion); m != nil {
+		for _, reps := range s.otherRegionReps() {
+			s.pushTo(reps, m, out)
 		}
 	}
 }
 
-// spreadOf collects the updates that go at least as far as to; nil if none do.
+// buildSpread collects the updates that go at least as far as to; nil if none do.
 // Facts stay inside the domain.
-func (s *State) spreadOf(n *outbox, to extent, hop Hop) *Spread {
+func (s *State) buildSpread(n *outbox, to extent, hop Hop) *Spread {
 	m := &Spread{Hop: hop}
 	for _, r := range n.rows {
 		if r.to >= to {
 			m.Rows = append(m.Rows, r.row)
 		}
 	}
-	for _, r := range n.reaches {
+	for _, r := range n.reachResults {
 		if r.to >= to {
-			r.reach.Age = age(s.now, r.at)
-			m.Reaches = append(m.Reaches, r.reach)
+			r.result.Age = ageMillis(s.now, r.measuredAt)
+			m.ReachResults = append(m.ReachResults, r.result)
 		}
 	}
-	if len(m.Rows)+len(m.Reaches) == 0 && (to > toDomain || len(n.facts) == 0) {
+	if len(m.Rows)+len(m.ReachResults) == 0 && (to > toDomain || len(n.facts) == 0) {
 		return nil
 	}
 	return m
 }
 
-// push sends m to the first representatives; all but one are its backups.
-func (s *State) push(reps []fleet.VM, m *Spread, out *Ready) {
+// pushTo sends m to the first representatives; all but one are its backups.
+func (s *State) pushTo(reps []fleet.VM, m *Spread, out *Ready) {
 	for i, vm := range reps[:min(pushCopies, len(reps))] {
 		c := *m
 		c.Backup = i > 0
@@ -147,8 +147,8 @@
 	}
 }
 
-// otherDomains returns the representatives of each other domain of the region.
-func (s *State) otherDomains() [][]fleet.VM {
+// otherDomainReps returns the representatives of each other domain of the region.
+func (s *State) otherDomainReps() [][]fleet.VM {
 	var out [][]fleet.VM
 	for _, r := range s.rows {
 		if r.row.Region == s.self.vm.Region && r.row.Domain != s.self.vm.Domain {
@@ -158,9 +158,9 @@
 	return out
 }
 
-// otherRegions returns, for each other region, the first representatives of
+// otherRegionReps returns, for each other region, the first representatives of
 // its domains, so that the copies of a push go to different domains.
-func (s *State) otherRegions() [][]fleet.VM {
+func (s *State) otherRegionReps() [][]fleet.VM {
 	var out [][]fleet.VM
 	for _, region := range s.regions() {
 		if region != s.self.vm.Region {
@@ -209,7 +209,7 @@
 // handleSpread applies updates and forwards them as far as its Hop says.
 func (s *State) handleSpread(m *Message, b *Spread) {
 	if b.Hop == HopMember {
-		s.factsFrom(m.From, b.Facts)
+		s.applyFactsFrom(m.From, b.Facts)
 	}
 	s.cancelBackup(b)
 	n, at := &s.outbox, s.now.Add(flushDelay)
@@ -222,9 +222,9 @@
 			n.addRow(at, row, to)
 		}
 	}
-	for _, r := range b.Reaches {
-		if s.applyReach(&r) && ok {
-			n.addReach(at, outboxReach{reach: r, at: since(s.now, r.Age), to: to})
+	for _, r := range b.ReachResults {
+		if s.applyReachResult(&r) && ok {
+			n.addReachResult(at, outboxReachResult{result: r, measuredAt: timeFromAge(s.now, r.Age), to: to})
 		}
 	}
 }
@@ -239,7 +239,7 @@
 	if b.Hop == HopDomain {
 		s.promoteBackup(b)
 	}
-	s.backupOutbox.drop(b)
+	s.backupOutbox.removeForwarded(b)
 }
 
 // promoteBackup moves the updates of b from the backup to the outbox, for the
@@ -251,9 +251,9 @@
 			s.outbox.addRow(at, r.row, toDomain)
 		}
 	}
-	for _, r := range s.backupOutbox.reaches {
-		if slices.ContainsFunc(b.Reaches, func(o Reach) bool { return sameKey(&o, &r.reach) }) {
-			s.outbox.addReach(at, outboxReach{reach: r.reach, at: r.at, to: toDomain})
+	for _, r := range s.backupOutbox.reachResults {
+		if slices.ContainsFunc(b.ReachResults, func(o ReachResult) bool { return sameKey(&o, &r.result) }) {
+			s.outbox.addReachResult(at, outboxReachResult{result: r.result, measuredAt: r.measuredAt, to: toDomain})
 		}
 	}
 }
--- a/decide/member/partition_test.go
+++ b/decide/member/partition_test.go
@@ -57,7 +57,7 @@
 		island := vms[0].Domain
 		n.Cut = func(from, to *fleet.VM) bool { return (from.Domain == island) != (to.Domain == island) }
 		n.Run(deadWithin)
-		for _, node := range n.Nodes {
+		for _, node := range n.VMs {
 			// Each side goes on with what it can reach, all of its own.
 			want := sideOf(n, island, node.VM.Domain == island)
 			is.Equal(offers(node), want)
@@ -76,7 +76,7 @@
 
 func sideOf(n *membertest.Network, d fleet.Domain, inside bool) []fleet.VMID {
 	var out []fleet.VMID
-	for _, node := range n.Nodes {
+	for _, node := range n.VMs {
 		if node.Up && (node.VM.Domain == d) == inside {
 			out = append(out, node.VM.ID)
 		}
@@ -128,7 +128,7 @@
 	n.Run(12 * time.Second)
 	marks := mark(n)
 	n.Run(time.Minute)
-	for _, node := range n.Nodes {
+	for _, node := range n.VMs {
 		if node.VM.Domain != d {
 			is.Equal(offers(node), up(n))
 			is.Equal(len(node.Changes), marks[node.VM.ID])
@@ -152,7 +152,7 @@
 	n.Stop(vms[4].ID)
 	n.Stop(vms[5].ID)
 	n.Run(20 * time.Second)
-	for _, node := range n.Nodes[6:] {
+	for _, node := range n.VMs[6:] {
 		is.Equal(offers(node), up(n))
 	}
 }
@@ -165,8 +165,8 @@
 	n := newNetwork(4)
 	vms := membertest.Fleet(1, 2, 4)
 	start(n, vms)
-	views := n.Nodes[0].State.Domains(nil)
-	other := n.Nodes[4].State.Domains(nil)
+	views := n.VMs[0].State.Domains(nil)
+	other := n.VMs[4].State.Domains(nil)
 	n.Cut = func(from, to *fleet.VM) bool { return from.Domain != to.Domain }
 	n.Run(5 * time.Second)
 	for _, vm := range append(other[0].VMs[:2], views[1].VMs[:2]...) {
--- a/decide/member/probe.go
+++ b/decide/member/probe.go
@@ -12,21 +12,21 @@
 type stage uint8
 
 const (
-	direct   stage = iota // pinged, waiting for the answer
-	indirect              // relays were asked
-	relayed               // pinged for another VM
+	stageDirect   stage = iota // pinged, waiting for the answer
+	stageIndirect              // relays were asked
+	stageRelayed               // pinged for another VM
 )
 
 // probe is a ping whose answer has not come.
 type probe struct {
 	seq      uint32
-	target   fleet.VM
+	vm   fleet.VM
 	started  clock.Time
 	deadline clock.Time
 	stage    stage
-	ring     bool       // a ring successor: a silent one widens the search
-	asker    fleet.VMID // for relayed
-	askerSeq uint32
+	ringSuccessor     bool       // a ring successor: a silent one widens the search
+	requester    fleet.VMID // for relayed
+	requesterSeq uint32
 }
 
 func (s *State) nextSeq() uint32 {
@@ -37,11 +37,11 @@
 // probeRing pings the next live successors. Suspected ones on the way are
 // pinged as well but not counted.
 func (s *State) probeRing(out *Ready) {
-	s.probeFrom(s.indexOf(s.self), s.o.Monitors, out)
+	s.probeSuccessors(s.indexOf(s.self), s.opts.Monitors, out)
 }
 
-// probeFrom pings up to n unsuspected VMs that follow position at.
-func (s *State) probeFrom(at, n int, out *Ready) {
+// probeSuccessors pings up to n unsuspected VMs that follow position at.
+func (s *State) probeSuccessors(at, n int, out *Ready) {
 	for step := 1; step < len(s.members) && n > 0; step++ {
 		r := s.members[(at+step)%len(s.members)]
 		if r == s.self || r.dead() {
@@ -62,16 +62,16 @@
 // probe pings a VM unless one of its pings is still unanswered.
 func (s *State) probe(vm fleet.VM, ring bool, out *Ready) {
 	for i := range s.probes {
-		if s.probes[i].target.ID == vm.ID && s.probes[i].stage != relayed {
+		if s.probes[i].vm.ID == vm.ID && s.probes[i].stage != stageRelayed {
 			return
 		}
 	}
 	p := probe{
 		seq:      s.nextSeq(),
-		target:   vm,
+		vm:   vm,
 		started:  s.now,
-		deadline: s.now.Add(s.o.DirectTimeout),
-		ring:     ring,
+		deadline: s.now.Add(s.opts.DirectTimeout),
+		ringSuccessor:     ring,
 	}
 	s.probes = append(s.probes, p)
 	s.sendPing(p.seq, vm, nil, out)
@@ -79,8 +79,8 @@
 
 func (s *State) sendPing(seq uint32, to fleet.VM, fact *Fact, out *Ready) {
 	m := &Ping{Seq: seq}
-	if s.neighbour(to) {
-		m.Members, m.Rows, m.Facts = s.memberHash(), s.rowHash(), s.takeFacts(to.ID)
+	if s.inOwnDomain(to) {
+		m.MembersHash, m.RowsHash, m.Facts = s.memberHash(), s.rowHash(), s.takeFacts(to.ID)
 	}
 	if fact != nil {
 		m.Facts = append(m.Facts, *fact)
@@ -88,9 +88,9 @@
 	s.send(to, m, ScopeNone, out)
 }
 
-// neighbour reports whether a VM is of the own domain, as far as is known:
+// inOwnDomain reports whether a VM is of the own domain, as far as is known:
 // hashes and facts are for those alone.
-func (s *State) neighbour(vm fleet.VM) bool {
+func (s *State) inOwnDomain(vm fleet.VM) bool {
 	return vm.Domain == s.self.vm.Domain
 }
 
@@ -99,32 +99,32 @@
 // again after a partition, when both sides hold the other dead.
 func (s *State) probeRandom(out *Ready) {
 	for range 2 {
-		for len(s.order) > 0 {
-			id := s.order[len(s.order)-1]
-			s.order = s.order[:len(s.order)-1]
+		for len(s.probeOrder) > 0 {
+			id := s.probeOrder[len(s.probeOrder)-1]
+			s.probeOrder = s.probeOrder[:len(s.probeOrder)-1]
 			if vm, ok := s.address(id); ok {
 				s.probe(vm, false, out)
 				return
 			}
 		}
-		s.shuffle()
+		s.refillProbeOrder()
 	}
 }
 
-func (s *State) shuffle() {
+func (s *State) refillProbeOrder() {
 	for _, r := range s.members {
 		if r != s.self {
-			s.order = append(s.order, r.vm.ID)
+			s.probeOrder = append(s.probeOrder, r.vm.ID)
 		}
 	}
 	for i := range s.contacts {
 		c := &s.contacts[i]
 		if c.vm.Domain == s.self.vm.Domain && s.byID[c.vm.ID] == nil {
-			s.order = append(s.order, c.vm.ID)
+			s.probeOrder = append(s.probeOrder, c.vm.ID)
 		}
 	}
-	s.rng.Shuffle(len(s.order), func(i, j int) {
-		s.order[i], s.order[j] = s.order[j], s.order[i]
+	s.rng.Shuffle(len(s.probeOrder), func(i, j int) {
+		s.probeOrder[i], s.probeOrder[j] = s.probeOrder[j], s.probeOrder[i]
 	})
 }
 
@@ -140,7 +140,7 @@
 	if at, ok := s.findContact(id); ok {
 		return s.contacts[at].vm, true
 	}
-	return s.offered(id)
+	return s.findInRows(id)
 }
 
 // replyAddress is address for an answer. Without a known address the answer
@@ -167,27 +167,27 @@
 	if !ok {
 		s.contacts = slices.Insert(s.contacts, at, contact{})
 	}
-	s.contacts[at] = contact{vm: vm, listed: s.now}
+	s.contacts[at] = contact{vm: vm, lastListed: s.now}
 	if !ok && vm.Domain == s.self.vm.Domain && s.byID[vm.ID] == nil {
-		s.order = append(s.order, vm.ID)
+		s.probeOrder = append(s.probeOrder, vm.ID)
 		s.due.random = s.now
 	}
 }
 
-// dropContacts forgets what the list no longer names. Seeds go the same way
+// expireContacts forgets what the list no longer names. Seeds go the same way
 // once a list has come.
-func (s *State) dropContacts() {
+func (s *State) expireContacts() {
 	s.contacts = slices.DeleteFunc(s.contacts, func(c contact) bool {
-		return s.now.Sub(c.listed) > listedGrace
+		return s.now.Sub(c.lastListed) > contactGrace
 	})
 }
 
-// factsFrom applies the facts of a VM of the own domain, and those about this
+// applyFactsFrom applies the facts of a VM of the own domain, and those about this
 // VM of any. Facts don't name their domain: taking those of another for
 // members would merge the two.
-func (s *State) factsFrom(id fleet.VMID, facts []Fact) {
+func (s *State) applyFactsFrom(id fleet.VMID, facts []Fact) {
 	vm, ok := s.address(id)
-	if ok && s.neighbour(vm) {
+	if ok && s.inOwnDomain(vm) {
 		s.applyFacts(facts)
 		return
 	}
@@ -199,51 +199,51 @@
 }
 
 func (s *State) handlePing(m *Message, p *Ping, out *Ready) {
-	s.factsFrom(m.From, p.Facts)
+	s.applyFactsFrom(m.From, p.Facts)
 	to := s.replyAddress(m.From)
 	a := &Ack{Seq: p.Seq}
-	if s.neighbour(to) {
-		a.Members, a.Rows, a.Facts = s.memberHash(), s.rowHash(), s.takeFacts(to.ID)
+	if s.inOwnDomain(to) {
+		a.MembersHash, a.RowsHash, a.Facts = s.memberHash(), s.rowHash(), s.takeFacts(to.ID)
 	}
 	s.send(to, a, ScopeNone, out)
-	s.compareHashes(m, p.Members, p.Rows, out)
+	s.compareHashes(m, p.MembersHash, p.RowsHash, out)
 }
 
 func (s *State) handleAck(m *Message, a *Ack, out *Ready) {
-	s.factsFrom(m.From, a.Facts)
+	s.applyFactsFrom(m.From, a.Facts)
 	at := slices.IndexFunc(s.probes, func(p probe) bool { return p.seq == a.Seq })
 	if at < 0 {
 		return
 	}
 	p := s.probes[at]
 	s.probes = slices.Delete(s.probes, at, at+1)
-	if p.stage == relayed {
-		s.send(fleet.VM{ID: p.asker}, &Ack{Seq: p.askerSeq}, ScopeNone, out)
+	if p.stage == stageRelayed {
+		s.send(fleet.VM{ID: p.requester}, &Ack{Seq: p.requesterSeq}, ScopeNone, out)
 		return
 	}
-	if m.From != p.target.ID {
+	if m.From != p.vm.ID {
 		return // a relay's answer carries no hashes
 	}
-	s.compareHashes(m, a.Members, a.Rows, out)
+	s.compareHashes(m, a.MembersHash, a.RowsHash, out)
 }
 
 // handlePingReq pings a VM for another one whose own ping had no answer.
 func (s *State) handlePingReq(m *Message, q *PingReq, out *Ready) {
 	to := fleet.VM{
-		ID:       q.Target.ID,
-		PeerAddr: q.Target.PeerAddr,
+		ID:       q.VM.ID,
+		PeerAddr: q.VM.PeerAddr,
 	}
 	if vm, ok := s.address(to.ID); ok {
 		to = vm
 	}
 	p := probe{
 		seq:      s.nextSeq(),
-		target:   to,
+		vm:   to,
 		started:  s.now,
-		deadline: s.now.Add(s.o.IndirectTimeout),
-		stage:    relayed,
-		asker:    m.From,
-		askerSeq: q.Seq,
+		deadline: s.now.Add(s.opts.IndirectTimeout),
+		stage:    stageRelayed,
+		requester:    m.From,
+		requesterSeq: q.Seq,
 	}
 	s.probes = append(s.probes, p)
 	var f *Fact
@@ -262,37 +262,37 @@
 			i++
 			continue
 		}
-		if p.stage == direct && s.askRelays(&s.probes[i], out) {
+		if p.stage == stageDirect && s.startIndirectProbe(&s.probes[i], out) {
 			i++
 			continue
 		}
 		s.probes = slices.Delete(s.probes, i, i+1)
-		if p.stage == indirect {
-			s.unanswered(&p)
+		if p.stage == stageIndirect {
+			s.handleUnanswered(&p)
 		}
 	}
 }
 
-// askRelays turns an unanswered ping into requests to other VMs. It reports
+// startIndirectProbe turns an unanswered ping into requests to other VMs. It reports
 // false if the probe is over: the target was heard from in the meantime, so
 // only its answers to us are lost, or it is no member.
-func (s *State) askRelays(p *probe, out *Ready) bool {
-	r := s.byID[p.target.ID]
-	if r == nil || r.dead() || r.heard > p.started {
+func (s *State) startIndirectProbe(p *probe, out *Ready) bool {
+	r := s.byID[p.vm.ID]
+	if r == nil || r.dead() || r.lastHeard > p.started {
 		return false
 	}
-	p.stage = indirect
-	p.deadline = s.now.Add(s.o.IndirectTimeout)
-	q := PingReq{Seq: p.seq, Target: RowVM{ID: r.vm.ID, PeerAddr: r.vm.PeerAddr}}
+	p.stage = stageIndirect
+	p.deadline = s.now.Add(s.opts.IndirectTimeout)
+	q := PingReq{Seq: p.seq, VM: RowVM{ID: r.vm.ID, PeerAddr: r.vm.PeerAddr}}
 	if r.suspected() {
-		q.Fact = s.fact(r, false)
+		q.Fact = s.factAbout(r, false)
 	}
 	for _, to := range s.relays(r) {
 		m := q
 		s.send(to, &m, ScopeNone, out)
 	}
-	if p.ring {
-		s.probeFrom(s.indexOf(r), probesPerTimeout, out)
+	if p.ringSuccessor {
+		s.probeSuccessors(s.indexOf(r), probesPerTimeout, out)
 	}
 	return true
 }
@@ -307,21 +307,21 @@
 			inside = append(inside, r.vm)
 		}
 	}
-	outside := s.neighbours(1)
+	outside := s.otherDomainFirstReps(1)
 	s.shuffleVMs(inside)
 	s.shuffleVMs(outside)
-	n := s.o.Relays - min(1, len(outside))
+	n := s.opts.Relays - min(1, len(outside))
 	out := inside[:min(n, len(inside))]
-	return append(out, outside[:min(s.o.Relays-len(out), len(outside))]...)
+	return append(out, outside[:min(s.opts.Relays-len(out), len(outside))]...)
 }
 
 func (s *State) shuffleVMs(vms []fleet.VM) {
 	s.rng.Shuffle(len(vms), func(i, j int) { vms[i], vms[j] = vms[j], vms[i] })
 }
 
-func (s *State) unanswered(p *probe) {
-	r := s.byID[p.target.ID]
-	if r == nil || r.heard > p.started {
+func (s *State) handleUnanswered(p *probe) {
+	r := s.byID[p.vm.ID]
+	if r == nil || r.lastHeard > p.started {
 		return
 	}
 	s.suspect(r)
@@ -331,7 +331,7 @@
 func (s *State) sendFailed(to fleet.VMID, out *Ready) {
 	for i := range s.probes {
 		p := &s.probes[i]
-		if p.target.ID == to && p.stage == direct {
+		if p.vm.ID == to && p.stage == stageDirect {
 			p.deadline = s.now
 			return
 		}
@@ -343,7 +343,7 @@
 
 // probeSoon makes the next run ping a VM.
 func (s *State) probeSoon(id fleet.VMID) {
-	s.order = append(s.order, id)
+	s.probeOrder = append(s.probeOrder, id)
 	s.due.random = s.now
 }
 
--- a/decide/member/protocol_test.go
+++ b/decide/member/protocol_test.go
@@ -85,12 +85,12 @@
 func TestFactsOfOtherDomainAreIgnored(t *testing.T) {
 	is := is.New(t)
 	s, _, step := solo(t)
-	stranger := membertest.VM("r00", "r00-d1", 0)
+	stranger := membertest.NewVM("r00", "r00-d1", 0)
 	step(time.Millisecond, &member.Listed{List: fleet.List{VMs: []fleet.VM{stranger}}})
 	facts := []member.Fact{{ID: "x", Incarnation: 1, PeerAddr: "10.0.0.9:1"}}
 	for _, m := range []member.Msg{
 		&member.Ping{Seq: 1, Facts: facts}, &member.Ack{Seq: 1, Facts: facts}, &member.Spread{Facts: facts},
-		&member.Sync{Domain: "r00-d1", Marks: facts}, &member.SyncAck{Domain: "r00-d1", Facts: facts},
+		&member.Sync{Domain: "r00-d1", Digest: facts}, &member.SyncAck{Domain: "r00-d1", Facts: facts},
 	} {
 		step(time.Millisecond, from(stranger, m))
 		is.Equal(len(s.Members(nil)), 2)
@@ -134,7 +134,7 @@
 	n.Run(6 * time.Second)
 	marks := mark(n)
 	n.Run(time.Minute)
-	for _, node := range n.Nodes {
+	for _, node := range n.VMs {
 		switch {
 		case node.VM.Domain == a:
 			is.True(!slices.Contains(offers(node), vms[2].ID))
@@ -156,17 +156,17 @@
 	n := newNetwork(3)
 	vms := membertest.Fleet(1, 2, 1)
 	start(n, vms)
-	others := make([]member.Reach, member.MaxReaches)
+	others := make([]member.ReachResult, member.MaxReachResults)
 	for i := range others {
-		others[i] = member.Reach{
+		others[i] = member.ReachResult{
 			Region:     "far",
 			Domain:     fleet.Domain(fmt.Sprintf("far-%d", i)),
-			SeenRegion: "far",
-			SeenDomain: "far-seen",
+			WatcherRegion: "far",
+			WatcherDomain: "far-seen",
 		}
 	}
 	n.Stop(vms[1].ID)
-	n.Step(n.Nodes[0], from(vms[1], &member.PartialAck{Reaches: others}))
+	n.Step(n.VMs[0], from(vms[1], &member.PartialAck{ReachResults: others}))
 	n.Run(5 * time.Second)
-	is.Equal(offers(n.Nodes[0]), up(n))
+	is.Equal(offers(n.VMs[0]), up(n))
 }
--- a/decide/member/random_test.go
+++ b/decide/member/random_test.go
@@ -71,7 +71,7 @@
 // act draws one fault or recovery and lets some time pass.
 func (f *faults) act(t *rapid.T, paused map[fleet.VMID]bool) {
 	vm := rapid.SampledFrom(f.vms).Draw(t, "vm")
-	node := f.Node(vm.ID)
+	node := f.VM(vm.ID)
 	switch rapid.SampledFrom([]string{"stop", "start", "leave", "link", "island", "domain", "loss", "heal", "pause"}).Draw(t, "act") {
 	case "stop":
 		f.Stop(vm.ID)
@@ -111,7 +111,7 @@
 func (f *faults) resume(paused map[fleet.VMID]bool) {
 	for _, vm := range f.vms {
 		if paused[vm.ID] {
-			node := f.Node(vm.ID)
+			node := f.VM(vm.ID)
 			node.Up = true
 			f.Step(node, &member.Tick{})
 		}
@@ -154,7 +154,7 @@
 func (f *faults) requireAgreement(t *rapid.T, when string) {
 	want := up(f.Network)
 	for _, id := range disagreements(f.Network, want) {
-		t.Fatalf("%s: %s offers %v, not %v", when, id, offers(f.Node(id)), want)
+		t.Fatalf("%s: %s offers %v, not %v", when, id, offers(f.VM(id)), want)
 	}
 }
 
@@ -164,7 +164,7 @@
 	run := func() string {
 		n := newNetwork(77)
 		log := ""
-		n.Sent = func(from *membertest.Node, s *member.Send) {
+		n.Sent = func(from *membertest.EntryVM, s *member.Send) {
 			log += fmt.Sprintf("%d %s %s %T%+v\n", n.Now, from.VM.ID, s.To.ID, s.Msg, s.Msg)
 		}
 		vms := membertest.Fleet(2, 2, 3)
--- a/decide/member/reach.go
+++ b/decide/member/reach.go
@@ -8,76 +8,76 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// reachState is a statement about reachability as held here.
-type reachState struct {
-	reach Reach
-	at    clock.Time // when it was measured
+// storedReachResult is a statement about reachability as held here.
+type storedReachResult struct {
+	result ReachResult
+	measuredAt    clock.Time // when it was measured
 }
 
-func sameKey(a, b *Reach) bool {
+func sameKey(a, b *ReachResult) bool {
 	return a.Region == b.Region && a.Domain == b.Domain &&
-		a.SeenRegion == b.SeenRegion && a.SeenDomain == b.SeenDomain
+		a.WatcherRegion == b.WatcherRegion && a.WatcherDomain == b.WatcherDomain
 }
 
-// applyReach merges a statement. It reports whether Reachable has changed.
-func (s *State) applyReach(r *Reach) bool {
-	at := since(s.now, r.Age)
-	if s.now.Sub(at) > reachFor {
+// applyReachResult merges a statement. It reports whether Reachable has changed.
+func (s *State) applyReachResult(r *ReachResult) bool {
+	at := timeFromAge(s.now, r.Age)
+	if s.now.Sub(at) > reachResultTTL {
 		return false
 	}
-	for i := range s.reaches {
-		h := &s.reaches[i]
-		if !sameKey(&h.reach, r) {
+	for i := range s.reachResults {
+		h := &s.reachResults[i]
+		if !sameKey(&h.result, r) {
 			continue
 		}
-		if at <= h.at {
+		if at <= h.measuredAt {
 			return false
 		}
-		changed := h.reach.Reachable != r.Reachable
-		h.reach, h.at = *r, at
-		s.claimsChanged = s.claimsChanged || changed
+		changed := h.result.Reachable != r.Reachable
+		h.result, h.measuredAt = *r, at
+		s.reachChanged = s.reachChanged || changed
 		return changed
 	}
-	if len(s.reaches) >= MaxReaches && !s.displaceReach(r) {
+	if len(s.reachResults) >= MaxReachResults && !s.evictReachResult(r) {
 		return false
 	}
-	s.reaches = append(s.reaches, reachState{reach: *r, at: at})
-	s.claimsChanged = true
+	s.reachResults = append(s.reachResults, storedReachResult{result: *r, measuredAt: at})
+	s.reachChanged = true
 	return !r.Reachable
 }
 
-// displaceReach makes room for a result of the own domain by dropping the
+// evictReachResult makes room for a result of the own domain by dropping the
 // oldest one of another. Without it a wide outage, in which other domains
 // publish MaxReaches results, would hide from this domain that a remote is
 // unreachable, and callers would be sent there: only own results withdraw VMs.
-func (s *State) displaceReach(r *Reach) bool {
+func (s *State) evictReachResult(r *ReachResult) bool {
 	own := s.self.vm.Domain
-	if r.SeenDomain != own {
+	if r.WatcherDomain != own {
 		return false
 	}
 	oldest := -1
-	for i := range s.reaches {
-		h := &s.reaches[i]
-		if h.reach.SeenDomain != own && (oldest < 0 || h.at < s.reaches[oldest].at) {
+	for i := range s.reachResults {
+		h := &s.reachResults[i]
+		if h.result.WatcherDomain != own && (oldest < 0 || h.measuredAt < s.reachResults[oldest].measuredAt) {
 			oldest = i
 		}
 	}
 	if oldest < 0 {
 		return false
 	}
-	s.reaches = slices.Delete(s.reaches, oldest, oldest+1)
+	s.reachResults = slices.Delete(s.reachResults, oldest, oldest+1)
 	return true
 }
 
-func (s *State) applyReaches(rs []Reach) {
+func (s *State) applyReachResults(rs []ReachResult) {
 	for i := range rs {
-		s.applyReach(&rs[i])
+		s.applyReachResult(&rs[i])
 	}
 }
 
-func (s *State) expireReaches() {
-	s.reaches = slices.DeleteFunc(s.reaches, func(h reachState) bool {
-		return s.now.Sub(h.at) > reachFor
+func (s *State) expireReachResults() {
+	s.reachResults = slices.DeleteFunc(s.reachResults, func(h storedReachResult) bool {
+		return s.now.Sub(h.measuredAt) > reachResultTTL
 	})
 }
 
@@ -92,9 +92,9 @@
 // If they were applied, a domain that was itself cut off would, when it
 // returns, withdraw VMs that all others could reach throughout.
 func (s *State) reachable(rm remote) bool {
-	for i := range s.reaches {
-		h := &s.reaches[i].reach
-		if h.SeenDomain == s.self.vm.Domain && h.Region == rm.region && h.Domain == rm.domain {
+	for i := range s.reachResults {
+		h := &s.reachResults[i].result
+		if h.WatcherDomain == s.self.vm.Domain && h.Region == rm.region && h.Domain == rm.domain {
 			return h.Reachable
 		}
 	}
@@ -112,29 +112,29 @@
 	return s.reachable(remote{region: region, domain: d})
 }
 
-// claimed reports whether any domain states that a remote is unreachable.
-func (s *State) claimed(rm remote) bool {
-	return slices.ContainsFunc(s.reaches, func(h reachState) bool {
-		return !h.reach.Reachable && h.reach.Region == rm.region && h.reach.Domain == rm.domain
+// anyReportsUnreachable reports whether any domain states that a remote is unreachable.
+func (s *State) anyReportsUnreachable(rm remote) bool {
+	return slices.ContainsFunc(s.reachResults, func(h storedReachResult) bool {
+		return !h.result.Reachable && h.result.Region == rm.region && h.result.Domain == rm.domain
 	})
 }
 
-// recordReach records this VM's own result for a remote, and publishes it if it
+// recordReachResult records this VM's own result for a remote, and publishes it if it
 // differs from the last one.
-func (s *State) recordReach(w *watch, ok bool) {
+func (s *State) recordReachResult(w *watch, ok bool) {
 	w.lastReported = reportedNothing
-	if ok && !s.claimed(w.remote) {
+	if ok && !s.anyReportsUnreachable(w.remote) {
 		return
 	}
-	r := Reach{
+	r := ReachResult{
 		Region:     w.remote.region,
 		Domain:     w.remote.domain,
-		SeenRegion: s.self.vm.Region,
-		SeenDomain: s.self.vm.Domain,
+		WatcherRegion: s.self.vm.Region,
+		WatcherDomain: s.self.vm.Domain,
 		Reachable:  ok,
 	}
-	if s.applyReach(&r) {
-		s.outbox.addReach(s.now.Add(flushDelay), outboxReach{reach: r, at: s.now, to: w.extent(s)})
+	if s.applyReachResult(&r) {
+		s.outbox.addReachResult(s.now.Add(flushDelay), outboxReachResult{result: r, measuredAt: s.now, to: w.extent(s)})
 	}
 	w.lastReported = reportedReachable
 	if !ok {
@@ -142,21 +142,21 @@
 	}
 }
 
-// carriedReaches returns statements for one message: those that others can
+// latestReachResults returns statements for one message: those that others can
 // use, the latest first.
-func (s *State) carriedReaches(far bool) []Reach {
-	var held []reachState
-	for _, h := range s.reaches {
-		if far && (h.reach.Domain == "" || h.reach.SeenRegion != s.self.vm.Region) {
+func (s *State) latestReachResults(far bool) []ReachResult {
+	var held []storedReachResult
+	for _, h := range s.reachResults {
+		if far && (h.result.Domain == "" || h.result.WatcherRegion != s.self.vm.Region) {
 			continue
 		}
 		held = append(held, h)
 	}
-	slices.SortStableFunc(held, func(a, b reachState) int { return cmp.Compare(b.at, a.at) })
-	var out []Reach
-	for _, h := range held[:min(len(held), maxReachesCarried)] {
-		h.reach.Age = age(s.now, h.at)
-		out = append(out, h.reach)
+	slices.SortStableFunc(held, func(a, b storedReachResult) int { return cmp.Compare(b.measuredAt, a.measuredAt) })
+	var out []ReachResult
+	for _, h := range held[:min(len(held), maxSentReachResults)] {
+		h.result.Age = ageMillis(s.now, h.measuredAt)
+		out = append(out, h.result)
 	}
 	return out
 }
--- a/decide/member/row.go
+++ b/decide/member/row.go
@@ -9,8 +9,8 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// rowState is a domain's row as held here. Rows are kept in order of domain.
-type rowState struct {
+// storedRow is a domain's row as held here. Rows are kept in order of domain.
+type storedRow struct {
 	row  Row
 	hash uint64
 }
@@ -20,13 +20,13 @@
 // the union. Without that the two sides would replace each other's rows
 // forever, and other domains would drop one side's live VMs at each change.
 type mergedVM struct {
-	by    fleet.VMID
+	author    fleet.VMID
 	vm    RowVM
-	until clock.Time
+	expires clock.Time
 }
 
 func (s *State) findRow(d fleet.Domain) (int, bool) {
-	return slices.BinarySearchFunc(s.rows, d, func(r *rowState, d fleet.Domain) int {
+	return slices.BinarySearchFunc(s.rows, d, func(r *storedRow, d fleet.Domain) int {
 		return cmp.Compare(r.row.Domain, d)
 	})
 }
@@ -60,27 +60,27 @@
 		return false
 	}
 	h := hashString(hashString(fnvOffset, string(row.Domain)), string(row.Author))
-	r := &rowState{row: row, hash: mix(h ^ row.Version*fnvPrime)}
-	s.recheck(&row)
+	r := &storedRow{row: row, hash: mix(h ^ row.Version*fnvPrime)}
+	s.recheckUnreachable(&row)
 	if ok {
 		s.rows[at] = r
 		return true
 	}
 	s.rows = slices.Insert(s.rows, at, r)
 	// A domain unknown when the own row was pushed has not received it.
-	s.announce = s.announce || row.Domain != s.self.vm.Domain
+	s.repeatOwnRowDue = s.repeatOwnRowDue || row.Domain != s.self.vm.Domain
 	return true
 }
 
-// recheck makes this VM probe at once a domain that was unreachable and has a
+// recheckUnreachable makes this VM probe at once a domain that was unreachable and has a
 // new row: its VMs may have been replaced.
-func (s *State) recheck(row *Row) {
+func (s *State) recheckUnreachable(row *Row) {
 	for i := range s.watches {
 		w := &s.watches[i]
 		covers := w.remote.domain == row.Domain || w.remote == remote{region: row.Region}
 		if covers && w.lastReported == reportedUnreachable {
 			w.urgent = true
-			s.claimsChanged = true
+			s.reachChanged = true
 		}
 	}
 }
@@ -99,33 +99,33 @@
 		return false
 	}
 	if mine {
-		s.mergeOwnRow(&row)
+		s.mergeOtherAuthor(&row)
 	}
-	s.rowsChanged = true
+	s.ownRowStale = true
 	return true
 }
 
-// mergeOwnRow keeps the VMs listed by another author of the own domain that
+// mergeOtherAuthor keeps the VMs listed by another author of the own domain that
 // this VM holds dead. Only VMs which that author itself holds live are kept;
 // otherwise each side would keep renewing a dead VM from the other's row.
-func (s *State) mergeOwnRow(row *Row) {
+func (s *State) mergeOtherAuthor(row *Row) {
 	author := s.byID[row.Author]
 	if author != nil && !author.dead() {
 		return
 	}
-	s.merged = slices.DeleteFunc(s.merged, func(v mergedVM) bool { return v.by == row.Author })
-	for _, v := range row.VMs[:min(int(row.Own), len(row.VMs))] {
+	s.merged = slices.DeleteFunc(s.merged, func(v mergedVM) bool { return v.author == row.Author })
+	for _, v := range row.VMs[:min(int(row.AuthorVMs), len(row.VMs))] {
 		r := s.byID[v.ID]
 		if r == nil || r.dead() {
-			s.merged = append(s.merged, mergedVM{by: row.Author, vm: v, until: s.now.Add(mergedTTL)})
+			s.merged = append(s.merged, mergedVM{author: row.Author, vm: v, expires: s.now.Add(mergedTTL)})
 		}
 	}
 }
 
-func (s *State) rowHash() uint32 { return s.rowHashOf("") }
+func (s *State) rowHash() uint32 { return s.rowHashForRegion("") }
 
-// rowHashOf condenses the rows of a region, or all for an empty one.
-func (s *State) rowHashOf(region fleet.Region) uint32 {
+// rowHashForRegion condenses the rows of a region, or all for an empty one.
+func (s *State) rowHashForRegion(region fleet.Region) uint32 {
 	var h uint64
 	for _, r := range s.rows {
 		if region == "" || r.row.Region == region {
@@ -139,13 +139,13 @@
 // first. Where none is live, the leaving ones go on, so as to know to whom
 // they can send callers.
 func (s *State) reps() []fleet.VMID {
-	if ids := s.firstOf(fleet.Live); len(ids) > 0 {
+	if ids := s.firstReps(fleet.Live); len(ids) > 0 {
 		return ids
 	}
-	return s.firstOf(fleet.Leaving)
+	return s.firstReps(fleet.Leaving)
 }
 
-func (s *State) firstOf(state fleet.State) []fleet.VMID {
+func (s *State) firstReps(state fleet.State) []fleet.VMID {
 	var ids []fleet.VMID
 	for _, r := range s.members {
 		if r.vm.State == state {
@@ -158,10 +158,10 @@
 // isAuthor reports whether this VM publishes the domain's row: whether it is
 // the first of the representatives.
 func (s *State) isAuthor() bool {
-	return s.joined && (s.isFirst(fleet.Live) || (s.liveMembers() == 0 && s.isFirst(fleet.Leaving)))
+	return s.joined && (s.isFirstInState(fleet.Live) || (s.liveMembers() == 0 && s.isFirstInState(fleet.Leaving)))
 }
 
-func (s *State) isFirst(state fleet.State) bool {
+func (s *State) isFirstInState(state fleet.State) bool {
 	for _, r := range s.members {
 		if r.vm.State == state {
 			return r == s.self
@@ -181,13 +181,13 @@
 	if !s.publishDue() {
 		return
 	}
-	s.rowsChanged = false
+	s.ownRowStale = false
 	row := s.buildRow()
 	at, ok := s.findRow(row.Domain)
 	if ok && len(s.merged) == 0 && sameRow(&s.rows[at].row, &row) {
 		return
 	}
-	s.published = s.now
+	s.publishedAt = s.now
 	row.Version = max(uint64(s.now/clock.Time(time.Millisecond)), s.rowVersion(row.Domain)+1)
 	s.putRow(row)
 	s.outbox.addRow(s.now.Add(flushDelay), row, toAll)
@@ -197,10 +197,10 @@
 // known.
 func (s *State) repeatOwnRow() {
 	at, ok := s.findRow(s.self.vm.Domain)
-	if !s.announce || !ok {
+	if !s.repeatOwnRowDue || !ok {
 		return
 	}
-	s.announce = false
+	s.repeatOwnRowDue = false
 	s.outbox.addRow(s.now.Add(flushDelay), s.rows[at].row, toAll)
 }
 
@@ -209,19 +209,19 @@
 // renew the other's merged VMs.
 func (s *State) publishDue() bool {
 	if len(s.merged) == 0 {
-		return s.rowsChanged
+		return s.ownRowStale
 	}
-	return s.published.Add(mergedEvery) <= s.now
+	return s.publishedAt.Add(mergedPublishInterval) <= s.now
 }
 
 func (s *State) expireMerged() {
 	n := len(s.merged)
 	s.merged = slices.DeleteFunc(s.merged, func(v mergedVM) bool {
 		r := s.byID[v.vm.ID]
-		return v.until <= s.now || (r != nil && !r.dead())
+		return v.expires <= s.now || (r != nil && !r.dead())
 	})
 	if len(s.merged) != n {
-		s.rowsChanged = true
+		s.ownRowStale = true
 	}
 }
 
@@ -238,38 +238,38 @@
 		case fleet.Live:
 			row.Live++
 			if len(row.VMs) < own {
-				row.offer(rowVM(&r.vm))
+				row.addVM(rowVM(&r.vm))
 			}
-			row.Own = uint32(len(row.VMs))
+			row.AuthorVMs = uint32(len(row.VMs))
 		case fleet.Leaving:
 			row.Leaving++
 		}
 	}
 	for _, v := range s.merged {
 		row.Live++
-		row.offer(v.vm)
+		row.addVM(v.vm)
 	}
 	if row.Live == 0 {
-		s.nameLeaving(&row)
+		s.listLeaving(&row)
 	}
 	return row
 }
 
-func (s *State) nameLeaving(row *Row) {
-	for _, id := range s.firstOf(fleet.Leaving) {
-		row.offer(rowVM(&s.byID[id].vm))
+func (s *State) listLeaving(row *Row) {
+	for _, id := range s.firstReps(fleet.Leaving) {
+		row.addVM(rowVM(&s.byID[id].vm))
 	}
 }
 
-// offers returns the VMs that callers may be sent to.
-func (r *Row) offers() []RowVM {
+// offeredVMs returns the VMs that callers may be sent to.
+func (r *Row) offeredVMs() []RowVM {
 	if r.Live == 0 {
 		return nil
 	}
 	return r.VMs
 }
 
-func (r *Row) offer(v RowVM) {
+func (r *Row) addVM(v RowVM) {
 	if len(r.VMs) < RowVMs {
 		r.VMs = append(r.VMs, v)
 	}
@@ -299,8 +299,8 @@
 	return true
 }
 
-// vm returns what a row says about one of its VMs.
-func (r *Row) vm(v RowVM) fleet.VM {
+// fleetVM returns what a row says about one of its VMs.
+func (r *Row) fleetVM(v RowVM) fleet.VM {
 	return fleet.VM{
 		ID:          v.ID,
 		Region:      r.Region,
@@ -321,26 +321,26 @@
 	n := min(len(r.VMs), repCount(int(of)))
 	out := make([]fleet.VM, 0, n)
 	for _, v := range r.VMs[:n] {
-		out = append(out, r.vm(v))
+		out = append(out, r.fleetVM(v))
 	}
 	return out
 }
 
-// offered finds a VM that another domain offers.
-func (s *State) offered(id fleet.VMID) (fleet.VM, bool) {
+// findInRows finds a VM that another domain offers.
+func (s *State) findInRows(id fleet.VMID) (fleet.VM, bool) {
 	for _, r := range s.rows {
 		for _, v := range r.row.VMs {
 			if v.ID == id {
-				return r.row.vm(v), true
+				return r.row.fleetVM(v), true
 			}
 		}
 	}
 	return fleet.VM{}, false
 }
 
-// neighbours returns the first n representatives of each other domain of the
+// otherDomainFirstReps returns the first n representatives of each other domain of the
 // region.
-func (s *State) neighbours(n int) []fleet.VM {
+func (s *State) otherDomainFirstReps(n int) []fleet.VM {
 	var out []fleet.VM
 	for _, r := range s.rows {
 		if r.row.Region != s.self.vm.Region || r.row.Domain == s.self.vm.Domain {
--- a/decide/member/session_test.go
+++ b/decide/member/session_test.go
@@ -77,9 +77,9 @@
 	case "start":
 		s.n.Start(s.vm(t, d), s.vms)
 	case "leave":
-		s.n.Step(s.n.Node(s.vm(t, d).ID), &member.Leave{})
+		s.n.Step(s.n.VM(s.vm(t, d).ID), &member.Leave{})
 	case "view":
-		return view(s.n.Node(s.vm(t, d).ID))
+		return view(s.n.VM(s.vm(t, d).ID))
 	default:
 		t.Fatalf("unknown command %q", d.Cmd)
 	}
@@ -113,7 +113,7 @@
 // with those who reported it.
 func (s *session) changes(marks map[fleet.VMID]int) string {
 	var lines []string
-	for _, node := range s.n.Nodes {
+	for _, node := range s.n.VMs {
 		for _, c := range node.Changes[marks[node.VM.ID]:] {
 			at := c.At.Sub(membertest.Epoch).Round(time.Millisecond)
 			lines = append(lines, fmt.Sprintf("%8s %s says %s is %s", at, node.VM.ID, c.VM.ID, c.VM.State))
@@ -126,7 +126,7 @@
 	return strings.Join(lines, "\n") + "\n"
 }
 
-func view(n *membertest.Node) string {
+func view(n *membertest.EntryVM) string {
 	var b strings.Builder
 	for _, d := range n.State.Domains(nil) {
 		reach := "reachable"
--- a/decide/member/state.go
+++ b/decide/member/state.go
@@ -14,7 +14,7 @@
 	refutations         uint32
 	rank                uint64
 	suspectedAt         clock.Time        // zero unless suspected
-	heard               clock.Time        // last message received from it
+	lastHeard               clock.Time        // last message received from it
 	diedAt              clock.Time        // set when State is Dead
 	reportedState       fleet.State       // state last reported,
 	reportedIncarnation fleet.Incarnation // of this process,
@@ -28,7 +28,7 @@
 // contact is a VM named by the platform's list or the seeds.
 type contact struct {
 	vm     fleet.VM
-	listed clock.Time // last time the list or the seeds named it
+	lastListed clock.Time // last time the list or the seeds named it
 }
 
 // schedule holds the next instants of the periodic tasks.
@@ -43,15 +43,15 @@
 // State is the membership as one entry VM sees it. It isn't safe for
 // concurrent use.
 type State struct {
-	o    Options
+	opts    Options
 	self *record
 	rng  *rand.Rand
 
 	members   []*record // of the own domain, self included, in ring order
 	byID      map[fleet.VMID]*record
 	contacts  []contact // in order of id
-	rows      []*rowState
-	reaches   []reachState
+	rows      []*storedRow
+	reachResults   []storedReachResult
 	watches   []watch
 	probes    []probe
 	piggyback []queuedFact
@@ -66,20 +66,20 @@
 
 	outbox        outbox
 	backupOutbox  outbox
-	order         []fleet.VMID // random-order targets not yet pinged
-	mismatch      []mismatch
+	probeOrder         []fleet.VMID // random-order targets not yet pinged
+	mismatches      []mismatch
 	lastSync      clock.Time
 	lastRefuted   clock.Time
-	reportTry     int
-	rowsChanged   bool // own row must be compared with the members
-	announce      bool // own row must be pushed again
-	dutyStale     bool // duties must be compared with those last reported
-	groupHash     uint64
+	unansweredReports     int
+	ownRowStale   bool // own row must be compared with the members
+	repeatOwnRowDue      bool // own row must be pushed again
+	dutiesStale     bool // duties must be compared with those last reported
+	dutiesHash     uint64
 	superseded    bool
-	claimsChanged bool       // statements about reachability have changed
-	far           []fleet.VM // of other domains, as last reported
-	farSeen       uint64     // hash of what far was made from
-	published     clock.Time // when the own row was last published
+	reachChanged bool       // statements about reachability have changed
+	reportedRemoteVMs           []fleet.VM // of other domains, as last reported
+	reportedRemoteHash       uint64     // hash of what far was made from
+	publishedAt     clock.Time // when the own row was last published
 }
 
 // New returns the state of the entry VM self, whose Incarnation must be
@@ -89,7 +89,7 @@
 	self.State = fleet.Live
 	r := &record{vm: self, rank: rank(self.ID)}
 	s := &State{
-		o:       o.withDefaults(),
+		opts:       o.withDefaults(),
 		self:    r,
 		rng:     rand.New(rand.NewPCG(seed, r.rank)),
 		members: []*record{r},
@@ -104,50 +104,50 @@
 // instants that don't fall.
 func (s *State) Step(now clock.Time, ev Event, out *Ready) {
 	out.reset()
-	s.start(now)
+	s.scheduleFirst(now)
 	s.extendDeadlines(now)
 	s.now = now
 	switch e := ev.(type) {
 	case *Listed:
-		s.listed(e.List)
+		s.applyPlatformList(e.List)
 	case *Message:
-		s.message(e, out)
+		s.handleMessage(e, out)
 	case *SendFailed:
 		s.sendFailed(e.To, out)
 	case *Leave:
 		s.leave()
 	case *Tick:
 	}
-	s.run(out)
-	s.report(out)
+	s.runDue(out)
+	s.reportChanges(out)
 	s.wake = s.nextWake()
 	out.Wake = s.wake
 }
 
-// start sets the first instants of the duties, spread by the seed so that
+// scheduleFirst sets the first instants of the duties, spread by the seed so that
 // VMs that start together don't act in step.
-func (s *State) start(now clock.Time) {
+func (s *State) scheduleFirst(now clock.Time) {
 	if s.started {
 		return
 	}
 	s.started = true
 	s.now = now
-	s.due.probe = now.Add(s.jitter(s.o.ProbeEvery))
+	s.due.probe = now.Add(s.jitter(s.opts.ProbeEvery))
 	s.due.random = now
-	s.due.report = now.Add(s.jitter(reportMin))
-	s.due.watch = now.Add(s.jitter(s.o.WatchEvery))
+	s.due.report = now.Add(s.jitter(minReportInterval))
+	s.due.watch = now.Add(s.jitter(s.opts.WatchEvery))
 	s.due.join = now.Add(joinTimeout)
-	s.self.heard = now
+	s.self.lastHeard = now
 	s.membersChanged()
-	for _, vm := range s.o.Seeds {
+	for _, vm := range s.opts.Seeds {
 		s.addContact(vm)
 	}
 }
 
 // membersChanged notes that the members of the own domain have changed.
 func (s *State) membersChanged() {
-	s.rowsChanged = true
-	s.dutyStale = true
+	s.ownRowStale = true
+	s.dutiesStale = true
 }
 
 // jitter returns a random duration below d.
@@ -160,14 +160,14 @@
 // member, since each ack is overdue although it waits in a socket buffer.
 func (s *State) extendDeadlines(now clock.Time) {
 	late := now.Sub(s.wake)
-	if s.wake == clock.Never || late < pauseGap {
+	if s.wake == clock.Never || late < pauseThreshold {
 		return
 	}
 	for i := range s.probes {
 		s.probes[i].deadline = s.probes[i].deadline.Add(late)
 	}
 	for i := range s.watches {
-		s.watches[i].delay(late)
+		s.watches[i].extendDeadline(late)
 	}
 	for _, r := range s.members {
 		if r.suspected() {
@@ -176,14 +176,14 @@
 	}
 }
 
-// run performs every duty that is due.
-func (s *State) run(out *Ready) {
-	s.finishJoin()
+// runDue performs every duty that is due.
+func (s *State) runDue(out *Ready) {
+	s.expireJoin()
 	s.expireProbes(out)
 	s.expireSuspicions()
-	s.forget()
+	s.expireTombstones()
 	if s.due.probe <= s.now {
-		s.due.probe = s.now.Add(s.o.ProbeEvery)
+		s.due.probe = s.now.Add(s.opts.ProbeEvery)
 		s.probeRing(out)
 	}
 	if s.due.random <= s.now {
@@ -200,18 +200,18 @@
 
 func (s *State) runRandom(out *Ready) {
 	if !s.joined {
-		s.due.random = s.now.Add(joinEvery)
-		s.joinThrough(out)
+		s.due.random = s.now.Add(joinRetryInterval)
+		s.syncWithContacts(out)
 		return
 	}
-	s.due.random = s.now.Add(s.o.RandomEvery)
+	s.due.random = s.now.Add(s.opts.RandomEvery)
 	s.probeRandom(out)
 }
 
 // ReportEvery is the time between two load reports of a VM: longer in a
 // larger domain.
 func (s *State) ReportEvery() time.Duration {
-	return min(reportMax, max(reportMin, time.Duration(s.liveMembers())*reportPerVM))
+	return min(maxReportInterval, max(minReportInterval, time.Duration(s.liveMembers())*reportIntervalPerVM))
 }
 
 func (s *State) nextWake() clock.Time {
@@ -223,30 +223,30 @@
 	}
 	for _, r := range s.members {
 		if r.suspected() {
-			w = clock.Min(w, r.suspectedAt.Add(s.o.SuspectFor))
+			w = clock.Min(w, r.suspectedAt.Add(s.opts.SuspectFor))
 		}
 	}
 	return clock.Min(w, s.nextWatch())
 }
 
-// finishJoin ends joining once a neighbour answered or none did in time.
+// expireJoin ends joining once a neighbour answered or none did in time.
 // Until then this VM takes no duty: one that knows only itself would publish
 // a row that hides the rest of its domain.
-func (s *State) finishJoin() {
+func (s *State) expireJoin() {
 	if s.joined || s.now < s.due.join {
 		return
 	}
-	s.joinDone()
+	s.completeJoin()
 }
 
-func (s *State) joinDone() {
+func (s *State) completeJoin() {
 	if s.joined {
 		return
 	}
 	s.joined = true
 	s.due.join = clock.Never
 	s.membersChanged()
-	s.broadcast(s.fact(s.self, true))
+	s.broadcast(s.factAbout(s.self, true))
 }
 
 func (s *State) leave() {
@@ -255,33 +255,33 @@
 	}
 	s.self.vm.State = fleet.Leaving
 	s.membersChanged()
-	s.broadcast(s.fact(s.self, true))
+	s.broadcast(s.factAbout(s.self, true))
 }
 
-// listed takes the platform's list as a set of contacts. It lags, so it
+// applyPlatformList takes the platform's list as a set of contacts. It lags, so it
 // neither revives nor removes a member.
-func (s *State) listed(l fleet.List) {
+func (s *State) applyPlatformList(l fleet.List) {
 	kept := make(map[fleet.Domain]int)
 	for _, vm := range l.VMs {
 		if vm.State == fleet.Dead {
 			continue
 		}
 		kept[vm.Domain]++
-		if vm.Domain == s.self.vm.Domain || kept[vm.Domain] <= contactsPerDomain {
+		if vm.Domain == s.self.vm.Domain || kept[vm.Domain] <= maxContactsPerDomain {
 			s.addContact(vm)
 		}
 	}
-	s.dropContacts()
-	s.rng.Shuffle(len(s.order), func(i, j int) {
-		s.order[i], s.order[j] = s.order[j], s.order[i]
+	s.expireContacts()
+	s.rng.Shuffle(len(s.probeOrder), func(i, j int) {
+		s.probeOrder[i], s.probeOrder[j] = s.probeOrder[j], s.probeOrder[i]
 	})
 }
 
-func (s *State) message(m *Message, out *Ready) {
+func (s *State) handleMessage(m *Message, out *Ready) {
 	if m.From == s.self.vm.ID || m.Msg == nil {
 		return
 	}
-	s.heardFrom(m)
+	s.recordHeard(m)
 	switch b := m.Msg.(type) {
 	case *Ping:
 		s.handlePing(m, b, out)
@@ -298,12 +298,12 @@
 	case *Report:
 		s.handleReport(m, out)
 	case *ReportAck:
-		s.reportTry = 0
-		s.applyReaches(b.Reaches)
+		s.unansweredReports = 0
+		s.applyReachResults(b.ReachResults)
 	case *Partial:
 		s.handlePartial(m, b, out)
 	case *PartialAck:
-		s.applyReaches(b.Reaches)
+		s.applyReachResults(b.ReachResults)
 	case *Watch:
 		s.handleWatch(m, b, out)
 	case *WatchAck:
@@ -311,11 +311,11 @@
 	}
 }
 
-// heardFrom notes a message of a process, which proves it live.
-func (s *State) heardFrom(m *Message) {
+// recordHeard notes a message of a process, which proves it live.
+func (s *State) recordHeard(m *Message) {
 	r := s.byID[m.From]
 	if r == nil || m.Incarnation < r.vm.Incarnation {
 		return
 	}
-	r.heard = s.now
+	r.lastHeard = s.now
 }
--- a/decide/member/sync.go
+++ b/decide/member/sync.go
@@ -21,7 +21,7 @@
 		return
 	}
 	if s.byID[m.From] == nil {
-		s.askSync(m.From, out)
+		s.requestSync(m.From, out)
 		return
 	}
 	s.compareTables(m.From, members == s.memberHash() && rows == s.rowHash(), out)
@@ -30,33 +30,33 @@
 // compareTables asks for the tables of a VM once its hashes have differed
 // from the own ones for some time.
 func (s *State) compareTables(id fleet.VMID, same bool, out *Ready) {
-	at := slices.IndexFunc(s.mismatch, func(x mismatch) bool { return x.id == id })
+	at := slices.IndexFunc(s.mismatches, func(x mismatch) bool { return x.id == id })
 	if same {
 		if at >= 0 {
-			s.mismatch = slices.Delete(s.mismatch, at, at+1)
+			s.mismatches = slices.Delete(s.mismatches, at, at+1)
 		}
 		return
 	}
 	if at < 0 {
-		s.noteMismatch(id)
+		s.recordMismatch(id)
 		return
 	}
-	if s.now.Sub(s.mismatch[at].since) >= mismatchFor {
-		s.askSync(id, out)
+	if s.now.Sub(s.mismatches[at].since) >= mismatchTolerance {
+		s.requestSync(id, out)
 	}
 }
 
-// noteMismatch remembers the first difference, for a bounded number of VMs.
-func (s *State) noteMismatch(id fleet.VMID) {
-	if len(s.mismatch) >= maxMismatches {
-		s.mismatch = slices.Delete(s.mismatch, 0, 1)
+// recordMismatch remembers the first difference, for a bounded number of VMs.
+func (s *State) recordMismatch(id fleet.VMID) {
+	if len(s.mismatches) >= maxMismatches {
+		s.mismatches = slices.Delete(s.mismatches, 0, 1)
 	}
-	s.mismatch = append(s.mismatch, mismatch{id: id, since: s.now})
+	s.mismatches = append(s.mismatches, mismatch{id: id, since: s.now})
 }
 
-// askSync sends a Sync, at most one each syncEvery.
-func (s *State) askSync(id fleet.VMID, out *Ready) {
-	if s.lastSync != 0 && s.now.Sub(s.lastSync) < syncEvery {
+// requestSync sends a Sync, at most one each syncEvery.
+func (s *State) requestSync(id fleet.VMID, out *Ready) {
+	if s.lastSync != 0 && s.now.Sub(s.lastSync) < minSyncInterval {
 		return
 	}
 	s.lastSync = s.now
@@ -64,12 +64,12 @@
 	if !ok {
 		to = fleet.VM{ID: id}
 	}
-	s.send(to, s.newSync(!ok || s.neighbour(to)), ScopeNone, out)
+	s.send(to, s.newSync(!ok || s.inOwnDomain(to)), ScopeNone, out)
 }
 
-// askRows asks a VM for the rows of one region, at most once each syncEvery.
-func (s *State) askRows(id fleet.VMID, region fleet.Region, out *Ready) {
-	if s.lastSync != 0 && s.now.Sub(s.lastSync) < syncEvery {
+// requestRows asks a VM for the rows of one region, at most once each syncEvery.
+func (s *State) requestRows(id fleet.VMID, region fleet.Region, out *Ready) {
+	if s.lastSync != 0 && s.now.Sub(s.lastSync) < minSyncInterval {
 		return
 	}
 	to := s.replyAddress(id)
@@ -89,7 +89,7 @@
 	m := &Sync{Domain: s.self.vm.Domain}
 	for _, r := range s.members {
 		if neighbour {
-			m.Marks = append(m.Marks, s.fact(r, r == s.self))
+			m.Digest = append(m.Digest, s.factAbout(r, r == s.self))
 		}
 	}
 	for _, r := range s.rows {
@@ -98,13 +98,13 @@
 	return m
 }
 
-// joinThrough asks some listed neighbours for their tables. The list lags,
+// syncWithContacts asks some listed neighbours for their tables. The list lags,
 // so several are asked at once.
-func (s *State) joinThrough(out *Ready) {
+func (s *State) syncWithContacts(out *Ready) {
 	asked := 0
-	for asked < s.o.Relays && len(s.order) > 0 {
-		id := s.order[0]
-		s.order = s.order[1:]
+	for asked < s.opts.Relays && len(s.probeOrder) > 0 {
+		id := s.probeOrder[0]
+		s.probeOrder = s.probeOrder[1:]
 		vm, ok := s.address(id)
 		if !ok || vm.Domain != s.self.vm.Domain {
 			continue
@@ -113,7 +113,7 @@
 		asked++
 	}
 	if asked == 0 {
-		s.shuffle()
+		s.refillProbeOrder()
 	}
 }
 
@@ -121,18 +121,18 @@
 	neighbour := b.Domain == s.self.vm.Domain
 	lacking := false
 	if neighbour {
-		s.applyFacts(b.Marks)
-		lacking = slices.ContainsFunc(b.Marks, s.unknown)
+		s.applyFacts(b.Digest)
+		lacking = slices.ContainsFunc(b.Digest, s.isUnknown)
 	}
-	a := &SyncAck{Domain: s.self.vm.Domain, Reaches: s.carriedReaches(false)}
+	a := &SyncAck{Domain: s.self.vm.Domain, ReachResults: s.latestReachResults(false)}
 	for _, r := range s.members {
-		if neighbour && b.Region == "" && s.newer(r, b.Marks) {
-			a.Facts = append(a.Facts, s.fact(r, true))
+		if neighbour && b.Region == "" && s.newerThanDigest(r, b.Digest) {
+			a.Facts = append(a.Facts, s.factAbout(r, true))
 		}
 	}
 	for _, r := range s.rows {
 		meant := b.Region == "" || b.Region == r.row.Region
-		if meant && compareVersions(r.row.version(), versionIn(b.Versions, r.row.Domain)) > 0 {
+		if meant && compareVersions(r.row.version(), findVersion(b.Versions, r.row.Domain)) > 0 {
 			a.Rows = append(a.Rows, r.row)
 		}
 	}
@@ -153,31 +153,31 @@
 	switch {
 	case !lacking:
 	case b.Region == "":
-		s.askSync(id, out)
+		s.requestSync(id, out)
 	default:
-		s.askRows(id, b.Region, out)
+		s.requestRows(id, b.Region, out)
 	}
 }
 
-// unknown reports whether a mark names a VM without a record here.
-func (s *State) unknown(f Fact) bool {
+// isUnknown reports whether a mark names a VM without a record here.
+func (s *State) isUnknown(f Fact) bool {
 	return f.Status != Dead && s.byID[f.ID] == nil
 }
 
-// newer reports whether r is newer than the asker's marks.
-func (s *State) newer(r *record, marks []Fact) bool {
+// newerThanDigest reports whether r is newer than the asker's marks.
+func (s *State) newerThanDigest(r *record, marks []Fact) bool {
 	at := slices.IndexFunc(marks, func(f Fact) bool { return f.ID == r.vm.ID })
 	if at < 0 {
 		return !r.dead()
 	}
-	f := s.fact(r, false)
-	if c := compareAge(&marks[at], r); c != 0 {
+	f := s.factAbout(r, false)
+	if c := compareFact(&marks[at], r); c != 0 {
 		return c < 0
 	}
 	return f.Status > marks[at].Status
 }
 
-func versionIn(vs []Version, d fleet.Domain) Version {
+func findVersion(vs []Version, d fleet.Domain) Version {
 	for _, v := range vs {
 		if v.Domain == d {
 			return v
@@ -195,18 +195,18 @@
 	}
 	for _, row := range b.Rows {
 		if s.applyRow(row) && !inside && s.joined {
-			s.outbox.addRow(s.now.Add(flushDelay), row, s.extentOf(row.Region))
+			s.outbox.addRow(s.now.Add(flushDelay), row, s.extentForRegion(row.Region))
 		}
 	}
-	s.applyReaches(b.Reaches)
+	s.applyReachResults(b.ReachResults)
 	if inside {
-		s.joinDone()
+		s.completeJoin()
 	}
 }
 
-// extentOf is how far rows learnt by anti-entropy are forwarded: those of
+// extentForRegion is how far rows learnt by anti-entropy are forwarded: those of
 // another region to the whole own region.
-func (s *State) extentOf(region fleet.Region) extent {
+func (s *State) extentForRegion(region fleet.Region) extent {
 	if region == s.self.vm.Region {
 		return toDomain
 	}
--- a/decide/member/view.go
+++ b/decide/member/view.go
@@ -43,7 +43,7 @@
 	if r := s.byID[id]; r != nil {
 		return r.vm, true
 	}
-	return s.offered(id)
+	return s.findInRows(id)
 }
 
 // Domains appends a view of every known domain, in order of name.
@@ -61,8 +61,8 @@
 			Live:      int(r.row.Live),
 			Leaving:   int(r.row.Leaving),
 		}
-		for _, m := range r.row.offers() {
-			v.VMs = append(v.VMs, r.row.vm(m))
+		for _, m := range r.row.offeredVMs() {
+			v.VMs = append(v.VMs, r.row.fleetVM(m))
 		}
 		dst = append(dst, v)
 	}
@@ -88,27 +88,27 @@
 	return v
 }
 
-// report fills the rest of out: the changes since the last step.
-func (s *State) report(out *Ready) {
+// reportChanges fills the rest of out: the changes since the last step.
+func (s *State) reportChanges(out *Ready) {
 	out.Superseded = s.superseded
-	out.Group = s.groupChanged()
+	out.Group = s.dutiesChanged()
 	for _, r := range s.members {
 		if !r.reported || r.reportedState != r.vm.State || r.reportedIncarnation != r.vm.Incarnation {
 			r.reported, r.reportedState, r.reportedIncarnation = true, r.vm.State, r.vm.Incarnation
 			out.Changed = append(out.Changed, r.vm)
 		}
 	}
-	s.reportFar(out)
+	s.reportRemoteVMs(out)
 }
 
-// reportFar compares the VMs that other domains offer with those reported
+// reportRemoteVMs compares the VMs that other domains offer with those reported
 // before.
-func (s *State) reportFar(out *Ready) {
-	h := s.farHash()
-	if h == s.farSeen {
+func (s *State) reportRemoteVMs(out *Ready) {
+	h := s.remoteHash()
+	if h == s.reportedRemoteHash {
 		return
 	}
-	s.farSeen = h
+	s.reportedRemoteHash = h
 	var next []fleet.VM
 	for _, r := range s.rows {
 		if r.row.Domain == s.self.vm.Domain {
@@ -118,26 +118,26 @@
 		if !s.domainReachable(r.row.Region, r.row.Domain) {
 			state = fleet.Dead
 		}
-		for _, v := range r.row.offers() {
-			vm := r.row.vm(v)
+		for _, v := range r.row.offeredVMs() {
+			vm := r.row.fleetVM(v)
 			vm.State = state
 			next = append(next, vm)
 		}
 	}
 	slices.SortFunc(next, func(a, b fleet.VM) int { return cmp.Compare(a.ID, b.ID) })
-	s.diffFar(next, out)
-	s.far = next
+	s.diffRemoteVMs(next, out)
+	s.reportedRemoteVMs = next
 }
 
-func (s *State) diffFar(next []fleet.VM, out *Ready) {
+func (s *State) diffRemoteVMs(next []fleet.VM, out *Ready) {
 	i := 0
 	for _, vm := range next {
-		for i < len(s.far) && s.far[i].ID < vm.ID {
-			out.Changed = append(out.Changed, withdrawn(s.far[i]))
+		for i < len(s.reportedRemoteVMs) && s.reportedRemoteVMs[i].ID < vm.ID {
+			out.Changed = append(out.Changed, asLeaving(s.reportedRemoteVMs[i]))
 			i++
 		}
-		if i < len(s.far) && s.far[i].ID == vm.ID {
-			if s.far[i] != vm {
+		if i < len(s.reportedRemoteVMs) && s.reportedRemoteVMs[i].ID == vm.ID {
+			if s.reportedRemoteVMs[i] != vm {
 				out.Changed = append(out.Changed, vm)
 			}
 			i++
@@ -145,19 +145,19 @@
 		}
 		out.Changed = append(out.Changed, vm)
 	}
-	for ; i < len(s.far); i++ {
-		out.Changed = append(out.Changed, withdrawn(s.far[i]))
+	for ; i < len(s.reportedRemoteVMs); i++ {
+		out.Changed = append(out.Changed, asLeaving(s.reportedRemoteVMs[i]))
 	}
 }
 
-func withdrawn(vm fleet.VM) fleet.VM {
+func asLeaving(vm fleet.VM) fleet.VM {
 	vm.State = fleet.Leaving
 	return vm
 }
 
-// farHash changes with any row or reachability of another domain; comparing it
+// remoteHash changes with any row or reachability of another domain; comparing it
 // is cheaper than comparing the VMs.
-func (s *State) farHash() uint64 {
+func (s *State) remoteHash() uint64 {
 	var h uint64
 	for _, r := range s.rows {
 		v := r.hash
--- a/decide/member/view_test.go
+++ b/decide/member/view_test.go
@@ -18,7 +18,7 @@
 
 // offers returns the ids of the VMs that node would name in a look-up, in
 // order.
-func offers(node *membertest.Node) []fleet.VMID {
+func offers(node *membertest.EntryVM) []fleet.VMID {
 	var out []fleet.VMID
 	for _, d := range node.State.Domains(nil) {
 		if !d.Reachable {
@@ -32,14 +32,14 @@
 	return out
 }
 
-func offered(node *membertest.Node, id fleet.VMID) bool {
+func offered(node *membertest.EntryVM, id fleet.VMID) bool {
 	return slices.Contains(offers(node), id)
 }
 
 // up returns the ids of the running nodes that aren't leaving, in order.
 func up(n *membertest.Network) []fleet.VMID {
 	var out []fleet.VMID
-	for _, node := range n.Nodes {
+	for _, node := range n.VMs {
 		if node.Up && node.State.Self().State == fleet.Live {
 			out = append(out, node.VM.ID)
 		}
@@ -51,7 +51,7 @@
 // disagreements lists the running nodes whose offers differ from want.
 func disagreements(n *membertest.Network, want []fleet.VMID) []fleet.VMID {
 	var out []fleet.VMID
-	for _, node := range n.Nodes {
+	for _, node := range n.VMs {
 		if node.Up && !slices.Equal(offers(node), want) {
 			out = append(out, node.VM.ID)
 		}
@@ -63,7 +63,7 @@
 // than live, from the given number of changes on.
 func withdrawnSince(n *membertest.Network, marks map[fleet.VMID]int, id fleet.VMID) int {
 	count := 0
-	for _, node := range n.Nodes {
+	for _, node := range n.VMs {
 		for _, c := range node.Changes[marks[node.VM.ID]:] {
 			if c.VM.ID == id && c.VM.State != fleet.Live {
 				count++
@@ -75,7 +75,7 @@
 
 func mark(n *membertest.Network) map[fleet.VMID]int {
 	m := make(map[fleet.VMID]int)
-	for _, node := range n.Nodes {
+	for _, node := range n.VMs {
 		m[node.VM.ID] = len(node.Changes)
 	}
 	return m
--- a/decide/member/watch.go
+++ b/decide/member/watch.go
@@ -23,14 +23,14 @@
 	seq          uint32
 	waiting      bool
 	urgent       bool // to be started at once
-	fallback     bool // further representatives have been asked
-	asked        fleet.VMID
+	fallbacksAsked     bool // further representatives have been asked
+	askedVM        fleet.VMID
 	deadline     clock.Time
-	turn         int
+	nextCandidate         int
 	lastReported int
 }
 
-func (w *watch) delay(d time.Duration) {
+func (w *watch) extendDeadline(d time.Duration) {
 	if w.waiting {
 		w.deadline = w.deadline.Add(d)
 	}
@@ -66,18 +66,18 @@
 		}
 	}
 	due := s.due.watch <= s.now
-	if !due && !s.claimsChanged {
+	if !due && !s.reachChanged {
 		return
 	}
-	s.claimsChanged = false
-	s.expireReaches()
+	s.reachChanged = false
+	s.expireReachResults()
 	s.assignWatches()
 	if due {
-		s.due.watch = s.now.Add(s.o.WatchEvery)
+		s.due.watch = s.now.Add(s.opts.WatchEvery)
 	}
 	for i := range s.watches {
 		w := &s.watches[i]
-		check := w.urgent || (w.lastReported == reportedNothing && s.claimed(w.remote))
+		check := w.urgent || (w.lastReported == reportedNothing && s.anyReportsUnreachable(w.remote))
 		if !w.waiting && (due || check) {
 			s.startWatch(w, check, out)
 		}
@@ -86,7 +86,7 @@
 
 func (s *State) nextWatch() clock.Time {
 	next := s.due.watch
-	if s.claimsChanged {
+	if s.reachChanged {
 		next = s.now
 	}
 	for i := range s.watches {
@@ -102,7 +102,7 @@
 func (s *State) assignWatches() {
 	var next []watch
 	if s.joined {
-		next = s.wantedWatches()
+		next = s.computeWatches()
 	}
 	for i := range next {
 		at, ok := slices.BinarySearchFunc(s.watches, next[i].remote, func(w watch, rm remote) int {
@@ -117,8 +117,8 @@
 	s.watches = next
 }
 
-// wantedWatches returns the watches of this VM in order of their remotes.
-func (s *State) wantedWatches() []watch {
+// computeWatches returns the watches of this VM in order of their remotes.
+func (s *State) computeWatches() []watch {
 	reps := s.reps()
 	if !slices.Contains(reps, s.self.vm.ID) {
 		return nil
@@ -131,18 +131,18 @@
 		mine := false
 		switch {
 		case rm.domain == "":
-			w.assigned = s.turnOf(all, far)
-			mine = s.turnOf(reps, far)
+			w.assigned = s.isAssigned(all, far)
+			mine = s.isAssigned(reps, far)
 			far++
 		case rm.region == s.self.vm.Region:
 			// From the last representative on: the first ones have more
 			// of the regions where these don't come out even.
-			w.assigned = s.turnOf(reps, len(reps)-1-near%len(reps))
+			w.assigned = s.isAssigned(reps, len(reps)-1-near%len(reps))
 			near++
 		default:
-			mine = s.turnOf(reps, near+far)
+			mine = s.isAssigned(reps, near+far)
 		}
-		if w.assigned || (mine && s.claimed(rm)) {
+		if w.assigned || (mine && s.anyReportsUnreachable(rm)) {
 			out = append(out, w)
 		}
 	}
@@ -153,7 +153,7 @@
 // region, in order of id.
 func (s *State) regionRepIDs(own []fleet.VMID) []fleet.VMID {
 	all := slices.Clone(own)
-	for _, vm := range s.neighbours(maxReps) {
+	for _, vm := range s.otherDomainFirstReps(maxReps) {
 		if s.domainReachable(vm.Region, vm.Domain) {
 			all = append(all, vm.ID)
 		}
@@ -162,9 +162,9 @@
 	return all
 }
 
-// turnOf reports whether watch number i is assigned to this VM, when watches
+// isAssigned reports whether watch number i is assigned to this VM, when watches
 // are assigned round-robin over ids.
-func (s *State) turnOf(ids []fleet.VMID, i int) bool {
+func (s *State) isAssigned(ids []fleet.VMID, i int) bool {
 	return len(ids) > 0 && ids[i%len(ids)] == s.self.vm.ID
 }
 
@@ -214,11 +214,11 @@
 	w.seq = s.nextSeq()
 	w.waiting = true
 	w.urgent = false
-	w.fallback = check
-	w.deadline = s.now.Add(s.o.WatchTimeout)
-	to := c[w.turn%len(c)]
-	w.asked = to.ID
-	w.turn++
+	w.fallbacksAsked = check
+	w.deadline = s.now.Add(s.opts.WatchTimeout)
+	to := c[w.nextCandidate%len(c)]
+	w.askedVM = to.ID
+	w.nextCandidate++
 	s.sendWatch(w, to, out)
 	if check {
 		s.askFallbacks(w, out)
@@ -229,16 +229,16 @@
 	s.send(to, &Watch{
 		Seq:     w.seq,
 		Region:  s.self.vm.Region,
-		Own:     s.rowHashOf(s.self.vm.Region),
-		Rows:    s.rowHashOf(s.commonRows(to.Region)),
-		Reaches: s.carriedReaches(to.Region != s.self.vm.Region),
+		OwnRegionHash:     s.rowHashForRegion(s.self.vm.Region),
+		RowsHash:    s.rowHashForRegion(s.comparedRegion(to.Region)),
+		ReachResults: s.latestReachResults(to.Region != s.self.vm.Region),
 	}, ScopeNone, out)
 }
 
-// commonRows names the rows that are compared with a VM of a region: inside
+// comparedRegion names the rows that are compared with a VM of a region: inside
 // the own region all, otherwise those of the region that is watched. Empty
 // means all.
-func (s *State) commonRows(region fleet.Region) fleet.Region {
+func (s *State) comparedRegion(region fleet.Region) fleet.Region {
 	if region == s.self.vm.Region {
 		return ""
 	}
@@ -248,48 +248,48 @@
 // watchOverdue asks further VMs, and if they time out as well records the
 // remote as unreachable: one VM may have died, but hardly all of them.
 func (s *State) watchOverdue(w *watch, out *Ready) {
-	if w.fallback {
+	if w.fallbacksAsked {
 		w.waiting = false
-		if s.known(w.remote) {
-			s.recordReach(w, false)
+		if s.hasRow(w.remote) {
+			s.recordReachResult(w, false)
 		}
 		return
 	}
-	w.fallback = true
-	w.deadline = s.now.Add(s.o.WatchTimeout)
+	w.fallbacksAsked = true
+	w.deadline = s.now.Add(s.opts.WatchTimeout)
 	s.askFallbacks(w, out)
 }
 
 func (s *State) askFallbacks(w *watch, out *Ready) {
-	for _, vm := range s.fallbacks(w) {
+	for _, vm := range s.fallbackVMs(w) {
 		s.sendWatch(w, vm, out)
 	}
 }
 
-// fallbacks returns further representatives and, at random, other VMs of the
+// fallbackVMs returns further representatives and, at random, other VMs of the
 // remote. Symptom without the latter: two domains that lost all their
 // representatives while they were cut off from each other never reconnect,
 // since each asks only the representatives that the other had.
-func (s *State) fallbacks(w *watch) []fleet.VM {
+func (s *State) fallbackVMs(w *watch) []fleet.VM {
 	reps := s.candidates(w.remote)
 	if len(reps) > 1 {
-		reps = slices.DeleteFunc(reps, func(vm fleet.VM) bool { return vm.ID == w.asked })
+		reps = slices.DeleteFunc(reps, func(vm fleet.VM) bool { return vm.ID == w.askedVM })
 	}
 	out := slices.Clone(reps[:min(len(reps), watchFallbacks)])
-	others := s.allVMs(w.remote)
+	others := s.knownVMs(w.remote)
 	s.shuffleVMs(others)
 	return append(out, others[:min(len(others), watchFallbacks)]...)
 }
 
-// allVMs returns all known VMs of a remote.
-func (s *State) allVMs(rm remote) []fleet.VM {
+// knownVMs returns all known VMs of a remote.
+func (s *State) knownVMs(rm remote) []fleet.VM {
 	var out []fleet.VM
 	for _, r := range s.rows {
 		if r.row.Region != rm.region || (rm.domain != "" && r.row.Domain != rm.domain) {
 			continue
 		}
 		for _, v := range r.row.VMs {
-			out = append(out, r.row.vm(v))
+			out = append(out, r.row.fleetVM(v))
 		}
 	}
 	return append(out, s.contactsOf(rm)...)
@@ -306,43 +306,43 @@
 	return out
 }
 
-// known reports whether a row of the remote is held. Without one it offers
+// hasRow reports whether a row of the remote is held. Without one it offers
 // nothing that could be withdrawn.
-func (s *State) known(rm remote) bool {
-	return slices.ContainsFunc(s.rows, func(r *rowState) bool {
+func (s *State) hasRow(rm remote) bool {
+	return slices.ContainsFunc(s.rows, func(r *storedRow) bool {
 		return r.row.Region == rm.region && (rm.domain == "" || rm.domain == r.row.Domain)
 	})
 }
 
 // handleWatch answers a Watch.
 func (s *State) handleWatch(m *Message, b *Watch, out *Ready) {
-	s.applyReaches(b.Reaches)
+	s.applyReachResults(b.ReachResults)
 	to := s.replyAddress(m.From)
 	near := b.Region == s.self.vm.Region
 	a := &WatchAck{
 		Seq:     b.Seq,
-		Rows:    s.rowHashOf(s.self.vm.Region),
-		Reaches: s.carriedReaches(!near),
+		RowsHash:    s.rowHashForRegion(s.self.vm.Region),
+		ReachResults: s.latestReachResults(!near),
 	}
 	scope := ScopeFar
 	if near {
 		scope = ScopeRegion
-		a.Rows = s.rowHash()
+		a.RowsHash = s.rowHash()
 	}
 	s.send(to, a, scope, out)
-	if !near && b.Own != s.rowHashOf(b.Region) {
-		s.askRows(m.From, b.Region, out)
+	if !near && b.OwnRegionHash != s.rowHashForRegion(b.Region) {
+		s.requestRows(m.From, b.Region, out)
 	}
 }
 
 func (s *State) handleWatchAck(m *Message, b *WatchAck, out *Ready) {
-	s.applyReaches(b.Reaches)
+	s.applyReachResults(b.ReachResults)
 	for i := range s.watches {
 		w := &s.watches[i]
 		if w.waiting && w.seq == b.Seq {
 			w.waiting = false
-			s.recordReach(w, true)
-			s.compareRows(w, m.From, b.Rows, out)
+			s.recordReachResult(w, true)
+			s.compareRows(w, m.From, b.RowsHash, out)
 		}
 	}
 }
@@ -351,13 +351,13 @@
 // region an update may still be in transit; from another region a difference
 // means that a push was lost, or that its update is younger than the answer.
 func (s *State) compareRows(w *watch, from fleet.VMID, rows uint32, out *Ready) {
-	region := s.commonRows(w.remote.region)
-	same := rows == s.rowHashOf(region)
+	region := s.comparedRegion(w.remote.region)
+	same := rows == s.rowHashForRegion(region)
 	if region == "" {
 		s.compareTables(from, same, out)
 		return
 	}
 	if !same {
-		s.askRows(from, region, out)
+		s.requestRows(from, region, out)
 	}
 }
--- a/serve/peer/body.go
+++ b/serve/peer/body.go
@@ -42,7 +42,7 @@
 // they answer another message or ride on one. Acknowledging those as well
 // would add a frame to each exchange.
 func (k Kind) quiet() bool {
-	return k == KindLoad || (k > KindIngress && k < KindRelay) || (k < KindLoad && member.Answers(uint8(k-KindMember)))
+	return k == KindLoad || (k > KindIngress && k < KindRelay) || (k < KindLoad && member.IsAnswer(uint8(k-KindMember)))
 }
 
 func allQuiet(bodies []Body) bool {
--- a/serve/peer/body_test.go
+++ b/serve/peer/body_test.go
@@ -16,23 +16,23 @@
 		Age: 12, Site: "attiki-1", CallAddr: "10.0.0.1:8080", PeerAddr: "10.0.0.1:7946", AdminAddr: "10.0.0.1:8081"}
 	vm := member.RowVM{ID: "attiki-1-vm-2", Incarnation: 5, Site: "s", CallAddr: "c", PeerAddr: "p"}
 	row := member.Row{Region: "attiki", Domain: "attiki-1", Version: 9, Author: "attiki-1-vm-2",
-		Live: 1, Leaving: 1, VMs: []member.RowVM{vm}, Own: 1}
+		Live: 1, Leaving: 1, VMs: []member.RowVM{vm}, AuthorVMs: 1}
 	version := member.Version{Domain: "attiki-1", Version: 9, Author: "attiki-1-vm-2"}
-	reach := member.Reach{Region: "kriti", Domain: "kriti-1", SeenRegion: "attiki", SeenDomain: "attiki-1", Reachable: true, Age: 3}
-	facts, rows, reaches := []member.Fact{fact}, []member.Row{row}, []member.Reach{reach}
+	reach := member.ReachResult{Region: "kriti", Domain: "kriti-1", WatcherRegion: "attiki", WatcherDomain: "attiki-1", Reachable: true, Age: 3}
+	facts, rows, reaches := []member.Fact{fact}, []member.Row{row}, []member.ReachResult{reach}
 	return []member.Msg{
-		&member.Ping{Seq: 1, Members: 2, Rows: 3, Facts: facts},
-		&member.Ack{Seq: 1, Members: 2, Rows: 3, Facts: facts},
-		&member.PingReq{Seq: 1, Target: vm, Fact: fact},
-		&member.Sync{Domain: "attiki-1", Region: "attiki", Marks: facts, Versions: []member.Version{version}},
-		&member.SyncAck{Domain: "attiki-1", Facts: facts, Rows: rows, Reaches: reaches},
-		&member.Spread{Hop: member.HopRegion, Backup: true, Facts: facts, Rows: rows, Reaches: reaches},
+		&member.Ping{Seq: 1, MembersHash: 2, RowsHash: 3, Facts: facts},
+		&member.Ack{Seq: 1, MembersHash: 2, RowsHash: 3, Facts: facts},
+		&member.PingReq{Seq: 1, VM: vm, Fact: fact},
+		&member.Sync{Domain: "attiki-1", Region: "attiki", Digest: facts, Versions: []member.Version{version}},
+		&member.SyncAck{Domain: "attiki-1", Facts: facts, Rows: rows, ReachResults: reaches},
+		&member.Spread{Hop: member.HopRegion, Backup: true, Facts: facts, Rows: rows, ReachResults: reaches},
 		&member.Report{},
-		&member.ReportAck{Reaches: reaches},
-		&member.Partial{Reaches: reaches},
-		&member.Watch{Seq: 1, Region: "attiki", Own: 4, Rows: 2, Reaches: reaches},
-		&member.WatchAck{Seq: 1, Rows: 2, Reaches: reaches},
-		&member.PartialAck{Reaches: reaches},
+		&member.ReportAck{ReachResults: reaches},
+		&member.Partial{ReachResults: reaches},
+		&member.Watch{Seq: 1, Region: "attiki", OwnRegionHash: 4, RowsHash: 2, ReachResults: reaches},
+		&member.WatchAck{Seq: 1, RowsHash: 2, ReachResults: reaches},
+		&member.PartialAck{ReachResults: reaches},
 	}
 }
 
--- a/serve/peer/capacity_test.go
+++ b/serve/peer/capacity_test.go
@@ -72,7 +72,7 @@
 	m.kinds = make(map[uint8]int)
 }
 
-func (m *meter) state(n *membertest.Node) *load.State {
+func (m *meter) state(n *membertest.EntryVM) *load.State {
 	s := m.load[n.VM.ID]
 	if s == nil {
 		s = load.New(n.VM, load.Options{})
@@ -82,7 +82,7 @@
 }
 
 // stepped keeps the load reducer in line with the membership.
-func (m *meter) stepped(n *membertest.Node, out *member.Ready) {
+func (m *meter) stepped(n *membertest.EntryVM, out *member.Ready) {
 	if !out.Group && len(out.Changed) == 0 {
 		return
 	}
@@ -99,7 +99,7 @@
 }
 
 // sent counts a message as a frame of its own, with the report riding on it.
-func (m *meter) sent(from *membertest.Node, s *member.Send) {
+func (m *meter) sent(from *membertest.EntryVM, s *member.Send) {
 	b, err := EncodeMember(s.Msg)
 	if err != nil {
 		m.err = err
@@ -113,7 +113,7 @@
 			return
 		}
 		bodies = append(bodies, lb)
-		if to := m.n.Node(s.To.ID); to != nil && to.Up {
+		if to := m.n.VM(s.To.ID); to != nil && to.Up {
 			m.state(to).Step(m.n.Now, &load.Received{From: from.VM.ID, Report: r})
 		}
 	}
@@ -185,7 +185,7 @@
 // run lets seconds pass, each VM measuring its load once a second.
 func (m *meter) run(seconds int) {
 	for range seconds {
-		for i, node := range m.n.Nodes {
+		for i, node := range m.n.VMs {
 			m.state(node).Step(m.n.Now, &load.Measured{Samples: m.samples(i)})
 		}
 		m.n.Run(time.Second)
@@ -211,7 +211,7 @@
 		region := fleet.Region(fmt.Sprintf("region-%02d", r))
 		domain := fleet.Domain(fmt.Sprintf("region-%02d-%d", r, 1+d/x.Regions))
 		for i := range x.Members {
-			out = append(out, membertest.VM(region, domain, i))
+			out = append(out, membertest.NewVM(region, domain, i))
 		}
 	}
 	return out
