--- a/decide/machine/bench_test.go
+++ b/decide/machine/bench_test.go
@@ -7,9 +7,9 @@
 )
 
 // BenchmarkTraffic reports the messages and bytes that a daemon sends at rest,
-// for each change, and for a join, at one domain's size. Other domains send
-// nothing here: their number shows in the entry VMs that a list names. Frames,
-// acknowledgements and TCP come on top of the bytes.
+// per change and per join, for different sizes of a domain. Other domains send
+// nothing here; their number only determines how many entry VMs the list has.
+// The bytes don't include frames, acknowledgements and TCP headers.
 func BenchmarkTraffic(b *testing.B) {
 	for _, size := range []struct{ members, domains int }{
 		{4, 6}, {8, 6}, {16, 6}, {43, 6}, {86, 6}, {43, 20}, {43, 77},
--- a/decide/machine/content.go
+++ b/decide/machine/content.go
@@ -10,15 +10,16 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// domainList is the domain's part of one list. It is immutable.
+// domainList is the part of one version of the platform's list that a domain
+// needs: all entry VMs and the domain's targets. It is immutable.
 type domainList struct {
-	version   ListVersion
+	version ListVersion
 	vms     []fleet.VM     // in order of id
 	targets []fleet.Target // in order of id
 }
 
-// newDomainList takes the domain's part of a list. Entries without an id and
-// second ones of an id are left out.
+// newDomainList returns a domain's part of a list. Entries without an id and
+// duplicates of an id are left out.
 func newDomainList(l fleet.List, own fleet.Domain) *domainList {
 	c := &domainList{vms: slices.Clone(l.VMs)}
 	for _, t := range l.Targets {
@@ -40,7 +41,7 @@
 	c.targets = slices.DeleteFunc(c.targets, func(t fleet.Target) bool { return t.ID == "" })
 }
 
-// hasher hashes the fields of entries.
+// hasher computes a hash over the fields of entries.
 type hasher struct{ xxhash.Digest }
 
 func (h *hasher) addString(s string) {
@@ -78,8 +79,8 @@
 	return h.Sum64()
 }
 
-// newDelta returns the difference between two contents. It reports false if
-// that has too many entries for a message.
+// newDelta returns the difference between two lists, and whether it is small
+// enough for one message.
 func newDelta(from, to *domainList) (*Delta, bool) {
 	d := &Delta{From: from.version, To: to.version}
 	diff(from.vms, to.vms, func(v *fleet.VM) fleet.VMID { return v.ID }, &d.VMs, &d.RemovedVMs)
@@ -87,8 +88,8 @@
 	return d, d.entries() <= MaxDeltaEntries
 }
 
-// diff appends the entries of b that are new or other than in a, and the ids
-// of those that b lacks. Both are in order of id.
+// diff appends the entries of b that are new or differ from a to changed, and
+// the ids of the entries that b lacks to removed. a and b are in order of id.
 func diff[E comparable, ID cmp.Ordered](a, b []E, id func(*E) ID, changed *[]E, removed *[]ID) {
 	i := 0
 	for j := range b {
@@ -109,30 +110,31 @@
 	}
 }
 
-// apply returns the content that d makes of c. It reports false if that isn't
-// what d says, as with another base or a damaged entry.
+// apply returns the result of applying d to c. It returns false if c is not the
+// base of d or the result doesn't have the stated hash, as with a damaged entry.
 func (c *domainList) apply(d *Delta) (*domainList, bool) {
 	if c.version != d.From {
 		return nil, false
 	}
-	gone := func(v fleet.VM) bool {
+	replacedVM := func(v fleet.VM) bool {
 		return slices.Contains(d.RemovedVMs, v.ID) ||
 			slices.ContainsFunc(d.VMs, func(n fleet.VM) bool { return n.ID == v.ID })
 	}
-	goneTarget := func(t fleet.Target) bool {
+	replacedTarget := func(t fleet.Target) bool {
 		return slices.Contains(d.RemovedTargets, t.ID) ||
 			slices.ContainsFunc(d.Targets, func(n fleet.Target) bool { return n.ID == t.ID })
 	}
 	next := &domainList{
-		vms:     append(slices.DeleteFunc(slices.Clone(c.vms), gone), d.VMs...),
-		targets: append(slices.DeleteFunc(slices.Clone(c.targets), goneTarget), d.Targets...),
+		vms:     append(slices.DeleteFunc(slices.Clone(c.vms), replacedVM), d.VMs...),
+		targets: append(slices.DeleteFunc(slices.Clone(c.targets), replacedTarget), d.Targets...),
 	}
 	next.sort()
 	next.version = d.To
 	return next, next.hash() == d.To.Hash
 }
 
-// parts splits c into messages.
+// parts splits c into messages. It returns nil if there would be more than
+// MaxParts.
 func (c *domainList) parts() []*Part {
 	var out []*Part
 	for vms := range slices.Chunk(c.vms, MaxPartEntries) {
@@ -153,15 +155,15 @@
 	return out
 }
 
-// assembly puts the parts of one list together.
+// assembly collects the parts of one list.
 type assembly struct {
-	version ListVersion
-	parts []*Part
-	received  int
+	version  ListVersion
+	parts    []*Part
+	received int
 }
 
-// add takes a part. It returns the content once it is complete and matches its
-// hash.
+// add adds a part. It returns the list once it is complete and matches its hash,
+// otherwise nil.
 func (a *assembly) add(p *Part) *domainList {
 	if a.version != p.Held || len(a.parts) != int(p.Parts) {
 		*a = assembly{version: p.Held, parts: make([]*Part, p.Parts)}
--- a/decide/machine/event.go
+++ b/decide/machine/event.go
@@ -9,26 +9,26 @@
 // *PeerMessage or *Tick.
 type Event interface{ isEvent() }
 
-// Read brings the list that the platform has just shown.
+// Read carries a list that was just read from the platform.
 type Read struct{ List fleet.List }
 
-// Unchanged says that the platform has been asked again, and still shows the
-// list of the last Read.
+// Unchanged reports that the platform still has the list of the last Read.
 type Unchanged struct{}
 
-// Reading says whether this daemon is one of the readers of its domain.
+// Reading sets whether this daemon is one of the readers of its domain.
 type Reading struct{ On bool }
 
-// Members replaces the entry VMs of the own failure domain that are not dead.
+// Members replaces the set of entry VMs of the own failure domain that are not
+// dead.
 type Members struct{ IDs []fleet.VMID }
 
-// PeerMessage is a message from another entry VM of the domain.
+// PeerMessage is a received message from another entry VM of the domain.
 type PeerMessage struct {
 	From fleet.VMID
 	Msg  Message
 }
 
-// Tick passes time; it is due at Ready.Wake.
+// Tick runs the tasks that are due. It must be sent at Ready.Wake.
 type Tick struct{}
 
 func (*Read) isEvent()        {}
@@ -38,22 +38,23 @@
 func (*PeerMessage) isEvent() {}
 func (*Tick) isEvent()        {}
 
-// Send passes Msg to a member of the domain; it may be lost.
+// Send is a message to be sent to a member of the domain. It may be lost.
 type Send struct {
 	To  fleet.VMID
 	Msg Message
 }
 
-// Ready holds the effects of one step. Step empties and refills it.
+// Ready holds the effects of one step. Step clears and refills it.
 type Ready struct {
 	Sends []Send
-	// Apply is the list to put in force, of the own domain's targets and all
-	// entry VMs; nil: no change. Its Version may be lower than before, after
-	// the platform was restored from older data. It must not be changed.
+	// Apply is the list to put in force, with the own domain's targets and all
+	// entry VMs, or nil if there is no change. Its Version may be lower than
+	// before if the platform was restored from older data. The list must not be
+	// modified.
 	Apply *fleet.List
-	// Watch says whether this daemon should watch the platform's list.
+	// Watch is true while this daemon should watch the platform's list.
 	Watch bool
-	// Wake is when the next Tick is due.
+	// Wake is the instant at which the next Tick is due.
 	Wake clock.Time
 }
 
--- a/decide/machine/gossip.go
+++ b/decide/machine/gossip.go
@@ -8,7 +8,8 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// schedulePush makes the daemon push what came into force after before.
+// schedulePush schedules a push of the changes since the list before, with this
+// daemon as the root.
 func (s *State) schedulePush(before *domainList) {
 	if s.push.dueAt != clock.Never {
 		return
@@ -17,8 +18,8 @@
 	s.push.dueAt = max(s.now, s.push.lastSentAt.Add(PushEvery))
 }
 
-// sendPush sends the pending push. A change too large for it is announced by
-// a digest, and fetched with Want.
+// sendPush sends the pending push. A change that is too large for a push is
+// announced by a Digest and fetched with Want.
 func (s *State) sendPush(out *Ready) {
 	base := s.push.base
 	s.push = pendingPush{dueAt: clock.Never, lastSentAt: s.now}
@@ -33,8 +34,8 @@
 	}
 }
 
-// forwardPush forwards a push down its root's tree even if it held nothing new
-// here: members below may lack it.
+// forwardPush forwards a push down the tree of its root, once, even if its list
+// isn't new here: members further down may lack it.
 func (s *State) forwardPush(m *Push, out *Ready) {
 	if m.Root == s.self.ID || !slices.Contains(s.members, m.Root) {
 		return
@@ -48,19 +49,19 @@
 	}
 }
 
-// sendDigest sends a digest alternately to the next member by rank, as a
-// heartbeat, and to a random one, for anti-entropy.
+// sendDigest sends a Digest alternately to the next member by rank, as a
+// heartbeat, and to a random member, for anti-entropy.
 func (s *State) sendDigest(out *Ready) {
 	if s.held == nil || len(s.members) < 2 {
 		return
 	}
 	s.digestsSent++
-	by := 1
+	offset := 1
 	if s.digestsSent%2 == 0 {
-		by += s.rng.IntN(len(s.members) - 1)
+		offset += s.rng.IntN(len(s.members) - 1)
 	}
 	at := slices.Index(s.members, s.self.ID)
-	s.send(s.members[(at+by)%len(s.members)], s.newDigest(), out)
+	s.send(s.members[(at+offset)%len(s.members)], s.newDigest(), out)
 }
 
 func (s *State) newDigest() *Digest {
@@ -71,7 +72,8 @@
 	return d
 }
 
-// handleDigest takes what another member holds.
+// handleDigest compares the list of another member with the own one. The member
+// that is behind gets the newer list.
 func (s *State) handleDigest(from fleet.VMID, m *Digest, out *Ready) {
 	switch c := m.Held.compare(s.Held()); {
 	case c > 0:
@@ -83,7 +85,8 @@
 	}
 }
 
-// updateMember sends a member that is behind a delta, or a digest that makes it ask.
+// updateMember sends a Delta to a member that is behind, or a Digest that makes
+// it send a Want.
 func (s *State) updateMember(to fleet.VMID, p ListVersion, out *Ready) {
 	if d := s.deltaFrom(p); d != nil {
 		s.send(to, d, out)
@@ -92,8 +95,8 @@
 	s.send(to, s.newDigest(), out)
 }
 
-// deltaFrom returns the Delta from an earlier point, or nil if that isn't
-// known any more.
+// deltaFrom returns the Delta from an earlier version to the list in force, or
+// nil if that version is no longer in the history or the Delta is too large.
 func (s *State) deltaFrom(p ListVersion) *Delta {
 	for _, c := range s.history {
 		if c.version != p || p.compare(s.held.version) >= 0 {
@@ -106,7 +109,8 @@
 	return nil
 }
 
-// handleWant answers a Want.
+// handleWant answers a Want with a Delta, the whole list or, if the sender isn't
+// behind, a Digest.
 func (s *State) handleWant(from fleet.VMID, have ListVersion, out *Ready) {
 	if s.held == nil {
 		return
@@ -122,14 +126,14 @@
 	s.sendFullList(from, out)
 }
 
-// sendFullList sends the whole list, but not twice in a row to the same member,
-// which would let small messages cause large ones.
+// sendFullList sends the whole list, but at most once per WantTimeout/2 to the
+// same member. Otherwise many small messages would cause many large ones.
 func (s *State) sendFullList(to fleet.VMID, out *Ready) {
 	if at, ok := s.fullListSentAt[to]; ok && s.now.Sub(at) < WantTimeout/2 {
 		return
 	}
 	if !slices.Contains(s.members, to) && len(s.fullListSentAt) > len(s.members) {
-		return // bounds what senders of made-up ids make this daemon keep
+		return // limits the memory that senders with invented ids can use here
 	}
 	s.fullListSentAt[to] = s.now
 	for _, p := range s.held.parts() {
@@ -137,7 +141,8 @@
 	}
 }
 
-// handleDelta applies a Delta. If it has another base, its target is fetched.
+// handleDelta applies a Delta. If it has another base, the list that it leads to
+// is fetched.
 func (s *State) handleDelta(from fleet.VMID, d *Delta, out *Ready) {
 	if d.To.compare(s.Held()) <= 0 {
 		return
@@ -151,7 +156,7 @@
 	s.startCatchUp(from, d.To, out)
 }
 
-// handlePart takes a part of a whole list that was asked for.
+// handlePart adds a part of a whole list that was requested with Want.
 func (s *State) handlePart(p *Part) {
 	if s.catchUp.deadline == clock.Never || p.Held.compare(s.Held()) <= 0 {
 		return
@@ -161,7 +166,8 @@
 	}
 }
 
-// adoptReceived puts in force what a member has sent.
+// adoptReceived puts a list in force that a member has sent, and ends the
+// catch-up that it completes.
 func (s *State) adoptReceived(c *domainList) {
 	s.adopt(c)
 	if c.version.compare(s.catchUp.wanted) >= 0 {
@@ -169,8 +175,8 @@
 	}
 }
 
-// startCatchUp asks a member for a list that it holds, unless one as new is
-// being fetched.
+// startCatchUp requests a list from a member that holds it, unless a list at
+// least as new is being fetched.
 func (s *State) startCatchUp(from fleet.VMID, to ListVersion, out *Ready) {
 	if s.catchUp.deadline != clock.Never && s.catchUp.wanted.compare(to) >= 0 {
 		return
@@ -179,7 +185,8 @@
 	s.requestFrom(from, out)
 }
 
-// requestFromAnother asks another member, after one hasn't answered, or at the start.
+// requestFromAnother sends a Want to a random member, at the start or after
+// another member hasn't answered.
 func (s *State) requestFromAnother(out *Ready) {
 	s.catchUp.deadline = clock.Never
 	done := s.held != nil && s.held.version.compare(s.catchUp.wanted) >= 0
@@ -188,8 +195,8 @@
 		return
 	}
 	at := slices.Index(s.members, s.self.ID)
-	by := 1 + s.rng.IntN(len(s.members)-1)
-	s.requestFrom(s.members[(at+by)%len(s.members)], out)
+	offset := 1 + s.rng.IntN(len(s.members)-1)
+	s.requestFrom(s.members[(at+offset)%len(s.members)], out)
 }
 
 func (s *State) requestFrom(to fleet.VMID, out *Ready) {
--- a/decide/machine/machine_test.go
+++ b/decide/machine/machine_test.go
@@ -17,7 +17,8 @@
 	return func(l *fleet.List) { l.Targets = append(l.Targets, testTarget(i)) }
 }
 
-// TestSpread: two of many daemons watch, and all have each change at once.
+// Only two of many daemons watch the platform, and all of them must have a change
+// within 50 ms.
 func TestPushReachesAllDaemons(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork(1, 43, 600, 50)
@@ -31,9 +32,9 @@
 	}
 }
 
-// TestJoin: symptom: a restarted daemon serves nothing for seconds. Sequence:
-// it starts while the platform is down, and the first neighbour that it asks
-// is dead but still listed. Cause: it waits for one answer.
+// A daemon restarts while the platform is down, and the first member that it asks
+// for the list may be dead but still listed. It must ask another one, or it
+// serves nothing for seconds.
 func TestJoinWithDeadNeighbour(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork(1, 8, 600, 50)
@@ -52,9 +53,8 @@
 	}
 }
 
-// TestPausedReader: symptom: targets that have started since are out of use.
-// Sequence: a reader shows the list as it was before its pause. Cause: the
-// list read last is taken for the newest.
+// A reader that was paused reads an old list. If the list read last counted as the
+// newest, targets that have started since would not be used.
 func TestPausedReader(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork(1, 8, 8, 10)
@@ -73,10 +73,10 @@
 	is.Equal(n.daemons[0].version.Epoch, uint64(0))
 }
 
-// TestReplicaStandsStill: symptom: a domain swings between two lists. Sequence:
-// one reader is connected to a replica of the platform that stands still, while
-// the list doesn't change for long. Cause: the lower version that one reader
-// sees for long is taken for a platform with older data.
+// One reader is connected to a stalled replica of the platform, while the list
+// doesn't change for a long time. If the lower version that this reader keeps
+// seeing counted as a restored platform, the domain would alternate between two
+// lists.
 func TestStalledReplica(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork(1, 43, 43, 10)
@@ -86,14 +86,13 @@
 	n.run(3 * time.Second)
 	n.daemons[1].stalledReplica = &old
 	n.run(10 * LowerVersionFor)
-	is.NoErr(n.checkConverged()) // a new epoch would be a fault
+	is.NoErr(n.checkConverged()) // checkStep records a new epoch as a violation
 	is.Equal(n.daemons[1].shownVersion, old.Version)
 }
 
-// TestPlatformRestored: symptom: a domain works with the machines of last
-// night for ever. Sequence: the platform is restored from older data, and its
-// versions start lower. Cause: lower versions are ignored without end. Live
-// targets that the older data lacks must not vanish meanwhile.
+// The platform is restored from older data, and its versions start lower. If lower
+// versions were always ignored, a domain would keep an outdated list permanently.
+// Live targets that the older data lacks must stay in force meanwhile.
 func TestPlatformRestored(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork(1, 8, 8, 10)
@@ -110,18 +109,18 @@
 	n.run(2 * confirmEvery)
 	is.Equal(n.daemons[7].version.Epoch, uint64(1))
 	n.run(time.Minute)
-	is.Equal(len(n.daemons[7].applied.Targets), 15) // the newer ones stay
+	is.Equal(len(n.daemons[7].applied.Targets), 15) // targets that the older data lacks stay
 	for i := range 5 {
-		n.change(addTarget(20 + i)) // and the platform notices them again
+		n.change(addTarget(20 + i)) // the platform detects them again
 	}
 	n.change(addTarget(30))
 	n.run(2 * time.Second)
 	is.NoErr(n.checkConverged())
 }
 
-// TestSameNumberOtherContent: symptom: daemons disagree on one version without
-// end. Sequence: the restored platform reaches the version in force with other
-// content before anybody has seen a lower one. Cause: versions alone compared.
+// A restored platform reaches the version in force with other content before any
+// reader has seen a lower version. If only versions were compared, daemons would
+// disagree on the content of one version permanently.
 func TestSameVersionWithOtherContent(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork(1, 8, 8, 10)
@@ -133,9 +132,8 @@
 	is.NoErr(n.checkConverged())
 }
 
-// TestEmptyList: symptom: a domain has no targets. Sequence: a newer version
-// lacks them all by mistake, and the next one has them again. Cause: a list
-// taken at its word at once.
+// A newer version lacks all targets by mistake, and the next one has them again.
+// Applied at once, it would leave the domain without targets.
 func TestEmptyList(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork(1, 8, 8, 10)
@@ -151,12 +149,12 @@
 	n.change(func(l *fleet.List) { l.Targets[0].State = fleet.Leaving })
 	n.change(removeFirstTarget)
 	n.run(time.Second)
-	is.NoErr(n.checkConverged()) // one that was leaving isn't kept
+	is.NoErr(n.checkConverged()) // a leaving target isn't retained
 }
 
-// TestReadersGone: symptom: a domain's list stands still. Sequence: both
-// readers are cut off, and nobody has been told to read in their place. Cause:
-// a daemon that relies on others for the list doesn't notice their silence.
+// Both readers are cut off, and no other daemon has become a reader. The others
+// must notice the silence and watch the platform themselves, or the domain's list
+// is no longer updated.
 func TestReadersCutOff(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork(1, 3, 8, 10)
@@ -168,12 +166,12 @@
 	is.Equal(len(n.daemons[2].applied.Targets), 11)
 	n.platformDown = true
 	n.run(time.Hour)
-	is.Equal(len(n.daemons[2].applied.Targets), 11) // alone, it keeps the last
+	is.Equal(len(n.daemons[2].applied.Targets), 11) // without the platform it keeps its list
 }
 
-// TestLeftOut: symptom: one daemon's list is old for good. Sequence: the views
-// of all others leave it out, so no push and no digest comes to it. Cause:
-// nobody answers a digest that is behind.
+// The views of all other members lack one daemon, so it gets no push and no
+// Digest. Unless a Digest that is behind is answered, its list stays old
+// permanently.
 func TestDaemonMissingFromViews(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork(1, 8, 8, 10)
@@ -191,8 +189,8 @@
 	is.True(!n.daemons[7].watches)
 }
 
-// TestSpoiltContent: a delta on another base, and parts that don't make the
-// stated content, are never put in force.
+// A delta with another base, and parts that don't have the stated hash, must never
+// be put in force.
 func TestCorruptContentIsRejected(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork(1, 2, 8, 10)
@@ -212,11 +210,11 @@
 	is.True(err != nil)
 }
 
-// TestRandomFaults: symptom: a daemon goes back to an older list, loses a live
-// target before its grace is over, or never gets the newest. Sequence: any mix
-// of changes, restarts, losses, cut-off daemons, outages, and a platform that
-// is restored from older data. Cause: whatever rule of this package the mix
-// breaks. The network checks each step.
+// TestRandomFaults runs random sequences of changes, restarts, message losses,
+// isolated daemons, outages, and restores of the platform from older data. The
+// network checks in each step that no daemon returns to an older list or loses a
+// live target before its grace period ends. In the end all daemons must have the
+// newest list.
 func TestRandomFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := newNetwork(rapid.Uint64().Draw(t, "seed"), rapid.IntRange(1, 12).Draw(t, "size"), 10, 10)
@@ -276,7 +274,7 @@
 			return
 		}
 		*old = n.list
-	case 10: // a view that leaves some out, which the next announcement mends
+	case 10: // a view that lacks some members until the next announcement
 		if v.state != nil {
 			n.step(v, &Members{IDs: []fleet.VMID{n.daemons[0].vm.ID, n.daemons[len(n.daemons)/2].vm.ID}})
 		}
--- a/decide/machine/message.go
+++ b/decide/machine/message.go
@@ -9,14 +9,14 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// Message is what entry VMs of a domain send each other: *Digest, *Want,
-// *Delta, *Part or *Push.
+// Message is a message between entry VMs of a domain: *Digest, *Want, *Delta,
+// *Part or *Push.
 type Message interface {
-	// Validate refuses messages beyond the documented bounds.
+	// Validate returns an error if the message exceeds the limits below.
 	Validate() error
 }
 
-// Body carries exactly one message; it is the form on the wire.
+// Body is the form of a message on the wire. Exactly one field is set.
 type Body struct {
 	Digest *Digest `json:"digest,omitempty"`
 	Want   *Want   `json:"want,omitempty"`
@@ -42,8 +42,8 @@
 	return Body{}
 }
 
-// Message returns the message of b, or an error unless there is exactly one
-// within its bounds.
+// Message returns the message in b. It returns an error unless b has exactly one
+// message and that is valid.
 func (b Body) Message() (Message, error) {
 	var found []Message
 	if b.Digest != nil {
@@ -62,20 +62,21 @@
 		found = append(found, b.Push)
 	}
 	if len(found) != 1 {
-		return nil, fmt.Errorf("%w: %d messages", ErrBounds, len(found))
+		return nil, fmt.Errorf("%w: body with %d messages, expected one", ErrBounds, len(found))
 	}
 	return found[0], found[0].Validate()
 }
 
-// ListVersion names a list's content. The zero Point is no list.
+// ListVersion identifies a list and its content. The zero ListVersion means no
+// list.
 type ListVersion struct {
 	Epoch   uint64 `json:"epoch"`
-	Version uint64 `json:"version"` // the platform's
-	Hash    uint64 `json:"hash"`    // of the domain's part
+	Version uint64 `json:"version"` // as numbered by the platform
+	Hash    uint64 `json:"hash"`    // of the domainList
 }
 
-// compare orders points by epoch and version. Two contents of one version are
-// ordered by hash, so that all daemons settle on the same one.
+// compare orders versions by epoch and number. Different contents of the same
+// number are ordered by hash, so that all daemons converge on the same one.
 func (p ListVersion) compare(o ListVersion) int {
 	return cmp.Or(
 		cmp.Compare(p.Epoch, o.Epoch),
@@ -84,26 +85,26 @@
 	)
 }
 
-// Digest states what the sender holds.
+// Digest states which list the sender has in force.
 type Digest struct {
 	Held ListVersion `json:"held"`
-	// Age is how long ago the platform last showed Held to any reader, in
-	// milliseconds; Unknown if no digest has stated it.
+	// Age is the time since the platform last showed Held to any reader, in
+	// milliseconds, or AgeUnknown.
 	Age uint32 `json:"age"`
 }
 
-// AgeUnknown is the age of what is not known to have happened.
+// AgeUnknown means that the platform isn't known to have shown the list.
 const AgeUnknown = math.MaxUint32
 
-// Want asks for what is newer than Have; the zero Point asks for all.
+// Want requests the changes since Have, or the whole list if Have is zero.
 type Want struct {
 	Have ListVersion `json:"have"`
 }
 
 // Delta is the difference between two lists.
 type Delta struct {
-	From           ListVersion            `json:"from"`
-	To             ListVersion            `json:"to"`
+	From           ListVersion      `json:"from"`
+	To             ListVersion      `json:"to"`
 	VMs            []fleet.VM       `json:"vms"`
 	Targets        []fleet.Target   `json:"targets"`
 	RemovedVMs     []fleet.VMID     `json:"removed_vms"`
@@ -112,53 +113,54 @@
 
 // Part is one part of a whole list.
 type Part struct {
-	Held    ListVersion          `json:"held"`
+	Held    ListVersion    `json:"held"`
 	Part    uint32         `json:"part"` // from 0
 	Parts   uint32         `json:"parts"`
 	VMs     []fleet.VM     `json:"vms"`
 	Targets []fleet.Target `json:"targets"`
 }
 
-// Push is a Delta that goes down the tree of Root.
+// Push is a Delta that is forwarded down the tree of Root.
 type Push struct {
 	Root  fleet.VMID `json:"root"`
 	Delta Delta      `json:"delta"`
 }
 
-// Bounds of messages and lists.
+// Limits of messages and lists.
 const (
-	MaxDeltaEntries = 256     // changed and removed
-	MaxPartEntries  = 256     // of one part
-	MaxParts        = 256     // of one list
-	maxEpoch        = 1 << 32 // epochs
+	MaxDeltaEntries = 256     // changed and removed entries of one delta
+	MaxPartEntries  = 256     // entries of one part
+	MaxParts        = 256     // parts of one list
+	maxEpoch        = 1 << 32 // highest epoch
 	maxVersion      = 1 << 62
-	maxStringBytes         = 256 // bytes of an id, name or address
+	maxStringBytes  = 256 // length of an id, name or address
 )
 
-// ErrBounds is the cause of every refusal by Validate.
+// ErrBounds is wrapped by every error that Validate returns.
 var ErrBounds = errors.New("machine: message out of bounds")
 
-// Validate refuses points beyond the bounds.
+// Validate returns an error if the epoch or version is too high.
 func (p ListVersion) Validate() error {
 	if p.Epoch > maxEpoch || p.Version > maxVersion {
-		return fmt.Errorf("%w: epoch %d, version %d", ErrBounds, p.Epoch, p.Version)
+		return fmt.Errorf("%w: list with epoch %d and version %d", ErrBounds, p.Epoch, p.Version)
 	}
 	return nil
 }
 
-// Validate refuses digests beyond the bounds.
+// Validate implements Message.
 func (d *Digest) Validate() error { return d.Held.Validate() }
 
-// Validate refuses wants beyond the bounds.
+// Validate implements Message.
 func (w *Want) Validate() error { return w.Have.Validate() }
 
-// Validate refuses deltas beyond the bounds.
+// Validate implements Message.
 func (d *Delta) Validate() error {
 	if d.From.compare(d.To) >= 0 {
-		return fmt.Errorf("%w: delta that doesn't rise", ErrBounds)
+		return fmt.Errorf("%w: delta from epoch %d, version %d to epoch %d, version %d is not to a newer list",
+			ErrBounds, d.From.Epoch, d.From.Version, d.To.Epoch, d.To.Version)
 	}
 	if n := d.entries(); n > MaxDeltaEntries {
-		return fmt.Errorf("%w: delta of %d entries", ErrBounds, n)
+		return fmt.Errorf("%w: delta with %d entries, at most %d", ErrBounds, n, MaxDeltaEntries)
 	}
 	if err := d.To.Validate(); err != nil {
 		return err
@@ -180,13 +182,13 @@
 	return len(d.VMs) + len(d.Targets) + len(d.RemovedVMs) + len(d.RemovedTargets)
 }
 
-// Validate refuses parts beyond the bounds.
+// Validate implements Message.
 func (p *Part) Validate() error {
 	if p.Parts == 0 || p.Parts > MaxParts || p.Part >= p.Parts {
 		return fmt.Errorf("%w: part %d of %d", ErrBounds, p.Part, p.Parts)
 	}
 	if n := len(p.VMs) + len(p.Targets); n > MaxPartEntries {
-		return fmt.Errorf("%w: part of %d entries", ErrBounds, n)
+		return fmt.Errorf("%w: part with %d entries, at most %d", ErrBounds, n, MaxPartEntries)
 	}
 	if err := p.Held.Validate(); err != nil {
 		return err
@@ -194,7 +196,7 @@
 	return checkEntries(p.VMs, p.Targets)
 }
 
-// Validate refuses pushes beyond the bounds.
+// Validate implements Message.
 func (p *Push) Validate() error {
 	if err := checkStrings(string(p.Root)); err != nil {
 		return err
@@ -218,14 +220,14 @@
 	return nil
 }
 
-// checkStrings refuses an empty id and overlong texts.
+// checkStrings returns an error if the id is empty or any string is too long.
 func checkStrings(id string, others ...string) error {
 	if id == "" || len(id) > maxStringBytes {
-		return fmt.Errorf("%w: id of %d bytes", ErrBounds, len(id))
+		return fmt.Errorf("%w: id of %d bytes, expected 1 to %d", ErrBounds, len(id), maxStringBytes)
 	}
 	for _, s := range others {
 		if len(s) > maxStringBytes {
-			return fmt.Errorf("%w: text of %d bytes", ErrBounds, len(s))
+			return fmt.Errorf("%w: string of %d bytes, at most %d", ErrBounds, len(s), maxStringBytes)
 		}
 	}
 	return nil
--- a/decide/machine/net_test.go
+++ b/decide/machine/net_test.go
@@ -14,48 +14,48 @@
 
 const ownDomain = fleet.Domain("attiki-1")
 
-// daemon is one daemon of the domain.
+// daemon is one daemon of the domain, with what the tests observe of it.
 type daemon struct {
-	vm      fleet.VM
-	state      *State // nil while it is down
-	out     Ready
-	wake    clock.Time
-	watches bool
-	stalledReplica *fleet.List // of the platform that stands still, if it has one
-	shownVersion   uint64      // version that the platform has shown last
-	isolated     bool        // reaches neither members nor the platform
-	applied *fleet.List
-	appliedAt      clock.Time // when that came into force
-	version   ListVersion
-	absentSince  map[fleet.TargetID]clock.Time // since when the held list lacks a live target that is in force
+	vm             fleet.VM
+	state          *State // nil while it is down
+	out            Ready
+	wake           clock.Time
+	watches        bool
+	stalledReplica *fleet.List // list of the stalled replica that it reads, if any
+	shownVersion   uint64      // version that the platform has shown it last
+	isolated       bool        // can reach neither other members nor the platform
+	applied        *fleet.List
+	appliedAt      clock.Time // when applied came into force
+	version        ListVersion
+	absentSince    map[fleet.TargetID]clock.Time // since when held lacks a target that is in force
 }
 
 type delivery struct {
-	to *daemon
-	state *State // the process it is for
-	ev Event
+	to    *daemon
+	state *State // the process that it is for
+	ev    Event
 }
 
-// network joins the daemons of one domain with a platform.
+// network connects the daemons of one domain with each other and a platform.
 type network struct {
-	now      clock.Time
-	rng      *rand.Rand
-	daemons    []*daemon
-	byID     map[fleet.VMID]*daemon
-	queue    clocktest.Queue[delivery]
+	now          clock.Time
+	rng          *rand.Rand
+	daemons      []*daemon
+	byID         map[fleet.VMID]*daemon
+	queue        clocktest.Queue[delivery]
 	lossRate     float64
-	list     fleet.List // the platform's
-	platformDown     bool       // the platform
-	restored bool       // whether the platform was ever restored from older data
-	messages int
-	bytes    int
+	list         fleet.List // of the platform
+	platformDown bool       // whether the platform is down
+	restored     bool       // whether the platform was ever restored from older data
+	messages     int
+	bytes        int
 	violations   []string
 }
 
 // confirmEvery is how often the platform answers a watch without a change.
 const confirmEvery = 5 * time.Second
 
-// newNetwork starts n daemons; the first two are the readers.
+// newNetwork starts size daemons; the first two are the readers.
 func newNetwork(seed uint64, size, vms, targets int) *network {
 	n := &network{now: clock.Time(time.Hour), rng: rand.New(rand.NewPCG(seed, 1)), byID: map[fleet.VMID]*daemon{}}
 	n.list.Version = 100
@@ -137,7 +137,7 @@
 	v.watches = v.out.Watch
 }
 
-// sendList brings the platform's list to a daemon.
+// sendList delivers the platform's list to a daemon.
 func (n *network) sendList(v *daemon) {
 	if !n.platformDown && !v.isolated {
 		l := n.listFor(v)
@@ -146,7 +146,7 @@
 	}
 }
 
-// listFor returns the list that a daemon's replica of the platform shows.
+// listFor returns the list that a daemon reads from the platform.
 func (n *network) listFor(v *daemon) fleet.List {
 	if v.stalledReplica != nil {
 		return *v.stalledReplica
@@ -154,14 +154,15 @@
 	return n.list
 }
 
-// scheduleConfirmation answers the watch of a daemon again and again.
+// scheduleConfirmation schedules the platform's next answer to a watch without a
+// change.
 func (n *network) scheduleConfirmation(v *daemon) { n.push(n.now.Add(confirmEvery), v, &Unchanged{}) }
 
 func (n *network) push(at clock.Time, to *daemon, ev Event) {
 	n.queue.Push(at, delivery{to: to, state: to.state, ev: ev})
 }
 
-// change makes a new version of the platform's list.
+// change creates a new version of the platform's list.
 func (n *network) change(edit func(*fleet.List)) {
 	n.list.VMs, n.list.Targets = slices.Clone(n.list.VMs), slices.Clone(n.list.Targets)
 	edit(&n.list)
@@ -207,14 +208,15 @@
 	n.now = until
 }
 
-// checkStep holds a step's effects to the promises of the package.
+// checkStep records a violation if a step's effects break a rule of the package:
+// a lower version, a new epoch without a restore, or a live target lost too early.
 func (n *network) checkStep(v *daemon) {
 	held := v.state.Held()
 	if held.compare(v.version) < 0 {
-		n.recordViolation("%s went back from %v to %v", v.vm.ID, v.version, held)
+		n.recordViolation("%s returned from list %v to the older %v", v.vm.ID, v.version, held)
 	}
 	if held.Epoch > 0 && !n.restored {
-		n.recordViolation("%s began epoch %d, and the platform never went back", v.vm.ID, held.Epoch)
+		n.recordViolation("%s started epoch %d, but the platform was never restored", v.vm.ID, held.Epoch)
 	}
 	v.version = held
 	if v.out.Apply == nil {
@@ -226,7 +228,7 @@
 	v.applied, v.appliedAt = v.out.Apply, n.now
 }
 
-// checkGrace expects a live target to stay for its grace.
+// checkGrace records a violation if a live target vanishes before TargetGrace.
 func (n *network) checkGrace(v *daemon) {
 	for _, t := range v.applied.Targets {
 		if slices.ContainsFunc(v.state.held.targets, func(h fleet.Target) bool { return h.ID == t.ID }) {
@@ -238,7 +240,7 @@
 		}
 		stays := slices.ContainsFunc(v.out.Apply.Targets, func(a fleet.Target) bool { return a.ID == t.ID })
 		if !stays && t.State == fleet.Live && n.now.Sub(v.absentSince[t.ID]) < TargetGrace {
-			n.recordViolation("%s lost %s after %s", v.vm.ID, t.ID, n.now.Sub(v.absentSince[t.ID]))
+			n.recordViolation("%s dropped target %s after %s", v.vm.ID, t.ID, n.now.Sub(v.absentSince[t.ID]))
 		}
 	}
 }
@@ -250,7 +252,8 @@
 	n.violations = append(n.violations, fmt.Sprintf(format, args...))
 }
 
-// checkConverged returns what keeps a daemon from holding what the platform holds.
+// checkConverged returns an error if there was a violation or a running daemon
+// doesn't hold the platform's list.
 func (n *network) checkConverged() error {
 	for _, v := range n.daemons {
 		switch {
@@ -260,7 +263,7 @@
 		case v.applied == nil:
 			return fmt.Errorf("%s has no list", v.vm.ID)
 		case v.applied.Version != n.list.Version || !slices.Equal(v.applied.Targets, n.list.Targets) || !slices.Equal(v.applied.VMs, n.list.VMs):
-			return fmt.Errorf("%s holds version %d with %d targets, the platform %d with %d", v.vm.ID,
+			return fmt.Errorf("%s holds version %d with %d targets, the platform has version %d with %d targets", v.vm.ID,
 				v.applied.Version, len(v.applied.Targets), n.list.Version, len(n.list.Targets))
 		}
 	}
--- a/decide/machine/platform.go
+++ b/decide/machine/platform.go
@@ -8,7 +8,7 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// compareShown compares what the platform shows now with the list in force.
+// compareShown compares the list that the platform shows with the one in force.
 func (s *State) compareShown() {
 	c := s.platform.shown
 	if c == nil {
@@ -25,7 +25,7 @@
 	case c.version.Version < held.Version:
 		s.checkLowerVersion(held)
 	case c.version.Hash != held.Hash:
-		// A platform never gives one version two contents, unless it was
+		// The platform uses a version number for two contents only if it was
 		// restored and has reached the same number again.
 		s.adoptShown(held.Epoch + 1)
 	default:
@@ -34,11 +34,12 @@
 	}
 }
 
-// checkLowerVersion starts a new epoch if the platform has shown lower versions throughout
-// LowerFor, and the list in force to no reader. A single lower version is no
-// proof: a paused reader or a delayed answer shows one too. Nor are lower
-// versions at one reader: a stalled replica of the platform shows them
-// permanently, while other readers see newer ones.
+// checkLowerVersion starts a new epoch if the platform has shown lower versions
+// throughout LowerVersionFor and the list in force to no reader meanwhile. A
+// single lower version doesn't prove that the platform was restored: a paused
+// reader or a delayed answer shows one too. Nor do lower versions at one reader:
+// a stalled replica of the platform shows them permanently, while other readers
+// see newer ones.
 func (s *State) checkLowerVersion(held ListVersion) {
 	p := &s.platform
 	gap := s.now.Sub(p.lastLowerAt)
@@ -53,8 +54,8 @@
 	}
 }
 
-// adoptShown puts in force what the platform shows, and makes this daemon the
-// root of a push.
+// adoptShown puts the list that the platform shows in force, and schedules a push
+// of it.
 func (s *State) adoptShown(epoch uint64) {
 	c := *s.platform.shown
 	c.version.Epoch = epoch
@@ -65,7 +66,8 @@
 	s.schedulePush(before)
 }
 
-// adopt puts a content in force.
+// adopt puts a list in force. Live targets that it lacks are retained for a grace
+// period.
 func (s *State) adopt(c *domainList) {
 	before := s.held
 	s.held = c
@@ -85,28 +87,28 @@
 			s.retained = append(s.retained, retainedTarget{target: t, until: s.now.Add(grace)})
 		}
 	}
-	s.retained = slices.DeleteFunc(s.retained, func(k retainedTarget) bool { return c.hasReplacement(&k.target) })
+	s.retained = slices.DeleteFunc(s.retained, func(r retainedTarget) bool { return c.hasReplacement(&r.target) })
 }
 
-// hasReplacement reports whether c holds a target, or another one at its address.
+// hasReplacement reports whether c lists a target, or another one at its address.
 func (c *domainList) hasReplacement(t *fleet.Target) bool {
 	return slices.ContainsFunc(c.targets, func(n fleet.Target) bool {
 		return n.ID == t.ID || n.Addr == t.Addr
 	})
 }
 
-// expireRetained drops the targets whose grace is over.
+// expireRetained drops the retained targets whose grace period has ended.
 func (s *State) expireRetained() {
 	n := len(s.retained)
-	s.retained = slices.DeleteFunc(s.retained, func(k retainedTarget) bool { return k.until <= s.now })
+	s.retained = slices.DeleteFunc(s.retained, func(r retainedTarget) bool { return r.until <= s.now })
 	s.listChanged = s.listChanged || len(s.retained) != n
 }
 
-// effectiveList returns what is in force.
+// effectiveList returns the list in force including the retained targets.
 func (s *State) effectiveList() *fleet.List {
 	l := &fleet.List{Version: s.held.version.Version, VMs: s.held.vms, Targets: slices.Clone(s.held.targets)}
-	for _, k := range s.retained {
-		l.Targets = append(l.Targets, k.target)
+	for _, r := range s.retained {
+		l.Targets = append(l.Targets, r.target)
 	}
 	slices.SortFunc(l.Targets, func(a, b fleet.Target) int { return cmp.Compare(a.ID, b.ID) })
 	return l
--- a/decide/machine/state.go
+++ b/decide/machine/state.go
@@ -10,46 +10,48 @@
 	"github.com/azurethread/azurethread/decide/rank"
 )
 
-// The times of the protocol.
+// Intervals and timeouts of the protocol.
 const (
-	// DigestEvery is the mean time between two digests of a daemon.
+	// DigestEvery is the mean time between two Digests sent by a daemon.
 	DigestEvery = 4 * time.Second
-	// PushEvery is the least time between two pushes of one root; changes in
+	// PushEvery is the minimum time between two pushes of one root; changes in
 	// between are merged.
 	PushEvery = 200 * time.Millisecond
-	// WantTimeout is the time after which another member is asked.
+	// WantTimeout is the time without an answer after which a Want is sent to
+	// another member.
 	WantTimeout = 300 * time.Millisecond
-	// LowerVersionFor is how long the platform must have shown a lower version
-	// before it counts as restored.
+	// LowerVersionFor is how long the platform must have shown lower versions
+	// before it counts as restored from older data.
 	LowerVersionFor = time.Minute
-	// LowerVersionGap is the longest time between two answers of the platform that
-	// count as showing a lower version all along. It must exceed the time
-	// that the platform holds a watch.
+	// LowerVersionGap is the longest time between two answers with lower
+	// versions that count as uninterrupted. It must exceed the time for which
+	// the platform holds a watch open.
 	LowerVersionGap = 45 * time.Second
-	// TargetGrace keeps a target that a newer list doesn't hold.
+	// TargetGrace is how long a target stays in force that a newer list lacks.
 	TargetGrace = 10 * time.Second
-	// NewEpochGrace keeps one that the first list of a new epoch doesn't hold.
+	// NewEpochGrace is how long a target stays in force that the first list of
+	// a new epoch lacks.
 	NewEpochGrace = 5 * time.Minute
-	// SilenceTimeout is how long a daemon must have got no message from its
-	// neighbours before it watches the platform without being a reader.
+	// SilenceTimeout is the time without a message from other members after
+	// which a daemon watches the platform without being a reader.
 	SilenceTimeout = 20 * time.Second
 	// JoinTimeout is the same for a daemon that has no list yet.
 	JoinTimeout = 2 * time.Second
-	// RankStagger is the further wait for each rank, so that a failure that
-	// all daemons see doesn't make them all watch.
+	// RankStagger is added to that time for each rank, so that a failure that
+	// affects all daemons doesn't make all of them watch.
 	RankStagger = time.Second
 )
 
 const (
-	// maxHistory bounds the contents kept to make deltas from.
+	// maxHistory limits the earlier lists kept as bases of deltas.
 	maxHistory = 8
-	// maxWantAttempts bounds the members asked for one list; after them the next
-	// digest has to show again that there is something to ask for.
+	// maxWantAttempts limits the members asked for one list. After that, a
+	// catch-up starts again only with the next Digest of a newer list.
 	maxWantAttempts = 8
 )
 
-// State is one daemon's state of the list and its dissemination. It isn't safe
-// for concurrent use.
+// State holds one daemon's list and the state of its dissemination. It isn't
+// safe for concurrent use.
 type State struct {
 	self    fleet.VM
 	rng     *rand.Rand
@@ -58,70 +60,70 @@
 
 	held        *domainList // nil before the first list
 	history     []*domainList
-	retained    []retainedTarget // in order of id
-	listChanged     bool             // the list in force must be reported
-	confirmedAt clock.Time       // when the platform last showed held to any reader; 0: not known
-
-	isReader  bool
-	platform platformView
-	push     pendingPush
-	catchUp  catchUp
-	lastForwarded   map[fleet.VMID]ListVersion      // last push passed on, by root
-	fullListSentAt   map[fleet.VMID]clock.Time // last whole list sent, by member
-	lastHeard    clock.Time                // last message of another member
-	nextDigestAt clock.Time
-	digestsSent  int
+	retained    []retainedTarget // oldest first
+	listChanged bool             // the list in force must be reported in Ready.Apply
+	confirmedAt clock.Time       // when the platform last showed held to any reader; 0 if not known
+
+	isReader       bool
+	platform       platformView
+	push           pendingPush
+	catchUp        catchUp
+	lastForwarded  map[fleet.VMID]ListVersion // last push forwarded, by root
+	fullListSentAt map[fleet.VMID]clock.Time  // last whole list sent, by member
+	lastHeard      clock.Time                 // last message from another member
+	nextDigestAt   clock.Time
+	digestsSent    int
 }
 
-// platformView is what the platform has shown to this daemon.
+// platformView holds what the platform has shown to this daemon.
 type platformView struct {
-	shown *domainList   // nil while this daemon doesn't watch
-	lowerSince clock.Time // since when that is lower than below; Never if it isn't
-	lowerThan ListVersion
-	lastLowerAt  clock.Time // when it was last found lower
+	shown       *domainList // nil while this daemon doesn't watch
+	lowerSince  clock.Time  // since when shown has been lower than lowerThan; Never if it isn't
+	lowerThan   ListVersion
+	lastLowerAt clock.Time // when shown was last found to be lower
 }
 
-// pendingPush is the dissemination of changes with this daemon as the root.
+// pendingPush is the next push with this daemon as the root.
 type pendingPush struct {
-	base *domainList // before the first change not yet pushed; nil for none
-	dueAt   clock.Time
+	base       *domainList // list before the first change not yet pushed; nil if there was none
+	dueAt      clock.Time
 	lastSentAt clock.Time
 }
 
-// catchUp is the fetch of a newer list that a member is known to hold.
+// catchUp is the fetch of a newer list that another member is known to hold.
 type catchUp struct {
-	wanted       ListVersion
-	attempts    int
-	deadline clock.Time // Never while there is none
+	wanted   ListVersion
+	attempts int
+	deadline clock.Time // Never while nothing is being fetched
 	parts    assembly
 }
 
-// retainedTarget is a target that the list in force no longer holds.
+// retainedTarget is a target that stays in force although held lacks it.
 type retainedTarget struct {
 	target fleet.Target
 	until  clock.Time
 }
 
-// New returns the state of the entry VM self, which knows no list. The seed
-// drives its random choices.
+// New returns the state of the entry VM self without a list. The seed determines
+// its random choices.
 func New(now clock.Time, self fleet.VM, seed uint64) *State {
 	s := &State{
-		self:     self,
-		rng:      rand.New(rand.NewPCG(seed, 1)),
-		now:      now,
-		members:  []fleet.VMID{self.ID},
-		platform: platformView{lowerSince: clock.Never},
-		push:     pendingPush{dueAt: clock.Never},
-		catchUp:  catchUp{deadline: clock.Never},
-		lastForwarded:   make(map[fleet.VMID]ListVersion),
-		fullListSentAt:   make(map[fleet.VMID]clock.Time),
-		lastHeard:    now,
+		self:           self,
+		rng:            rand.New(rand.NewPCG(seed, 1)),
+		now:            now,
+		members:        []fleet.VMID{self.ID},
+		platform:       platformView{lowerSince: clock.Never},
+		push:           pendingPush{dueAt: clock.Never},
+		catchUp:        catchUp{deadline: clock.Never},
+		lastForwarded:  make(map[fleet.VMID]ListVersion),
+		fullListSentAt: make(map[fleet.VMID]clock.Time),
+		lastHeard:      now,
 	}
 	s.nextDigestAt = now.Add(s.jitter(DigestEvery))
 	return s
 }
 
-// Held returns the point of the list in force; zero before the first.
+// Held returns the version of the list in force; zero before the first.
 func (s *State) Held() ListVersion {
 	if s.held == nil {
 		return ListVersion{}
@@ -129,7 +131,7 @@
 	return s.held.version
 }
 
-// Step takes one event and fills out with its effects.
+// Step processes one event and fills out with its effects.
 func (s *State) Step(now clock.Time, ev Event, out *Ready) {
 	out.reset()
 	s.now = max(s.now, now)
@@ -193,7 +195,7 @@
 	}
 }
 
-// runDue does what is due.
+// runDue runs every task that is due.
 func (s *State) runDue(out *Ready) {
 	s.expireRetained()
 	if s.push.dueAt <= s.now {
@@ -219,12 +221,14 @@
 	return w
 }
 
-// shouldWatch reports whether this daemon should watch the platform.
+// shouldWatch reports whether this daemon should watch the platform: as a reader
+// or because it gets no messages from other members.
 func (s *State) shouldWatch() bool { return s.isReader || s.isolatedAt() <= s.now }
 
-// isolatedAt returns from when on this daemon watches although it isn't a
-// reader. Without it a daemon missing from its neighbours' membership would
-// keep a stale list, or never get one, although it can reach the platform.
+// isolatedAt returns the instant from which this daemon watches the platform
+// without being a reader. Otherwise a daemon that is missing from the other
+// members' views would keep a stale list, or never get one, although it can
+// reach the platform.
 func (s *State) isolatedAt() clock.Time {
 	wait := SilenceTimeout
 	if s.held == nil {
@@ -235,7 +239,7 @@
 }
 
 // jitter returns a random duration from 3/4 to 5/4 of d, so that daemons don't
-// synchronise.
+// act at the same instants.
 func (s *State) jitter(d time.Duration) time.Duration {
 	return d*3/4 + time.Duration(s.rng.Int64N(int64(d/2)))
 }
--- a/decide/machine/tree.go
+++ b/decide/machine/tree.go
@@ -11,8 +11,8 @@
 const fanOut = 4
 
 // children returns the members that self forwards a push of root to. The order
-// of the tree depends on the root, so that the trees of a domain have different
-// inner members.
+// of members in a tree depends on its root, so that different trees have
+// different inner members.
 func children(root, self fleet.VMID, members []fleet.VMID) []fleet.VMID {
 	others := slices.DeleteFunc(slices.Clone(members), func(id fleet.VMID) bool { return id == root })
 	order := append([]fleet.VMID{root}, rank.Order(string(root), others)...)
--- a/decide/member/bench_test.go
+++ b/decide/member/bench_test.go
@@ -11,8 +11,8 @@
 	"github.com/azurethread/azurethread/decide/member/membertest"
 )
 
-// BenchmarkStep measures one step of a settled VM: a ping taken and answered,
-// the most frequent message.
+// BenchmarkStep measures one step of a VM at rest: receiving and answering a
+// ping, the most frequent message.
 func BenchmarkStep(b *testing.B) {
 	for _, members := range []int{4, 8, 16, 43, 86} {
 		for _, domains := range []int{6, 20, 77} {
@@ -23,8 +23,8 @@
 	}
 }
 
-// benchmarkStep settles one whole domain; the others have one VM each, which
-// gives the same number of rows.
+// benchmarkStep runs one domain with all its members. The other domains have one
+// VM each, which gives the same number of rows.
 func benchmarkStep(b *testing.B, members, domains int) {
 	n := newNetwork(1)
 	vms := membertest.Fleet(1, 1, members)
@@ -32,9 +32,9 @@
 		region := fleet.Region(fmt.Sprintf("r%02d", d%22))
 		vms = append(vms, membertest.NewVM(region, fleet.Domain(fmt.Sprintf("%s-x%d", region, d)), 0))
 	}
-	start(n, vms)
+	startAndSettle(n, vms)
 	n.Run(20 * time.Second)
-	node := n.VM(vms[0].ID)
+	entry := n.VM(vms[0].ID)
 	ping := &member.Message{From: vms[1].ID, Incarnation: n.VM(vms[1].ID).VM.Incarnation}
 	var out member.Ready
 	now := n.Now
@@ -42,12 +42,12 @@
 	for i := uint32(0); b.Loop(); i++ {
 		ping.Msg = &member.Ping{Seq: i}
 		now = now.Add(time.Microsecond)
-		node.State.Step(now, ping, &out)
+		entry.State.Step(now, ping, &out)
 	}
 }
 
-// BenchmarkDropped reports, on the fake clock, how long after a loss the last
-// VM still offers what was lost.
+// BenchmarkDropped reports, on the fake clock, the time from a loss until the
+// last VM has stopped offering the lost VMs.
 func BenchmarkDropped(b *testing.B) {
 	losses := map[string]func(vm, first fleet.VM) bool{
 		"vm":     func(vm, first fleet.VM) bool { return vm.ID == first.ID },
@@ -72,7 +72,7 @@
 
 func dropTime(seed uint64, vms []fleet.VM, lost func(vm, first fleet.VM) bool) time.Duration {
 	n := newNetwork(seed)
-	start(n, vms)
+	startAndSettle(n, vms)
 	n.Run(time.Duration(seed%10) * 100 * time.Millisecond)
 	gone := make(map[fleet.VMID]bool)
 	for _, vm := range vms {
@@ -84,9 +84,9 @@
 	from := n.Now
 	n.Run(6 * time.Second)
 	last := from
-	for _, node := range n.VMs {
-		for _, c := range node.Changes {
-			if node.Up && gone[c.VM.ID] && c.VM.State != fleet.Live {
+	for _, entry := range n.VMs {
+		for _, c := range entry.Changes {
+			if entry.Up && gone[c.VM.ID] && c.VM.State != fleet.Live {
 				last = max(last, c.At)
 			}
 		}
--- a/decide/member/duty.go
+++ b/decide/member/duty.go
@@ -6,18 +6,18 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// Duties says what this VM does for its domain.
+// Duties describes the tasks of this VM within its domain.
 type Duties struct {
 	Representative bool
 	Author         bool
-	// Group lists the VMs, this one included, whose load figures a
-	// representative adds up.
+	// Group lists the VMs, this one included, whose load reports this
+	// representative aggregates.
 	Group []fleet.VMID
 	// Peers lists the other representatives of the domain.
 	Peers []fleet.VMID
 }
 
-// Duties returns the present duties.
+// Duties returns the current duties.
 func (s *State) Duties() Duties {
 	reps := s.reps()
 	d := Duties{
@@ -36,27 +36,28 @@
 	return d
 }
 
-// collector returns the representative that collects the figures of r. Members
-// are assigned round-robin in ring order, so that each representative has the
-// same number; assigned by hash, some would have three times as many as others.
+// collector returns the representative that collects the load reports of r.
+// Members are assigned round-robin in ring order, so that each representative
+// has the same number; with assignment by hash some had three times as many as
+// others.
 func (s *State) collector(reps []fleet.VMID, r *record) fleet.VMID {
 	if slices.Contains(reps, r.vm.ID) {
 		return r.vm.ID
 	}
-	turn := 0
+	position := 0
 	for _, o := range s.members {
 		if o == r {
 			break
 		}
 		if !o.dead() {
-			turn++
+			position++
 		}
 	}
-	return reps[turn%len(reps)]
+	return reps[position%len(reps)]
 }
 
 // reportLoad sends the messages that load reports are piggybacked on: to the
-// collector, or between representatives.
+// collector, or from one representative to the others.
 func (s *State) reportLoad(out *Ready) {
 	reps := s.reps()
 	if !slices.Contains(reps, s.self.vm.ID) {
@@ -70,8 +71,9 @@
 	}
 }
 
-// initiatesExchange decides which of two representatives opens their exchange, evenly
-// over the pairs.
+// initiatesExchange reports whether this VM starts the exchange with another
+// representative. Each pair has one initiator, chosen by the VMs' ranks so that
+// the work is spread evenly.
 func (s *State) initiatesExchange(other fleet.VMID) bool {
 	own := s.self.vm.ID
 	lower := own < other
@@ -81,8 +83,8 @@
 	return lower
 }
 
-// reportTo sends the report to the collector, or after each unanswered one to
-// the next representative.
+// reportTo sends the report to the collector. After each unanswered report it
+// moves on to the next representative.
 func (s *State) reportTo(reps []fleet.VMID, out *Ready) {
 	if len(reps) == 0 {
 		return
@@ -107,7 +109,7 @@
 	s.send(to, &PartialAck{ReachResults: s.latestReachResults(false)}, ScopePeer, out)
 }
 
-// dutiesChanged reports whether Duties differs from the last call.
+// dutiesChanged reports whether the duties differ from those at the last call.
 func (s *State) dutiesChanged() bool {
 	if !s.dutiesStale {
 		return false
--- a/decide/member/event.go
+++ b/decide/member/event.go
@@ -8,24 +8,25 @@
 // Event is an input of State.Step.
 type Event interface{ isEvent() }
 
-// Listed carries the platform's lagging list.
+// Listed carries the platform's list of VMs, which lags.
 type Listed struct{ List fleet.List }
 
-// Message carries a message from the process Incarnation of entry VM From.
+// Message is a received message from entry VM From, sent by its process with
+// the given Incarnation.
 type Message struct {
 	From        fleet.VMID
 	Incarnation fleet.Incarnation
 	Msg         Msg
 }
 
-// SendFailed reports that no connection to an entry VM could be had, or that
-// it was lost. It only hastens a probe; it is no proof of death.
+// SendFailed reports that a connection to an entry VM could not be opened or
+// was lost. It only brings a probe forward; it doesn't prove that the VM is dead.
 type SendFailed struct{ To fleet.VMID }
 
-// Tick lets time pass; it is due at Ready.Wake.
+// Tick runs the tasks that are due. It must be sent at Ready.Wake.
 type Tick struct{}
 
-// Leave announces that this process takes no new work and will stop.
+// Leave announces that this process accepts no new work and is about to stop.
 type Leave struct{}
 
 func (*Listed) isEvent()     {}
@@ -34,16 +35,16 @@
 func (*Tick) isEvent()       {}
 func (*Leave) isEvent()      {}
 
-// Scope says to whom a message goes, so that load reports of the matching
-// detail can be piggybacked on it.
+// Scope classifies the receiver of a message, so that a load report of the
+// matching detail can be piggybacked on it.
 type Scope uint8
 
 const (
 	// ScopeNone carries no load report.
 	ScopeNone Scope = iota
-	// ScopeOwn goes to the representative that collects this VM's figures.
+	// ScopeOwn goes to the representative that collects this VM's load reports.
 	ScopeOwn
-	// ScopeMember goes from a representative to a VM that it collects from.
+	// ScopeMember goes from a representative to a VM whose reports it collects.
 	ScopeMember
 	// ScopePeer goes to another representative of the own domain.
 	ScopePeer
@@ -53,29 +54,28 @@
 	ScopeFar
 )
 
-// Send is a message to be sent to an entry VM. To has at least an ID; without
-// a PeerAddr the message can only take a connection that To has opened.
+// Send is a message to be sent to an entry VM. To has at least an ID. Without
+// a PeerAddr the message can only be sent over a connection that To has opened.
 type Send struct {
 	To    fleet.VM
 	Msg   Msg
 	Scope Scope
 }
 
-// Ready holds the effects of one step. Step empties and refills its slices,
-// so one Ready can serve all steps; what it holds is valid until the next.
+// Ready holds the effects of one step. Step clears and refills it, so one Ready
+// can be reused for all steps; its content is valid until the next step.
 type Ready struct {
 	Sends []Send
-	// Changed lists entry VMs whose state differs from what was last
-	// reported. A VM of another domain is Leaving once that domain no longer
-	// offers it and Dead while its domain is unreachable.
+	// Changed lists the entry VMs whose state differs from the one last
+	// reported. A VM of another domain is reported as Leaving once that domain
+	// no longer offers it, and as Dead while its domain is unreachable.
 	Changed []fleet.VM
-	// Group is true when the duties of this VM as a representative, or the
-	// VMs that it collects from, have changed: see State.Duties.
+	// Group is true when the result of State.Duties has changed.
 	Group bool
 	// Superseded is true when another process with a higher incarnation runs
-	// under this VM's id. This one should stop.
+	// under this VM's id. This process should stop.
 	Superseded bool
-	// Wake is the instant by which the next Tick is due.
+	// Wake is the instant at which the next Tick is due.
 	Wake clock.Time
 }
 
--- a/decide/member/fact.go
+++ b/decide/member/fact.go
@@ -11,24 +11,25 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// queuedFact is a fact still to be piggybacked on pings and acks.
+// queuedFact names a VM whose fact is to be piggybacked on sendsLeft more pings
+// or acks.
 type queuedFact struct {
-	id   fleet.VMID
+	id        fleet.VMID
 	sendsLeft int
 }
 
-// ageMillis is the time since t in ms, as sent on the wire.
+// ageMillis returns the time since t in milliseconds, as sent on the wire.
 func ageMillis(now, t clock.Time) uint32 {
 	ms := now.Sub(t) / time.Millisecond
 	return uint32(min(max(ms, 0), math.MaxUint32))
 }
 
-// timeFromAge converts a received age to an instant on the own clock.
+// timeFromAge converts a received age to an instant on the local clock.
 func timeFromAge(now clock.Time, ms uint32) clock.Time {
 	return now.Add(-time.Duration(ms) * time.Millisecond)
 }
 
-// factAbout states what is known of r. With full it carries the addresses.
+// factAbout returns the current fact about r, including its addresses if full.
 func (s *State) factAbout(r *record, full bool) Fact {
 	f := Fact{
 		ID:          r.vm.ID,
@@ -58,7 +59,7 @@
 	}
 }
 
-// applyFact merges a statement about a VM of the own domain.
+// applyFact merges a fact about a VM of the own domain.
 func (s *State) applyFact(f *Fact) {
 	if f.ID == s.self.vm.ID {
 		s.applyFactAboutSelf(f)
@@ -79,7 +80,7 @@
 	}
 }
 
-// compareFact orders a fact against a record by incarnation and refutations.
+// compareFact compares a fact with a record by incarnation, then refutations.
 func compareFact(f *Fact, r *record) int {
 	if c := cmp.Compare(f.Incarnation, r.vm.Incarnation); c != 0 {
 		return c
@@ -87,8 +88,8 @@
 	return cmp.Compare(f.Refutations, r.refutations)
 }
 
-// addMember adds a VM not known so far. Without addresses it could not be
-// reached, and a dead one needs no record.
+// addMember adds a VM that has no record yet. Facts without addresses are
+// ignored, since the VM could not be contacted; a dead VM needs no record.
 func (s *State) addMember(f *Fact) {
 	if f.Status == Dead || f.PeerAddr == "" {
 		return
@@ -105,7 +106,8 @@
 	s.replaceRecord(r, f)
 }
 
-// replaceRecord replaces what is known of r by a newer fact.
+// replaceRecord overwrites r with a fact of a higher incarnation or refutation
+// count.
 func (s *State) replaceRecord(r *record, f *Fact) {
 	wasDead := r.dead()
 	r.vm.Incarnation = f.Incarnation
@@ -133,7 +135,7 @@
 	s.enqueueFact(r.vm.ID)
 }
 
-// mergeStatus merges a fact of the same incarnation and refutation count.
+// mergeStatus merges a fact with the incarnation and refutation count of r.
 func (s *State) mergeStatus(r *record, f *Fact) {
 	if r.dead() {
 		return
@@ -155,9 +157,10 @@
 }
 
 // applyDeadFact applies another VM's fact that r is dead, unless r has sent a
-// message within freshFor. Without that check, after a partition the facts of
-// the side that still holds the other dead would drop live VMs until each has
-// refuted. A VM heard from is suspected instead, and probed.
+// message within recentlyHeardWithin. A VM heard from is suspected and probed
+// instead. Without that check, after a partition heals, the facts of a side
+// that still records the other side as dead would drop live VMs until each of
+// them has refuted.
 func (s *State) applyDeadFact(r *record, f *Fact) {
 	if s.now.Sub(r.lastHeard) > recentlyHeardWithin {
 		s.markDead(r, timeFromAge(s.now, f.Age))
@@ -182,7 +185,8 @@
 	s.enqueueFact(r.vm.ID)
 }
 
-// applyFactAboutSelf refutes facts that state a wrong status of this VM.
+// applyFactAboutSelf handles a fact about this VM. It refutes one that reports
+// the VM as suspected or dead, or that has a higher refutation count.
 func (s *State) applyFactAboutSelf(f *Fact) {
 	own := s.self
 	if f.Incarnation > own.vm.Incarnation {
@@ -205,9 +209,10 @@
 	}
 }
 
-// handleHigherIncarnation handles a higher incarnation under the own id. While joining it
-// is an earlier process whose clock was ahead, so this one takes a higher
-// number; later it is a newer process, and this one must give way.
+// handleHigherIncarnation handles a fact with this VM's id and a higher
+// incarnation. While joining, the fact is about an earlier process whose clock
+// was ahead, so this process takes a higher incarnation. Later, it is about a
+// newer process, and this one must stop.
 func (s *State) handleHigherIncarnation(f *Fact) {
 	if s.joined {
 		s.superseded = s.superseded || f.Status != Dead
@@ -218,7 +223,8 @@
 	s.enqueueFact(s.self.vm.ID)
 }
 
-// suspect starts a suspicion of r from this VM's own probe and broadcasts it.
+// suspect starts and broadcasts a suspicion of r after this VM's own probe
+// failed.
 func (s *State) suspect(r *record) {
 	if r.dead() || r.suspected() {
 		return
@@ -227,8 +233,8 @@
 	s.broadcast(s.factAbout(r, false))
 }
 
-// expireSuspicions declares dead whoever has not refuted in time. Every member
-// does so by its own timer, so no further message is needed.
+// expireSuspicions marks as dead every suspect that has not refuted in time.
+// Every member does so by its own timer, so no further message is needed.
 func (s *State) expireSuspicions() {
 	for _, r := range s.members {
 		if r.suspected() && r.suspectedAt.Add(s.opts.SuspectFor) <= s.now {
@@ -237,8 +243,8 @@
 	}
 }
 
-// expireTombstones drops the tombstones of dead VMs once no late fact about them can
-// arrive.
+// expireTombstones removes the records of dead VMs once no late fact about them
+// can arrive.
 func (s *State) expireTombstones() {
 	keep := s.members[:0]
 	for _, r := range s.members {
@@ -252,7 +258,8 @@
 	s.members = keep
 }
 
-// enqueueFact piggybacks the fact about id on a number of pings and acks.
+// enqueueFact queues the fact about id to be piggybacked on pings and acks. The
+// number of sends grows with the logarithm of the number of members.
 func (s *State) enqueueFact(id fleet.VMID) {
 	left := piggybackFactor * bits.Len(uint(len(s.members)))
 	for i := range s.piggyback {
@@ -264,11 +271,11 @@
 	s.piggyback = append(s.piggyback, queuedFact{id: id, sendsLeft: left})
 }
 
-// takeFacts takes the facts to piggyback on one message, least often sent
-// first. A fact about the receiver that it may have to refute is always added.
-func (s *State) takeFacts(about fleet.VMID) []Fact {
+// takeFacts returns the facts to piggyback on one message, least often sent
+// first. A fact that the receiver may have to refute is always included.
+func (s *State) takeFacts(receiver fleet.VMID) []Fact {
 	var out []Fact
-	if r := s.byID[about]; r != nil && (r.dead() || r.suspected()) {
+	if r := s.byID[receiver]; r != nil && (r.dead() || r.suspected()) {
 		out = append(out, s.factAbout(r, false))
 	}
 	if len(s.piggyback) == 0 {
@@ -285,8 +292,8 @@
 	return out
 }
 
-// memberHash condenses the table of the own domain, without the suspicions
-// that come and go and without the dead.
+// memberHash returns a hash of the table of members. It leaves out suspicions,
+// which are short-lived, and dead VMs.
 func (s *State) memberHash() uint32 {
 	var h uint64
 	for _, r := range s.members {
--- a/decide/member/member_test.go
+++ b/decide/member/member_test.go
@@ -13,19 +13,19 @@
 	"github.com/azurethread/azurethread/decide/member/membertest"
 )
 
-// The bounds of issue 5, point 5.
+// The required bounds on the time until a dead or leaving VM is dropped by all.
 const (
 	deadWithin    = 3 * time.Second
 	leavingWithin = time.Second
 )
 
-// fleets have at most RowVMs members a domain, or one domain: a larger domain
-// offers others only a part of its VMs.
-var fleets = []struct{ regions, domains, members int }{
+// fleets have at most RowVMs members per domain, or a single domain, since a
+// larger domain offers only some of its VMs to other domains.
+var fleetShapes = []struct{ regions, domains, members int }{
 	{1, 1, 2}, {3, 2, 1}, {3, 2, 2}, {2, 2, 8}, {1, 1, 43}, {4, 3, 6},
 }
 
-func wan(from, to *fleet.VM) time.Duration {
+func wanLatency(from, to *fleet.VM) time.Duration {
 	switch {
 	case from.Domain == to.Domain:
 		return 300 * time.Microsecond
@@ -38,61 +38,60 @@
 
 func newNetwork(seed uint64) *membertest.Network {
 	n := membertest.New(seed)
-	n.Latency = wan
+	n.Latency = wanLatency
 	return n
 }
 
-func TestFleetSettles(t *testing.T) {
-	for _, c := range fleets {
+func TestFleetConverges(t *testing.T) {
+	for _, c := range fleetShapes {
 		is := is.New(t)
 		n := newNetwork(1)
-		start(n, membertest.Fleet(c.regions, c.domains, c.members))
-		is.Equal(len(disagreements(n, up(n))), 0)
-		for _, node := range n.VMs {
-			is.True(node.State.Joined())
-			is.Equal(len(node.State.Members(nil)), c.members)
+		startAndSettle(n, membertest.Fleet(c.regions, c.domains, c.members))
+		is.Equal(len(disagreements(n, runningVMs(n))), 0)
+		for _, entry := range n.VMs {
+			is.True(entry.State.Joined())
+			is.Equal(len(entry.State.Members(nil)), c.members)
 		}
 	}
 }
 
-// Symptom: callers in any region are still sent to an entry VM that has died.
-// Sequence: all is well; one VM's machine vanishes without closing a
-// connection. Cause: only the ping that finds no answer can tell.
+// An entry VM that dies without closing its connections is detected only by
+// unanswered pings. Callers in every region must no longer be sent to it within
+// deadWithin.
 func TestDeadVMIsDroppedEverywhere(t *testing.T) {
-	for _, c := range fleets {
+	for _, c := range fleetShapes {
 		for seed := range uint64(8) {
 			is := is.New(t)
 			n := newNetwork(seed)
 			vms := membertest.Fleet(c.regions, c.domains, c.members)
-			start(n, vms)
+			startAndSettle(n, vms)
 			n.Run(time.Duration(seed) * 130 * time.Millisecond)
 			victim := vms[int(seed)%len(vms)].ID
 			n.Stop(victim)
 			n.Run(deadWithin)
-			for _, node := range n.VMs {
-				is.True(!node.Up || !offered(node, victim))
+			for _, entry := range n.VMs {
+				is.True(!entry.Up || !offered(entry, victim))
 			}
-			is.Equal(len(disagreements(n, up(n))), 0)
+			is.Equal(len(disagreements(n, runningVMs(n))), 0)
 		}
 	}
 }
 
-// Symptom: an entry VM that is about to stop still gets callers. Sequence: it
-// announces that it leaves. Cause: the announcement must reach every daemon,
-// not only its neighbours.
+// The announcement that a VM is leaving must reach every daemon, not only those
+// of its domain. Otherwise a VM that is about to stop still gets callers.
 func TestLeavingVMIsDroppedEverywhere(t *testing.T) {
-	for _, c := range fleets {
+	for _, c := range fleetShapes {
 		is := is.New(t)
 		n := newNetwork(3)
 		vms := membertest.Fleet(c.regions, c.domains, c.members)
-		start(n, vms)
+		startAndSettle(n, vms)
 		leaver := n.VM(vms[0].ID)
 		n.Step(leaver, &member.Leave{})
 		n.Run(leavingWithin)
-		is.Equal(len(disagreements(n, up(n))), 0)
-		for _, node := range n.VMs {
-			if node != leaver && node.VM.Domain == leaver.VM.Domain {
-				vm, ok := node.State.VM(leaver.VM.ID)
+		is.Equal(len(disagreements(n, runningVMs(n))), 0)
+		for _, entry := range n.VMs {
+			if entry != leaver && entry.VM.Domain == leaver.VM.Domain {
+				vm, ok := entry.State.VM(leaver.VM.ID)
 				is.True(ok)
 				is.Equal(vm.State, fleet.Leaving)
 			}
@@ -100,24 +99,23 @@
 	}
 }
 
-// Symptom: other regions go on offering a lost domain. Sequence: it is lost,
-// and the only VM of its neighbour domain restarts at the same moment. Cause:
-// the one VM that could notice has never heard of the lost domain.
-func TestNeighbourRestartsAsDomainIsLost(t *testing.T) {
+// A domain is lost while the only VM of the region's other domain restarts. That
+// VM, which alone can detect the loss, has no row of the lost domain, and other
+// regions would go on offering it.
+func TestOnlyWatcherRestartsAsDomainIsLost(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork(2)
 	vms := membertest.Fleet(3, 2, 1)
-	start(n, vms)
+	startAndSettle(n, vms)
 	n.Stop(vms[0].ID)
 	n.Start(vms[1], vms)
 	n.Run(10 * time.Second)
-	is.Equal(len(disagreements(n, up(n))), 0)
+	is.Equal(len(disagreements(n, runningVMs(n))), 0)
 }
 
-// Symptom: a whole domain or region is lost and callers elsewhere are still
-// sent there. Sequence: all its VMs vanish at once. Cause: nobody is left
-// inside to report it, so those outside have to notice.
-func TestLostDomainAndRegion(t *testing.T) {
+// When all VMs of a domain or region fail at once, none is left to report it.
+// VMs elsewhere must detect the loss and stop sending callers there.
+func TestLostDomainOrRegionIsDropped(t *testing.T) {
 	for _, lost := range []func(vm fleet.VM) bool{
 		func(vm fleet.VM) bool { return vm.Domain == "r01-d0" },
 		func(vm fleet.VM) bool { return vm.Region == "r01" },
@@ -126,7 +124,7 @@
 			is := is.New(t)
 			n := newNetwork(seed)
 			vms := membertest.Fleet(3, 2, 2)
-			start(n, vms)
+			startAndSettle(n, vms)
 			n.Run(time.Duration(seed) * 130 * time.Millisecond)
 			for _, vm := range vms {
 				if lost(vm) {
@@ -134,82 +132,79 @@
 				}
 			}
 			n.Run(deadWithin)
-			is.Equal(len(disagreements(n, up(n))), 0)
+			is.Equal(len(disagreements(n, runningVMs(n))), 0)
 		}
 	}
 }
 
-// Symptom: half a domain fails and the other half needs many seconds to see
-// it. Sequence: a switch takes 21 of 43 VMs with it. Cause: the monitors of a
-// dead VM are dead too; the search has to go on behind a silent VM at once.
-func TestHalfOfLargeDomainLost(t *testing.T) {
+// A failed switch takes down 21 of 43 VMs, and with a dead VM often the VMs that
+// probe it. Detection takes many seconds unless the successors of a silent VM
+// are probed at once.
+func TestLostHalfOfDomainIsDropped(t *testing.T) {
 	for seed := range uint64(6) {
 		is := is.New(t)
 		n := newNetwork(seed)
 		vms := membertest.Fleet(1, 1, 43)
-		start(n, vms)
+		startAndSettle(n, vms)
 		n.Run(time.Duration(seed) * 170 * time.Millisecond)
 		for i := 0; i < 42; i += 2 {
 			n.Stop(vms[i].ID)
 		}
 		n.Run(deadWithin)
-		is.Equal(len(disagreements(n, up(n))), 0)
+		is.Equal(len(disagreements(n, runningVMs(n))), 0)
 	}
 }
 
-// Symptom: a replaced VM is taken for its dead predecessor, or the other way
-// round. Sequence: the process dies and another starts under the same id, at
-// another address. Cause: facts about the two differ only by incarnation.
+// A process dies and another one starts under the same id at another address.
+// Facts about the two differ only by incarnation, and must not be confused.
 func TestRestartHasHigherIncarnation(t *testing.T) {
 	for _, after := range []time.Duration{100 * time.Millisecond, 1600 * time.Millisecond, 5 * time.Second} {
 		is := is.New(t)
 		n := newNetwork(17)
 		vms := membertest.Fleet(2, 2, 2)
-		start(n, vms)
+		startAndSettle(n, vms)
 		n.Stop(vms[1].ID)
 		n.Run(after)
 		moved := vms[1]
 		moved.CallAddr = "10.9.9.9:8080"
-		node := n.Start(moved, vms)
+		entry := n.Start(moved, vms)
 		n.Run(4 * time.Second)
 		for _, other := range n.VMs {
 			vm, ok := other.State.VM(moved.ID)
 			is.True(ok)
-			is.Equal(vm.Incarnation, node.VM.Incarnation)
+			is.Equal(vm.Incarnation, entry.VM.Incarnation)
 			is.Equal(vm.CallAddr, moved.CallAddr)
-			is.Equal(offers(other), up(n))
+			is.Equal(offers(other), runningVMs(n))
 		}
 	}
 }
 
-// Symptom: a restarted VM stays dead for the others for ever. Sequence: it
-// comes back on a machine whose clock is behind, so its incarnation is lower
-// than the one remembered. Cause: the others ignore what an earlier process
-// says.
+// A VM restarts on a machine whose clock is behind, so its incarnation is lower
+// than the one the others have recorded. They ignore messages of earlier
+// processes, so it would stay dead for them if it kept that incarnation.
 func TestRestartWithClockBehind(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork(19)
 	vms := membertest.Fleet(1, 1, 3)
-	start(n, vms)
+	startAndSettle(n, vms)
 	n.Stop(vms[0].ID)
 	n.Run(4 * time.Second)
 	behind := vms[0]
 	behind.Incarnation = fleet.Incarnation(n.Now.Add(-time.Hour))
-	node := n.Start(behind, vms)
+	entry := n.Start(behind, vms)
 	n.Run(4 * time.Second)
-	is.Equal(len(disagreements(n, up(n))), 0)
-	is.True(node.State.Self().Incarnation > node.VM.Incarnation)
-	is.True(!node.Superseded)
+	is.Equal(len(disagreements(n, runningVMs(n))), 0)
+	is.True(entry.State.Self().Incarnation > entry.VM.Incarnation)
+	is.True(!entry.Superseded)
 }
 
-// Symptom: two processes under one id drop each other in turns. Sequence: a
-// VM that was paused wakes up after its replacement has started. Cause: only
-// the newer one may stay.
+// A VM that was paused resumes after its replacement has started. Unless the
+// older process stops, the two keep replacing each other under one id.
 func TestOlderProcessIsSuperseded(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork(23)
 	vms := membertest.Fleet(1, 1, 3)
-	start(n, vms)
+	startAndSettle(n, vms)
 	old := n.VM(vms[0].ID)
 	newer := member.Fact{ID: old.VM.ID, Incarnation: old.VM.Incarnation + 1, PeerAddr: old.VM.PeerAddr}
 	n.Step(old, &member.Message{From: vms[1].ID, Incarnation: vms[1].Incarnation,
@@ -218,15 +213,14 @@
 	is.Equal(old.State.Self().Incarnation, old.VM.Incarnation)
 }
 
-// Symptom: a VM disappears from look-ups for seconds although it lives.
-// Sequence: it can't be reached for a second, is suspected, and comes back.
-// Cause: without a refutation the suspicion would run out.
+// A VM is unreachable for about a second, suspected, and reachable again. It must
+// refute the suspicion, or it disappears from look-ups although it is live.
 func TestFalseSuspicionIsRefuted(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork(29)
 	vms := membertest.Fleet(1, 1, 8)
-	start(n, vms)
-	marks := mark(n)
+	startAndSettle(n, vms)
+	counts := changeCounts(n)
 	suspect := vms[3].ID
 	suspected := false
 	n.Sent = func(_ *membertest.EntryVM, s *member.Send) {
@@ -242,18 +236,18 @@
 	}
 	n.Cut = nil
 	n.Run(10 * time.Second)
-	is.Equal(withdrawnSince(n, marks, suspect), 0)
-	is.Equal(len(disagreements(n, up(n))), 0)
+	is.Equal(withdrawnSince(n, counts, suspect), 0)
+	is.Equal(len(disagreements(n, runningVMs(n))), 0)
 }
 
-// Symptom: a VM that was paused for some seconds drops all others when it
-// wakes up. Sequence: its process is stopped and continued; the answers to
-// its pings wait in its inbox. Cause: it measures its own pause.
-func TestPausedVMSuspectsNobody(t *testing.T) {
+// The process of a VM is paused for seconds while the answers to its pings wait
+// in its inbox. When it resumes, it must not count its own pause as a timeout
+// and drop all others.
+func TestPausedVMDropsNobody(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork(31)
 	vms := membertest.Fleet(1, 1, 5)
-	start(n, vms)
+	startAndSettle(n, vms)
 	paused := n.VM(vms[0].ID)
 	paused.Up = false
 	n.Run(2 * time.Second)
@@ -263,19 +257,18 @@
 	n.Run(400 * time.Millisecond)
 	is.Equal(len(paused.Changes), before)
 	n.Run(10 * time.Second)
-	is.Equal(len(disagreements(n, up(n))), 0)
+	is.Equal(len(disagreements(n, runningVMs(n))), 0)
 }
 
-// Symptom: a domain whose VMs were all replaced stays empty or keeps the old
-// ones. Sequence: all VMs of a domain stop, and new ones with new ids start,
-// which know each other only from a list that still names the old ones.
-// Cause: nobody who was there remains.
+// All VMs of a domain stop, and VMs with new ids start that know each other only
+// from a list that still names the old ones. No old VM remains that could report
+// the change; the domain must neither stay empty nor keep the old VMs.
 func TestDomainReplacedAtOnce(t *testing.T) {
 	for _, members := range []int{1, 2, 6} {
 		is := is.New(t)
 		n := newNetwork(37)
 		vms := membertest.Fleet(2, 2, members)
-		start(n, vms)
+		startAndSettle(n, vms)
 		for _, vm := range vms[:members] {
 			n.Stop(vm.ID)
 		}
@@ -289,49 +282,48 @@
 			n.Start(vm, list)
 		}
 		n.Run(6 * time.Second)
-		is.Equal(len(disagreements(n, up(n))), 0)
+		is.Equal(len(disagreements(n, runningVMs(n))), 0)
 	}
 }
 
-// Symptom: a VM that the platform's list doesn't name yet, or names no more,
-// disappears. Sequence: it joins by way of a seed; the list lags by minutes.
-// Cause: the list may only ever add contacts.
-func TestListNeverOverridesEvidence(t *testing.T) {
+// The platform's list lags by minutes: it may lack a VM that joined through a
+// seed, or still name a dead one. It must only add contacts, and never remove a
+// live VM or make a dead one live.
+func TestPlatformListOnlyAddsContacts(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork(41)
 	vms := membertest.Fleet(1, 1, 3)
-	start(n, vms)
-	marks := mark(n)
-	for _, node := range n.VMs {
-		n.Step(node, &member.Listed{List: fleet.List{VMs: vms[:1]}})
+	startAndSettle(n, vms)
+	counts := changeCounts(n)
+	for _, entry := range n.VMs {
+		n.Step(entry, &member.Listed{List: fleet.List{VMs: vms[:1]}})
 	}
 	n.Run(3 * time.Minute)
-	for _, node := range n.VMs {
-		n.Step(node, &member.Listed{List: fleet.List{VMs: vms[:1]}})
+	for _, entry := range n.VMs {
+		n.Step(entry, &member.Listed{List: fleet.List{VMs: vms[:1]}})
 	}
 	n.Run(time.Minute)
-	is.Equal(len(disagreements(n, up(n))), 0)
+	is.Equal(len(disagreements(n, runningVMs(n))), 0)
 	n.Stop(vms[2].ID)
 	n.Run(deadWithin)
 	dead := vms[2]
-	for _, node := range n.VMs {
-		if node.Up {
-			n.Step(node, &member.Listed{List: fleet.List{VMs: []fleet.VM{dead}}})
+	for _, entry := range n.VMs {
+		if entry.Up {
+			n.Step(entry, &member.Listed{List: fleet.List{VMs: []fleet.VM{dead}}})
 		}
 	}
 	n.Run(time.Second)
-	is.Equal(len(disagreements(n, up(n))), 0)
-	is.True(withdrawnSince(n, marks, vms[0].ID) == 0)
+	is.Equal(len(disagreements(n, runningVMs(n))), 0)
+	is.True(withdrawnSince(n, counts, vms[0].ID) == 0)
 }
 
-// Symptom: a paused or slow clock makes a step go back in time and panics or
-// floods. Sequence: many ticks at one instant. Cause: a wake-up that is
-// already past must not spin.
-func TestNoBusyWake(t *testing.T) {
+// A Ready.Wake that has already passed would make the caller step in a busy loop.
+// Ticks at the same instant must ask for a later one.
+func TestNoBusyLoop(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork(43)
 	vms := membertest.Fleet(3, 2, 2)
-	start(n, vms)
+	startAndSettle(n, vms)
 	steps := 0
 	n.Stepped = func(*membertest.EntryVM, *member.Ready) { steps++ }
 	n.Run(10 * time.Second)
--- a/decide/member/membertest/network.go
+++ b/decide/member/membertest/network.go
@@ -1,6 +1,6 @@
-// Package membertest joins membership reducers by a small in-memory network
-// with a fake clock, for tests and benchmarks. It knows latency, cuts and
-// stopped processes, and nothing of what the reducers do.
+// Package membertest connects member.States by an in-memory network with a fake
+// clock, for tests and benchmarks. It simulates latency, lost messages and
+// stopped processes; it doesn't depend on the protocol.
 package membertest
 
 import (
@@ -13,17 +13,17 @@
 	"github.com/azurethread/azurethread/decide/member"
 )
 
-// Epoch is the instant at which a network starts.
+// Epoch is the initial time of a network.
 const Epoch = clock.Time(1_800_000_000 * int64(time.Second))
 
-// EntryVM is one entry VM: the process that runs under its id now.
+// EntryVM is one entry VM with the process that runs under its id.
 type EntryVM struct {
 	VM    fleet.VM
 	State *member.State
 	Up    bool
-	// Superseded is set once the process was told to give way.
+	// Superseded is set once a step has returned Ready.Superseded.
 	Superseded bool
-	// Changes are the changes reported so far.
+	// Changes lists the changes that were reported.
 	Changes []Change
 
 	process int
@@ -37,31 +37,31 @@
 	VM fleet.VM
 }
 
-// Network delivers messages between nodes.
+// Network delivers messages between entry VMs.
 type Network struct {
 	Now     clock.Time
-	VMs   []*EntryVM
+	VMs     []*EntryVM
 	Options member.Options
 	Seed    uint64
-	// Latency of one way; 500 µs if nil.
+	// Latency returns the one-way latency; 500 µs if nil.
 	Latency func(from, to *fleet.VM) time.Duration
-	// Cut reports whether a message from one VM to another is lost.
+	// Cut, if set, reports whether a message from one VM to another is lost.
 	Cut func(from, to *fleet.VM) bool
-	// Sent, if set, sees every message sent.
+	// Sent, if set, is called for every message sent.
 	Sent func(from *EntryVM, s *member.Send)
-	// Stepped, if set, sees every step's effects.
+	// Stepped, if set, is called with the effects of every step.
 	Stepped func(n *EntryVM, out *member.Ready)
 
 	byID  map[fleet.VMID]*EntryVM
 	queue clocktest.Queue[*delivery]
 }
 
-// New returns a network without nodes.
+// New returns a network without entry VMs.
 func New(seed uint64) *Network {
 	return &Network{Now: Epoch, Seed: seed, byID: make(map[fleet.VMID]*EntryVM)}
 }
 
-// NewVM describes entry VM number i of a domain.
+// NewVM returns entry VM number i of a domain.
 func NewVM(region fleet.Region, domain fleet.Domain, i int) fleet.VM {
 	id := fleet.VMID(fmt.Sprintf("%s-vm-%d", domain, i))
 	n := 0
@@ -80,7 +80,7 @@
 	}
 }
 
-// Fleet describes regions x domains x members entry VMs.
+// Fleet returns regions x domains x members entry VMs.
 func Fleet(regions, domains, members int) []fleet.VM {
 	var out []fleet.VM
 	for r := range regions {
@@ -95,55 +95,55 @@
 	return out
 }
 
-// Start runs a process for vm, in place of an earlier one, and gives it the
-// list of contacts. Its incarnation is the present instant unless vm has one.
+// Start starts a process for vm, in place of an earlier one, with the given list
+// of contacts. Its incarnation is the current time unless vm has one.
 func (n *Network) Start(vm fleet.VM, contacts []fleet.VM) *EntryVM {
 	if vm.Incarnation == 0 {
 		vm.Incarnation = fleet.Incarnation(n.Now)
 	}
-	node := n.byID[vm.ID]
-	if node == nil {
-		node = &EntryVM{}
-		n.byID[vm.ID] = node
-		n.VMs = append(n.VMs, node)
+	entry := n.byID[vm.ID]
+	if entry == nil {
+		entry = &EntryVM{}
+		n.byID[vm.ID] = entry
+		n.VMs = append(n.VMs, entry)
 	}
-	node.VM = vm
-	node.Up = true
-	node.Superseded = false
-	node.process++
-	node.wake = 0
-	seed := n.Seed*1000003 + uint64(len(n.VMs))*31 + uint64(node.process)
-	node.State = member.New(vm, seed, n.Options)
-	n.Step(node, &member.Listed{List: fleet.List{VMs: contacts}})
-	return node
+	entry.VM = vm
+	entry.Up = true
+	entry.Superseded = false
+	entry.process++
+	entry.wake = 0
+	seed := n.Seed*1000003 + uint64(len(n.VMs))*31 + uint64(entry.process)
+	entry.State = member.New(vm, seed, n.Options)
+	n.Step(entry, &member.Listed{List: fleet.List{VMs: contacts}})
+	return entry
 }
 
-// VM returns the node of an id.
+// VM returns the entry VM with an id.
 func (n *Network) VM(id fleet.VMID) *EntryVM { return n.byID[id] }
 
-// Stop ends the process of a node without a word.
+// Stop ends the process of an entry VM without notice to the others.
 func (n *Network) Stop(id fleet.VMID) {
-	node := n.byID[id]
-	node.Up = false
-	node.process++
+	entry := n.byID[id]
+	entry.Up = false
+	entry.process++
 }
 
-// Step gives an event to a node now and delivers its effects.
-func (n *Network) Step(node *EntryVM, ev member.Event) {
-	node.State.Step(n.Now, ev, &node.out)
+// Step passes an event to an entry VM and sends the resulting messages.
+func (n *Network) Step(entry *EntryVM, ev member.Event) {
+	entry.State.Step(n.Now, ev, &entry.out)
 	if n.Stepped != nil {
-		n.Stepped(node, &node.out)
+		n.Stepped(entry, &entry.out)
 	}
-	for _, vm := range node.out.Changed {
-		node.Changes = append(node.Changes, Change{At: n.Now, VM: vm})
+	for _, vm := range entry.out.Changed {
+		entry.Changes = append(entry.Changes, Change{At: n.Now, VM: vm})
 	}
-	node.Superseded = node.Superseded || node.out.Superseded
-	for i := range node.out.Sends {
-		n.send(node, &node.out.Sends[i])
+	entry.Superseded = entry.Superseded || entry.out.Superseded
+	for i := range entry.out.Sends {
+		n.send(entry, &entry.out.Sends[i])
 	}
-	if node.out.Wake != node.wake {
-		node.wake = node.out.Wake
-		n.push(&delivery{at: max(node.wake, n.Now), node: node, process: node.process})
+	if entry.out.Wake != entry.wake {
+		entry.wake = entry.out.Wake
+		n.push(&delivery{at: max(entry.wake, n.Now), entry: entry, process: entry.process})
 	}
 }
 
@@ -159,17 +159,17 @@
 	if n.Latency != nil {
 		d = n.Latency(&from.VM, &to.VM)
 	}
-	n.push(&delivery{at: n.Now.Add(d), node: to, msg: &member.Message{
+	n.push(&delivery{at: n.Now.Add(d), entry: to, msg: &member.Message{
 		From:        from.VM.ID,
 		Incarnation: from.State.Self().Incarnation,
 		Msg:         s.Msg,
 	}})
 }
 
-// Run lets d pass.
+// Run advances the clock by d.
 func (n *Network) Run(d time.Duration) { n.RunUntil(n.Now.Add(d)) }
 
-// RunUntil lets time pass up to an instant.
+// RunUntil advances the clock to an instant and delivers what is due by then.
 func (n *Network) RunUntil(end clock.Time) {
 	for _, d, ok := n.queue.Pop(end); ok; _, d, ok = n.queue.Pop(end) {
 		n.Now = max(n.Now, d.at)
@@ -180,12 +180,12 @@
 
 func (n *Network) deliver(d *delivery) {
 	switch {
-	case !d.node.Up:
+	case !d.entry.Up:
 	case d.msg != nil:
-		n.Step(d.node, d.msg)
-	case d.process == d.node.process && d.at == d.node.wake:
-		d.node.wake = 0
-		n.Step(d.node, &member.Tick{})
+		n.Step(d.entry, d.msg)
+	case d.process == d.entry.process && d.at == d.entry.wake:
+		d.entry.wake = 0
+		n.Step(d.entry, &member.Tick{})
 	}
 }
 
@@ -193,10 +193,10 @@
 	n.queue.Push(d.at, d)
 }
 
-// delivery is a message, or without one a Tick of the given process.
+// delivery is a message or, without one, a Tick for the given process.
 type delivery struct {
 	at      clock.Time
-	node    *EntryVM
+	entry   *EntryVM
 	process int
 	msg     *member.Message
 }
--- a/decide/member/message.go
+++ b/decide/member/message.go
@@ -9,13 +9,13 @@
 
 // Msg is a message between two entry VMs.
 type Msg interface {
-	// Kind is the message's stable number on the wire.
+	// Kind returns the message's fixed number on the wire.
 	Kind() uint8
-	// Validate refuses messages beyond the documented bounds.
+	// Validate returns an error if the message exceeds the limits below.
 	Validate() error
 }
 
-// The wire numbers of the messages.
+// The message kinds, as sent on the wire.
 const (
 	KindPing uint8 = iota + 1
 	KindAck
@@ -31,22 +31,22 @@
 	KindPartialAck
 )
 
-// Bounds of what one message may list.
+// Limits of one message.
 const (
-	MaxFacts   = 512 // facts about members of one domain
-	MaxRows    = 256 // domains of the whole system
-	MaxReachResults = 256 // reachability statements; also the most that a VM keeps
-	RowVMs     = 8   // entry VMs named in a row
+	MaxFacts        = 512 // facts about members of one domain
+	MaxRows         = 256 // domains in all regions
+	MaxReachResults = 256 // also the limit of what a VM stores
+	RowVMs          = 8   // entry VMs in one row
 )
 
-// ErrBounds is the cause of every refusal by Validate.
+// ErrBounds is wrapped by every error that Validate returns.
 var ErrBounds = errors.New("member: message out of bounds")
 
-// Status is what a fact says about a VM. A higher one overrides a lower one
+// Status is the state of a VM in a fact. A higher status overrides a lower one
 // of the same incarnation and refutation count.
 type Status uint8
 
-// The statuses, in rising order.
+// The statuses, in ascending order.
 const (
 	Alive Status = iota
 	Suspected
@@ -54,14 +54,16 @@
 	Dead
 )
 
-// Fact is a statement about one entry VM of the sender's own domain.
+// Fact is a membership update: the status of one entry VM of the sender's
+// domain.
 type Fact struct {
 	ID          fleet.VMID        `json:"id"`
 	Incarnation fleet.Incarnation `json:"incarnation"`
 	Refutations uint32            `json:"refutations"`
 	Status      Status            `json:"status"`
 	Age         uint32            `json:"age"` // ms since Status was established
-	// The addresses are empty where the receiver can be expected to have them.
+	// The site and addresses are empty where the receiver is expected to know
+	// them.
 	Site      fleet.Site `json:"site"`
 	CallAddr  string     `json:"call_addr"`
 	PeerAddr  string     `json:"peer_addr"`
@@ -77,9 +79,10 @@
 	PeerAddr    string            `json:"peer_addr"`
 }
 
-// Row is the aggregate of one failure domain. The one of the highest Version
-// counts, and of two with the same one, that of the higher Author: two VMs
-// that both think themselves the author can publish in the same millisecond.
+// Row is the summary of one failure domain in the table of domains. The row
+// with the highest Version replaces the others. Of two rows with the same
+// Version, the one with the higher Author does: two VMs that both act as the
+// author can publish in the same millisecond.
 type Row struct {
 	Region  fleet.Region `json:"region"`
 	Domain  fleet.Domain `json:"domain"`
@@ -87,96 +90,97 @@
 	Author  fleet.VMID   `json:"author"`
 	Live    uint32       `json:"live"`
 	Leaving uint32       `json:"leaving"`
-	// VMs are live ones by rank; the representatives come first. Of a domain
-	// that has none, leaving ones are named: they are not offered, but get
-	// updates.
-	VMs []RowVM `json:"vms"`
-	AuthorVMs uint32  `json:"own"` // how many of VMs the author itself holds live; see mergedVM
+	// VMs lists live VMs by rank, so the representatives come first. A domain
+	// without live VMs lists leaving ones: they are not offered to callers, but
+	// receive updates.
+	VMs       []RowVM `json:"vms"`
+	AuthorVMs uint32  `json:"own"` // number of VMs that are live in the author's own view; see mergedVM
 }
 
-// Version names a row that the sender holds.
+// Version identifies the version of a row that the sender stores.
 type Version struct {
 	Domain  fleet.Domain `json:"domain"`
 	Version uint64       `json:"version"`
 	Author  fleet.VMID   `json:"author"`
 }
 
-// ReachResult says whether a watcher in SeenDomain gets answers from a domain or,
-// with Domain empty, from a whole region.
+// ReachResult states whether a watcher in WatcherDomain can reach a domain or,
+// if Domain is empty, a whole region.
 type ReachResult struct {
-	Region     fleet.Region `json:"region"`
-	Domain     fleet.Domain `json:"domain"`
+	Region        fleet.Region `json:"region"`
+	Domain        fleet.Domain `json:"domain"`
 	WatcherRegion fleet.Region `json:"seen_region"`
 	WatcherDomain fleet.Domain `json:"seen_domain"`
-	Reachable  bool         `json:"reachable"`
-	Age        uint32       `json:"age"` // ms since the watcher measured it
+	Reachable     bool         `json:"reachable"`
+	Age           uint32       `json:"age"` // ms since the watcher measured it
 }
 
 // Ping asks for an Ack.
 type Ping struct {
-	Seq     uint32 `json:"seq"`
-	MembersHash uint32 `json:"members"` // hash of the sender's table of its domain
-	RowsHash    uint32 `json:"rows"`    // hash of the sender's rows
-	Facts   []Fact `json:"facts"`
+	Seq         uint32 `json:"seq"`
+	MembersHash uint32 `json:"members"` // hash of the sender's table of members
+	RowsHash    uint32 `json:"rows"`    // hash of the sender's table of domains
+	Facts       []Fact `json:"facts"`
 }
 
-// Ack answers a Ping, or a PingReq once its target has answered.
+// Ack answers a Ping, or a PingReq once the probed VM has answered.
 type Ack struct {
-	Seq     uint32 `json:"seq"`
+	Seq         uint32 `json:"seq"`
 	MembersHash uint32 `json:"members"`
 	RowsHash    uint32 `json:"rows"`
-	Facts   []Fact `json:"facts"`
+	Facts       []Fact `json:"facts"`
 }
 
-// PingReq asks the receiver to ping Target and to answer with an Ack of this
-// Seq if Target answers.
+// PingReq asks the receiver to ping VM, and to answer with an Ack with this Seq
+// if VM answers.
 type PingReq struct {
-	Seq    uint32 `json:"seq"`
-	VM RowVM  `json:"target"`
-	// Fact, if it has an ID, is passed to Target: the suspicion or death
-	// that it may refute.
+	Seq uint32 `json:"seq"`
+	VM  RowVM  `json:"target"`
+	// Fact, if it has an ID, is passed to VM: a suspicion that VM can refute.
 	Fact Fact `json:"fact"`
 }
 
-// Sync asks for what the sender lacks: Marks are its facts without addresses,
-// empty towards another domain; Versions are its rows.
+// Sync requests the facts and rows that are newer than the sender's. Digest
+// holds the sender's facts without addresses; it is empty if the receiver is of
+// another domain. Versions holds the versions of the sender's rows.
 type Sync struct {
 	Domain   fleet.Domain `json:"domain"` // of the sender
-	Region   fleet.Region `json:"region"` // of the rows meant; empty for all
-	Digest    []Fact       `json:"marks"`
+	Region   fleet.Region `json:"region"` // of the requested rows; empty for all
+	Digest   []Fact       `json:"marks"`
 	Versions []Version    `json:"versions"`
 }
 
-// SyncAck answers a Sync.
+// SyncAck answers a Sync with a delta: what the receiver of the Sync has newer.
 type SyncAck struct {
-	Domain  fleet.Domain `json:"domain"` // of the sender
-	Facts   []Fact       `json:"facts"`
-	Rows    []Row        `json:"rows"`
-	ReachResults []ReachResult      `json:"reaches"`
+	Domain       fleet.Domain  `json:"domain"` // of the sender
+	Facts        []Fact        `json:"facts"`
+	Rows         []Row         `json:"rows"`
+	ReachResults []ReachResult `json:"reaches"`
 }
 
-// Hop says how far the receiver of a Spread forwards it.
+// Hop determines how far the receiver of a Spread forwards it.
 type Hop uint8
 
 const (
-	// HopMember is for the receiver alone.
+	// HopMember: the receiver doesn't forward it.
 	HopMember Hop = iota
-	// HopDomain is for the receiver to forward to its own domain.
+	// HopDomain: the receiver forwards it within its domain.
 	HopDomain
-	// HopRegion is for the receiver to forward to its domain and its region.
+	// HopRegion: the receiver forwards it within its domain and to the other
+	// domains of its region.
 	HopRegion
 )
 
-// Spread pushes updates as soon as they arise.
+// Spread pushes updates as soon as they occur.
 type Spread struct {
-	Hop     Hop     `json:"hop"`
-	Backup  bool    `json:"backup"` // another representative has it too and goes first
-	Facts   []Fact  `json:"facts"`
-	Rows    []Row   `json:"rows"`
+	Hop          Hop           `json:"hop"`
+	Backup       bool          `json:"backup"` // another representative has received it too and forwards it first
+	Facts        []Fact        `json:"facts"`
+	Rows         []Row         `json:"rows"`
 	ReachResults []ReachResult `json:"reaches"`
 }
 
-// Report goes from a VM to its representative; the load report is piggybacked on it.
+// Report goes from a VM to its representative, with a load report piggybacked.
 type Report struct{}
 
 // ReportAck answers a Report.
@@ -194,19 +198,20 @@
 	ReachResults []ReachResult `json:"reaches"`
 }
 
-// Watch is sent to a representative of a watched domain or region.
+// Watch checks whether a domain or region is reachable. It is sent to one of its
+// representatives.
 type Watch struct {
-	Seq     uint32       `json:"seq"`
-	Region  fleet.Region `json:"region"` // of the sender
-	OwnRegionHash     uint32       `json:"own"`    // hash of the sender's rows of its region
-	RowsHash    uint32       `json:"rows"`   // hash of its rows of the receiver's region; inside a region, of all
-	ReachResults []ReachResult      `json:"reaches"`
+	Seq           uint32        `json:"seq"`
+	Region        fleet.Region  `json:"region"` // of the sender
+	OwnRegionHash uint32        `json:"own"`    // hash of the sender's rows of its own region
+	RowsHash      uint32        `json:"rows"`   // hash of the sender's rows of the receiver's region; within one region, of all rows
+	ReachResults  []ReachResult `json:"reaches"`
 }
 
 // WatchAck answers a Watch.
 type WatchAck struct {
-	Seq     uint32  `json:"seq"`
-	RowsHash    uint32  `json:"rows"` // hash of the same rows at the receiver of the Watch
+	Seq          uint32        `json:"seq"`
+	RowsHash     uint32        `json:"rows"` // hash of the same rows at the VM that answers
 	ReachResults []ReachResult `json:"reaches"`
 }
 
@@ -246,8 +251,8 @@
 // Kind implements Msg.
 func (*PartialAck) Kind() uint8 { return KindPartialAck }
 
-// IsAnswer reports whether a kind only answers another message. The loss of
-// an answer is noticed by the one who asked.
+// IsAnswer reports whether messages of a kind answer another message. Their
+// loss need not be reported, since the requester detects it by a timeout.
 func IsAnswer(kind uint8) bool {
 	switch kind {
 	case KindAck, KindSyncAck, KindReportAck, KindWatchAck, KindPartialAck:
@@ -257,7 +262,7 @@
 	}
 }
 
-// NewMsg returns an empty message of a kind, for a decoder to fill; nil if
+// NewMsg returns an empty message of a kind, for a decoder to fill, or nil if
 // the kind is unknown.
 func NewMsg(kind uint8) Msg {
 	switch kind {
@@ -297,10 +302,10 @@
 	return nil
 }
 
-func validate(facts []Fact, rows []Row, versions []Version, reaches []ReachResult) error {
+func validate(facts []Fact, rows []Row, versions []Version, results []ReachResult) error {
 	for _, f := range facts {
 		if f.ID == "" || f.Status > Dead {
-			return fmt.Errorf("%w: fact about %q with status %d", ErrBounds, f.ID, f.Status)
+			return fmt.Errorf("%w: fact about VM %q with status %d", ErrBounds, f.ID, f.Status)
 		}
 	}
 	for i := range rows {
@@ -312,17 +317,17 @@
 		checkLimit("facts", len(facts), MaxFacts),
 		checkLimit("rows", len(rows), MaxRows),
 		checkLimit("versions", len(versions), MaxRows),
-		checkLimit("reaches", len(reaches), MaxReachResults),
+		checkLimit("reachability results", len(results), MaxReachResults),
 	)
 }
 
 func (r *Row) validate() error {
 	if r.Domain == "" || r.Region == "" {
-		return fmt.Errorf("%w: row without domain or region", ErrBounds)
+		return fmt.Errorf("%w: row with domain %q and region %q", ErrBounds, r.Domain, r.Region)
 	}
 	for _, v := range r.VMs {
 		if v.ID == "" {
-			return fmt.Errorf("%w: row of %s names a VM without id", ErrBounds, r.Domain)
+			return fmt.Errorf("%w: row of domain %s lists a VM without an id", ErrBounds, r.Domain)
 		}
 	}
 	return checkLimit("VMs in a row", len(r.VMs), RowVMs)
@@ -337,7 +342,7 @@
 // Validate implements Msg.
 func (m *PingReq) Validate() error {
 	if m.VM.ID == "" {
-		return fmt.Errorf("%w: ping request without target", ErrBounds)
+		return fmt.Errorf("%w: ping request without a VM to ping", ErrBounds)
 	}
 	if m.Fact.ID == "" {
 		return nil
--- a/decide/member/options.go
+++ b/decide/member/options.go
@@ -7,20 +7,20 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// Options are the protocol's settings. A zero field takes its default.
+// Options are the protocol's settings. A zero field means its default.
 type Options struct {
-	// Seeds are entry VMs to contact before the platform's list has come.
+	// Seeds are entry VMs to contact before the platform's list is available.
 	Seeds []fleet.VM
 
-	ProbeEvery      time.Duration // between pings to the ring's successors
+	ProbeEvery      time.Duration // between pings to the ring successors
 	RandomEvery     time.Duration // between pings to a random member or listed VM
-	DirectTimeout   time.Duration // to answer a ping
-	IndirectTimeout time.Duration // to answer a ping through relays
-	SuspectFor      time.Duration // to refute a suspicion
-	Monitors        int           // successors that each VM pings
-	Relays          int           // VMs asked to ping one that doesn't answer
+	DirectTimeout   time.Duration // for the answer to a ping
+	IndirectTimeout time.Duration // for the answer to a ping through relays
+	SuspectFor      time.Duration // from suspicion to death, the time to refute
+	Monitors        int           // ring successors that each VM pings
+	Relays          int           // VMs asked to ping a VM that doesn't answer
 	WatchEvery      time.Duration // between exchanges with a watched domain or region
-	WatchTimeout    time.Duration // to answer a Watch
+	WatchTimeout    time.Duration // for the answer to a Watch
 }
 
 // The defaults of Options.
@@ -37,57 +37,59 @@
 )
 
 const (
-	// flushDelay batches updates that arise together into one message.
+	// flushDelay batches updates that occur together into one message.
 	flushDelay = 20 * time.Millisecond
-	// backupDelay is how long the second representative waits for the first
-	// to forward an update.
+	// backupDelay is how long the second representative that got an update waits
+	// for the first one to forward it.
 	backupDelay = 150 * time.Millisecond
-	// joinTimeout ends the wait for an answer of a neighbour at start.
+	// joinTimeout ends the wait for an answer from another member at start.
 	joinTimeout = time.Second
-	// joinRetryInterval is the time between two attempts to find a neighbour.
+	// joinRetryInterval is the time between two attempts to find another member.
 	joinRetryInterval = 250 * time.Millisecond
-	// minSyncInterval bounds the exchange of tables with neighbours.
+	// minSyncInterval limits the rate of requests for tables of other VMs.
 	minSyncInterval = time.Second
-	// mismatchTolerance is how long hashes must differ before tables are exchanged:
-	// an update in transit makes them differ for an instant.
+	// mismatchTolerance is how long hashes must differ before tables are
+	// exchanged: an update in transit makes them differ for a moment.
 	mismatchTolerance = 500 * time.Millisecond
-	// tombstoneTTL keeps a dead VM, so that late facts don't revive it.
+	// tombstoneTTL keeps the record of a dead VM, so that late facts don't make
+	// it live again.
 	tombstoneTTL = 30 * time.Second
-	// recentlyHeardWithin is how long a message from a VM overrides other VMs' facts
-	// that it is dead.
+	// recentlyHeardWithin is how long a message from a VM overrides other VMs'
+	// facts that it is dead.
 	recentlyHeardWithin = time.Second
-	// contactGrace keeps a VM that left the platform's list as a contact.
+	// contactGrace keeps a VM as a contact after the platform's list has dropped
+	// it.
 	contactGrace = time.Minute
-	// reachResultTTL keeps a statement about reachability.
+	// reachResultTTL is how long a reachability result is valid.
 	reachResultTTL = 20 * time.Second
-	// pauseThreshold is how late a step may be before the process itself is taken
-	// to have been paused.
+	// pauseThreshold is the delay of a step from which on this process counts as
+	// having been paused.
 	pauseThreshold = 300 * time.Millisecond
-	// minRefuteInterval bounds how often a VM refutes at its own expense.
+	// minRefuteInterval limits the rate at which a VM broadcasts refutations.
 	minRefuteInterval = 100 * time.Millisecond
-	// reportIntervalPerVM scales the time between two reports of a VM with the size
-	// of the domain up to reportMax, from where on the number of
-	// representatives grows, so that the cost of each stays level.
+	// reportIntervalPerVM makes the time between two load reports of a VM grow
+	// with the size of the domain, up to maxReportInterval. Beyond that the
+	// number of representatives grows, so that the cost of each stays the same.
 	reportIntervalPerVM = 200 * time.Millisecond
 	minReportInterval   = time.Second
 	maxReportInterval   = 5 * time.Second
-	// mergedTTL keeps entry VMs that the other side of a partitioned domain
+	// mergedTTL keeps entry VMs that another author of a partitioned domain
 	// lists.
 	mergedTTL = 8 * time.Second
-	// mergedPublishInterval is the time between two rows of an author of a partitioned
-	// domain.
+	// mergedPublishInterval is the time between two rows that an author of a
+	// partitioned domain publishes.
 	mergedPublishInterval = 3 * time.Second
 
-	pushCopies        = 2      // representatives that get an update in each domain or region
-	maxPiggybackedFacts    = 3      // facts carried by one ping or answer
-	piggybackFactor   = 1      // multiplied by log2 of the members: how often a fact is carried
-	minReps           = 2      // representatives of a domain that has as many VMs
-	maxReps           = RowVMs // so that every other domain knows all of them
-	watchFallbacks    = 3      // further representatives asked before a watched one is unreachable
-	probesPerTimeout  = 2      // further successors pinged when one is silent
-	maxSentReachResults = 24     // statements carried by one message
-	maxContactsPerDomain = 4      // listed VMs kept of each other domain
-	maxMismatches     = 64     // VMs whose tables are known to differ
+	pushCopies           = 2      // representatives of each domain or region that get an update
+	maxPiggybackedFacts  = 3      // per ping or ack
+	piggybackFactor      = 1      // a fact is sent this many times the log2 of the number of members
+	minReps              = 2      // representatives of a domain with at least this many VMs
+	maxReps              = RowVMs // a row lists all representatives
+	watchFallbacks       = 3      // further representatives asked before a remote counts as unreachable
+	probesPerTimeout     = 2      // further successors pinged when one doesn't answer
+	maxSentReachResults  = 24     // reachability results per message
+	maxContactsPerDomain = 4      // listed VMs kept for each other domain
+	maxMismatches        = 64     // VMs recorded as having different tables
 )
 
 func (o Options) withDefaults() Options {
--- a/decide/member/outbox.go
+++ b/decide/member/outbox.go
@@ -7,13 +7,13 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// extent is how far this VM forwards an update.
+// extent determines how far this VM forwards an update.
 type extent uint8
 
 const (
-	toDomain extent = iota // the members of the own domain
-	toRegion               // and the representatives of the region's other domains
-	toAll                  // and those of the other regions
+	toDomain extent = iota // to the members of the own domain
+	toRegion               // also to the representatives of the region's other domains
+	toAll                  // also to representatives in the other regions
 )
 
 type outboxRow struct {
@@ -22,19 +22,20 @@
 }
 
 type outboxReachResult struct {
-	result ReachResult
-	measuredAt    clock.Time // when it was measured
-	to    extent
+	result     ReachResult
+	measuredAt clock.Time // when it was measured
+	to         extent
 }
 
-// outbox gathers updates that are sent together at one instant.
+// outbox collects updates that are sent together.
 type outbox struct {
-	sendAt      clock.Time // zero if empty
-	facts   []Fact
-	rows    []outboxRow
+	sendAt       clock.Time // zero if nothing is scheduled
+	facts        []Fact
+	rows         []outboxRow
 	reachResults []outboxReachResult
 }
 
+// due returns the instant of the next send.
 func (n *outbox) due() clock.Time {
 	if n.sendAt == 0 {
 		return clock.Never
@@ -42,6 +43,7 @@
 	return n.sendAt
 }
 
+// scheduleAt schedules a send unless one is scheduled.
 func (n *outbox) scheduleAt(at clock.Time) {
 	if n.sendAt == 0 {
 		n.sendAt = at
@@ -64,7 +66,7 @@
 	n.scheduleAt(at)
 }
 
-// removeForwarded removes what another representative has forwarded.
+// removeForwarded removes the updates that another representative has forwarded.
 func (n *outbox) removeForwarded(m *Spread) {
 	n.rows = slices.DeleteFunc(n.rows, func(r outboxRow) bool {
 		return slices.ContainsFunc(m.Rows, func(o Row) bool {
@@ -79,14 +81,14 @@
 	}
 }
 
-// broadcast sends a fact to every member of the own domain.
+// broadcast queues a fact for every member of the own domain.
 func (s *State) broadcast(f Fact) {
 	s.outbox.facts = slices.DeleteFunc(s.outbox.facts, func(o Fact) bool { return o.ID == f.ID })
 	s.outbox.facts = append(s.outbox.facts, f)
 	s.outbox.scheduleAt(s.now.Add(flushDelay))
 }
 
-// flush sends the outboxes that are due.
+// flush sends the content of the outboxes that are due.
 func (s *State) flush(out *Ready) {
 	for _, n := range []*outbox{&s.outbox, &s.backupOutbox} {
 		if n.due() <= s.now {
@@ -117,8 +119,8 @@
 	}
 }
 
-// buildSpread collects the updates that go at least as far as to; nil if none do.
-// Facts stay inside the domain.
+// buildSpread returns a message with the updates that are forwarded at least as
+// far as to, or nil if there are none. Facts stay inside the domain.
 func (s *State) buildSpread(n *outbox, to extent, hop Hop) *Spread {
 	m := &Spread{Hop: hop}
 	for _, r := range n.rows {
@@ -138,7 +140,8 @@
 	return m
 }
 
-// pushTo sends m to the first representatives; all but one are its backups.
+// pushTo sends m to the first pushCopies representatives. All but the first get
+// it as backups.
 func (s *State) pushTo(reps []fleet.VM, m *Spread, out *Ready) {
 	for i, vm := range reps[:min(pushCopies, len(reps))] {
 		c := *m
@@ -147,7 +150,8 @@
 	}
 }
 
-// otherDomainReps returns the representatives of each other domain of the region.
+// otherDomainReps returns the representatives of each other domain of the
+// region.
 func (s *State) otherDomainReps() [][]fleet.VM {
 	var out [][]fleet.VM
 	for _, r := range s.rows {
@@ -158,8 +162,8 @@
 	return out
 }
 
-// otherRegionReps returns, for each other region, the first representatives of
-// its domains, so that the copies of a push go to different domains.
+// otherRegionReps returns the representatives of each other region, in the
+// order of regionReps, so that the copies of a push go to different domains.
 func (s *State) otherRegionReps() [][]fleet.VM {
 	var out [][]fleet.VM
 	for _, region := range s.regions() {
@@ -193,7 +197,7 @@
 	return out
 }
 
-// regions returns every known region once, in order.
+// regions returns every known region once, in order of name.
 func (s *State) regions() []fleet.Region {
 	var out []fleet.Region
 	for _, r := range s.rows {
@@ -206,7 +210,7 @@
 	return slices.Compact(out)
 }
 
-// handleSpread applies updates and forwards them as far as its Hop says.
+// handleSpread applies updates and forwards them as far as their Hop requires.
 func (s *State) handleSpread(m *Message, b *Spread) {
 	if b.Hop == HopMember {
 		s.applyFactsFrom(m.From, b.Facts)
@@ -229,9 +233,9 @@
 	}
 }
 
-// cancelBackup drops what this VM was to forward as a backup, since another
-// representative has forwarded it. If that copy was for this VM to distribute
-// in its domain, it is promoted first.
+// cancelBackup drops the updates that this VM would forward as a backup, since
+// another representative has forwarded them. If this VM must still forward them
+// within its domain, they are first moved to the regular outbox.
 func (s *State) cancelBackup(b *Spread) {
 	if b.Backup || b.Hop == HopRegion {
 		return
@@ -242,8 +246,8 @@
 	s.backupOutbox.removeForwarded(b)
 }
 
-// promoteBackup moves the updates of b from the backup to the outbox, for the
-// own domain.
+// promoteBackup copies the updates of b from the backup outbox to the regular
+// one, to be forwarded within the own domain.
 func (s *State) promoteBackup(b *Spread) {
 	at := s.now.Add(flushDelay)
 	for _, r := range s.backupOutbox.rows {
@@ -258,7 +262,7 @@
 	}
 }
 
-// extent is how far the receiver of this hop forwards; false for not at all.
+// extent returns how far the receiver of this hop forwards; false if it doesn't.
 func (h Hop) extent() (extent, bool) {
 	switch h {
 	case HopDomain:
--- a/decide/member/probe.go
+++ b/decide/member/probe.go
@@ -8,25 +8,25 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// stage is how far a probe has got.
+// stage is the phase of a probe.
 type stage uint8
 
 const (
-	stageDirect   stage = iota // pinged, waiting for the answer
-	stageIndirect              // relays were asked
-	stageRelayed               // pinged for another VM
+	stageDirect   stage = iota // pinged, waiting for the ack
+	stageIndirect              // relays were asked to ping
+	stageRelayed               // pinged on behalf of another VM
 )
 
-// probe is a ping whose answer has not come.
+// probe is a ping that has not been answered.
 type probe struct {
-	seq      uint32
-	vm   fleet.VM
-	started  clock.Time
-	deadline clock.Time
-	stage    stage
-	ringSuccessor     bool       // a ring successor: a silent one widens the search
-	requester    fleet.VMID // for relayed
-	requesterSeq uint32
+	seq           uint32
+	vm            fleet.VM
+	started       clock.Time
+	deadline      clock.Time
+	stage         stage
+	ringSuccessor bool       // if it doesn't answer, its successors are pinged as well
+	requester     fleet.VMID // for stageRelayed: the VM that asked for the ping
+	requesterSeq  uint32
 }
 
 func (s *State) nextSeq() uint32 {
@@ -34,13 +34,13 @@
 	return s.seq
 }
 
-// probeRing pings the next live successors. Suspected ones on the way are
-// pinged as well but not counted.
+// probeRing pings the next opts.Monitors live successors in the ring.
 func (s *State) probeRing(out *Ready) {
 	s.probeSuccessors(s.indexOf(s.self), s.opts.Monitors, out)
 }
 
-// probeSuccessors pings up to n unsuspected VMs that follow position at.
+// probeSuccessors pings the next n live VMs after position at. Suspected VMs
+// among them are pinged as well but not counted.
 func (s *State) probeSuccessors(at, n int, out *Ready) {
 	for step := 1; step < len(s.members) && n > 0; step++ {
 		r := s.members[(at+step)%len(s.members)]
@@ -59,7 +59,7 @@
 	return at
 }
 
-// probe pings a VM unless one of its pings is still unanswered.
+// probe pings a VM unless an earlier ping to it is still unanswered.
 func (s *State) probe(vm fleet.VM, ring bool, out *Ready) {
 	for i := range s.probes {
 		if s.probes[i].vm.ID == vm.ID && s.probes[i].stage != stageRelayed {
@@ -67,11 +67,11 @@
 		}
 	}
 	p := probe{
-		seq:      s.nextSeq(),
-		vm:   vm,
-		started:  s.now,
-		deadline: s.now.Add(s.opts.DirectTimeout),
-		ringSuccessor:     ring,
+		seq:           s.nextSeq(),
+		vm:            vm,
+		started:       s.now,
+		deadline:      s.now.Add(s.opts.DirectTimeout),
+		ringSuccessor: ring,
 	}
 	s.probes = append(s.probes, p)
 	s.sendPing(p.seq, vm, nil, out)
@@ -88,15 +88,16 @@
 	s.send(to, m, ScopeNone, out)
 }
 
-// inOwnDomain reports whether a VM is of the own domain, as far as is known:
-// hashes and facts are for those alone.
+// inOwnDomain reports whether a VM is known to be of the own domain. Hashes and
+// facts are only sent to such VMs.
 func (s *State) inOwnDomain(vm fleet.VM) bool {
 	return vm.Domain == s.self.vm.Domain
 }
 
-// probeRandom pings the next VM of a random order over the members, the dead
-// ones and the listed ones that are no members. The last two find each other
-// again after a partition, when both sides hold the other dead.
+// probeRandom pings the next VM in a random order of the members, dead ones
+// included, and of the listed VMs of the domain that are not members. Dead and
+// listed VMs are included so that after a partition, in which each side
+// declared the other dead, the sides find each other again.
 func (s *State) probeRandom(out *Ready) {
 	for range 2 {
 		for len(s.probeOrder) > 0 {
@@ -128,8 +129,8 @@
 	})
 }
 
-// address finds where to send to a VM: a member, a contact, or one that
-// another domain offers.
+// address returns the addresses of a VM that is a member, a contact, or listed
+// in the row of another domain.
 func (s *State) address(id fleet.VMID) (fleet.VM, bool) {
 	if id == s.self.vm.ID {
 		return fleet.VM{}, false
@@ -143,8 +144,8 @@
 	return s.findInRows(id)
 }
 
-// replyAddress is address for an answer. Without a known address the answer
-// can only take the connection that the VM has opened.
+// replyAddress returns where to send an answer. If the VM's address is unknown,
+// the answer can only be sent over the connection that the VM has opened.
 func (s *State) replyAddress(id fleet.VMID) fleet.VM {
 	if vm, ok := s.address(id); ok {
 		return vm
@@ -158,7 +159,7 @@
 	})
 }
 
-// addContact adds or renews a VM that the platform's list or the seeds name.
+// addContact adds or refreshes a VM that the platform's list or the seeds name.
 func (s *State) addContact(vm fleet.VM) {
 	if vm.ID == s.self.vm.ID || vm.ID == "" || vm.PeerAddr == "" {
 		return
@@ -174,17 +175,17 @@
 	}
 }
 
-// expireContacts forgets what the list no longer names. Seeds go the same way
-// once a list has come.
+// expireContacts removes contacts that the list has not named for contactGrace.
+// Seeds expire in the same way once a list is available.
 func (s *State) expireContacts() {
 	s.contacts = slices.DeleteFunc(s.contacts, func(c contact) bool {
 		return s.now.Sub(c.lastListed) > contactGrace
 	})
 }
 
-// applyFactsFrom applies the facts of a VM of the own domain, and those about this
-// VM of any. Facts don't name their domain: taking those of another for
-// members would merge the two.
+// applyFactsFrom applies the facts sent by a VM of the own domain. From other VMs
+// it applies only facts about this VM. Facts don't name their domain, so
+// applying all facts of another domain would merge the two domains.
 func (s *State) applyFactsFrom(id fleet.VMID, facts []Fact) {
 	vm, ok := s.address(id)
 	if ok && s.inOwnDomain(vm) {
@@ -222,12 +223,12 @@
 		return
 	}
 	if m.From != p.vm.ID {
-		return // a relay's answer carries no hashes
+		return // the ack of a relay carries no hashes
 	}
 	s.compareHashes(m, a.MembersHash, a.RowsHash, out)
 }
 
-// handlePingReq pings a VM for another one whose own ping had no answer.
+// handlePingReq pings a VM on behalf of another one whose ping was not answered.
 func (s *State) handlePingReq(m *Message, q *PingReq, out *Ready) {
 	to := fleet.VM{
 		ID:       q.VM.ID,
@@ -237,11 +238,11 @@
 		to = vm
 	}
 	p := probe{
-		seq:      s.nextSeq(),
-		vm:   to,
-		started:  s.now,
-		deadline: s.now.Add(s.opts.IndirectTimeout),
-		stage:    stageRelayed,
+		seq:          s.nextSeq(),
+		vm:           to,
+		started:      s.now,
+		deadline:     s.now.Add(s.opts.IndirectTimeout),
+		stage:        stageRelayed,
 		requester:    m.From,
 		requesterSeq: q.Seq,
 	}
@@ -253,8 +254,8 @@
 	s.sendPing(p.seq, to, f, out)
 }
 
-// expireProbes moves each overdue probe on: from direct to indirect, from
-// indirect to a suspicion.
+// expireProbes advances each overdue probe: a direct one becomes indirect, an
+// indirect one leads to a suspicion.
 func (s *State) expireProbes(out *Ready) {
 	for i := 0; i < len(s.probes); {
 		p := s.probes[i]
@@ -273,9 +274,9 @@
 	}
 }
 
-// startIndirectProbe turns an unanswered ping into requests to other VMs. It reports
-// false if the probe is over: the target was heard from in the meantime, so
-// only its answers to us are lost, or it is no member.
+// startIndirectProbe asks other VMs to ping the VM of an unanswered ping. It
+// returns false if the probe has ended: the VM was heard from in the meantime,
+// so only the ack was lost, or it is not a live member.
 func (s *State) startIndirectProbe(p *probe, out *Ready) bool {
 	r := s.byID[p.vm.ID]
 	if r == nil || r.dead() || r.lastHeard > p.started {
@@ -297,14 +298,14 @@
 	return true
 }
 
-// relays chooses VMs to ping target: members at random, and at least one VM
-// of another domain of the region where there is one. The latter keeps a
-// domain whole whose members can't reach each other across some line.
-func (s *State) relays(target *record) []fleet.VM {
+// relays chooses VMs to ping r: random members, and at least one VM of another
+// domain of the region if there is one. The latter keeps a domain together
+// whose members can't reach each other across an internal partition.
+func (s *State) relays(r *record) []fleet.VM {
 	var inside []fleet.VM
-	for _, r := range s.members {
-		if r != s.self && r != target && !r.dead() && !r.suspected() {
-			inside = append(inside, r.vm)
+	for _, m := range s.members {
+		if m != s.self && m != r && !m.dead() && !m.suspected() {
+			inside = append(inside, m.vm)
 		}
 	}
 	outside := s.otherDomainFirstReps(1)
@@ -327,7 +328,7 @@
 	s.suspect(r)
 }
 
-// sendFailed hastens the probe of a VM that no connection reaches.
+// sendFailed brings the probe of a VM forward after a connection to it failed.
 func (s *State) sendFailed(to fleet.VMID, out *Ready) {
 	for i := range s.probes {
 		p := &s.probes[i]
@@ -341,7 +342,7 @@
 	}
 }
 
-// probeSoon makes the next run ping a VM.
+// probeSoon makes the next random probe, due at once, ping a VM.
 func (s *State) probeSoon(id fleet.VMID) {
 	s.probeOrder = append(s.probeOrder, id)
 	s.due.random = s.now
--- a/decide/member/protocol_test.go
+++ b/decide/member/protocol_test.go
@@ -13,8 +13,9 @@
 	"github.com/azurethread/azurethread/decide/member/membertest"
 )
 
-// solo is one VM of a domain, fed by hand; it knows peer as a neighbour.
-func solo(t *testing.T) (s *member.State, peer fleet.VM, step func(d time.Duration, ev member.Event)) {
+// newStateWithPeer returns the state of one VM of a domain that knows peer as the
+// other member, and a function that passes it an event after some time.
+func newStateWithPeer(t *testing.T) (s *member.State, peer fleet.VM, step func(d time.Duration, ev member.Event)) {
 	t.Helper()
 	vms := membertest.Fleet(1, 1, 2)
 	peer = vms[1]
@@ -27,13 +28,13 @@
 		s.Step(now, ev, &out)
 	}
 	step(0, &member.Listed{List: fleet.List{VMs: []fleet.VM{peer}}})
-	step(time.Millisecond, from(peer, &member.SyncAck{Domain: peer.Domain, Facts: []member.Fact{{
+	step(time.Millisecond, messageFrom(peer, &member.SyncAck{Domain: peer.Domain, Facts: []member.Fact{{
 		ID: peer.ID, Incarnation: 5, CallAddr: peer.CallAddr, PeerAddr: peer.PeerAddr,
 	}}}))
 	return s, peer, step
 }
 
-func from(vm fleet.VM, m member.Msg) *member.Message {
+func messageFrom(vm fleet.VM, m member.Msg) *member.Message {
 	return &member.Message{From: vm.ID, Incarnation: vm.Incarnation, Msg: m}
 }
 
@@ -46,32 +47,31 @@
 	return vm.State
 }
 
-// Symptom: a VM that wakes from a pause drops a neighbour that has refuted a
-// suspicion long ago. Sequence: the suspicion arrives, the process is paused
-// for longer than it lasts, the refutation waits in its inbox. Cause: the
-// deadline went by while nothing could be read.
+// A VM is paused for longer than a suspicion lasts, while the refutation waits in
+// its inbox. When it resumes, it must not drop the refuted VM because the
+// deadline passed while it could not read messages.
 func TestPauseExtendsSuspicions(t *testing.T) {
 	is := is.New(t)
-	s, peer, step := solo(t)
-	step(time.Millisecond, from(peer, &member.Spread{Facts: []member.Fact{
+	s, peer, step := newStateWithPeer(t)
+	step(time.Millisecond, messageFrom(peer, &member.Spread{Facts: []member.Fact{
 		{ID: peer.ID, Incarnation: 5, Status: member.Suspected}}}))
 	step(5*time.Second, &member.Tick{})
 	is.Equal(stateOf(t, s, peer.ID), fleet.Live)
-	step(time.Millisecond, from(peer, &member.Spread{Facts: []member.Fact{
+	step(time.Millisecond, messageFrom(peer, &member.Spread{Facts: []member.Fact{
 		{ID: peer.ID, Incarnation: 5, Refutations: 1}}}))
 	step(200*time.Millisecond, &member.Tick{})
 	is.Equal(stateOf(t, s, peer.ID), fleet.Live)
 }
 
-// Symptom: after a partition heals, VMs that everybody reaches are dropped
-// for an instant. Sequence: a message of the other side says that a VM is
-// dead, from which this one has just heard. Cause: that word is older than
-// what was heard, but can't be told apart by its numbers.
+// After a partition heals, the other side sends the fact that a VM is dead from
+// which this VM has just received a message. The fact is older than the message,
+// but has the same incarnation and refutation count. Applied at once, it would
+// drop a VM for a moment that everybody reaches.
 func TestRecentMessageOverridesDeath(t *testing.T) {
 	is := is.New(t)
-	s, peer, step := solo(t)
+	s, peer, step := newStateWithPeer(t)
 	dead := &member.Spread{Facts: []member.Fact{{ID: peer.ID, Incarnation: 5, Status: member.Dead}}}
-	step(time.Millisecond, from(peer, dead))
+	step(time.Millisecond, messageFrom(peer, dead))
 	is.Equal(stateOf(t, s, peer.ID), fleet.Live)
 	for range 10 { // no refutation comes
 		step(100*time.Millisecond, &member.Tick{})
@@ -79,12 +79,12 @@
 	is.Equal(stateOf(t, s, peer.ID), fleet.Dead)
 }
 
-// Symptom: two domains become one in everybody's eyes. Sequence: a VM of
-// another domain sends facts about its members. Cause: facts don't name their
-// domain, so only the sender tells.
+// A VM of another domain sends facts about its members. Facts don't name their
+// domain, so they must be recognised by the sender; otherwise the two domains
+// merge.
 func TestFactsOfOtherDomainAreIgnored(t *testing.T) {
 	is := is.New(t)
-	s, _, step := solo(t)
+	s, _, step := newStateWithPeer(t)
 	stranger := membertest.NewVM("r00", "r00-d1", 0)
 	step(time.Millisecond, &member.Listed{List: fleet.List{VMs: []fleet.VM{stranger}}})
 	facts := []member.Fact{{ID: "x", Incarnation: 1, PeerAddr: "10.0.0.9:1"}}
@@ -92,15 +92,15 @@
 		&member.Ping{Seq: 1, Facts: facts}, &member.Ack{Seq: 1, Facts: facts}, &member.Spread{Facts: facts},
 		&member.Sync{Domain: "r00-d1", Digest: facts}, &member.SyncAck{Domain: "r00-d1", Facts: facts},
 	} {
-		step(time.Millisecond, from(stranger, m))
+		step(time.Millisecond, messageFrom(stranger, m))
 		is.Equal(len(s.Members(nil)), 2)
 	}
 }
 
-// Symptom: two parts of the fleet keep different rows of a domain for ever.
-// Sequence: two VMs that both think themselves its author publish in the same
-// millisecond. Cause: the versions are equal, so neither row replaces the
-// other, and the hashes of the tables agree.
+// Two VMs that both act as a domain's author publish in the same millisecond, so
+// their rows have equal versions. Unless the author decides, neither row replaces
+// the other, the hashes of the tables agree, and two parts of the fleet keep
+// different rows permanently.
 func TestEqualVersionsAreOrderedByAuthor(t *testing.T) {
 	is := is.New(t)
 	row := func(author fleet.VMID) member.Row {
@@ -108,9 +108,9 @@
 			VMs: []member.RowVM{{ID: author, PeerAddr: "10.0.0.9:1"}}}
 	}
 	for _, order := range [][]fleet.VMID{{"a", "b"}, {"b", "a"}} {
-		s, peer, step := solo(t)
+		s, peer, step := newStateWithPeer(t)
 		for _, author := range order {
-			step(time.Millisecond, from(peer, &member.Spread{Rows: []member.Row{row(author)}}))
+			step(time.Millisecond, messageFrom(peer, &member.Spread{Rows: []member.Row{row(author)}}))
 		}
 		_, ok := s.VM("b")
 		is.True(ok)
@@ -119,54 +119,53 @@
 	}
 }
 
-// Symptom: a domain that its neighbours can't reach is avoided by all regions
-// for good. Sequence: the link between two domains of a region breaks; other
-// regions reach both. Cause: each region must trust its own finding more.
+// The link between two domains of a region breaks, while other regions reach
+// both. Unless each domain uses its own result, all regions avoid domains that
+// they can reach.
 func TestResultOfOtherDomainIsVerified(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork(13)
 	vms := membertest.Fleet(3, 2, 2)
-	start(n, vms)
+	startAndSettle(n, vms)
 	a, b := fleet.Domain("r00-d0"), fleet.Domain("r00-d1")
 	n.Cut = func(from, to *fleet.VM) bool {
 		return (from.Domain == a && to.Domain == b) || (from.Domain == b && to.Domain == a)
 	}
 	n.Run(6 * time.Second)
-	marks := mark(n)
+	counts := changeCounts(n)
 	n.Run(time.Minute)
-	for _, node := range n.VMs {
+	for _, entry := range n.VMs {
 		switch {
-		case node.VM.Domain == a:
-			is.True(!slices.Contains(offers(node), vms[2].ID))
-		case node.VM.Domain == b:
-			is.True(!slices.Contains(offers(node), vms[0].ID))
+		case entry.VM.Domain == a:
+			is.True(!slices.Contains(offers(entry), vms[2].ID))
+		case entry.VM.Domain == b:
+			is.True(!slices.Contains(offers(entry), vms[0].ID))
 		default:
-			is.Equal(offers(node), up(n))
-			is.Equal(len(node.Changes), marks[node.VM.ID])
+			is.Equal(offers(entry), runningVMs(n))
+			is.Equal(len(entry.Changes), counts[entry.VM.ID])
 		}
 	}
 }
 
-// Symptom: callers are still sent to a domain that this one can't reach.
-// Sequence: a wide outage makes other domains publish as many results as a VM
-// keeps; then the neighbour domain is lost. Cause: the own result, which alone
-// decides, found no room.
-func TestOwnResultHasRoom(t *testing.T) {
+// A large outage makes other domains publish as many results as a VM stores; then
+// the region's other domain is lost. The own result, the only one that withdraws
+// VMs, must still be stored, or callers are sent to the lost domain.
+func TestOwnResultEvictsOthers(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork(3)
 	vms := membertest.Fleet(1, 2, 1)
-	start(n, vms)
+	startAndSettle(n, vms)
 	others := make([]member.ReachResult, member.MaxReachResults)
 	for i := range others {
 		others[i] = member.ReachResult{
-			Region:     "far",
-			Domain:     fleet.Domain(fmt.Sprintf("far-%d", i)),
+			Region:        "far",
+			Domain:        fleet.Domain(fmt.Sprintf("far-%d", i)),
 			WatcherRegion: "far",
 			WatcherDomain: "far-seen",
 		}
 	}
 	n.Stop(vms[1].ID)
-	n.Step(n.VMs[0], from(vms[1], &member.PartialAck{ReachResults: others}))
+	n.Step(n.VMs[0], messageFrom(vms[1], &member.PartialAck{ReachResults: others}))
 	n.Run(5 * time.Second)
-	is.Equal(offers(n.VMs[0]), up(n))
+	is.Equal(offers(n.VMs[0]), runningVMs(n))
 }
--- a/decide/member/random_test.go
+++ b/decide/member/random_test.go
@@ -26,52 +26,52 @@
 	os.Exit(m.Run())
 }
 
-// settleWithin is the time after the last fault by which all agree. The
-// longest part of it is mergedTTL in a partitioned domain.
-const settleWithin = 25 * time.Second
+// convergeWithin is the time after the last fault within which all VMs agree.
+// The largest part of it is mergedTTL in a partitioned domain.
+const convergeWithin = 25 * time.Second
 
-// faults is a network under random faults.
-type faults struct {
+// faultyNetwork is a network with random faults.
+type faultyNetwork struct {
 	*membertest.Network
-	vms     []fleet.VM
-	links   map[[2]fleet.VMID]bool
-	island  func(vm *fleet.VM) bool
-	lossy   int // of 100 messages that are lost
-	counter uint64
+	vms         []fleet.VM
+	links       map[[2]fleet.VMID]bool
+	island      func(vm *fleet.VM) bool
+	lossPercent int // percentage of messages that are lost
+	lossRandom  uint64
 }
 
-func newFaults(t *rapid.T) *faults {
-	f := &faults{Network: newNetwork(rapid.Uint64Range(1, 1<<40).Draw(t, "seed"))}
+func newFaultyNetwork(t *rapid.T) *faultyNetwork {
+	f := &faultyNetwork{Network: newNetwork(rapid.Uint64Range(1, 1<<40).Draw(t, "seed"))}
 	shapes := [][3]int{{1, 1, 5}, {1, 3, 3}, {2, 2, 2}, {3, 2, 1}, {2, 2, 3}, {1, 1, 10}}
 	shape := rapid.SampledFrom(shapes).Draw(t, "fleet")
 	f.vms = membertest.Fleet(shape[0], shape[1], shape[2])
-	f.Cut = f.lost
+	f.Cut = f.isLost
 	f.heal()
 	return f
 }
 
-func (f *faults) heal() {
+func (f *faultyNetwork) heal() {
 	f.links = make(map[[2]fleet.VMID]bool)
 	f.island = nil
-	f.lossy = 0
+	f.lossPercent = 0
 }
 
-func (f *faults) lost(from, to *fleet.VM) bool {
-	f.counter = f.counter*6364136223846793005 + f.Seed | 1
+func (f *faultyNetwork) isLost(from, to *fleet.VM) bool {
+	f.lossRandom = f.lossRandom*6364136223846793005 + f.Seed | 1
 	switch {
 	case f.links[[2]fleet.VMID{from.ID, to.ID}]:
 		return true
 	case f.island != nil && f.island(from) != f.island(to):
 		return true
 	default:
-		return int(f.counter>>33%100) < f.lossy
+		return int(f.lossRandom>>33%100) < f.lossPercent
 	}
 }
 
-// act draws one fault or recovery and lets some time pass.
-func (f *faults) act(t *rapid.T, paused map[fleet.VMID]bool) {
+// injectFault draws one fault or recovery and advances the clock.
+func (f *faultyNetwork) injectFault(t *rapid.T, paused map[fleet.VMID]bool) {
 	vm := rapid.SampledFrom(f.vms).Draw(t, "vm")
-	node := f.VM(vm.ID)
+	entry := f.VM(vm.ID)
 	switch rapid.SampledFrom([]string{"stop", "start", "leave", "link", "island", "domain", "loss", "heal", "pause"}).Draw(t, "act") {
 	case "stop":
 		f.Stop(vm.ID)
@@ -80,8 +80,8 @@
 		delete(paused, vm.ID)
 		f.Start(vm, f.vms)
 	case "leave":
-		if node.Up {
-			f.Step(node, &member.Leave{})
+		if entry.Up {
+			f.Step(entry, &member.Leave{})
 		}
 	case "link":
 		to := rapid.SampledFrom(f.vms).Draw(t, "to")
@@ -95,53 +95,53 @@
 	case "domain":
 		f.island = func(v *fleet.VM) bool { return v.Domain == vm.Domain }
 	case "loss":
-		f.lossy = rapid.IntRange(0, 30).Draw(t, "loss")
+		f.lossPercent = rapid.IntRange(0, 30).Draw(t, "loss")
 	case "heal":
 		f.heal()
 	case "pause":
-		if node.Up {
-			node.Up = false
+		if entry.Up {
+			entry.Up = false
 			paused[vm.ID] = true
 		}
 	}
 	f.Run(time.Duration(rapid.IntRange(1, 6000).Draw(t, "ms")) * time.Millisecond)
 }
 
-// resume continues paused processes: each takes its next step late.
-func (f *faults) resume(paused map[fleet.VMID]bool) {
+// resume continues the paused processes. Each runs its next step late.
+func (f *faultyNetwork) resume(paused map[fleet.VMID]bool) {
 	for _, vm := range f.vms {
 		if paused[vm.ID] {
-			node := f.VM(vm.ID)
-			node.Up = true
-			f.Step(node, &member.Tick{})
+			entry := f.VM(vm.ID)
+			entry.Up = true
+			f.Step(entry, &member.Tick{})
 		}
 	}
 }
 
-// TestRandomFaults asserts, after any sequence of faults: once they end, all
-// running VMs agree on who is live; from then on nobody drops a VM that runs;
-// and a VM that crashes is dropped by all in time.
+// TestRandomFaults asserts after a random sequence of faults: once they end, all
+// running VMs agree on the live VMs; from then on no VM drops a running VM; and a
+// VM that crashes is dropped by all within deadWithin.
 func TestRandomFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := newFaults(t)
-		start(f.Network, f.vms)
+		f := newFaultyNetwork(t)
+		startAndSettle(f.Network, f.vms)
 		paused := make(map[fleet.VMID]bool)
 		for range rapid.IntRange(1, 15).Draw(t, "acts") {
-			f.act(t, paused)
+			f.injectFault(t, paused)
 		}
 		f.resume(paused)
 		f.heal()
-		f.Run(settleWithin)
+		f.Run(convergeWithin)
 		f.requireAgreement(t, "after the faults")
 
-		marks := mark(f.Network)
+		counts := changeCounts(f.Network)
 		f.Run(20 * time.Second)
-		for _, id := range up(f.Network) {
-			if n := withdrawnSince(f.Network, marks, id); n > 0 {
+		for _, id := range runningVMs(f.Network) {
+			if n := withdrawnSince(f.Network, counts, id); n > 0 {
 				t.Fatalf("%s dropped %d times without a fault", id, n)
 			}
 		}
-		live := up(f.Network)
+		live := runningVMs(f.Network)
 		if len(live) < 2 {
 			return
 		}
@@ -151,15 +151,14 @@
 	})
 }
 
-func (f *faults) requireAgreement(t *rapid.T, when string) {
-	want := up(f.Network)
+func (f *faultyNetwork) requireAgreement(t *rapid.T, when string) {
+	want := runningVMs(f.Network)
 	for _, id := range disagreements(f.Network, want) {
 		t.Fatalf("%s: %s offers %v, not %v", when, id, offers(f.VM(id)), want)
 	}
 }
 
-// TestSameSeedSameRun holds the reducer to depending on nothing but events
-// and seed.
+// TestSameSeedSameRun asserts that a State depends only on its events and seed.
 func TestSameSeedSameRun(t *testing.T) {
 	run := func() string {
 		n := newNetwork(77)
@@ -168,7 +167,7 @@
 			log += fmt.Sprintf("%d %s %s %T%+v\n", n.Now, from.VM.ID, s.To.ID, s.Msg, s.Msg)
 		}
 		vms := membertest.Fleet(2, 2, 3)
-		start(n, vms)
+		startAndSettle(n, vms)
 		n.Stop(vms[2].ID)
 		n.Run(5 * time.Second)
 		return log
--- a/decide/member/rank.go
+++ b/decide/member/rank.go
@@ -18,15 +18,15 @@
 	return h
 }
 
-// mix spreads the bits of h, so that ids that differ in the last letter get
-// unrelated ranks (the finaliser of splitmix64).
+// mix is the finaliser of splitmix64. It makes ids that differ only in the last
+// letter get unrelated ranks.
 func mix(h uint64) uint64 {
 	h = (h ^ h>>30) * 0xbf58476d1ce4e5b9
 	h = (h ^ h>>27) * 0x94d049bb133111eb
 	return h ^ h>>31
 }
 
-// rank orders the VMs of a domain, the same way at every VM.
+// rank is the position of a VM in the ring of its domain, the same at every VM.
 func rank(id fleet.VMID) uint64 {
 	return mix(hashString(fnvOffset, string(id)))
 }
@@ -38,9 +38,9 @@
 	return cmp.Compare(a.vm.ID, b.vm.ID)
 }
 
-// repCount is the number of representatives of a domain with n live VMs:
-// about the square root, since each exchanges with all others and collects
-// from an equal part of the rest.
+// repCount returns the number of representatives of a domain with n live VMs:
+// about the square root of n, since each of them exchanges messages with all
+// others and collects from an equal part of the remaining VMs.
 func repCount(n int) int {
 	root := 0
 	for root*root < n {
--- a/decide/member/reach.go
+++ b/decide/member/reach.go
@@ -8,18 +8,21 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// storedReachResult is a statement about reachability as held here.
+// storedReachResult is a reachability result that this VM has measured or
+// received.
 type storedReachResult struct {
-	result ReachResult
-	measuredAt    clock.Time // when it was measured
+	result     ReachResult
+	measuredAt clock.Time // on the local clock
 }
 
+// sameKey reports whether two results have the same remote and watcher.
 func sameKey(a, b *ReachResult) bool {
 	return a.Region == b.Region && a.Domain == b.Domain &&
 		a.WatcherRegion == b.WatcherRegion && a.WatcherDomain == b.WatcherDomain
 }
 
-// applyReachResult merges a statement. It reports whether Reachable has changed.
+// applyReachResult stores a result if it is newer than the stored one. It
+// reports whether Reachable has changed.
 func (s *State) applyReachResult(r *ReachResult) bool {
 	at := timeFromAge(s.now, r.Age)
 	if s.now.Sub(at) > reachResultTTL {
@@ -47,9 +50,10 @@
 }
 
 // evictReachResult makes room for a result of the own domain by dropping the
-// oldest one of another. Without it a wide outage, in which other domains
-// publish MaxReaches results, would hide from this domain that a remote is
-// unreachable, and callers would be sent there: only own results withdraw VMs.
+// oldest result of another domain. Without eviction, a large outage in which
+// other domains publish MaxReachResults results would leave no room for the own
+// result that a remote is unreachable. Only own results withdraw VMs, so callers
+// would still be sent there.
 func (s *State) evictReachResult(r *ReachResult) bool {
 	own := s.self.vm.Domain
 	if r.WatcherDomain != own {
@@ -81,16 +85,16 @@
 	})
 }
 
-// remote is a domain, or with an empty domain a whole region.
+// remote identifies another domain or, if domain is empty, a whole region.
 type remote struct {
 	region fleet.Region
 	domain fleet.Domain
 }
 
-// reachable reports the own domain's result for a remote; without one it is
-// taken to be reachable. The results of other domains only trigger a probe.
-// If they were applied, a domain that was itself cut off would, when it
-// returns, withdraw VMs that all others could reach throughout.
+// reachable returns the own domain's result for a remote, or true without one.
+// Results of other domains only trigger a probe. If they were applied, a domain
+// that had been cut off would, on its return, withdraw VMs that all other
+// domains could reach all the time.
 func (s *State) reachable(rm remote) bool {
 	for i := range s.reachResults {
 		h := &s.reachResults[i].result
@@ -101,7 +105,8 @@
 	return true
 }
 
-// domainReachable reports whether a domain may be used from here.
+// domainReachable reports whether neither a domain nor its region is recorded as
+// unreachable from the own domain.
 func (s *State) domainReachable(region fleet.Region, d fleet.Domain) bool {
 	if d == s.self.vm.Domain {
 		return true
@@ -112,26 +117,27 @@
 	return s.reachable(remote{region: region, domain: d})
 }
 
-// anyReportsUnreachable reports whether any domain states that a remote is unreachable.
+// anyReportsUnreachable reports whether any domain has published that a remote is
+// unreachable.
 func (s *State) anyReportsUnreachable(rm remote) bool {
 	return slices.ContainsFunc(s.reachResults, func(h storedReachResult) bool {
 		return !h.result.Reachable && h.result.Region == rm.region && h.result.Domain == rm.domain
 	})
 }
 
-// recordReachResult records this VM's own result for a remote, and publishes it if it
-// differs from the last one.
+// recordReachResult stores this VM's own result for a remote, and publishes it
+// if it differs from the last one.
 func (s *State) recordReachResult(w *watch, ok bool) {
 	w.lastReported = reportedNothing
 	if ok && !s.anyReportsUnreachable(w.remote) {
 		return
 	}
 	r := ReachResult{
-		Region:     w.remote.region,
-		Domain:     w.remote.domain,
+		Region:        w.remote.region,
+		Domain:        w.remote.domain,
 		WatcherRegion: s.self.vm.Region,
 		WatcherDomain: s.self.vm.Domain,
-		Reachable:  ok,
+		Reachable:     ok,
 	}
 	if s.applyReachResult(&r) {
 		s.outbox.addReachResult(s.now.Add(flushDelay), outboxReachResult{result: r, measuredAt: s.now, to: w.extent(s)})
@@ -142,8 +148,9 @@
 	}
 }
 
-// latestReachResults returns statements for one message: those that others can
-// use, the latest first.
+// latestReachResults returns the latest results for one message. For a receiver
+// in another region it leaves out results about whole regions and results that
+// were measured outside of this region.
 func (s *State) latestReachResults(far bool) []ReachResult {
 	var held []storedReachResult
 	for _, h := range s.reachResults {
--- a/decide/member/row.go
+++ b/decide/member/row.go
@@ -9,19 +9,20 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// storedRow is a domain's row as held here. Rows are kept in order of domain.
+// storedRow is a domain's row with its hash.
 type storedRow struct {
 	row  Row
 	hash uint64
 }
 
-// mergedVM is an entry VM of the own domain that this VM holds dead but another
-// author of the domain lists: the domain is partitioned. Each author publishes
-// the union. Without that the two sides would replace each other's rows
-// forever, and other domains would drop one side's live VMs at each change.
+// mergedVM is an entry VM of the own domain that is dead in this VM's view but
+// listed by another author of the domain: the domain is partitioned. Each
+// author publishes the union of both views. Otherwise the two sides would keep
+// replacing each other's rows, and other domains would drop the live VMs of one
+// side at each replacement.
 type mergedVM struct {
-	author    fleet.VMID
-	vm    RowVM
+	author  fleet.VMID
+	vm      RowVM
 	expires clock.Time
 }
 
@@ -50,7 +51,8 @@
 	return cmp.Compare(a.Author, b.Author)
 }
 
-// putRow stores a row if it is newer than the one held.
+// putRow stores a row if it is newer than the stored one. It reports whether it
+// was stored.
 func (s *State) putRow(row Row) bool {
 	at, ok := s.findRow(row.Domain)
 	if ok && compareVersions(row.version(), s.rows[at].row.version()) <= 0 {
@@ -67,13 +69,13 @@
 		return true
 	}
 	s.rows = slices.Insert(s.rows, at, r)
-	// A domain unknown when the own row was pushed has not received it.
+	// A domain that was unknown when the own row was pushed has not received it.
 	s.repeatOwnRowDue = s.repeatOwnRowDue || row.Domain != s.self.vm.Domain
 	return true
 }
 
-// recheckUnreachable makes this VM probe at once a domain that was unreachable and has a
-// new row: its VMs may have been replaced.
+// recheckUnreachable makes this VM check an unreachable remote at once when it
+// has a new row, since its VMs may have been replaced.
 func (s *State) recheckUnreachable(row *Row) {
 	for i := range s.watches {
 		w := &s.watches[i]
@@ -85,7 +87,8 @@
 	}
 }
 
-// applyRow merges a row of another VM. It reports whether it was newer.
+// applyRow merges a row from another VM. It reports whether the row was newer
+// than the stored one.
 func (s *State) applyRow(row Row) bool {
 	if row.Domain != s.self.vm.Domain {
 		return s.putRow(row)
@@ -105,9 +108,10 @@
 	return true
 }
 
-// mergeOtherAuthor keeps the VMs listed by another author of the own domain that
-// this VM holds dead. Only VMs which that author itself holds live are kept;
-// otherwise each side would keep renewing a dead VM from the other's row.
+// mergeOtherAuthor keeps the VMs of another author's row of the own domain that
+// are dead or unknown here. Only VMs that are live in that author's own view are
+// kept; otherwise each side would keep renewing a dead VM from the other side's
+// row.
 func (s *State) mergeOtherAuthor(row *Row) {
 	author := s.byID[row.Author]
 	if author != nil && !author.dead() {
@@ -124,7 +128,8 @@
 
 func (s *State) rowHash() uint32 { return s.rowHashForRegion("") }
 
-// rowHashForRegion condenses the rows of a region, or all for an empty one.
+// rowHashForRegion returns a hash of the rows of a region, or of all rows if
+// region is empty.
 func (s *State) rowHashForRegion(region fleet.Region) uint32 {
 	var h uint64
 	for _, r := range s.rows {
@@ -136,8 +141,8 @@
 }
 
 // reps returns the ids of the representatives of the own domain, the author
-// first. Where none is live, the leaving ones go on, so as to know to whom
-// they can send callers.
+// first. If no VM is live, leaving ones continue as representatives, so that
+// they still know which other VMs to send callers to.
 func (s *State) reps() []fleet.VMID {
 	if ids := s.firstReps(fleet.Live); len(ids) > 0 {
 		return ids
@@ -145,6 +150,7 @@
 	return s.firstReps(fleet.Leaving)
 }
 
+// firstReps returns the first repCount members in the given state.
 func (s *State) firstReps(state fleet.State) []fleet.VMID {
 	var ids []fleet.VMID
 	for _, r := range s.members {
@@ -155,8 +161,8 @@
 	return ids[:repCount(len(ids))]
 }
 
-// isAuthor reports whether this VM publishes the domain's row: whether it is
-// the first of the representatives.
+// isAuthor reports whether this VM publishes the domain's row, as the first of
+// the representatives does.
 func (s *State) isAuthor() bool {
 	return s.joined && (s.isFirstInState(fleet.Live) || (s.liveMembers() == 0 && s.isFirstInState(fleet.Leaving)))
 }
@@ -171,7 +177,7 @@
 }
 
 // refreshOwnRow publishes the domain's row if this VM is its author and the
-// row held differs from the members.
+// stored row doesn't match the members.
 func (s *State) refreshOwnRow() {
 	s.expireMerged()
 	if !s.isAuthor() {
@@ -193,8 +199,7 @@
 	s.outbox.addRow(s.now.Add(flushDelay), row, toAll)
 }
 
-// repeatOwnRow pushes the own row again after another domain has become
-// known.
+// repeatOwnRow pushes the own row again if a domain has become known since.
 func (s *State) repeatOwnRow() {
 	at, ok := s.findRow(s.self.vm.Domain)
 	if !s.repeatOwnRowDue || !ok {
@@ -204,9 +209,9 @@
 	s.outbox.addRow(s.now.Add(flushDelay), s.rows[at].row, toAll)
 }
 
-// publishDue reports whether the row must be looked at. In a partitioned
-// domain each author republishes every mergedEvery even without a change, to
-// renew the other's merged VMs.
+// publishDue reports whether the own row must be rebuilt. In a partitioned
+// domain each author publishes every mergedPublishInterval even without a
+// change, to renew the other author's merged VMs.
 func (s *State) publishDue() bool {
 	if len(s.merged) == 0 {
 		return s.ownRowStale
@@ -231,7 +236,8 @@
 		Domain: s.self.vm.Domain,
 		Author: s.self.vm.ID,
 	}
-	// Parts of a domain share the places, so that their rows name the same.
+	// The sides of a partition share the RowVMs places, so that their rows list
+	// the same VMs.
 	own := RowVMs - min(len(s.merged), RowVMs/2)
 	for _, r := range s.members {
 		switch r.vm.State {
@@ -261,7 +267,7 @@
 	}
 }
 
-// offeredVMs returns the VMs that callers may be sent to.
+// offeredVMs returns the VMs that callers can be sent to.
 func (r *Row) offeredVMs() []RowVM {
 	if r.Live == 0 {
 		return nil
@@ -285,8 +291,8 @@
 	}
 }
 
-// sameRow compares two rows' content in any order of their VMs: two authors
-// of a partitioned domain list them in different order.
+// sameRow compares the content of two rows, ignoring the order of their VMs:
+// two authors of a partitioned domain list them in different order.
 func sameRow(a, b *Row) bool {
 	if a.Live != b.Live || a.Leaving != b.Leaving || len(a.VMs) != len(b.VMs) {
 		return false
@@ -299,7 +305,7 @@
 	return true
 }
 
-// fleetVM returns what a row says about one of its VMs.
+// fleetVM converts a VM of a row.
 func (r *Row) fleetVM(v RowVM) fleet.VM {
 	return fleet.VM{
 		ID:          v.ID,
@@ -326,7 +332,7 @@
 	return out
 }
 
-// findInRows finds a VM that another domain offers.
+// findInRows returns a VM that is listed in a row.
 func (s *State) findInRows(id fleet.VMID) (fleet.VM, bool) {
 	for _, r := range s.rows {
 		for _, v := range r.row.VMs {
@@ -338,8 +344,8 @@
 	return fleet.VM{}, false
 }
 
-// otherDomainFirstReps returns the first n representatives of each other domain of the
-// region.
+// otherDomainFirstReps returns the first n representatives of each other domain
+// of the region.
 func (s *State) otherDomainFirstReps(n int) []fleet.VM {
 	var out []fleet.VM
 	for _, r := range s.rows {
--- a/decide/member/session_test.go
+++ b/decide/member/session_test.go
@@ -15,14 +15,14 @@
 )
 
 // TestSessions replays the sessions in testdata/session. Each command prints
-// the changes that entry VMs reported meanwhile. The commands:
+// the changes that entry VMs report during the command. The commands:
 //
-//	fleet regions=R domains=D members=M    starts all VMs and waits for rest
-//	run for=DURATION                       lets time pass
+//	fleet regions=R domains=D members=M    starts all VMs and waits until they agree
+//	run for=DURATION                       advances the clock
 //	cut domain=D | from=VM to=VM           cuts a domain off, or a one-way link
 //	heal                                   ends all cuts
 //	stop vm=VM | start vm=VM | leave vm=VM
-//	view vm=VM                             prints what a VM knows
+//	view vm=VM                             prints a VM's view of all domains
 func TestSessions(t *testing.T) {
 	datadriven.Walk(t, "testdata/session", func(t *testing.T, path string) {
 		s := &session{n: newNetwork(1)}
@@ -50,7 +50,7 @@
 }
 
 func (s *session) run(t *testing.T, d *datadriven.TestData) string {
-	marks := mark(s.n)
+	counts := changeCounts(s.n)
 	switch d.Cmd {
 	case "fleet":
 		var r, dom, m int
@@ -58,8 +58,8 @@
 		d.ScanArgs(t, "domains", &dom)
 		d.ScanArgs(t, "members", &m)
 		s.vms = membertest.Fleet(r, dom, m)
-		start(s.n, s.vms)
-		return fmt.Sprintf("%d entry VMs, %d disagree\n", len(s.vms), len(disagreements(s.n, up(s.n))))
+		startAndSettle(s.n, s.vms)
+		return fmt.Sprintf("%d entry VMs, %d disagree\n", len(s.vms), len(disagreements(s.n, runningVMs(s.n))))
 	case "run":
 		var text string
 		d.ScanArgs(t, "for", &text)
@@ -83,7 +83,7 @@
 	default:
 		t.Fatalf("unknown command %q", d.Cmd)
 	}
-	return s.changes(marks)
+	return s.changes(counts)
 }
 
 func (s *session) addCut(t *testing.T, d *datadriven.TestData) {
@@ -109,14 +109,14 @@
 	return s.vms[at]
 }
 
-// changes prints what was reported since marks, by VM concerned and instant,
-// with those who reported it.
-func (s *session) changes(marks map[fleet.VMID]int) string {
+// changes prints the changes reported since the given counts: the instant, the
+// reporting VM and the state of the other one, in alphabetical order.
+func (s *session) changes(counts map[fleet.VMID]int) string {
 	var lines []string
-	for _, node := range s.n.VMs {
-		for _, c := range node.Changes[marks[node.VM.ID]:] {
+	for _, entry := range s.n.VMs {
+		for _, c := range entry.Changes[counts[entry.VM.ID]:] {
 			at := c.At.Sub(membertest.Epoch).Round(time.Millisecond)
-			lines = append(lines, fmt.Sprintf("%8s %s says %s is %s", at, node.VM.ID, c.VM.ID, c.VM.State))
+			lines = append(lines, fmt.Sprintf("%8s %s says %s is %s", at, entry.VM.ID, c.VM.ID, c.VM.State))
 		}
 	}
 	slices.SortStableFunc(lines, strings.Compare)
--- a/decide/member/state.go
+++ b/decide/member/state.go
@@ -8,17 +8,17 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// record is what is known of a VM of the own domain.
+// record is the stored state of a VM of the own domain.
 type record struct {
 	vm                  fleet.VM // State is Live, Leaving or Dead
 	refutations         uint32
 	rank                uint64
 	suspectedAt         clock.Time        // zero unless suspected
-	lastHeard               clock.Time        // last message received from it
+	lastHeard           clock.Time        // last message received from it
 	diedAt              clock.Time        // set when State is Dead
-	reportedState       fleet.State       // state last reported,
-	reportedIncarnation fleet.Incarnation // of this process,
-	reported            bool              // if any
+	reportedState       fleet.State       // as last reported in Ready.Changed
+	reportedIncarnation fleet.Incarnation // as last reported in Ready.Changed
+	reported            bool              // whether it was ever reported
 }
 
 func (r *record) suspected() bool { return r.suspectedAt != 0 }
@@ -27,11 +27,11 @@
 
 // contact is a VM named by the platform's list or the seeds.
 type contact struct {
-	vm     fleet.VM
+	vm         fleet.VM
 	lastListed clock.Time // last time the list or the seeds named it
 }
 
-// schedule holds the next instants of the periodic tasks.
+// schedule holds the instants at which the periodic tasks are next due.
 type schedule struct {
 	probe  clock.Time
 	random clock.Time
@@ -40,22 +40,22 @@
 	join   clock.Time // end of joining; Never once joined
 }
 
-// State is the membership as one entry VM sees it. It isn't safe for
+// State is the view that one entry VM has of the membership. It isn't safe for
 // concurrent use.
 type State struct {
-	opts    Options
+	opts Options
 	self *record
 	rng  *rand.Rand
 
-	members   []*record // of the own domain, self included, in ring order
-	byID      map[fleet.VMID]*record
-	contacts  []contact // in order of id
-	rows      []*storedRow
-	reachResults   []storedReachResult
-	watches   []watch
-	probes    []probe
-	piggyback []queuedFact
-	merged    []mergedVM
+	members      []*record // of the own domain, self included, in ring order
+	byID         map[fleet.VMID]*record
+	contacts     []contact // in order of id
+	rows         []*storedRow
+	reachResults []storedReachResult
+	watches      []watch
+	probes       []probe
+	piggyback    []queuedFact
+	merged       []mergedVM
 
 	due     schedule
 	started bool
@@ -64,32 +64,32 @@
 	wake    clock.Time
 	seq     uint32
 
-	outbox        outbox
-	backupOutbox  outbox
-	probeOrder         []fleet.VMID // random-order targets not yet pinged
-	mismatches      []mismatch
-	lastSync      clock.Time
-	lastRefuted   clock.Time
-	unansweredReports     int
-	ownRowStale   bool // own row must be compared with the members
-	repeatOwnRowDue      bool // own row must be pushed again
-	dutiesStale     bool // duties must be compared with those last reported
-	dutiesHash     uint64
-	superseded    bool
-	reachChanged bool       // statements about reachability have changed
-	reportedRemoteVMs           []fleet.VM // of other domains, as last reported
-	reportedRemoteHash       uint64     // hash of what far was made from
-	publishedAt     clock.Time // when the own row was last published
+	outbox             outbox
+	backupOutbox       outbox
+	probeOrder         []fleet.VMID // VMs that probeRandom has yet to ping
+	mismatches         []mismatch
+	lastSync           clock.Time
+	lastRefuted        clock.Time
+	unansweredReports  int
+	ownRowStale        bool // the own row must be compared with the members
+	repeatOwnRowDue    bool // the own row must be pushed again
+	dutiesStale        bool // the duties must be compared with those last reported
+	dutiesHash         uint64
+	superseded         bool
+	reachChanged       bool       // the watches must be adapted to changed reachability results
+	reportedRemoteVMs  []fleet.VM // of other domains, as last reported in Ready.Changed
+	reportedRemoteHash uint64     // remoteHash when reportedRemoteVMs was set
+	publishedAt        clock.Time // when the own row was last published
 }
 
-// New returns the state of the entry VM self, whose Incarnation must be
-// higher than that of every earlier process under the same id; its start
-// instant in nanoseconds serves. The seed drives the random order.
+// New returns the state of the entry VM self. Its Incarnation must be higher
+// than that of every earlier process under the same id; the start instant in
+// nanoseconds is suitable. The seed determines all random choices.
 func New(self fleet.VM, seed uint64, o Options) *State {
 	self.State = fleet.Live
 	r := &record{vm: self, rank: rank(self.ID)}
 	s := &State{
-		opts:       o.withDefaults(),
+		opts:    o.withDefaults(),
 		self:    r,
 		rng:     rand.New(rand.NewPCG(seed, r.rank)),
 		members: []*record{r},
@@ -100,8 +100,8 @@
 	return s
 }
 
-// Step takes one event and fills out with its effects. Events must come with
-// instants that don't fall.
+// Step processes one event and fills out with its effects. Instants must not
+// decrease from one event to the next.
 func (s *State) Step(now clock.Time, ev Event, out *Ready) {
 	out.reset()
 	s.scheduleFirst(now)
@@ -124,8 +124,8 @@
 	out.Wake = s.wake
 }
 
-// scheduleFirst sets the first instants of the duties, spread by the seed so that
-// VMs that start together don't act in step.
+// scheduleFirst schedules the periodic tasks at the first step, with jitter so
+// that VMs that start together don't act at the same instants.
 func (s *State) scheduleFirst(now clock.Time) {
 	if s.started {
 		return
@@ -144,7 +144,7 @@
 	}
 }
 
-// membersChanged notes that the members of the own domain have changed.
+// membersChanged must be called when the members of the own domain change.
 func (s *State) membersChanged() {
 	s.ownRowStale = true
 	s.dutiesStale = true
@@ -155,9 +155,9 @@
 	return time.Duration(s.rng.Int64N(int64(d)))
 }
 
-// extendDeadlines moves all deadlines after a pause of this process. Symptom
-// without it: a VM that was paused for seconds resumes and suspects every
-// member, since each ack is overdue although it waits in a socket buffer.
+// extendDeadlines moves all deadlines after this process was paused. Without
+// it, a VM that was paused for seconds would suspect every member when it
+// resumes, since each ack is overdue although it waits in a socket buffer.
 func (s *State) extendDeadlines(now clock.Time) {
 	late := now.Sub(s.wake)
 	if s.wake == clock.Never || late < pauseThreshold {
@@ -176,7 +176,7 @@
 	}
 }
 
-// runDue performs every duty that is due.
+// runDue runs every task that is due.
 func (s *State) runDue(out *Ready) {
 	s.expireJoin()
 	s.expireProbes(out)
@@ -208,8 +208,8 @@
 	s.probeRandom(out)
 }
 
-// ReportEvery is the time between two load reports of a VM: longer in a
-// larger domain.
+// ReportEvery returns the time between two load reports of a VM. It is longer in
+// a larger domain.
 func (s *State) ReportEvery() time.Duration {
 	return min(maxReportInterval, max(minReportInterval, time.Duration(s.liveMembers())*reportIntervalPerVM))
 }
@@ -229,9 +229,9 @@
 	return clock.Min(w, s.nextWatch())
 }
 
-// expireJoin ends joining once a neighbour answered or none did in time.
-// Until then this VM takes no duty: one that knows only itself would publish
-// a row that hides the rest of its domain.
+// expireJoin ends joining if no other member has answered within joinTimeout.
+// While joining, this VM has no duties: a VM that knows only itself would
+// publish a row that hides the rest of its domain.
 func (s *State) expireJoin() {
 	if s.joined || s.now < s.due.join {
 		return
@@ -258,8 +258,8 @@
 	s.broadcast(s.factAbout(s.self, true))
 }
 
-// applyPlatformList takes the platform's list as a set of contacts. It lags, so it
-// neither revives nor removes a member.
+// applyPlatformList adds the VMs of the platform's list as contacts. The list
+// lags, so it never changes the status of a member.
 func (s *State) applyPlatformList(l fleet.List) {
 	kept := make(map[fleet.Domain]int)
 	for _, vm := range l.VMs {
@@ -311,7 +311,8 @@
 	}
 }
 
-// recordHeard notes a message of a process, which proves it live.
+// recordHeard records that a VM's current process has sent a message, which
+// proves that it is live.
 func (s *State) recordHeard(m *Message) {
 	r := s.byID[m.From]
 	if r == nil || m.Incarnation < r.vm.Incarnation {
--- a/decide/member/sync.go
+++ b/decide/member/sync.go
@@ -7,15 +7,15 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// mismatch notes since when a neighbour's hashes differ.
+// mismatch records since when the hashes of another VM have differed.
 type mismatch struct {
 	id    fleet.VMID
 	since clock.Time
 }
 
-// compareHashes asks a neighbour for its tables if they have differed for
-// longer than an update takes to arrive. Zero hashes come from VMs of other
-// domains, whose tables are not comparable.
+// compareHashes requests the tables of another member if they have differed for
+// longer than an update takes to arrive. VMs of other domains, whose tables are
+// not comparable, send zero hashes.
 func (s *State) compareHashes(m *Message, members, rows uint32, out *Ready) {
 	if members == 0 && rows == 0 {
 		return
@@ -27,8 +27,8 @@
 	s.compareTables(m.From, members == s.memberHash() && rows == s.rowHash(), out)
 }
 
-// compareTables asks for the tables of a VM once its hashes have differed
-// from the own ones for some time.
+// compareTables requests the tables of a VM once its hashes have differed from
+// the own ones for mismatchTolerance.
 func (s *State) compareTables(id fleet.VMID, same bool, out *Ready) {
 	at := slices.IndexFunc(s.mismatches, func(x mismatch) bool { return x.id == id })
 	if same {
@@ -46,7 +46,8 @@
 	}
 }
 
-// recordMismatch remembers the first difference, for a bounded number of VMs.
+// recordMismatch records the start of a difference. At maxMismatches it replaces
+// the oldest record.
 func (s *State) recordMismatch(id fleet.VMID) {
 	if len(s.mismatches) >= maxMismatches {
 		s.mismatches = slices.Delete(s.mismatches, 0, 1)
@@ -54,7 +55,7 @@
 	s.mismatches = append(s.mismatches, mismatch{id: id, since: s.now})
 }
 
-// requestSync sends a Sync, at most one each syncEvery.
+// requestSync sends a Sync for all tables, at most one per minSyncInterval.
 func (s *State) requestSync(id fleet.VMID, out *Ready) {
 	if s.lastSync != 0 && s.now.Sub(s.lastSync) < minSyncInterval {
 		return
@@ -67,7 +68,8 @@
 	s.send(to, s.newSync(!ok || s.inOwnDomain(to)), ScopeNone, out)
 }
 
-// requestRows asks a VM for the rows of one region, at most once each syncEvery.
+// requestRows sends a Sync for the rows of one region, at most one per
+// minSyncInterval.
 func (s *State) requestRows(id fleet.VMID, region fleet.Region, out *Ready) {
 	if s.lastSync != 0 && s.now.Sub(s.lastSync) < minSyncInterval {
 		return
@@ -83,12 +85,12 @@
 	s.send(to, m, ScopeNone, out)
 }
 
-// newSync lists what this VM knows: of itself with its addresses, since the
-// receiver may see it for the first time.
-func (s *State) newSync(neighbour bool) *Sync {
+// newSync returns a Sync with the digest and the row versions of this VM. Its
+// own fact carries the addresses, since the receiver may not know them yet.
+func (s *State) newSync(sameDomain bool) *Sync {
 	m := &Sync{Domain: s.self.vm.Domain}
 	for _, r := range s.members {
-		if neighbour {
+		if sameDomain {
 			m.Digest = append(m.Digest, s.factAbout(r, r == s.self))
 		}
 	}
@@ -98,8 +100,8 @@
 	return m
 }
 
-// syncWithContacts asks some listed neighbours for their tables. The list lags,
-// so several are asked at once.
+// syncWithContacts requests the tables of some listed VMs of the domain. The
+// list lags, so several are asked at once.
 func (s *State) syncWithContacts(out *Ready) {
 	asked := 0
 	for asked < s.opts.Relays && len(s.probeOrder) > 0 {
@@ -118,21 +120,21 @@
 }
 
 func (s *State) handleSync(m *Message, b *Sync, out *Ready) {
-	neighbour := b.Domain == s.self.vm.Domain
+	sameDomain := b.Domain == s.self.vm.Domain
 	lacking := false
-	if neighbour {
+	if sameDomain {
 		s.applyFacts(b.Digest)
 		lacking = slices.ContainsFunc(b.Digest, s.isUnknown)
 	}
 	a := &SyncAck{Domain: s.self.vm.Domain, ReachResults: s.latestReachResults(false)}
 	for _, r := range s.members {
-		if neighbour && b.Region == "" && s.newerThanDigest(r, b.Digest) {
+		if sameDomain && b.Region == "" && s.newerThanDigest(r, b.Digest) {
 			a.Facts = append(a.Facts, s.factAbout(r, true))
 		}
 	}
 	for _, r := range s.rows {
-		meant := b.Region == "" || b.Region == r.row.Region
-		if meant && compareVersions(r.row.version(), findVersion(b.Versions, r.row.Domain)) > 0 {
+		requested := b.Region == "" || b.Region == r.row.Region
+		if requested && compareVersions(r.row.version(), findVersion(b.Versions, r.row.Domain)) > 0 {
 			a.Rows = append(a.Rows, r.row)
 		}
 	}
@@ -141,10 +143,11 @@
 	s.requestMissing(m.From, b, lacking, out)
 }
 
-// requestMissing makes anti-entropy run both ways: it asks for what the sender
-// of a Sync has and this VM lacks. Symptom without it: the only VM of a domain
-// restarts just after its neighbour domain was lost. It doesn't know that
-// domain, so it never reports it unreachable to the other regions, which do.
+// requestMissing makes anti-entropy work in both directions: it requests what
+// the sender of a Sync has and this VM lacks. Without it, the only VM of a domain
+// that restarts just after the other domain of its region was lost doesn't know
+// that domain, and so never reports to the other regions, which do know it, that
+// it is unreachable.
 func (s *State) requestMissing(id fleet.VMID, b *Sync, lacking bool, out *Ready) {
 	for _, v := range b.Versions {
 		at, ok := s.findRow(v.Domain)
@@ -159,22 +162,23 @@
 	}
 }
 
-// isUnknown reports whether a mark names a VM without a record here.
+// isUnknown reports whether a fact is about a live VM that has no record here.
 func (s *State) isUnknown(f Fact) bool {
 	return f.Status != Dead && s.byID[f.ID] == nil
 }
 
-// newerThanDigest reports whether r is newer than the asker's marks.
-func (s *State) newerThanDigest(r *record, marks []Fact) bool {
-	at := slices.IndexFunc(marks, func(f Fact) bool { return f.ID == r.vm.ID })
+// newerThanDigest reports whether r is newer than its fact in a digest, or
+// missing from the digest and not dead.
+func (s *State) newerThanDigest(r *record, digest []Fact) bool {
+	at := slices.IndexFunc(digest, func(f Fact) bool { return f.ID == r.vm.ID })
 	if at < 0 {
 		return !r.dead()
 	}
 	f := s.factAbout(r, false)
-	if c := compareFact(&marks[at], r); c != 0 {
+	if c := compareFact(&digest[at], r); c != 0 {
 		return c < 0
 	}
-	return f.Status > marks[at].Status
+	return f.Status > digest[at].Status
 }
 
 func findVersion(vs []Version, d fleet.Domain) Version {
@@ -186,26 +190,26 @@
 	return Version{}
 }
 
-// handleSyncAck takes what another VM has and this one lacked. Rows from
-// outside the domain are forwarded in the region.
+// handleSyncAck merges the delta in the answer to a Sync. Rows from another
+// domain are forwarded.
 func (s *State) handleSyncAck(m *Message, b *SyncAck) {
-	inside := b.Domain == s.self.vm.Domain
-	if inside {
+	sameDomain := b.Domain == s.self.vm.Domain
+	if sameDomain {
 		s.applyFacts(b.Facts)
 	}
 	for _, row := range b.Rows {
-		if s.applyRow(row) && !inside && s.joined {
+		if s.applyRow(row) && !sameDomain && s.joined {
 			s.outbox.addRow(s.now.Add(flushDelay), row, s.extentForRegion(row.Region))
 		}
 	}
 	s.applyReachResults(b.ReachResults)
-	if inside {
+	if sameDomain {
 		s.completeJoin()
 	}
 }
 
-// extentForRegion is how far rows learnt by anti-entropy are forwarded: those of
-// another region to the whole own region.
+// extentForRegion returns how far rows received by anti-entropy are forwarded:
+// rows of another region to the whole own region, others to the own domain.
 func (s *State) extentForRegion(region fleet.Region) extent {
 	if region == s.self.vm.Region {
 		return toDomain
--- a/decide/member/view.go
+++ b/decide/member/view.go
@@ -7,27 +7,27 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// DomainView is what is known of one failure domain.
+// DomainView is this VM's view of one failure domain.
 type DomainView struct {
 	Region    fleet.Region
 	Domain    fleet.Domain
 	Reachable bool
 	Live      int
 	Leaving   int
-	// VMs are live entry VMs there: all of the own domain, at most RowVMs of
-	// another.
+	// VMs lists live entry VMs of the domain: all of the own domain, at most
+	// RowVMs of another one.
 	VMs []fleet.VM
 }
 
-// Self returns this VM as it presents itself.
+// Self returns this VM with its current state and incarnation.
 func (s *State) Self() fleet.VM { return s.self.vm }
 
-// Joined reports whether the own domain's members are known, or that there
-// are none to be found.
+// Joined reports whether joining has ended: another member has answered, or none
+// did within joinTimeout.
 func (s *State) Joined() bool { return s.joined }
 
 // Members appends every VM of the own domain that is not dead, this one
-// included, in a stable order.
+// included, in ring order.
 func (s *State) Members(dst []fleet.VM) []fleet.VM {
 	for _, r := range s.members {
 		if !r.dead() {
@@ -37,8 +37,8 @@
 	return dst
 }
 
-// VM returns what is known of an entry VM, also of a dead one of the own
-// domain.
+// VM returns an entry VM of the own domain, which may be dead, or one that is
+// listed in a row.
 func (s *State) VM(id fleet.VMID) (fleet.VM, bool) {
 	if r := s.byID[id]; r != nil {
 		return r.vm, true
@@ -46,7 +46,7 @@
 	return s.findInRows(id)
 }
 
-// Domains appends a view of every known domain, in order of name.
+// Domains appends a view of every known domain in order of name.
 func (s *State) Domains(dst []DomainView) []DomainView {
 	from := len(dst)
 	dst = append(dst, s.ownView())
@@ -88,7 +88,7 @@
 	return v
 }
 
-// reportChanges fills the rest of out: the changes since the last step.
+// reportChanges adds to out what has changed since the last step.
 func (s *State) reportChanges(out *Ready) {
 	out.Superseded = s.superseded
 	out.Group = s.dutiesChanged()
@@ -101,8 +101,7 @@
 	s.reportRemoteVMs(out)
 }
 
-// reportRemoteVMs compares the VMs that other domains offer with those reported
-// before.
+// reportRemoteVMs reports the changes among the VMs that other domains offer.
 func (s *State) reportRemoteVMs(out *Ready) {
 	h := s.remoteHash()
 	if h == s.reportedRemoteHash {
@@ -150,13 +149,14 @@
 	}
 }
 
+// asLeaving returns a VM as reported once its domain no longer offers it.
 func asLeaving(vm fleet.VM) fleet.VM {
 	vm.State = fleet.Leaving
 	return vm
 }
 
-// remoteHash changes with any row or reachability of another domain; comparing it
-// is cheaper than comparing the VMs.
+// remoteHash returns a hash that changes with any row and with the reachability
+// of any domain. Comparing it is cheaper than comparing the VMs.
 func (s *State) remoteHash() uint64 {
 	var h uint64
 	for _, r := range s.rows {
--- a/decide/member/view_test.go
+++ b/decide/member/view_test.go
@@ -8,19 +8,19 @@
 	"github.com/azurethread/azurethread/decide/member/membertest"
 )
 
-// start runs the whole fleet and waits until it has settled.
-func start(n *membertest.Network, vms []fleet.VM) {
+// start starts all VMs and waits until they agree.
+func startAndSettle(n *membertest.Network, vms []fleet.VM) {
 	for _, vm := range vms {
 		n.Start(vm, vms)
 	}
 	n.Run(10 * time.Second)
 }
 
-// offers returns the ids of the VMs that node would name in a look-up, in
-// order.
-func offers(node *membertest.EntryVM) []fleet.VMID {
+// offers returns the ids of the VMs that an entry VM would return in a look-up,
+// in order.
+func offers(entry *membertest.EntryVM) []fleet.VMID {
 	var out []fleet.VMID
-	for _, d := range node.State.Domains(nil) {
+	for _, d := range entry.State.Domains(nil) {
 		if !d.Reachable {
 			continue
 		}
@@ -32,39 +32,39 @@
 	return out
 }
 
-func offered(node *membertest.EntryVM, id fleet.VMID) bool {
-	return slices.Contains(offers(node), id)
+func offered(entry *membertest.EntryVM, id fleet.VMID) bool {
+	return slices.Contains(offers(entry), id)
 }
 
-// up returns the ids of the running nodes that aren't leaving, in order.
-func up(n *membertest.Network) []fleet.VMID {
+// up returns the ids of the running VMs that aren't leaving, in order.
+func runningVMs(n *membertest.Network) []fleet.VMID {
 	var out []fleet.VMID
-	for _, node := range n.VMs {
-		if node.Up && node.State.Self().State == fleet.Live {
-			out = append(out, node.VM.ID)
+	for _, entry := range n.VMs {
+		if entry.Up && entry.State.Self().State == fleet.Live {
+			out = append(out, entry.VM.ID)
 		}
 	}
 	slices.Sort(out)
 	return out
 }
 
-// disagreements lists the running nodes whose offers differ from want.
+// disagreements lists the running VMs whose offers differ from want.
 func disagreements(n *membertest.Network, want []fleet.VMID) []fleet.VMID {
 	var out []fleet.VMID
-	for _, node := range n.VMs {
-		if node.Up && !slices.Equal(offers(node), want) {
-			out = append(out, node.VM.ID)
+	for _, entry := range n.VMs {
+		if entry.Up && !slices.Equal(offers(entry), want) {
+			out = append(out, entry.VM.ID)
 		}
 	}
 	return out
 }
 
-// withdrawnSince counts the times that a running node reported a VM as other
-// than live, from the given number of changes on.
-func withdrawnSince(n *membertest.Network, marks map[fleet.VMID]int, id fleet.VMID) int {
+// withdrawnSince counts how often any VM reported a VM as not live since the given
+// counts of changes were taken.
+func withdrawnSince(n *membertest.Network, counts map[fleet.VMID]int, id fleet.VMID) int {
 	count := 0
-	for _, node := range n.VMs {
-		for _, c := range node.Changes[marks[node.VM.ID]:] {
+	for _, entry := range n.VMs {
+		for _, c := range entry.Changes[counts[entry.VM.ID]:] {
 			if c.VM.ID == id && c.VM.State != fleet.Live {
 				count++
 			}
@@ -73,10 +73,10 @@
 	return count
 }
 
-func mark(n *membertest.Network) map[fleet.VMID]int {
+func changeCounts(n *membertest.Network) map[fleet.VMID]int {
 	m := make(map[fleet.VMID]int)
-	for _, node := range n.VMs {
-		m[node.VM.ID] = len(node.Changes)
+	for _, entry := range n.VMs {
+		m[entry.VM.ID] = len(entry.Changes)
 	}
 	return m
 }
--- a/decide/member/watch.go
+++ b/decide/member/watch.go
@@ -9,25 +9,25 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// What a watch last reported about its remote.
+// The last result that a watch has recorded for its remote.
 const (
 	reportedNothing = iota
 	reportedReachable
 	reportedUnreachable
 )
 
-// watch is this VM's duty to keep in touch with another domain or region.
+// watch is the periodic reachability check of another domain or region.
 type watch struct {
-	remote       remote
-	assigned     bool // by ranked hash; otherwise it verifies a claim
-	seq          uint32
-	waiting      bool
-	urgent       bool // to be started at once
-	fallbacksAsked     bool // further representatives have been asked
+	remote         remote
+	assigned       bool // round-robin; otherwise it verifies another domain's result
+	seq            uint32
+	waiting        bool
+	urgent         bool // start at once
+	fallbacksAsked bool // further VMs of the remote have been asked
 	askedVM        fleet.VMID
-	deadline     clock.Time
-	nextCandidate         int
-	lastReported int
+	deadline       clock.Time
+	nextCandidate  int
+	lastReported   int
 }
 
 func (w *watch) extendDeadline(d time.Duration) {
@@ -36,9 +36,10 @@
 	}
 }
 
-// extent is how far a result is published: for a domain of the own region to
-// all, since a cut-off domain can't publish it itself; for a region in the own
-// region; for the verification of a claim in the own domain.
+// extent returns how far a result is published: about a domain of the own region
+// to all regions, since a domain that is cut off can't publish it itself; about
+// a region within the own region; the verification of another domain's result
+// within the own domain.
 func (w *watch) extent(s *State) extent {
 	switch {
 	case !w.assigned:
@@ -57,7 +58,7 @@
 	return cmp.Compare(a.domain, b.domain)
 }
 
-// runWatches starts the exchanges that are due and moves overdue ones on.
+// runWatches starts the exchanges that are due and handles overdue ones.
 func (s *State) runWatches(out *Ready) {
 	for i := range s.watches {
 		w := &s.watches[i]
@@ -77,9 +78,9 @@
 	}
 	for i := range s.watches {
 		w := &s.watches[i]
-		check := w.urgent || (w.lastReported == reportedNothing && s.anyReportsUnreachable(w.remote))
-		if !w.waiting && (due || check) {
-			s.startWatch(w, check, out)
+		verify := w.urgent || (w.lastReported == reportedNothing && s.anyReportsUnreachable(w.remote))
+		if !w.waiting && (due || verify) {
+			s.startWatch(w, verify, out)
 		}
 	}
 }
@@ -97,8 +98,8 @@
 	return next
 }
 
-// assignWatches brings the duties in line with the present representatives
-// and claims.
+// assignWatches updates the watches of this VM after changes of representatives
+// or reachability results. Watches that stay keep their state.
 func (s *State) assignWatches() {
 	var next []watch
 	if s.joined {
@@ -117,7 +118,7 @@
 	s.watches = next
 }
 
-// computeWatches returns the watches of this VM in order of their remotes.
+// computeWatches returns the watches assigned to this VM in order of remote.
 func (s *State) computeWatches() []watch {
 	reps := s.reps()
 	if !slices.Contains(reps, s.self.vm.ID) {
@@ -135,8 +136,8 @@
 			mine = s.isAssigned(reps, far)
 			far++
 		case rm.region == s.self.vm.Region:
-			// From the last representative on: the first ones have more
-			// of the regions where these don't come out even.
+			// Assigned from the last representative backwards: if the regions
+			// don't divide evenly, the first ones watch more of them.
 			w.assigned = s.isAssigned(reps, len(reps)-1-near%len(reps))
 			near++
 		default:
@@ -149,8 +150,8 @@
 	return out
 }
 
-// regionRepIDs returns the representatives of all reachable domains of the own
-// region, in order of id.
+// regionRepIDs returns the ids of the representatives of all reachable domains of
+// the own region, in order.
 func (s *State) regionRepIDs(own []fleet.VMID) []fleet.VMID {
 	all := slices.Clone(own)
 	for _, vm := range s.otherDomainFirstReps(maxReps) {
@@ -162,8 +163,8 @@
 	return all
 }
 
-// isAssigned reports whether watch number i is assigned to this VM, when watches
-// are assigned round-robin over ids.
+// isAssigned reports whether watch number i is assigned to this VM. Watches are
+// assigned round-robin over ids.
 func (s *State) isAssigned(ids []fleet.VMID, i int) bool {
 	return len(ids) > 0 && ids[i%len(ids)] == s.self.vm.ID
 }
@@ -189,8 +190,8 @@
 	return slices.Compact(out)
 }
 
-// candidates returns whom a watch can ask. Contacts are used while no row of
-// the remote is known.
+// candidates returns the VMs that a watch can ask: the representatives of the
+// remote or, while no row of it is known, its contacts.
 func (s *State) candidates(rm remote) []fleet.VM {
 	var out []fleet.VM
 	if rm.domain == "" {
@@ -204,9 +205,9 @@
 	return s.contactsOf(rm)
 }
 
-// startWatch asks one representative after the other in turn. To check what
-// others claim, it asks several at once, so that the answer is known sooner.
-func (s *State) startWatch(w *watch, check bool, out *Ready) {
+// startWatch sends a Watch to the next representative in rotation. To verify
+// another domain's result, it asks several VMs at once to get a result sooner.
+func (s *State) startWatch(w *watch, verify bool, out *Ready) {
 	c := s.candidates(w.remote)
 	if len(c) == 0 {
 		return
@@ -214,30 +215,30 @@
 	w.seq = s.nextSeq()
 	w.waiting = true
 	w.urgent = false
-	w.fallbacksAsked = check
+	w.fallbacksAsked = verify
 	w.deadline = s.now.Add(s.opts.WatchTimeout)
 	to := c[w.nextCandidate%len(c)]
 	w.askedVM = to.ID
 	w.nextCandidate++
 	s.sendWatch(w, to, out)
-	if check {
+	if verify {
 		s.askFallbacks(w, out)
 	}
 }
 
 func (s *State) sendWatch(w *watch, to fleet.VM, out *Ready) {
 	s.send(to, &Watch{
-		Seq:     w.seq,
-		Region:  s.self.vm.Region,
-		OwnRegionHash:     s.rowHashForRegion(s.self.vm.Region),
-		RowsHash:    s.rowHashForRegion(s.comparedRegion(to.Region)),
-		ReachResults: s.latestReachResults(to.Region != s.self.vm.Region),
+		Seq:           w.seq,
+		Region:        s.self.vm.Region,
+		OwnRegionHash: s.rowHashForRegion(s.self.vm.Region),
+		RowsHash:      s.rowHashForRegion(s.comparedRegion(to.Region)),
+		ReachResults:  s.latestReachResults(to.Region != s.self.vm.Region),
 	}, ScopeNone, out)
 }
 
-// comparedRegion names the rows that are compared with a VM of a region: inside
-// the own region all, otherwise those of the region that is watched. Empty
-// means all.
+// comparedRegion returns the region whose rows are compared with those of a VM
+// in the given region: that region itself or, within the own region, all
+// regions, returned as empty.
 func (s *State) comparedRegion(region fleet.Region) fleet.Region {
 	if region == s.self.vm.Region {
 		return ""
@@ -245,8 +246,8 @@
 	return region
 }
 
-// watchOverdue asks further VMs, and if they time out as well records the
-// remote as unreachable: one VM may have died, but hardly all of them.
+// watchOverdue asks further VMs. If they time out as well, it records the remote
+// as unreachable: a single VM may have died, but hardly all of them.
 func (s *State) watchOverdue(w *watch, out *Ready) {
 	if w.fallbacksAsked {
 		w.waiting = false
@@ -266,10 +267,10 @@
 	}
 }
 
-// fallbackVMs returns further representatives and, at random, other VMs of the
-// remote. Symptom without the latter: two domains that lost all their
-// representatives while they were cut off from each other never reconnect,
-// since each asks only the representatives that the other had.
+// fallbackVMs returns further representatives and random other VMs of the
+// remote. Without the latter, two domains that lost all their representatives
+// while they were cut off from each other would never reconnect, since each
+// would ask only the representatives that the other had.
 func (s *State) fallbackVMs(w *watch) []fleet.VM {
 	reps := s.candidates(w.remote)
 	if len(reps) > 1 {
@@ -306,22 +307,23 @@
 	return out
 }
 
-// hasRow reports whether a row of the remote is held. Without one it offers
-// nothing that could be withdrawn.
+// hasRow reports whether a row of the remote is stored. Without one, the remote
+// offers no VMs that could be withdrawn.
 func (s *State) hasRow(rm remote) bool {
 	return slices.ContainsFunc(s.rows, func(r *storedRow) bool {
 		return r.row.Region == rm.region && (rm.domain == "" || rm.domain == r.row.Domain)
 	})
 }
 
-// handleWatch answers a Watch.
+// handleWatch answers a Watch, and requests the rows of the sender's region if
+// they differ.
 func (s *State) handleWatch(m *Message, b *Watch, out *Ready) {
 	s.applyReachResults(b.ReachResults)
 	to := s.replyAddress(m.From)
 	near := b.Region == s.self.vm.Region
 	a := &WatchAck{
-		Seq:     b.Seq,
-		RowsHash:    s.rowHashForRegion(s.self.vm.Region),
+		Seq:          b.Seq,
+		RowsHash:     s.rowHashForRegion(s.self.vm.Region),
 		ReachResults: s.latestReachResults(!near),
 	}
 	scope := ScopeFar
@@ -347,9 +349,10 @@
 	}
 }
 
-// compareRows asks the watched VM for the rows in which it differs. Inside the
-// region an update may still be in transit; from another region a difference
-// means that a push was lost, or that its update is younger than the answer.
+// compareRows requests rows that differ from the watched VM. Within the region an
+// update may still be in transit, so a difference is tolerated for
+// mismatchTolerance. From another region a difference means that a push was lost
+// or that its update is newer than the answer, so the rows are requested at once.
 func (s *State) compareRows(w *watch, from fleet.VMID, rows uint32, out *Ready) {
 	region := s.comparedRegion(w.remote.region)
 	same := rows == s.rowHashForRegion(region)
