--- a/decide/machine/doc.go
+++ b/decide/machine/doc.go
@@ -5,15 +5,16 @@
 //
 // # Dissemination
 //
-// The daemons that read the configuration, the readers, watch the list as well.
-// Of each new version they keep what their domain needs: the targets of the
-// domain and all entry VMs. A reader pushes the changes down a tree over the
-// members of its domain. The trees of different readers have different inner
-// members, so one dead member doesn't prevent a delivery. For anti-entropy every
-// daemon sends a Digest to another member each DigestEvery. A daemon that is
-// behind sends a Want and gets a Delta, or the whole list in parts. A daemon
-// that joins sends a Want at once. A hash of the content detects a wrong base or
-// a damaged part, so that a wrong list is never put in force.
+// The daemons that read the configuration, the readers, watch the list as
+// well. Of each new version they keep what their domain needs: the targets of
+// the domain and all entry VMs. A reader pushes the changes down a tree over
+// the members of its domain. The trees of different readers have different
+// inner members, so one dead member doesn't prevent a delivery. For
+// anti-entropy every daemon sends a Digest to another member each DigestEvery.
+// A daemon that is behind sends a Want and gets a Delta, or the whole list in
+// parts. A daemon that joins sends a Want at once. A hash of the content
+// detects a wrong base or a damaged part, so that a wrong list is never put in
+// force.
 //
 // A daemon that gets no message from other members for SilenceTimeout watches
 // the platform itself. If the platform is unavailable, it keeps its list.
--- a/decide/machine/gossip.go
+++ b/decide/machine/gossip.go
@@ -72,8 +72,9 @@
 	return d
 }
 
-// handleDigest compares the list of another member with the own one. The member
-// that is behind gets the newer list.
+// handleDigest compares the list of another member with the own one. The
+// member that is behind gets the newer list. With equal lists, the Age in the
+// Digest can make confirmedAt more recent.
 func (s *State) handleDigest(from fleet.VMID, m *Digest, out *Ready) {
 	switch c := m.Held.compare(s.Held()); {
 	case c > 0:
@@ -87,8 +88,8 @@
 
 // updateMember sends a Delta to a member that is behind, or a Digest that makes
 // it send a Want.
-func (s *State) updateMember(to fleet.VMID, p ListVersion, out *Ready) {
-	if d := s.deltaFrom(p); d != nil {
+func (s *State) updateMember(to fleet.VMID, v ListVersion, out *Ready) {
+	if d := s.deltaFrom(v); d != nil {
 		s.send(to, d, out)
 		return
 	}
@@ -97,20 +98,20 @@
 
 // deltaFrom returns the Delta from an earlier version to the list in force, or
 // nil if that version is no longer in the history or the Delta is too large.
-func (s *State) deltaFrom(p ListVersion) *Delta {
-	for _, c := range s.history {
-		if c.version != p || p.compare(s.held.version) >= 0 {
+func (s *State) deltaFrom(v ListVersion) *Delta {
+	for _, l := range s.history {
+		if l.version != v || v.compare(s.held.version) >= 0 {
 			continue
 		}
-		if d, ok := newDelta(c, s.held); ok {
+		if d, ok := newDelta(l, s.held); ok {
 			return d
 		}
 	}
 	return nil
 }
 
-// handleWant answers a Want with a Delta, the whole list or, if the sender isn't
-// behind, a Digest.
+// handleWant answers a Want with a Delta, the whole list or, if the sender
+// isn't behind, a Digest.
 func (s *State) handleWant(from fleet.VMID, have ListVersion, out *Ready) {
 	if s.held == nil {
 		return
@@ -141,15 +142,15 @@
 	}
 }
 
-// handleDelta applies a Delta. If it has another base, the list that it leads to
-// is fetched.
+// handleDelta applies a Delta. If it has another base, the list that it leads
+// to is fetched.
 func (s *State) handleDelta(from fleet.VMID, d *Delta, out *Ready) {
 	if d.To.compare(s.Held()) <= 0 {
 		return
 	}
 	if s.held != nil {
-		if c, ok := s.held.apply(d); ok {
-			s.adoptReceived(c)
+		if l, ok := s.held.apply(d); ok {
+			s.adoptReceived(l)
 			return
 		}
 	}
@@ -161,16 +162,16 @@
 	if s.catchUp.deadline == clock.Never || p.Held.compare(s.Held()) <= 0 {
 		return
 	}
-	if c := s.catchUp.parts.add(p); c != nil {
-		s.adoptReceived(c)
+	if l := s.catchUp.parts.add(p); l != nil {
+		s.adoptReceived(l)
 	}
 }
 
 // adoptReceived puts a list in force that a member has sent, and ends the
 // catch-up that it completes.
-func (s *State) adoptReceived(c *domainList) {
-	s.adopt(c)
-	if c.version.compare(s.catchUp.wanted) >= 0 {
+func (s *State) adoptReceived(l *domainList) {
+	s.adopt(l)
+	if l.version.compare(s.catchUp.wanted) >= 0 {
 		s.catchUp = catchUp{deadline: clock.Never}
 	}
 }
--- a/decide/machine/content.go
+++ b/decide/machine/list.go
@@ -20,25 +20,25 @@
 
 // newDomainList returns a domain's part of a list. Entries without an id and
 // duplicates of an id are left out.
-func newDomainList(l fleet.List, own fleet.Domain) *domainList {
-	c := &domainList{vms: slices.Clone(l.VMs)}
-	for _, t := range l.Targets {
+func newDomainList(list fleet.List, own fleet.Domain) *domainList {
+	l := &domainList{vms: slices.Clone(list.VMs)}
+	for _, t := range list.Targets {
 		if t.Domain == own {
-			c.targets = append(c.targets, t)
+			l.targets = append(l.targets, t)
 		}
 	}
-	c.sort()
-	c.version = ListVersion{Version: l.Version, Hash: c.hash()}
-	return c
+	l.sort()
+	l.version = ListVersion{Version: list.Version, Hash: l.hash()}
+	return l
 }
 
-func (c *domainList) sort() {
-	slices.SortStableFunc(c.vms, func(a, b fleet.VM) int { return cmp.Compare(a.ID, b.ID) })
-	slices.SortStableFunc(c.targets, func(a, b fleet.Target) int { return cmp.Compare(a.ID, b.ID) })
-	c.vms = slices.CompactFunc(c.vms, func(a, b fleet.VM) bool { return a.ID == b.ID })
-	c.targets = slices.CompactFunc(c.targets, func(a, b fleet.Target) bool { return a.ID == b.ID })
-	c.vms = slices.DeleteFunc(c.vms, func(v fleet.VM) bool { return v.ID == "" })
-	c.targets = slices.DeleteFunc(c.targets, func(t fleet.Target) bool { return t.ID == "" })
+func (l *domainList) sort() {
+	slices.SortStableFunc(l.vms, func(a, b fleet.VM) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortStableFunc(l.targets, func(a, b fleet.Target) int { return cmp.Compare(a.ID, b.ID) })
+	l.vms = slices.CompactFunc(l.vms, func(a, b fleet.VM) bool { return a.ID == b.ID })
+	l.targets = slices.CompactFunc(l.targets, func(a, b fleet.Target) bool { return a.ID == b.ID })
+	l.vms = slices.DeleteFunc(l.vms, func(v fleet.VM) bool { return v.ID == "" })
+	l.targets = slices.DeleteFunc(l.targets, func(t fleet.Target) bool { return t.ID == "" })
 }
 
 // hasher computes a hash over the fields of entries.
@@ -55,20 +55,20 @@
 	_, _ = h.Write(b[:])
 }
 
-func (c *domainList) hash() uint64 {
+func (l *domainList) hash() uint64 {
 	var h hasher
 	h.Reset()
-	for i := range c.vms {
-		v := &c.vms[i]
+	for i := range l.vms {
+		v := &l.vms[i]
 		for _, s := range []string{string(v.ID), string(v.Region), string(v.Domain), string(v.Site), v.CallAddr, v.PeerAddr, v.AdminAddr} {
 			h.addString(s)
 		}
 		h.addUint64(uint64(v.Incarnation))
 		h.addUint64(uint64(v.State))
 	}
-	h.addUint64(uint64(len(c.vms)))
-	for i := range c.targets {
-		t := &c.targets[i]
+	h.addUint64(uint64(len(l.vms)))
+	for i := range l.targets {
+		t := &l.targets[i]
 		for _, s := range []string{string(t.ID), string(t.Service), string(t.Region), string(t.Domain), string(t.Site), t.Addr} {
 			h.addString(s)
 		}
@@ -110,10 +110,11 @@
 	}
 }
 
-// apply returns the result of applying d to c. It returns false if c is not the
-// base of d or the result doesn't have the stated hash, as with a damaged entry.
-func (c *domainList) apply(d *Delta) (*domainList, bool) {
-	if c.version != d.From {
+// apply returns the result of applying d to l. It returns false if l is not
+// the base of d or the result doesn't have the stated hash, as with a damaged
+// entry.
+func (l *domainList) apply(d *Delta) (*domainList, bool) {
+	if l.version != d.From {
 		return nil, false
 	}
 	replacedVM := func(v fleet.VM) bool {
@@ -125,22 +126,22 @@
 			slices.ContainsFunc(d.Targets, func(n fleet.Target) bool { return n.ID == t.ID })
 	}
 	next := &domainList{
-		vms:     append(slices.DeleteFunc(slices.Clone(c.vms), replacedVM), d.VMs...),
-		targets: append(slices.DeleteFunc(slices.Clone(c.targets), replacedTarget), d.Targets...),
+		vms:     append(slices.DeleteFunc(slices.Clone(l.vms), replacedVM), d.VMs...),
+		targets: append(slices.DeleteFunc(slices.Clone(l.targets), replacedTarget), d.Targets...),
 	}
 	next.sort()
 	next.version = d.To
 	return next, next.hash() == d.To.Hash
 }
 
-// parts splits c into messages. It returns nil if there would be more than
+// parts splits l into messages. It returns nil if there would be more than
 // MaxParts.
-func (c *domainList) parts() []*Part {
+func (l *domainList) parts() []*Part {
 	var out []*Part
-	for vms := range slices.Chunk(c.vms, MaxPartEntries) {
+	for vms := range slices.Chunk(l.vms, MaxPartEntries) {
 		out = append(out, &Part{VMs: vms})
 	}
-	for targets := range slices.Chunk(c.targets, MaxPartEntries) {
+	for targets := range slices.Chunk(l.targets, MaxPartEntries) {
 		out = append(out, &Part{Targets: targets})
 	}
 	if len(out) == 0 {
@@ -150,7 +151,7 @@
 		return nil
 	}
 	for i, p := range out {
-		p.Held, p.Part, p.Parts = c.version, uint32(i), uint32(len(out))
+		p.Held, p.Part, p.Parts = l.version, uint32(i), uint32(len(out))
 	}
 	return out
 }
@@ -162,8 +163,8 @@
 	received int
 }
 
-// add adds a part. It returns the list once it is complete and matches its hash,
-// otherwise nil.
+// add adds a part. It returns the list once it is complete and matches its
+// hash, otherwise nil.
 func (a *assembly) add(p *Part) *domainList {
 	if a.version != p.Held || len(a.parts) != int(p.Parts) {
 		*a = assembly{version: p.Held, parts: make([]*Part, p.Parts)}
@@ -175,15 +176,15 @@
 	if a.received < len(a.parts) {
 		return nil
 	}
-	c := &domainList{version: a.version}
+	l := &domainList{version: a.version}
 	for _, p := range a.parts {
-		c.vms = append(c.vms, p.VMs...)
-		c.targets = append(c.targets, p.Targets...)
+		l.vms = append(l.vms, p.VMs...)
+		l.targets = append(l.targets, p.Targets...)
 	}
 	*a = assembly{}
-	c.sort()
-	if c.hash() != c.version.Hash {
+	l.sort()
+	if l.hash() != l.version.Hash {
 		return nil
 	}
-	return c
+	return l
 }
--- a/decide/machine/machine_test.go
+++ b/decide/machine/machine_test.go
@@ -17,8 +17,8 @@
 	return func(l *fleet.List) { l.Targets = append(l.Targets, testTarget(i)) }
 }
 
-// Only two of many daemons watch the platform, and all of them must have a change
-// within 50 ms.
+// Only two of many daemons watch the platform, and all of them must have a
+// change within 50 ms.
 func TestPushReachesAllDaemons(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork(1, 43, 600, 50)
@@ -32,10 +32,10 @@
 	}
 }
 
-// A daemon restarts while the platform is down, and the first member that it asks
-// for the list may be dead but still listed. It must ask another one, or it
-// serves nothing for seconds.
-func TestJoinWithDeadNeighbour(t *testing.T) {
+// A daemon restarts while the platform is down, and the first member that it
+// asks for the list may be dead but still listed. It must ask another one, or
+// it serves nothing for seconds.
+func TestJoinWithDeadMember(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork(1, 8, 600, 50)
 	n.run(3 * time.Second)
@@ -46,15 +46,15 @@
 	joiner := n.daemons[5]
 	for range 20 {
 		n.start(joiner)
-		began := n.now
+		started := n.now
 		n.run(time.Second)
 		is.True(joiner.applied != nil)
-		is.True(joiner.appliedAt.Sub(began) < time.Second)
+		is.True(joiner.appliedAt.Sub(started) < time.Second)
 	}
 }
 
-// A reader that was paused reads an old list. If the list read last counted as the
-// newest, targets that have started since would not be used.
+// A reader that was paused reads an old list. If the list read last counted as
+// the newest, targets that have started since would not be used.
 func TestPausedReader(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork(1, 8, 8, 10)
@@ -90,9 +90,10 @@
 	is.Equal(n.daemons[1].shownVersion, old.Version)
 }
 
-// The platform is restored from older data, and its versions start lower. If lower
-// versions were always ignored, a domain would keep an outdated list permanently.
-// Live targets that the older data lacks must stay in force meanwhile.
+// The platform is restored from older data, and its versions start lower. If
+// lower versions were always ignored, a domain would keep an outdated list
+// permanently. Live targets that the older data lacks must stay in force
+// meanwhile.
 func TestPlatformRestored(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork(1, 8, 8, 10)
@@ -118,9 +119,9 @@
 	is.NoErr(n.checkConverged())
 }
 
-// A restored platform reaches the version in force with other content before any
-// reader has seen a lower version. If only versions were compared, daemons would
-// disagree on the content of one version permanently.
+// A restored platform reaches the version in force with other content before
+// any reader has seen a lower version. If only versions were compared, daemons
+// would disagree on the content of one version permanently.
 func TestSameVersionWithOtherContent(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork(1, 8, 8, 10)
@@ -132,8 +133,8 @@
 	is.NoErr(n.checkConverged())
 }
 
-// A newer version lacks all targets by mistake, and the next one has them again.
-// Applied at once, it would leave the domain without targets.
+// A newer version lacks all targets by mistake, and the next one has them
+// again. Applied at once, it would leave the domain without targets.
 func TestEmptyList(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork(1, 8, 8, 10)
@@ -144,7 +145,7 @@
 	is.Equal(len(n.daemons[7].applied.Targets), 10)
 	n.change(func(l *fleet.List) { l.Targets = all[:9] })
 	n.run(TargetGrace - time.Second)
-	is.Equal(len(n.daemons[7].applied.Targets), 9) // the tenth has been absent for Grace
+	is.Equal(len(n.daemons[7].applied.Targets), 9) // the tenth has been absent for TargetGrace
 	is.NoErr(n.checkConverged())
 	n.change(func(l *fleet.List) { l.Targets[0].State = fleet.Leaving })
 	n.change(removeFirstTarget)
@@ -152,9 +153,9 @@
 	is.NoErr(n.checkConverged()) // a leaving target isn't retained
 }
 
-// Both readers are cut off, and no other daemon has become a reader. The others
-// must notice the silence and watch the platform themselves, or the domain's list
-// is no longer updated.
+// Both readers are cut off, and no other daemon has become a reader. The
+// others must notice the silence and watch the platform themselves, or the
+// domain's list is no longer updated.
 func TestReadersCutOff(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork(1, 3, 8, 10)
@@ -189,8 +190,8 @@
 	is.True(!n.daemons[7].watches)
 }
 
-// A delta with another base, and parts that don't have the stated hash, must never
-// be put in force.
+// A delta with another base, and parts that don't have the stated hash, must
+// never be put in force.
 func TestCorruptContentIsRejected(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork(1, 2, 8, 10)
@@ -212,9 +213,9 @@
 
 // TestRandomFaults runs random sequences of changes, restarts, message losses,
 // isolated daemons, outages, and restores of the platform from older data. The
-// network checks in each step that no daemon returns to an older list or loses a
-// live target before its grace period ends. In the end all daemons must have the
-// newest list.
+// network checks in each step that no daemon returns to an older list or loses
+// a live target before its grace period ends. In the end all daemons must have
+// the newest list.
 func TestRandomFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := newNetwork(rapid.Uint64().Draw(t, "seed"), rapid.IntRange(1, 12).Draw(t, "size"), 10, 10)
--- a/decide/machine/message.go
+++ b/decide/machine/message.go
@@ -42,8 +42,8 @@
 	return Body{}
 }
 
-// Message returns the message in b. It returns an error unless b has exactly one
-// message and that is valid.
+// Message returns the message in b. It returns an error unless b has exactly
+// one message and that is valid.
 func (b Body) Message() (Message, error) {
 	var found []Message
 	if b.Digest != nil {
@@ -77,11 +77,11 @@
 
 // compare orders versions by epoch and number. Different contents of the same
 // number are ordered by hash, so that all daemons converge on the same one.
-func (p ListVersion) compare(o ListVersion) int {
+func (v ListVersion) compare(o ListVersion) int {
 	return cmp.Or(
-		cmp.Compare(p.Epoch, o.Epoch),
-		cmp.Compare(p.Version, o.Version),
-		cmp.Compare(p.Hash, o.Hash),
+		cmp.Compare(v.Epoch, o.Epoch),
+		cmp.Compare(v.Version, o.Version),
+		cmp.Compare(v.Hash, o.Hash),
 	)
 }
 
@@ -140,9 +140,9 @@
 var ErrBounds = errors.New("machine: message out of bounds")
 
 // Validate returns an error if the epoch or version is too high.
-func (p ListVersion) Validate() error {
-	if p.Epoch > maxEpoch || p.Version > maxVersion {
-		return fmt.Errorf("%w: list with epoch %d and version %d", ErrBounds, p.Epoch, p.Version)
+func (v ListVersion) Validate() error {
+	if v.Epoch > maxEpoch || v.Version > maxVersion {
+		return fmt.Errorf("%w: list with epoch %d and version %d", ErrBounds, v.Epoch, v.Version)
 	}
 	return nil
 }
--- a/decide/machine/net_test.go
+++ b/decide/machine/net_test.go
@@ -154,8 +154,8 @@
 	return n.list
 }
 
-// scheduleConfirmation schedules the platform's next answer to a watch without a
-// change.
+// scheduleConfirmation schedules the platform's next answer to a watch without
+// a change.
 func (n *network) scheduleConfirmation(v *daemon) { n.push(n.now.Add(confirmEvery), v, &Unchanged{}) }
 
 func (n *network) push(at clock.Time, to *daemon, ev Event) {
@@ -208,8 +208,9 @@
 	n.now = until
 }
 
-// checkStep records a violation if a step's effects break a rule of the package:
-// a lower version, a new epoch without a restore, or a live target lost too early.
+// checkStep records a violation if a step's effects break a rule of the
+// package: a lower version, a new epoch without a restore, or a live target
+// lost too early.
 func (n *network) checkStep(v *daemon) {
 	held := v.state.Held()
 	if held.compare(v.version) < 0 {
--- a/decide/machine/platform.go
+++ b/decide/machine/platform.go
@@ -10,8 +10,8 @@
 
 // compareShown compares the list that the platform shows with the one in force.
 func (s *State) compareShown() {
-	c := s.platform.shown
-	if c == nil {
+	l := s.platform.shown
+	if l == nil {
 		return
 	}
 	if s.held == nil {
@@ -20,11 +20,11 @@
 	}
 	held := s.held.version
 	switch {
-	case c.version.Version > held.Version:
+	case l.version.Version > held.Version:
 		s.adoptShown(held.Epoch)
-	case c.version.Version < held.Version:
+	case l.version.Version < held.Version:
 		s.checkLowerVersion(held)
-	case c.version.Hash != held.Hash:
+	case l.version.Hash != held.Hash:
 		// The platform uses a version number for two contents only if it was
 		// restored and has reached the same number again.
 		s.adoptShown(held.Epoch + 1)
@@ -34,12 +34,12 @@
 	}
 }
 
-// checkLowerVersion starts a new epoch if the platform has shown lower versions
-// throughout LowerVersionFor and the list in force to no reader meanwhile. A
-// single lower version doesn't prove that the platform was restored: a paused
-// reader or a delayed answer shows one too. Nor do lower versions at one reader:
-// a stalled replica of the platform shows them permanently, while other readers
-// see newer ones.
+// checkLowerVersion starts a new epoch if the platform has shown lower
+// versions throughout LowerVersionFor and the list in force to no reader
+// meanwhile. A single lower version doesn't prove that the platform was
+// restored: a paused reader or a delayed answer shows one too. Nor do lower
+// versions at one reader: a stalled replica of the platform shows them
+// permanently, while other readers see newer ones.
 func (s *State) checkLowerVersion(held ListVersion) {
 	p := &s.platform
 	gap := s.now.Sub(p.lastLowerAt)
@@ -54,23 +54,23 @@
 	}
 }
 
-// adoptShown puts the list that the platform shows in force, and schedules a push
-// of it.
+// adoptShown puts the list that the platform shows in force, and schedules a
+// push of it.
 func (s *State) adoptShown(epoch uint64) {
-	c := *s.platform.shown
-	c.version.Epoch = epoch
+	l := *s.platform.shown
+	l.version.Epoch = epoch
 	s.platform.lowerSince = clock.Never
 	before := s.held
-	s.adopt(&c)
+	s.adopt(&l)
 	s.confirmedAt = s.now
 	s.schedulePush(before)
 }
 
-// adopt puts a list in force. Live targets that it lacks are retained for a grace
-// period.
-func (s *State) adopt(c *domainList) {
+// adopt puts a list in force. Live targets that it lacks are retained for a
+// grace period.
+func (s *State) adopt(l *domainList) {
 	before := s.held
-	s.held = c
+	s.held = l
 	s.confirmedAt = 0
 	s.listChanged = true
 	if before == nil {
@@ -79,7 +79,7 @@
 	s.history = append(s.history, before)
 	s.history = s.history[max(len(s.history)-maxHistory, 0):]
 	grace := TargetGrace
-	if c.version.Epoch != before.version.Epoch {
+	if l.version.Epoch != before.version.Epoch {
 		grace = NewEpochGrace
 	}
 	for _, t := range before.targets {
@@ -87,12 +87,13 @@
 			s.retained = append(s.retained, retainedTarget{target: t, until: s.now.Add(grace)})
 		}
 	}
-	s.retained = slices.DeleteFunc(s.retained, func(r retainedTarget) bool { return c.hasReplacement(&r.target) })
+	s.retained = slices.DeleteFunc(s.retained, func(r retainedTarget) bool { return l.hasReplacement(&r.target) })
 }
 
-// hasReplacement reports whether c lists a target, or another one at its address.
-func (c *domainList) hasReplacement(t *fleet.Target) bool {
-	return slices.ContainsFunc(c.targets, func(n fleet.Target) bool {
+// hasReplacement reports whether l lists a target, or another one at its
+// address.
+func (l *domainList) hasReplacement(t *fleet.Target) bool {
+	return slices.ContainsFunc(l.targets, func(n fleet.Target) bool {
 		return n.ID == t.ID || n.Addr == t.Addr
 	})
 }
--- a/decide/machine/state.go
+++ b/decide/machine/state.go
@@ -104,8 +104,8 @@
 	until  clock.Time
 }
 
-// New returns the state of the entry VM self without a list. The seed determines
-// its random choices.
+// New returns the state of the entry VM self without a list. The seed
+// determines its random choices.
 func New(now clock.Time, self fleet.VM, seed uint64) *State {
 	s := &State{
 		self:           self,
@@ -221,8 +221,8 @@
 	return w
 }
 
-// shouldWatch reports whether this daemon should watch the platform: as a reader
-// or because it gets no messages from other members.
+// shouldWatch reports whether this daemon should watch the platform: as a
+// reader or because it gets no messages from other members.
 func (s *State) shouldWatch() bool { return s.isReader || s.isolatedAt() <= s.now }
 
 // isolatedAt returns the instant from which this daemon watches the platform
--- a/decide/member/bench_test.go
+++ b/decide/member/bench_test.go
@@ -23,8 +23,8 @@
 	}
 }
 
-// benchmarkStep runs one domain with all its members. The other domains have one
-// VM each, which gives the same number of rows.
+// benchmarkStep runs one domain with all its members. The other domains have
+// one VM each, which gives the same number of rows.
 func benchmarkStep(b *testing.B, members, domains int) {
 	n := newNetwork(1)
 	vms := membertest.Fleet(1, 1, members)
--- a/decide/member/event.go
+++ b/decide/member/event.go
@@ -20,7 +20,8 @@
 }
 
 // SendFailed reports that a connection to an entry VM could not be opened or
-// was lost. It only brings a probe forward; it doesn't prove that the VM is dead.
+// was lost. It only brings a probe forward; it doesn't prove that the VM is
+// dead.
 type SendFailed struct{ To fleet.VMID }
 
 // Tick runs the tasks that are due. It must be sent at Ready.Wake.
--- a/decide/member/member_test.go
+++ b/decide/member/member_test.go
@@ -19,8 +19,8 @@
 	leavingWithin = time.Second
 )
 
-// fleets have at most RowVMs members per domain, or a single domain, since a
-// larger domain offers only some of its VMs to other domains.
+// fleetShapes have at most RowVMs members per domain, or a single domain,
+// since a larger domain offers only some of its VMs to other domains.
 var fleetShapes = []struct{ regions, domains, members int }{
 	{1, 1, 2}, {3, 2, 1}, {3, 2, 2}, {2, 2, 8}, {1, 1, 43}, {4, 3, 6},
 }
@@ -66,11 +66,11 @@
 			vms := membertest.Fleet(c.regions, c.domains, c.members)
 			startAndSettle(n, vms)
 			n.Run(time.Duration(seed) * 130 * time.Millisecond)
-			victim := vms[int(seed)%len(vms)].ID
-			n.Stop(victim)
+			stopped := vms[int(seed)%len(vms)].ID
+			n.Stop(stopped)
 			n.Run(deadWithin)
 			for _, entry := range n.VMs {
-				is.True(!entry.Up || !offered(entry, victim))
+				is.True(!entry.Up || !offered(entry, stopped))
 			}
 			is.Equal(len(disagreements(n, runningVMs(n))), 0)
 		}
@@ -85,13 +85,13 @@
 		n := newNetwork(3)
 		vms := membertest.Fleet(c.regions, c.domains, c.members)
 		startAndSettle(n, vms)
-		leaver := n.VM(vms[0].ID)
-		n.Step(leaver, &member.Leave{})
+		leaving := n.VM(vms[0].ID)
+		n.Step(leaving, &member.Leave{})
 		n.Run(leavingWithin)
 		is.Equal(len(disagreements(n, runningVMs(n))), 0)
 		for _, entry := range n.VMs {
-			if entry != leaver && entry.VM.Domain == leaver.VM.Domain {
-				vm, ok := entry.State.VM(leaver.VM.ID)
+			if entry != leaving && entry.VM.Domain == leaving.VM.Domain {
+				vm, ok := entry.State.VM(leaving.VM.ID)
 				is.True(ok)
 				is.Equal(vm.State, fleet.Leaving)
 			}
@@ -99,9 +99,9 @@
 	}
 }
 
-// A domain is lost while the only VM of the region's other domain restarts. That
-// VM, which alone can detect the loss, has no row of the lost domain, and other
-// regions would go on offering it.
+// A domain is lost while the only VM of the region's other domain restarts.
+// That VM, which alone can detect the loss, has no row of the lost domain, and
+// other regions would go on offering it.
 func TestOnlyWatcherRestartsAsDomainIsLost(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork(2)
@@ -137,9 +137,9 @@
 	}
 }
 
-// A failed switch takes down 21 of 43 VMs, and with a dead VM often the VMs that
-// probe it. Detection takes many seconds unless the successors of a silent VM
-// are probed at once.
+// A failed switch takes down 21 of 43 VMs, so the VMs that probe a dead VM are
+// often dead too. Detection takes many seconds unless the successors of a
+// silent VM are probed at once.
 func TestLostHalfOfDomainIsDropped(t *testing.T) {
 	for seed := range uint64(6) {
 		is := is.New(t)
@@ -213,8 +213,9 @@
 	is.Equal(old.State.Self().Incarnation, old.VM.Incarnation)
 }
 
-// A VM is unreachable for about a second, suspected, and reachable again. It must
-// refute the suspicion, or it disappears from look-ups although it is live.
+// A VM is unreachable for about a second, suspected, and reachable again. It
+// must refute the suspicion, or it disappears from look-ups although it is
+// live.
 func TestFalseSuspicionIsRefuted(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork(29)
@@ -260,9 +261,9 @@
 	is.Equal(len(disagreements(n, runningVMs(n))), 0)
 }
 
-// All VMs of a domain stop, and VMs with new ids start that know each other only
-// from a list that still names the old ones. No old VM remains that could report
-// the change; the domain must neither stay empty nor keep the old VMs.
+// All VMs of a domain stop, and VMs with new ids start that know each other
+// only from a list that still names the old ones. No old VM remains that could
+// report the change; the domain must neither stay empty nor keep the old VMs.
 func TestDomainReplacedAtOnce(t *testing.T) {
 	for _, members := range []int{1, 2, 6} {
 		is := is.New(t)
@@ -317,8 +318,8 @@
 	is.True(withdrawnSince(n, counts, vms[0].ID) == 0)
 }
 
-// A Ready.Wake that has already passed would make the caller step in a busy loop.
-// Ticks at the same instant must ask for a later one.
+// A Ready.Wake that has already passed would make the caller step in a busy
+// loop. Ticks at the same instant must ask for a later one.
 func TestNoBusyLoop(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork(43)
--- a/decide/member/membertest/network.go
+++ b/decide/member/membertest/network.go
@@ -95,8 +95,8 @@
 	return out
 }
 
-// Start starts a process for vm, in place of an earlier one, with the given list
-// of contacts. Its incarnation is the current time unless vm has one.
+// Start starts a process for vm, in place of an earlier one, with the given
+// list of contacts. Its incarnation is the current time unless vm has one.
 func (n *Network) Start(vm fleet.VM, contacts []fleet.VM) *EntryVM {
 	if vm.Incarnation == 0 {
 		vm.Incarnation = fleet.Incarnation(n.Now)
--- a/decide/member/message.go
+++ b/decide/member/message.go
@@ -198,8 +198,8 @@
 	ReachResults []ReachResult `json:"reaches"`
 }
 
-// Watch checks whether a domain or region is reachable. It is sent to one of its
-// representatives.
+// Watch checks whether a domain or region is reachable. It is sent to one of
+// its representatives.
 type Watch struct {
 	Seq           uint32        `json:"seq"`
 	Region        fleet.Region  `json:"region"` // of the sender
--- a/decide/member/outbox.go
+++ b/decide/member/outbox.go
@@ -23,7 +23,7 @@
 
 type outboxReachResult struct {
 	result     ReachResult
-	measuredAt clock.Time // when it was measured
+	measuredAt clock.Time // on the local clock
 	to         extent
 }
 
@@ -66,7 +66,8 @@
 	n.scheduleAt(at)
 }
 
-// removeForwarded removes the updates that another representative has forwarded.
+// removeForwarded removes the updates that another representative has
+// forwarded.
 func (n *outbox) removeForwarded(m *Spread) {
 	n.rows = slices.DeleteFunc(n.rows, func(r outboxRow) bool {
 		return slices.ContainsFunc(m.Rows, func(o Row) bool {
@@ -262,7 +263,8 @@
 	}
 }
 
-// extent returns how far the receiver of this hop forwards; false if it doesn't.
+// extent returns how far the receiver of this hop forwards; false if it
+// doesn't.
 func (h Hop) extent() (extent, bool) {
 	switch h {
 	case HopDomain:
--- a/decide/member/partition_test.go
+++ b/decide/member/partition_test.go
@@ -13,7 +13,7 @@
 
 // The answers of a VM no longer reach one other member, while all other links
 // work. To that member the broken one-way link looks like a death; the indirect
-// probes must prevent that the live VM is declared dead.
+// probes must keep it from declaring the live VM dead.
 func TestOneWayLink(t *testing.T) {
 	for _, members := range []int{3, 8, 43} {
 		is := is.New(t)
@@ -21,17 +21,17 @@
 		vms := membertest.Fleet(1, 1, members)
 		startAndSettle(n, vms)
 		counts := changeCounts(n)
-		mute, deaf := vms[0].ID, vms[1].ID
-		n.Cut = func(from, to *fleet.VM) bool { return from.ID == mute && to.ID == deaf }
+		sender, receiver := vms[0].ID, vms[1].ID
+		n.Cut = func(from, to *fleet.VM) bool { return from.ID == sender && to.ID == receiver }
 		n.Run(30 * time.Second)
-		is.Equal(withdrawnSince(n, counts, mute), 0)
-		is.Equal(withdrawnSince(n, counts, deaf), 0)
+		is.Equal(withdrawnSince(n, counts, sender), 0)
+		is.Equal(withdrawnSince(n, counts, receiver), 0)
 	}
 }
 
-// A one-way link between the two VMs of a domain breaks. The domain has no third
-// VM as a relay, so VMs of the region's other domain must relay, or one VM
-// declares the other dead although callers reach both.
+// A one-way link between the two VMs of a domain breaks. The domain has no
+// third VM as a relay, so VMs of the region's other domain must relay, or one
+// VM declares the other dead although callers reach both.
 func TestOneWayLinkInDomainOfTwo(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork(5)
@@ -44,21 +44,21 @@
 	is.Equal(withdrawnSince(n, counts, vms[1].ID), 0)
 }
 
-// One domain is cut off for a minute, longer than records of dead VMs are kept,
-// and then returns. Both sides have recorded the other as gone. They must contact
-// each other again, and then not drop each other repeatedly.
+// One domain is cut off for a minute, longer than records of dead VMs are
+// kept, and then returns. Both sides have recorded the other as gone. They
+// must contact each other again, and then not drop each other repeatedly.
 func TestPartitionBetweenDomainsHeals(t *testing.T) {
 	for _, c := range fleetShapes[1:4] {
 		is := is.New(t)
 		n := newNetwork(9)
 		vms := membertest.Fleet(c.regions, c.domains, c.members)
 		startAndSettle(n, vms)
-		island := vms[0].Domain
-		n.Cut = func(from, to *fleet.VM) bool { return (from.Domain == island) != (to.Domain == island) }
+		cutOff := vms[0].Domain
+		n.Cut = func(from, to *fleet.VM) bool { return (from.Domain == cutOff) != (to.Domain == cutOff) }
 		n.Run(deadWithin)
 		for _, entry := range n.VMs {
-			// Each side offers exactly its own VMs.
-			want := runningOnSide(n, island, entry.VM.Domain == island)
+			// Each side offers exactly the VMs on its side.
+			want := runningOnSide(n, cutOff, entry.VM.Domain == cutOff)
 			is.Equal(offers(entry), want)
 		}
 		n.Run(time.Minute)
@@ -113,9 +113,10 @@
 	}
 }
 
-// As above, but the region has no other domain for relays. Each half has an
-// author that has recorded the other half as dead. If the two authors replace
-// each other's rows, the rest of the fleet loses one live half at each change.
+// As in TestOtherDomainsRelayAcrossPartition, but the region has no other
+// domain for relays. Each half has an author that has recorded the other half
+// as dead. If the two authors replace each other's rows, the rest of the fleet
+// loses one live half at each change.
 func TestPartitionedDomainIsOfferedCompletely(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork(11)
@@ -156,8 +157,8 @@
 }
 
 // While two domains are cut off from each other, each loses all VMs that the
-// other knows as its representatives. If they asked only those, they would never
-// reconnect.
+// other knows as its representatives. If they asked only those, they would
+// never reconnect.
 func TestRepresentativesLostDuringCut(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork(4)
--- a/decide/member/probe.go
+++ b/decide/member/probe.go
@@ -89,7 +89,7 @@
 }
 
 // inOwnDomain reports whether a VM is known to be of the own domain. Hashes and
-// facts are only sent to such VMs.
+// piggybacked facts are only sent to such VMs.
 func (s *State) inOwnDomain(vm fleet.VM) bool {
 	return vm.Domain == s.self.vm.Domain
 }
@@ -183,8 +183,8 @@
 	})
 }
 
-// applyFactsFrom applies the facts sent by a VM of the own domain. From other VMs
-// it applies only facts about this VM. Facts don't name their domain, so
+// applyFactsFrom applies the facts sent by a VM of the own domain. From other
+// VMs it applies only facts about this VM. Facts don't name their domain, so
 // applying all facts of another domain would merge the two domains.
 func (s *State) applyFactsFrom(id fleet.VMID, facts []Fact) {
 	vm, ok := s.address(id)
@@ -228,7 +228,8 @@
 	s.compareHashes(m, a.MembersHash, a.RowsHash, out)
 }
 
-// handlePingReq pings a VM on behalf of another one whose ping was not answered.
+// handlePingReq pings a VM on behalf of another one whose ping was not
+// answered.
 func (s *State) handlePingReq(m *Message, q *PingReq, out *Ready) {
 	to := fleet.VM{
 		ID:       q.VM.ID,
--- a/decide/member/protocol_test.go
+++ b/decide/member/protocol_test.go
@@ -13,8 +13,8 @@
 	"github.com/azurethread/azurethread/decide/member/membertest"
 )
 
-// newStateWithPeer returns the state of one VM of a domain that knows peer as the
-// other member, and a function that passes it an event after some time.
+// newStateWithPeer returns the state of one VM of a domain that knows peer as
+// the other member, and a function that passes it an event after some time.
 func newStateWithPeer(t *testing.T) (s *member.State, peer fleet.VM, step func(d time.Duration, ev member.Event)) {
 	t.Helper()
 	vms := membertest.Fleet(1, 1, 2)
@@ -47,8 +47,8 @@
 	return vm.State
 }
 
-// A VM is paused for longer than a suspicion lasts, while the refutation waits in
-// its inbox. When it resumes, it must not drop the refuted VM because the
+// A VM is paused for longer than a suspicion lasts, while the refutation waits
+// in its inbox. When it resumes, it must not drop the refuted VM because the
 // deadline passed while it could not read messages.
 func TestPauseExtendsSuspicions(t *testing.T) {
 	is := is.New(t)
@@ -63,10 +63,10 @@
 	is.Equal(stateOf(t, s, peer.ID), fleet.Live)
 }
 
-// After a partition heals, the other side sends the fact that a VM is dead from
-// which this VM has just received a message. The fact is older than the message,
-// but has the same incarnation and refutation count. Applied at once, it would
-// drop a VM for a moment that everybody reaches.
+// After a partition heals, the other side sends the fact that a VM is dead
+// from which this VM has just received a message. The fact is older than the
+// message, but has the same incarnation and refutation count. Applied at once,
+// it would drop a VM for a moment that everybody reaches.
 func TestRecentMessageOverridesDeath(t *testing.T) {
 	is := is.New(t)
 	s, peer, step := newStateWithPeer(t)
@@ -85,22 +85,22 @@
 func TestFactsOfOtherDomainAreIgnored(t *testing.T) {
 	is := is.New(t)
 	s, _, step := newStateWithPeer(t)
-	stranger := membertest.NewVM("r00", "r00-d1", 0)
-	step(time.Millisecond, &member.Listed{List: fleet.List{VMs: []fleet.VM{stranger}}})
+	other := membertest.NewVM("r00", "r00-d1", 0)
+	step(time.Millisecond, &member.Listed{List: fleet.List{VMs: []fleet.VM{other}}})
 	facts := []member.Fact{{ID: "x", Incarnation: 1, PeerAddr: "10.0.0.9:1"}}
 	for _, m := range []member.Msg{
 		&member.Ping{Seq: 1, Facts: facts}, &member.Ack{Seq: 1, Facts: facts}, &member.Spread{Facts: facts},
 		&member.Sync{Domain: "r00-d1", Digest: facts}, &member.SyncAck{Domain: "r00-d1", Facts: facts},
 	} {
-		step(time.Millisecond, messageFrom(stranger, m))
+		step(time.Millisecond, messageFrom(other, m))
 		is.Equal(len(s.Members(nil)), 2)
 	}
 }
 
-// Two VMs that both act as a domain's author publish in the same millisecond, so
-// their rows have equal versions. Unless the author decides, neither row replaces
-// the other, the hashes of the tables agree, and two parts of the fleet keep
-// different rows permanently.
+// Two VMs that both act as a domain's author publish in the same millisecond,
+// so their rows have equal versions. Unless the author decides, neither row
+// replaces the other, the hashes of the tables agree, and two parts of the
+// fleet keep different rows permanently.
 func TestEqualVersionsAreOrderedByAuthor(t *testing.T) {
 	is := is.New(t)
 	row := func(author fleet.VMID) member.Row {
@@ -147,9 +147,9 @@
 	}
 }
 
-// A large outage makes other domains publish as many results as a VM stores; then
-// the region's other domain is lost. The own result, the only one that withdraws
-// VMs, must still be stored, or callers are sent to the lost domain.
+// A large outage makes other domains publish as many results as a VM stores;
+// then the region's other domain is lost. The own result, the only one that
+// withdraws VMs, must still be stored, or callers are sent to the lost domain.
 func TestOwnResultEvictsOthers(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork(3)
--- a/decide/member/random_test.go
+++ b/decide/member/random_test.go
@@ -35,8 +35,8 @@
 	*membertest.Network
 	vms         []fleet.VM
 	links       map[[2]fleet.VMID]bool
-	island      func(vm *fleet.VM) bool
-	lossPercent int // percentage of messages that are lost
+	isolated    func(vm *fleet.VM) bool // VMs that are cut off from all others
+	lossPercent int
 	lossRandom  uint64
 }
 
@@ -52,7 +52,7 @@
 
 func (f *faultyNetwork) heal() {
 	f.links = make(map[[2]fleet.VMID]bool)
-	f.island = nil
+	f.isolated = nil
 	f.lossPercent = 0
 }
 
@@ -61,7 +61,7 @@
 	switch {
 	case f.links[[2]fleet.VMID{from.ID, to.ID}]:
 		return true
-	case f.island != nil && f.island(from) != f.island(to):
+	case f.isolated != nil && f.isolated(from) != f.isolated(to):
 		return true
 	default:
 		return int(f.lossRandom>>33%100) < f.lossPercent
@@ -88,12 +88,12 @@
 		f.links[[2]fleet.VMID{vm.ID, to.ID}] = true
 	case "island":
 		bits := rapid.Uint64().Draw(t, "island")
-		f.island = func(v *fleet.VM) bool {
+		f.isolated = func(v *fleet.VM) bool {
 			at := slices.IndexFunc(f.vms, func(o fleet.VM) bool { return o.ID == v.ID })
 			return bits>>at&1 == 1
 		}
 	case "domain":
-		f.island = func(v *fleet.VM) bool { return v.Domain == vm.Domain }
+		f.isolated = func(v *fleet.VM) bool { return v.Domain == vm.Domain }
 	case "loss":
 		f.lossPercent = rapid.IntRange(0, 30).Draw(t, "loss")
 	case "heal":
@@ -118,9 +118,9 @@
 	}
 }
 
-// TestRandomFaults asserts after a random sequence of faults: once they end, all
-// running VMs agree on the live VMs; from then on no VM drops a running VM; and a
-// VM that crashes is dropped by all within deadWithin.
+// TestRandomFaults asserts after a random sequence of faults: once they end,
+// all running VMs agree on the live VMs; from then on no VM drops a running
+// VM; and a VM that crashes is dropped by all within deadWithin.
 func TestRandomFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFaultyNetwork(t)
--- a/decide/member/reach.go
+++ b/decide/member/reach.go
@@ -51,9 +51,9 @@
 
 // evictReachResult makes room for a result of the own domain by dropping the
 // oldest result of another domain. Without eviction, a large outage in which
-// other domains publish MaxReachResults results would leave no room for the own
-// result that a remote is unreachable. Only own results withdraw VMs, so callers
-// would still be sent there.
+// other domains publish MaxReachResults results would leave no room for the
+// own result that a remote is unreachable. Only own results withdraw VMs, so
+// callers would still be sent there.
 func (s *State) evictReachResult(r *ReachResult) bool {
 	own := s.self.vm.Domain
 	if r.WatcherDomain != own {
@@ -105,8 +105,8 @@
 	return true
 }
 
-// domainReachable reports whether neither a domain nor its region is recorded as
-// unreachable from the own domain.
+// domainReachable reports whether neither a domain nor its region is recorded
+// as unreachable from the own domain.
 func (s *State) domainReachable(region fleet.Region, d fleet.Domain) bool {
 	if d == s.self.vm.Domain {
 		return true
@@ -117,8 +117,8 @@
 	return s.reachable(remote{region: region, domain: d})
 }
 
-// anyReportsUnreachable reports whether any domain has published that a remote is
-// unreachable.
+// anyReportsUnreachable reports whether any domain has published that a remote
+// is unreachable.
 func (s *State) anyReportsUnreachable(rm remote) bool {
 	return slices.ContainsFunc(s.reachResults, func(h storedReachResult) bool {
 		return !h.result.Reachable && h.result.Region == rm.region && h.result.Domain == rm.domain
@@ -151,17 +151,17 @@
 // latestReachResults returns the latest results for one message. For a receiver
 // in another region it leaves out results about whole regions and results that
 // were measured outside of this region.
-func (s *State) latestReachResults(far bool) []ReachResult {
-	var held []storedReachResult
+func (s *State) latestReachResults(otherRegion bool) []ReachResult {
+	var selected []storedReachResult
 	for _, h := range s.reachResults {
-		if far && (h.result.Domain == "" || h.result.WatcherRegion != s.self.vm.Region) {
+		if otherRegion && (h.result.Domain == "" || h.result.WatcherRegion != s.self.vm.Region) {
 			continue
 		}
-		held = append(held, h)
+		selected = append(selected, h)
 	}
-	slices.SortStableFunc(held, func(a, b storedReachResult) int { return cmp.Compare(b.measuredAt, a.measuredAt) })
+	slices.SortStableFunc(selected, func(a, b storedReachResult) int { return cmp.Compare(b.measuredAt, a.measuredAt) })
 	var out []ReachResult
-	for _, h := range held[:min(len(held), maxSentReachResults)] {
+	for _, h := range selected[:min(len(selected), maxSentReachResults)] {
 		h.result.Age = ageMillis(s.now, h.measuredAt)
 		out = append(out, h.result)
 	}
--- a/decide/member/row.go
+++ b/decide/member/row.go
@@ -108,10 +108,10 @@
 	return true
 }
 
-// mergeOtherAuthor keeps the VMs of another author's row of the own domain that
-// are dead or unknown here. Only VMs that are live in that author's own view are
-// kept; otherwise each side would keep renewing a dead VM from the other side's
-// row.
+// mergeOtherAuthor keeps the VMs of another author's row of the own domain
+// that are dead or unknown here. Only VMs that are live in that author's own
+// view are kept; otherwise each side would keep renewing a dead VM from the
+// other side's row.
 func (s *State) mergeOtherAuthor(row *Row) {
 	author := s.byID[row.Author]
 	if author != nil && !author.dead() {
@@ -320,11 +320,11 @@
 
 // reps returns the representatives among the row's VMs.
 func (r *Row) reps() []fleet.VM {
-	of := r.Live
-	if of == 0 {
-		of = r.Leaving
+	members := r.Live
+	if members == 0 {
+		members = r.Leaving
 	}
-	n := min(len(r.VMs), repCount(int(of)))
+	n := min(len(r.VMs), repCount(int(members)))
 	out := make([]fleet.VM, 0, n)
 	for _, v := range r.VMs[:n] {
 		out = append(out, r.fleetVM(v))
--- a/decide/member/session_test.go
+++ b/decide/member/session_test.go
@@ -34,17 +34,17 @@
 }
 
 type session struct {
-	n       *membertest.Network
-	vms     []fleet.VM
-	islands []fleet.Domain
-	links   [][2]fleet.VMID
+	n          *membertest.Network
+	vms        []fleet.VM
+	cutDomains []fleet.Domain
+	cutLinks   [][2]fleet.VMID
 }
 
 func (s *session) cut(from, to *fleet.VM) bool {
-	if slices.Contains(s.links, [2]fleet.VMID{from.ID, to.ID}) {
+	if slices.Contains(s.cutLinks, [2]fleet.VMID{from.ID, to.ID}) {
 		return true
 	}
-	return slices.ContainsFunc(s.islands, func(d fleet.Domain) bool {
+	return slices.ContainsFunc(s.cutDomains, func(d fleet.Domain) bool {
 		return (from.Domain == d) != (to.Domain == d)
 	})
 }
@@ -71,7 +71,7 @@
 	case "cut":
 		s.addCut(t, d)
 	case "heal":
-		s.islands, s.links = nil, nil
+		s.cutDomains, s.cutLinks = nil, nil
 	case "stop":
 		s.n.Stop(s.vm(t, d).ID)
 	case "start":
@@ -90,13 +90,13 @@
 	if d.HasArg("domain") {
 		var name string
 		d.ScanArgs(t, "domain", &name)
-		s.islands = append(s.islands, fleet.Domain(name))
+		s.cutDomains = append(s.cutDomains, fleet.Domain(name))
 		return
 	}
 	var from, to string
 	d.ScanArgs(t, "from", &from)
 	d.ScanArgs(t, "to", &to)
-	s.links = append(s.links, [2]fleet.VMID{fleet.VMID(from), fleet.VMID(to)})
+	s.cutLinks = append(s.cutLinks, [2]fleet.VMID{fleet.VMID(from), fleet.VMID(to)})
 }
 
 func (s *session) vm(t *testing.T, d *datadriven.TestData) fleet.VM {
--- a/decide/member/state.go
+++ b/decide/member/state.go
@@ -208,8 +208,8 @@
 	s.probeRandom(out)
 }
 
-// ReportEvery returns the time between two load reports of a VM. It is longer in
-// a larger domain.
+// ReportEvery returns the time between two load reports of a VM. It is longer
+// in a larger domain.
 func (s *State) ReportEvery() time.Duration {
 	return min(maxReportInterval, max(minReportInterval, time.Duration(s.liveMembers())*reportIntervalPerVM))
 }
--- a/decide/member/sync.go
+++ b/decide/member/sync.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// recordMismatch records the start of a difference. At maxMismatches it replaces
-// the oldest record.
+// recordMismatch records the start of a difference. At maxMismatches it
+// replaces the oldest record.
 func (s *State) recordMismatch(id fleet.VMID) {
 	if len(s.mismatches) >= maxMismatches {
 		s.mismatches = slices.Delete(s.mismatches, 0, 1)
@@ -144,10 +144,10 @@
 }
 
 // requestMissing makes anti-entropy work in both directions: it requests what
-// the sender of a Sync has and this VM lacks. Without it, the only VM of a domain
-// that restarts just after the other domain of its region was lost doesn't know
-// that domain, and so never reports to the other regions, which do know it, that
-// it is unreachable.
+// the sender of a Sync has and this VM lacks. Without it, the only VM of a
+// domain that restarts just after the other domain of its region was lost
+// doesn't know that domain, and so never reports to the other regions, which
+// do know it, that it is unreachable.
 func (s *State) requestMissing(id fleet.VMID, b *Sync, lacking bool, out *Ready) {
 	for _, v := range b.Versions {
 		at, ok := s.findRow(v.Domain)
@@ -190,8 +190,8 @@
 	return Version{}
 }
 
-// handleSyncAck merges the delta in the answer to a Sync. Rows from another
-// domain are forwarded.
+// handleSyncAck merges the delta in the answer to a Sync. Rows sent by
+// another domain are forwarded.
 func (s *State) handleSyncAck(m *Message, b *SyncAck) {
 	sameDomain := b.Domain == s.self.vm.Domain
 	if sameDomain {
--- a/decide/member/view.go
+++ b/decide/member/view.go
@@ -22,8 +22,8 @@
 // Self returns this VM with its current state and incarnation.
 func (s *State) Self() fleet.VM { return s.self.vm }
 
-// Joined reports whether joining has ended: another member has answered, or none
-// did within joinTimeout.
+// Joined reports whether joining has ended: another member has answered, or
+// none did within joinTimeout.
 func (s *State) Joined() bool { return s.joined }
 
 // Members appends every VM of the own domain that is not dead, this one
--- a/decide/member/view_test.go
+++ b/decide/member/view_test.go
@@ -8,7 +8,7 @@
 	"github.com/azurethread/azurethread/decide/member/membertest"
 )
 
-// start starts all VMs and waits until they agree.
+// startAndSettle starts all VMs and waits until they agree.
 func startAndSettle(n *membertest.Network, vms []fleet.VM) {
 	for _, vm := range vms {
 		n.Start(vm, vms)
@@ -36,7 +36,7 @@
 	return slices.Contains(offers(entry), id)
 }
 
-// up returns the ids of the running VMs that aren't leaving, in order.
+// runningVMs returns the ids of the running VMs that aren't leaving, in order.
 func runningVMs(n *membertest.Network) []fleet.VMID {
 	var out []fleet.VMID
 	for _, entry := range n.VMs {
@@ -59,8 +59,8 @@
 	return out
 }
 
-// withdrawnSince counts how often any VM reported a VM as not live since the given
-// counts of changes were taken.
+// withdrawnSince counts how often any VM reported a VM as not live since the
+// given counts of changes were taken.
 func withdrawnSince(n *membertest.Network, counts map[fleet.VMID]int, id fleet.VMID) int {
 	count := 0
 	for _, entry := range n.VMs {
@@ -73,10 +73,11 @@
 	return count
 }
 
+// changeCounts returns the number of changes that each entry VM has reported.
 func changeCounts(n *membertest.Network) map[fleet.VMID]int {
-	m := make(map[fleet.VMID]int)
+	counts := make(map[fleet.VMID]int)
 	for _, entry := range n.VMs {
-		m[entry.VM.ID] = len(entry.Changes)
+		counts[entry.VM.ID] = len(entry.Changes)
 	}
-	return m
+	return counts
 }
--- a/decide/member/watch.go
+++ b/decide/member/watch.go
@@ -36,10 +36,10 @@
 	}
 }
 
-// extent returns how far a result is published: about a domain of the own region
-// to all regions, since a domain that is cut off can't publish it itself; about
-// a region within the own region; the verification of another domain's result
-// within the own domain.
+// extent returns how far a result is published: about a domain of the own
+// region to all regions, since a domain that is cut off can't publish it
+// itself; about a region within the own region; the verification of another
+// domain's result within the own domain.
 func (w *watch) extent(s *State) extent {
 	switch {
 	case !w.assigned:
@@ -126,22 +126,22 @@
 	}
 	all := s.regionRepIDs(reps)
 	var out []watch
-	near, far := 0, 0
+	domains, regions := 0, 0
 	for _, rm := range s.remotes() {
 		w := watch{remote: rm}
 		mine := false
 		switch {
 		case rm.domain == "":
-			w.assigned = s.isAssigned(all, far)
-			mine = s.isAssigned(reps, far)
-			far++
+			w.assigned = s.isAssigned(all, regions)
+			mine = s.isAssigned(reps, regions)
+			regions++
 		case rm.region == s.self.vm.Region:
 			// Assigned from the last representative backwards: if the regions
 			// don't divide evenly, the first ones watch more of them.
-			w.assigned = s.isAssigned(reps, len(reps)-1-near%len(reps))
-			near++
+			w.assigned = s.isAssigned(reps, len(reps)-1-domains%len(reps))
+			domains++
 		default:
-			mine = s.isAssigned(reps, near+far)
+			mine = s.isAssigned(reps, domains+regions)
 		}
 		if w.assigned || (mine && s.anyReportsUnreachable(rm)) {
 			out = append(out, w)
@@ -150,8 +150,8 @@
 	return out
 }
 
-// regionRepIDs returns the ids of the representatives of all reachable domains of
-// the own region, in order.
+// regionRepIDs returns the ids of the representatives of all reachable domains
+// of the own region, in order.
 func (s *State) regionRepIDs(own []fleet.VMID) []fleet.VMID {
 	all := slices.Clone(own)
 	for _, vm := range s.otherDomainFirstReps(maxReps) {
@@ -246,8 +246,8 @@
 	return region
 }
 
-// watchOverdue asks further VMs. If they time out as well, it records the remote
-// as unreachable: a single VM may have died, but hardly all of them.
+// watchOverdue asks further VMs. If they time out as well, it records the
+// remote as unreachable: a single VM may have died, but hardly all of them.
 func (s *State) watchOverdue(w *watch, out *Ready) {
 	if w.fallbacksAsked {
 		w.waiting = false
@@ -320,19 +320,19 @@
 func (s *State) handleWatch(m *Message, b *Watch, out *Ready) {
 	s.applyReachResults(b.ReachResults)
 	to := s.replyAddress(m.From)
-	near := b.Region == s.self.vm.Region
+	sameRegion := b.Region == s.self.vm.Region
 	a := &WatchAck{
 		Seq:          b.Seq,
 		RowsHash:     s.rowHashForRegion(s.self.vm.Region),
-		ReachResults: s.latestReachResults(!near),
+		ReachResults: s.latestReachResults(!sameRegion),
 	}
 	scope := ScopeFar
-	if near {
+	if sameRegion {
 		scope = ScopeRegion
 		a.RowsHash = s.rowHash()
 	}
 	s.send(to, a, scope, out)
-	if !near && b.OwnRegionHash != s.rowHashForRegion(b.Region) {
+	if !sameRegion && b.OwnRegionHash != s.rowHashForRegion(b.Region) {
 		s.requestRows(m.From, b.Region, out)
 	}
 }
@@ -349,10 +349,11 @@
 	}
 }
 
-// compareRows requests rows that differ from the watched VM. Within the region an
-// update may still be in transit, so a difference is tolerated for
-// mismatchTolerance. From another region a difference means that a push was lost
-// or that its update is newer than the answer, so the rows are requested at once.
+// compareRows requests rows that differ from the watched VM. Within the region
+// an update may still be in transit, so a difference is tolerated for
+// mismatchTolerance. From another region a difference means that a push was
+// lost or that its update is newer than the answer, so the rows are requested
+// at once.
 func (s *State) compareRows(w *watch, from fleet.VMID, rows uint32, out *Ready) {
 	region := s.comparedRegion(w.remote.region)
 	same := rows == s.rowHashForRegion(region)
