--- a/decide/member/row.go
+++ b/decide/member/row.go
@@ -9,24 +9,25 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// rowState is a domain's row as held here. Rows are kept in order of domain.
-type rowState struct {
+// storedRow is a domain's row with its hash.
+type storedRow struct {
 	row  Row
 	hash uint64
 }
 
-// mergedVM is an entry VM of the own domain that this VM holds dead but another
-// author of the domain lists: the domain is partitioned. Each author publishes
-// the union. Without that the two sides would replace each other's rows
-// forever, and other domains would drop one side's live VMs at each change.
+// mergedVM is an entry VM of the own domain that is dead in this VM's view but
+// listed by another author of the domain: the domain is partitioned. Each
+// author publishes the union of both views. Otherwise the two sides would keep
+// replacing each other's rows, and other domains would drop the live VMs of one
+// side at each replacement.
 type mergedVM struct {
-	by    fleet.VMID
-	vm    RowVM
-	until clock.Time
+	author  fleet.VMID
+	vm      RowVM
+	expires clock.Time
 }
 
 func (s *State) findRow(d fleet.Domain) (int, bool) {
-	return slices.BinarySearchFunc(s.rows, d, func(r *rowState, d fleet.Domain) int {
+	return slices.BinarySearchFunc(s.rows, d, func(r *storedRow, d fleet.Domain) int {
 		return cmp.Compare(r.row.Domain, d)
 	})
 }
@@ -50,7 +51,8 @@
 	return cmp.Compare(a.Author, b.Author)
 }
 
-// putRow stores a row if it is newer than the one held.
+// putRow stores a row if it is newer than the stored one. It reports whether it
+// was stored.
 func (s *State) putRow(row Row) bool {
 	at, ok := s.findRow(row.Domain)
 	if ok && compareVersions(row.version(), s.rows[at].row.version()) <= 0 {
@@ -60,32 +62,33 @@
 		return false
 	}
 	h := hashString(hashString(fnvOffset, string(row.Domain)), string(row.Author))
-	r := &rowState{row: row, hash: mix(h ^ row.Version*fnvPrime)}
-	s.recheck(&row)
+	r := &storedRow{row: row, hash: mix(h ^ row.Version*fnvPrime)}
+	s.recheckUnreachable(&row)
 	if ok {
 		s.rows[at] = r
 		return true
 	}
 	s.rows = slices.Insert(s.rows, at, r)
-	// A domain unknown when the own row was pushed has not received it.
-	s.announce = s.announce || row.Domain != s.self.vm.Domain
+	// A domain that was unknown when the own row was pushed has not received it.
+	s.repeatOwnRowDue = s.repeatOwnRowDue || row.Domain != s.self.vm.Domain
 	return true
 }
 
-// recheck makes this VM probe at once a domain that was unreachable and has a
-// new row: its VMs may have been replaced.
-func (s *State) recheck(row *Row) {
+// recheckUnreachable makes this VM check an unreachable remote at once when it
+// has a new row, since its VMs may have been replaced.
+func (s *State) recheckUnreachable(row *Row) {
 	for i := range s.watches {
 		w := &s.watches[i]
 		covers := w.remote.domain == row.Domain || w.remote == remote{region: row.Region}
 		if covers && w.lastReported == reportedUnreachable {
 			w.urgent = true
-			s.claimsChanged = true
+			s.reachChanged = true
 		}
 	}
 }
 
-// applyRow merges a row of another VM. It reports whether it was newer.
+// applyRow merges a row from another VM. It reports whether the row was newer
+// than the stored one.
 func (s *State) applyRow(row Row) bool {
 	if row.Domain != s.self.vm.Domain {
 		return s.putRow(row)
@@ -99,33 +102,35 @@
 		return false
 	}
 	if mine {
-		s.mergeOwnRow(&row)
+		s.mergeOtherAuthor(&row)
 	}
-	s.rowsChanged = true
+	s.ownRowStale = true
 	return true
 }
 
-// mergeOwnRow keeps the VMs listed by another author of the own domain that
-// this VM holds dead. Only VMs which that author itself holds live are kept;
-// otherwise each side would keep renewing a dead VM from the other's row.
-func (s *State) mergeOwnRow(row *Row) {
+// mergeOtherAuthor keeps the VMs of another author's row of the own domain
+// that are dead or unknown here. Only VMs that are live in that author's own
+// view are kept; otherwise each side would keep renewing a dead VM from the
+// other side's row.
+func (s *State) mergeOtherAuthor(row *Row) {
 	author := s.byID[row.Author]
 	if author != nil && !author.dead() {
 		return
 	}
-	s.merged = slices.DeleteFunc(s.merged, func(v mergedVM) bool { return v.by == row.Author })
-	for _, v := range row.VMs[:min(int(row.Own), len(row.VMs))] {
+	s.merged = slices.DeleteFunc(s.merged, func(v mergedVM) bool { return v.author == row.Author })
+	for _, v := range row.VMs[:min(int(row.AuthorVMs), len(row.VMs))] {
 		r := s.byID[v.ID]
 		if r == nil || r.dead() {
-			s.merged = append(s.merged, mergedVM{by: row.Author, vm: v, until: s.now.Add(mergedTTL)})
+			s.merged = append(s.merged, mergedVM{author: row.Author, vm: v, expires: s.now.Add(mergedTTL)})
 		}
 	}
 }
 
-func (s *State) rowHash() uint32 { return s.rowHashOf("") }
+func (s *State) rowHash() uint32 { return s.rowHashForRegion("") }
 
-// rowHashOf condenses the rows of a region, or all for an empty one.
-func (s *State) rowHashOf(region fleet.Region) uint32 {
+// rowHashForRegion returns a hash of the rows of a region, or of all rows if
+// region is empty.
+func (s *State) rowHashForRegion(region fleet.Region) uint32 {
 	var h uint64
 	for _, r := range s.rows {
 		if region == "" || r.row.Region == region {
@@ -136,16 +141,17 @@
 }
 
 // reps returns the ids of the representatives of the own domain, the author
-// first. Where none is live, the leaving ones go on, so as to know to whom
-// they can send callers.
+// first. If no VM is live, leaving ones continue as representatives, so that
+// they still know which other VMs to send callers to.
 func (s *State) reps() []fleet.VMID {
-	if ids := s.firstOf(fleet.Live); len(ids) > 0 {
+	if ids := s.firstReps(fleet.Live); len(ids) > 0 {
 		return ids
 	}
-	return s.firstOf(fleet.Leaving)
+	return s.firstReps(fleet.Leaving)
 }
 
-func (s *State) firstOf(state fleet.State) []fleet.VMID {
+// firstReps returns the first repCount members in the given state.
+func (s *State) firstReps(state fleet.State) []fleet.VMID {
 	var ids []fleet.VMID
 	for _, r := range s.members {
 		if r.vm.State == state {
@@ -155,13 +161,13 @@
 	return ids[:repCount(len(ids))]
 }
 
-// isAuthor reports whether this VM publishes the domain's row: whether it is
-// the first of the representatives.
+// isAuthor reports whether this VM publishes the domain's row, as the first of
+// the representatives does.
 func (s *State) isAuthor() bool {
-	return s.joined && (s.isFirst(fleet.Live) || (s.liveMembers() == 0 && s.isFirst(fleet.Leaving)))
+	return s.joined && (s.isFirstInState(fleet.Live) || (s.liveMembers() == 0 && s.isFirstInState(fleet.Leaving)))
 }
 
-func (s *State) isFirst(state fleet.State) bool {
+func (s *State) isFirstInState(state fleet.State) bool {
 	for _, r := range s.members {
 		if r.vm.State == state {
 			return r == s.self
@@ -171,7 +177,7 @@
 }
 
 // refreshOwnRow publishes the domain's row if this VM is its author and the
-// row held differs from the members.
+// stored row doesn't match the members.
 func (s *State) refreshOwnRow() {
 	s.expireMerged()
 	if !s.isAuthor() {
@@ -181,47 +187,46 @@
 	if !s.publishDue() {
 		return
 	}
-	s.rowsChanged = false
+	s.ownRowStale = false
 	row := s.buildRow()
 	at, ok := s.findRow(row.Domain)
 	if ok && len(s.merged) == 0 && sameRow(&s.rows[at].row, &row) {
 		return
 	}
-	s.published = s.now
+	s.publishedAt = s.now
 	row.Version = max(uint64(s.now/clock.Time(time.Millisecond)), s.rowVersion(row.Domain)+1)
 	s.putRow(row)
 	s.outbox.addRow(s.now.Add(flushDelay), row, toAll)
 }
 
-// repeatOwnRow pushes the own row again after another domain has become
-// known.
+// repeatOwnRow pushes the own row again if a domain has become known since.
 func (s *State) repeatOwnRow() {
 	at, ok := s.findRow(s.self.vm.Domain)
-	if !s.announce || !ok {
+	if !s.repeatOwnRowDue || !ok {
 		return
 	}
-	s.announce = false
+	s.repeatOwnRowDue = false
 	s.outbox.addRow(s.now.Add(flushDelay), s.rows[at].row, toAll)
 }
 
-// publishDue reports whether the row must be looked at. In a partitioned
-// domain each author republishes every mergedEvery even without a change, to
-// renew the other's merged VMs.
+// publishDue reports whether the own row must be rebuilt. In a partitioned
+// domain each author publishes every mergedPublishInterval even without a
+// change, to renew the other author's merged VMs.
 func (s *State) publishDue() bool {
 	if len(s.merged) == 0 {
-		return s.rowsChanged
+		return s.ownRowStale
 	}
-	return s.published.Add(mergedEvery) <= s.now
+	return s.publishedAt.Add(mergedPublishInterval) <= s.now
 }
 
 func (s *State) expireMerged() {
 	n := len(s.merged)
 	s.merged = slices.DeleteFunc(s.merged, func(v mergedVM) bool {
 		r := s.byID[v.vm.ID]
-		return v.until <= s.now || (r != nil && !r.dead())
+		return v.expires <= s.now || (r != nil && !r.dead())
 	})
 	if len(s.merged) != n {
-		s.rowsChanged = true
+		s.ownRowStale = true
 	}
 }
 
@@ -231,45 +236,46 @@
 		Domain: s.self.vm.Domain,
 		Author: s.self.vm.ID,
 	}
-	// Parts of a domain share the places, so that their rows name the same.
+	// The sides of a partition share the RowVMs places, so that their rows list
+	// the same VMs.
 	own := RowVMs - min(len(s.merged), RowVMs/2)
 	for _, r := range s.members {
 		switch r.vm.State {
 		case fleet.Live:
 			row.Live++
 			if len(row.VMs) < own {
-				row.offer(rowVM(&r.vm))
+				row.addVM(rowVM(&r.vm))
 			}
-			row.Own = uint32(len(row.VMs))
+			row.AuthorVMs = uint32(len(row.VMs))
 		case fleet.Leaving:
 			row.Leaving++
 		}
 	}
 	for _, v := range s.merged {
 		row.Live++
-		row.offer(v.vm)
+		row.addVM(v.vm)
 	}
 	if row.Live == 0 {
-		s.nameLeaving(&row)
+		s.listLeaving(&row)
 	}
 	return row
 }
 
-func (s *State) nameLeaving(row *Row) {
-	for _, id := range s.firstOf(fleet.Leaving) {
-		row.offer(rowVM(&s.byID[id].vm))
+func (s *State) listLeaving(row *Row) {
+	for _, id := range s.firstReps(fleet.Leaving) {
+		row.addVM(rowVM(&s.byID[id].vm))
 	}
 }
 
-// offers returns the VMs that callers may be sent to.
-func (r *Row) offers() []RowVM {
+// offeredVMs returns the VMs that callers can be sent to.
+func (r *Row) offeredVMs() []RowVM {
 	if r.Live == 0 {
 		return nil
 	}
 	return r.VMs
 }
 
-func (r *Row) offer(v RowVM) {
+func (r *Row) addVM(v RowVM) {
 	if len(r.VMs) < RowVMs {
 		r.VMs = append(r.VMs, v)
 	}
@@ -285,8 +291,8 @@
 	}
 }
 
-// sameRow compares two rows' content in any order of their VMs: two authors
-// of a partitioned domain list them in different order.
+// sameRow compares the content of two rows, ignoring the order of their VMs:
+// two authors of a partitioned domain list them in different order.
 func sameRow(a, b *Row) bool {
 	if a.Live != b.Live || a.Leaving != b.Leaving || len(a.VMs) != len(b.VMs) {
 		return false
@@ -299,8 +305,8 @@
 	return true
 }
 
-// vm returns what a row says about one of its VMs.
-func (r *Row) vm(v RowVM) fleet.VM {
+// fleetVM converts a VM of a row.
+func (r *Row) fleetVM(v RowVM) fleet.VM {
 	return fleet.VM{
 		ID:          v.ID,
 		Region:      r.Region,
@@ -314,33 +320,33 @@
 
 // reps returns the representatives among the row's VMs.
 func (r *Row) reps() []fleet.VM {
-	of := r.Live
-	if of == 0 {
-		of = r.Leaving
+	members := r.Live
+	if members == 0 {
+		members = r.Leaving
 	}
-	n := min(len(r.VMs), repCount(int(of)))
+	n := min(len(r.VMs), repCount(int(members)))
 	out := make([]fleet.VM, 0, n)
 	for _, v := range r.VMs[:n] {
-		out = append(out, r.vm(v))
+		out = append(out, r.fleetVM(v))
 	}
 	return out
 }
 
-// offered finds a VM that another domain offers.
-func (s *State) offered(id fleet.VMID) (fleet.VM, bool) {
+// findInRows returns a VM that is listed in a row.
+func (s *State) findInRows(id fleet.VMID) (fleet.VM, bool) {
 	for _, r := range s.rows {
 		for _, v := range r.row.VMs {
 			if v.ID == id {
-				return r.row.vm(v), true
+				return r.row.fleetVM(v), true
 			}
 		}
 	}
 	return fleet.VM{}, false
 }
 
-// neighbours returns the first n representatives of each other domain of the
-// region.
-func (s *State) neighbours(n int) []fleet.VM {
+// otherDomainFirstReps returns the first n representatives of each other domain
+// of the region.
+func (s *State) otherDomainFirstReps(n int) []fleet.VM {
 	var out []fleet.VM
 	for _, r := range s.rows {
 		if r.row.Region != s.self.vm.Region || r.row.Domain == s.self.vm.Domain {
--- a/decide/member/watch.go
+++ b/decide/member/watch.go
@@ -9,36 +9,37 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// What a watch last reported about its remote.
+// The last result that a watch has recorded for its remote.
 const (
 	reportedNothing = iota
 	reportedReachable
 	reportedUnreachable
 )
 
-// watch is this VM's duty to keep in touch with another domain or region.
+// watch is the periodic reachability check of another domain or region.
 type watch struct {
-	remote       remote
-	assigned     bool // by ranked hash; otherwise it verifies a claim
-	seq          uint32
-	waiting      bool
-	urgent       bool // to be started at once
-	fallback     bool // further representatives have been asked
-	asked        fleet.VMID
-	deadline     clock.Time
-	turn         int
-	lastReported int
+	remote         remote
+	assigned       bool // round-robin; otherwise it verifies another domain's result
+	seq            uint32
+	waiting        bool
+	urgent         bool // start at once
+	fallbacksAsked bool // further VMs of the remote have been asked
+	askedVM        fleet.VMID
+	deadline       clock.Time
+	nextCandidate  int
+	lastReported   int
 }
 
-func (w *watch) delay(d time.Duration) {
+func (w *watch) extendDeadline(d time.Duration) {
 	if w.waiting {
 		w.deadline = w.deadline.Add(d)
 	}
 }
 
-// extent is how far a result is published: for a domain of the own region to
-// all, since a cut-off domain can't publish it itself; for a region in the own
-// region; for the verification of a claim in the own domain.
+// extent returns how far a result is published: about a domain of the own
+// region to all regions, since a domain that is cut off can't publish it
+// itself; about a region within the own region; the verification of another
+// domain's result within the own domain.
 func (w *watch) extent(s *State) extent {
 	switch {
 	case !w.assigned:
@@ -57,7 +58,7 @@
 	return cmp.Compare(a.domain, b.domain)
 }
 
-// runWatches starts the exchanges that are due and moves overdue ones on.
+// runWatches starts the exchanges that are due and handles overdue ones.
 func (s *State) runWatches(out *Ready) {
 	for i := range s.watches {
 		w := &s.watches[i]
@@ -66,27 +67,27 @@
 		}
 	}
 	due := s.due.watch <= s.now
-	if !due && !s.claimsChanged {
+	if !due && !s.reachChanged {
 		return
 	}
-	s.claimsChanged = false
-	s.expireReaches()
+	s.reachChanged = false
+	s.expireReachResults()
 	s.assignWatches()
 	if due {
-		s.due.watch = s.now.Add(s.o.WatchEvery)
+		s.due.watch = s.now.Add(s.opts.WatchEvery)
 	}
 	for i := range s.watches {
 		w := &s.watches[i]
-		check := w.urgent || (w.lastReported == reportedNothing && s.claimed(w.remote))
-		if !w.waiting && (due || check) {
-			s.startWatch(w, check, out)
+		verify := w.urgent || (w.lastReported == reportedNothing && s.anyReportsUnreachable(w.remote))
+		if !w.waiting && (due || verify) {
+			s.startWatch(w, verify, out)
 		}
 	}
 }
 
 func (s *State) nextWatch() clock.Time {
 	next := s.due.watch
-	if s.claimsChanged {
+	if s.reachChanged {
 		next = s.now
 	}
 	for i := range s.watches {
@@ -97,12 +98,12 @@
 	return next
 }
 
-// assignWatches brings the duties in line with the present representatives
-// and claims.
+// assignWatches updates the watches of this VM after changes of representatives
+// or reachability results. Watches that stay keep their state.
 func (s *State) assignWatches() {
 	var next []watch
 	if s.joined {
-		next = s.wantedWatches()
+		next = s.computeWatches()
 	}
 	for i := range next {
 		at, ok := slices.BinarySearchFunc(s.watches, next[i].remote, func(w watch, rm remote) int {
@@ -117,43 +118,43 @@
 	s.watches = next
 }
 
-// wantedWatches returns the watches of this VM in order of their remotes.
-func (s *State) wantedWatches() []watch {
+// computeWatches returns the watches assigned to this VM in order of remote.
+func (s *State) computeWatches() []watch {
 	reps := s.reps()
 	if !slices.Contains(reps, s.self.vm.ID) {
 		return nil
 	}
 	all := s.regionRepIDs(reps)
 	var out []watch
-	near, far := 0, 0
+	domains, regions := 0, 0
 	for _, rm := range s.remotes() {
 		w := watch{remote: rm}
 		mine := false
 		switch {
 		case rm.domain == "":
-			w.assigned = s.turnOf(all, far)
-			mine = s.turnOf(reps, far)
-			far++
+			w.assigned = s.isAssigned(all, regions)
+			mine = s.isAssigned(reps, regions)
+			regions++
 		case rm.region == s.self.vm.Region:
-			// From the last representative on: the first ones have more
-			// of the regions where these don't come out even.
-			w.assigned = s.turnOf(reps, len(reps)-1-near%len(reps))
-			near++
+			// Assigned from the last representative backwards: if the regions
+			// don't divide evenly, the first ones watch more of them.
+			w.assigned = s.isAssigned(reps, len(reps)-1-domains%len(reps))
+			domains++
 		default:
-			mine = s.turnOf(reps, near+far)
+			mine = s.isAssigned(reps, domains+regions)
 		}
-		if w.assigned || (mine && s.claimed(rm)) {
+		if w.assigned || (mine && s.anyReportsUnreachable(rm)) {
 			out = append(out, w)
 		}
 	}
 	return out
 }
 
-// regionRepIDs returns the representatives of all reachable domains of the own
-// region, in order of id.
+// regionRepIDs returns the ids of the representatives of all reachable domains
+// of the own region, in order.
 func (s *State) regionRepIDs(own []fleet.VMID) []fleet.VMID {
 	all := slices.Clone(own)
-	for _, vm := range s.neighbours(maxReps) {
+	for _, vm := range s.otherDomainFirstReps(maxReps) {
 		if s.domainReachable(vm.Region, vm.Domain) {
 			all = append(all, vm.ID)
 		}
@@ -162,9 +163,9 @@
 	return all
 }
 
-// turnOf reports whether watch number i is assigned to this VM, when watches
-// are assigned round-robin over ids.
-func (s *State) turnOf(ids []fleet.VMID, i int) bool {
+// isAssigned reports whether watch number i is assigned to this VM. Watches are
+// assigned round-robin over ids.
+func (s *State) isAssigned(ids []fleet.VMID, i int) bool {
 	return len(ids) > 0 && ids[i%len(ids)] == s.self.vm.ID
 }
 
@@ -189,8 +190,8 @@
 	return slices.Compact(out)
 }
 
-// candidates returns whom a watch can ask. Contacts are used while no row of
-// the remote is known.
+// candidates returns the VMs that a watch can ask: the representatives of the
+// remote or, while no row of it is known, its contacts.
 func (s *State) candidates(rm remote) []fleet.VM {
 	var out []fleet.VM
 	if rm.domain == "" {
@@ -204,9 +205,9 @@
 	return s.contactsOf(rm)
 }
 
-// startWatch asks one representative after the other in turn. To check what
-// others claim, it asks several at once, so that the answer is known sooner.
-func (s *State) startWatch(w *watch, check bool, out *Ready) {
+// startWatch sends a Watch to the next representative in rotation. To verify
+// another domain's result, it asks several VMs at once to get a result sooner.
+func (s *State) startWatch(w *watch, verify bool, out *Ready) {
 	c := s.candidates(w.remote)
 	if len(c) == 0 {
 		return
@@ -214,82 +215,82 @@
 	w.seq = s.nextSeq()
 	w.waiting = true
 	w.urgent = false
-	w.fallback = check
-	w.deadline = s.now.Add(s.o.WatchTimeout)
-	to := c[w.turn%len(c)]
-	w.asked = to.ID
-	w.turn++
+	w.fallbacksAsked = verify
+	w.deadline = s.now.Add(s.opts.WatchTimeout)
+	to := c[w.nextCandidate%len(c)]
+	w.askedVM = to.ID
+	w.nextCandidate++
 	s.sendWatch(w, to, out)
-	if check {
+	if verify {
 		s.askFallbacks(w, out)
 	}
 }
 
 func (s *State) sendWatch(w *watch, to fleet.VM, out *Ready) {
 	s.send(to, &Watch{
-		Seq:     w.seq,
-		Region:  s.self.vm.Region,
-		Own:     s.rowHashOf(s.self.vm.Region),
-		Rows:    s.rowHashOf(s.commonRows(to.Region)),
-		Reaches: s.carriedReaches(to.Region != s.self.vm.Region),
+		Seq:           w.seq,
+		Region:        s.self.vm.Region,
+		OwnRegionHash: s.rowHashForRegion(s.self.vm.Region),
+		RowsHash:      s.rowHashForRegion(s.comparedRegion(to.Region)),
+		ReachResults:  s.latestReachResults(to.Region != s.self.vm.Region),
 	}, ScopeNone, out)
 }
 
-// commonRows names the rows that are compared with a VM of a region: inside
-// the own region all, otherwise those of the region that is watched. Empty
-// means all.
-func (s *State) commonRows(region fleet.Region) fleet.Region {
+// comparedRegion returns the region whose rows are compared with those of a VM
+// in the given region: that region itself or, within the own region, all
+// regions, returned as empty.
+func (s *State) comparedRegion(region fleet.Region) fleet.Region {
 	if region == s.self.vm.Region {
 		return ""
 	}
 	return region
 }
 
-// watchOverdue asks further VMs, and if they time out as well records the
-// remote as unreachable: one VM may have died, but hardly all of them.
+// watchOverdue asks further VMs. If they time out as well, it records the
+// remote as unreachable: a single VM may have died, but hardly all of them.
 func (s *State) watchOverdue(w *watch, out *Ready) {
-	if w.fallback {
+	if w.fallbacksAsked {
 		w.waiting = false
-		if s.known(w.remote) {
-			s.recordReach(w, false)
+		if s.hasRow(w.remote) {
+			s.recordReachResult(w, false)
 		}
 		return
 	}
-	w.fallback = true
-	w.deadline = s.now.Add(s.o.WatchTimeout)
+	w.fallbacksAsked = true
+	w.deadline = s.now.Add(s.opts.WatchTimeout)
 	s.askFallbacks(w, out)
 }
 
 func (s *State) askFallbacks(w *watch, out *Ready) {
-	for _, vm := range s.fallbacks(w) {
+	for _, vm := range s.fallbackVMs(w) {
 		s.sendWatch(w, vm, out)
 	}
 }
 
-// fallbacks returns further representatives and, at random, other VMs of the
-// remote. Symptom without the latter: two domains that lost all their
-// representatives while they were cut off from each other never reconnect,
-// since each asks only the representatives that the other had.
-func (s *State) fallbacks(w *watch) []fleet.VM {
+// fallbackVMs returns further representatives and random other VMs of the
+// remote. Without the latter, two domains that lost all their representatives
+// while they were cut off from each other would never reconnect, since each
+// would ask only the representatives that the other had.
+func (s *State) fallbackVMs(w *watch) []fleet.VM {
 	reps := s.candidates(w.remote)
 	if len(reps) > 1 {
-		reps = slices.DeleteFunc(reps, func(vm fleet.VM) bool { return vm.ID == w.asked })
+		reps = slices.DeleteFunc(reps, func(vm fleet.VM) bool { return vm.ID == w.askedVM })
 	}
 	out := slices.Clone(reps[:min(len(reps), watchFallbacks)])
-	others := s.allVMs(w.remote)
+	others := s.knownVMs(w.remote)
 	s.shuffleVMs(others)
 	return append(out, others[:min(len(others), watchFallbacks)]...)
 }
 
-// allVMs returns all known VMs of a remote.
-func (s *State) allVMs(rm remote) []fleet.VM {
+// knownVMs returns all known VMs of a remote.
+func (s *State) knownVMs(rm remote) []fleet.VM {
 	var out []fleet.VM
 	for _, r := range s.rows {
 		if r.row.Region != rm.region || (rm.domain != "" && r.row.Domain != rm.domain) {
 			continue
 		}
 		for _, v := range r.row.VMs {
-			out = append(out, r.row.vm(v))
+			out = append(out, r.row.fleetVM(v))
 		}
 	}
 	return append(out, s.contactsOf(rm)...)
@@ -306,58 +307,61 @@
 	return out
 }
 
-// known reports whether a row of the remote is held. Without one it offers
-// nothing that could be withdrawn.
-func (s *State) known(rm remote) bool {
-	return slices.ContainsFunc(s.rows, func(r *rowState) bool {
+// hasRow reports whether a row of the remote is stored. Without one, the remote
+// offers no VMs that could be withdrawn.
+func (s *State) hasRow(rm remote) bool {
+	return slices.ContainsFunc(s.rows, func(r *storedRow) bool {
 		return r.row.Region == rm.region && (rm.domain == "" || rm.domain == r.row.Domain)
 	})
 }
 
-// handleWatch answers a Watch.
+// handleWatch answers a Watch, and requests the rows of the sender's region if
+// they differ.
 func (s *State) handleWatch(m *Message, b *Watch, out *Ready) {
-	s.applyReaches(b.Reaches)
+	s.applyReachResults(b.ReachResults)
 	to := s.replyAddress(m.From)
-	near := b.Region == s.self.vm.Region
+	sameRegion := b.Region == s.self.vm.Region
 	a := &WatchAck{
-		Seq:     b.Seq,
-		Rows:    s.rowHashOf(s.self.vm.Region),
-		Reaches: s.carriedReaches(!near),
+		Seq:          b.Seq,
+		RowsHash:     s.rowHashForRegion(s.self.vm.Region),
+		ReachResults: s.latestReachResults(!sameRegion),
 	}
 	scope := ScopeFar
-	if near {
+	if sameRegion {
 		scope = ScopeRegion
-		a.Rows = s.rowHash()
+		a.RowsHash = s.rowHash()
 	}
 	s.send(to, a, scope, out)
-	if !near && b.Own != s.rowHashOf(b.Region) {
-		s.askRows(m.From, b.Region, out)
+	if !sameRegion && b.OwnRegionHash != s.rowHashForRegion(b.Region) {
+		s.requestRows(m.From, b.Region, out)
 	}
 }
 
 func (s *State) handleWatchAck(m *Message, b *WatchAck, out *Ready) {
-	s.applyReaches(b.Reaches)
+	s.applyReachResults(b.ReachResults)
 	for i := range s.watches {
 		w := &s.watches[i]
 		if w.waiting && w.seq == b.Seq {
 			w.waiting = false
-			s.recordReach(w, true)
-			s.compareRows(w, m.From, b.Rows, out)
+			s.recordReachResult(w, true)
+			s.compareRows(w, m.From, b.RowsHash, out)
 		}
 	}
 }
 
-// compareRows asks the watched VM for the rows in which it differs. Inside the
-// region an update may still be in transit; from another region a difference
-// means that a push was lost, or that its update is younger than the answer.
+// compareRows requests rows that differ from the watched VM. Within the region
+// an update may still be in transit, so a difference is tolerated for
+// mismatchTolerance. From another region a difference means that a push was
+// lost or that its update is newer than the answer, so the rows are requested
+// at once.
 func (s *State) compareRows(w *watch, from fleet.VMID, rows uint32, out *Ready) {
-	region := s.commonRows(w.remote.region)
-	same := rows == s.rowHashOf(region)
+	region := s.comparedRegion(w.remote.region)
+	same := rows == s.rowHashForRegion(region)
 	if region == "" {
 		s.compareTables(from, same, out)
 		return
 	}
 	if !same {
-		s.askRows(from, region, out)
+		s.requestRows(from, region, out)
 	}
 }
