--- a/decide/dispatch/arrive.go
+++ b/decide/dispatch/arrive.go
@@ -13,21 +13,21 @@
 	maxRetryAfter = 30 * time.Second
 )
 
-// interactiveTurns is the usual latencies that interactive work may wait at
+// interactiveWaitFactor is the usual latencies that interactive work may wait at
 // least.
-const interactiveTurns = 3
+const interactiveWaitFactor = 3
 
-// unseenWait is what a caller is told to wait for a service of which no target
+// unlistedRetryAfter is what a caller is told to wait for a service of which no target
 // has ever been listed: an entry VM that has just started gets its list any
 // moment.
-const unseenWait = time.Second
+const unlistedRetryAfter = time.Second
 
-// longWait stands for the wait when no target can be used.
-const longWait = time.Hour
+// unknownWait stands for the wait when no target can be used.
+const unknownWait = time.Hour
 
 func (s *State) arrive(e *Arrive) {
 	if s.requests[e.Req] != nil {
-		s.violate(invOneEffect, "request id used twice", uint64(e.Req), 0)
+		s.reportViolation(invOneEffect, "request id used twice", uint64(e.Req), 0)
 		return
 	}
 	v := s.byName[e.Service]
@@ -52,7 +52,7 @@
 	if v.queue.Len() == 0 && s.trySend(r) {
 		return
 	}
-	s.place(r)
+	s.forwardOrQueue(r)
 }
 
 // refuse answers a request that was never accepted.
@@ -69,27 +69,27 @@
 	r.arrived = s.now
 	r.deadline = deadline
 	r.hops = e.Hops
-	r.worthWait = e.ExpectedWait
+	r.acceptableWait = e.ExpectedWait
 	r.idempotent = v.idempotent
-	r.joined = verdict.NotRun
+	r.joinedVerdict = verdict.NotRun
 	s.requests[r.id] = r
 	return r
 }
 
 func (s *State) newRequest() *request {
-	if n := len(s.pool); n > 0 {
-		r := s.pool[n-1]
-		s.pool = s.pool[:n-1]
+	if n := len(s.requestPool); n > 0 {
+		r := s.requestPool[n-1]
+		s.requestPool = s.requestPool[:n-1]
 		return r
 	}
-	r := &request{timer: notTimed}
+	r := &request{timerIndex: noTimer}
 	r.node.Item = r
 	return r
 }
 
-// place finds a place for a request that no local target can take now: an
+// forwardOrQueue finds a place for a request that no local target can take now: an
 // entry VM elsewhere, the queue, or back to the caller.
-func (s *State) place(r *request) {
+func (s *State) forwardOrQueue(r *request) {
 	v := r.svc
 	ahead := v.queue.Len()
 	if f := v.queue.Front(); f != nil && r.arrived < f.Item.arrived {
@@ -99,25 +99,25 @@
 	if r.hops > 0 && !s.admitsForwarded(r, wait) {
 		// The sender has other choices, so it is told at once. The request is
 		// never forwarded again, or full domains would pass it to and fro.
-		s.giveUp(r, verdict.ReasonOverload, retryAfter(wait))
+		s.replyWithError(r, verdict.ReasonOverload, retryAfter(wait))
 		return
 	}
-	if l := s.pickLink(r, wait); l != nil && s.forward(r, l, wait) {
+	if l := s.chooseRemote(r, wait); l != nil && s.forward(r, l, wait) {
 		return
 	}
-	if reason := s.refusal(r, wait); reason != verdict.ReasonNone {
-		if reason == verdict.ReasonNoTarget && !v.seen {
-			wait = unseenWait
+	if reason := s.queueRefusal(r, wait); reason != verdict.ReasonNone {
+		if reason == verdict.ReasonNoTarget && !v.hadTargets {
+			wait = unlistedRetryAfter
 		}
-		s.giveUp(r, reason, retryAfter(wait))
+		s.replyWithError(r, reason, retryAfter(wait))
 		return
 	}
 	s.enqueue(r)
 }
 
-// forwardedWait is the longest expected wait of a forwarded request, as a part
+// maxForwardedWaitFactor is the longest expected wait of a forwarded request, as a part
 // of the usual latency.
-const forwardedWait = 0.5
+const maxForwardedWaitFactor = 0.5
 
 // admitsForwarded reports whether work from another entry VM may wait here. It
 // may where slots are free most of the time: then the queue is a passing one,
@@ -126,16 +126,16 @@
 // where it comes from: then queues that differ are evened out.
 func (s *State) admitsForwarded(r *request, wait time.Duration) bool {
 	v := r.svc
-	if wait < r.worthWait {
+	if wait < r.acceptableWait {
 		return true
 	}
-	return v.spare.mean >= 1 && float64(wait) <= forwardedWait*v.usual()
+	return v.freeSlots.mean >= 1 && float64(wait) <= maxForwardedWaitFactor*v.meanLatency()
 }
 
-// refusal returns why r can't wait in the queue, or ReasonNone.
-func (s *State) refusal(r *request, wait time.Duration) verdict.Reason {
+// queueRefusal returns why r can't wait in the queue, or ReasonNone.
+func (s *State) queueRefusal(r *request, wait time.Duration) verdict.Reason {
 	v := r.svc
-	if wait >= longWait && len(v.targets) == 0 {
+	if wait >= unknownWait && len(v.targets) == 0 {
 		return verdict.ReasonNoTarget
 	}
 	if s.now.Add(wait) > s.latestStart(r) {
@@ -154,7 +154,7 @@
 
 // interactiveWait bounds the wait of interactive work.
 func (s *State) interactiveWait(v *service) time.Duration {
-	return max(s.lim.InteractiveWait, time.Duration(interactiveTurns*v.usual()))
+	return max(s.lim.InteractiveWait, time.Duration(interactiveWaitFactor*v.meanLatency()))
 }
 
 // evictDeferrable gives up the deferrable request that was queued last, in the
@@ -171,7 +171,7 @@
 		return false
 	}
 	wait := s.expectedWait(longest, longest.queue.Len())
-	s.giveUp(longest.queue.Back().Item, verdict.ReasonQueueFull, retryAfter(wait))
+	s.replyWithError(longest.queue.Back().Item, verdict.ReasonQueueFull, retryAfter(wait))
 	return true
 }
 
@@ -179,7 +179,7 @@
 // requests before it.
 func (s *State) expectedWait(v *service, ahead int) time.Duration {
 	if v.capacity > 0 {
-		return time.Duration(v.usual() * float64(ahead+1) / float64(v.capacity))
+		return time.Duration(v.meanLatency() * float64(ahead+1) / float64(v.capacity))
 	}
 	back := clock.Never
 	for _, t := range v.targets {
@@ -189,15 +189,15 @@
 		back = min(back, max(t.outlier.Until(), t.pausedUntil))
 	}
 	if back == clock.Never || back <= s.now {
-		return longWait
+		return unknownWait
 	}
-	return back.Sub(s.now) + time.Duration(v.usual()*float64(ahead+1))
+	return back.Sub(s.now) + time.Duration(v.meanLatency()*float64(ahead+1))
 }
 
 // latestStart is when r has to be sent for an answer before its deadline to be
 // likely.
 func (s *State) latestStart(r *request) clock.Time {
-	need := max(time.Duration(r.svc.usual()), r.svc.tail.P95())
+	need := max(time.Duration(r.svc.meanLatency()), r.svc.tail.P95())
 	if !r.idempotent {
 		// Work cut off by its deadline has an unknown outcome.
 		need = max(need, r.svc.tail.P99())
--- a/decide/dispatch/standing.go
+++ b/decide/dispatch/ejection.go
@@ -10,24 +10,24 @@
 )
 
 const (
-	// maxEjectedShare is the part of a service's targets that may be ejected
+	// ejectedShareDivisor is the part of a service's targets that may be ejected
 	// whatever the load, as 1/maxEjectedShare; one may be always.
-	maxEjectedShare = 3
-	// briefEjection spaces the tests of a target that fails but may not be
+	ejectedShareDivisor = 3
+	// briefEjectionTime spaces the tests of a target that fails but may not be
 	// ejected for longer.
-	briefEjection = 100 * time.Millisecond
-	// probeWait is how long a non-idempotent service waits for a health
+	briefEjectionTime = 100 * time.Millisecond
+	// healthProbeInterval is how long a non-idempotent service waits for a health
 	// report before it asks again.
-	probeWait = time.Second
+	healthProbeInterval = time.Second
 )
 
-// targetFailed records a failed request at t and ejects t when it is an
+// recordTargetFailure records a failed request at t and ejects t when it is an
 // outlier.
-func (s *State) targetFailed(t *targetState) {
+func (s *State) recordTargetFailure(t *targetState) {
 	if t.outlier.Failed() {
 		s.eject(t)
 	}
-	s.refresh(t)
+	s.updateCapacity(t)
 }
 
 // eject takes t out of use. When too many are out already, failing requests
@@ -37,21 +37,21 @@
 	if t.outlier.Standing() == target.Ejected {
 		return
 	}
-	t.brief = !s.mayEject(t)
+	t.ejectedBriefly = !s.mayEjectFully(t)
 	t.outlier.Eject(s.now, s.rng)
 	t.ejectedAt = s.now
-	if t.brief {
-		t.outlier.Postpone(s.now.Add(briefEjection))
+	if t.ejectedBriefly {
+		t.outlier.Postpone(s.now.Add(briefEjectionTime))
 	}
 	t.mean.Forget()
-	s.suspend(t, t.outlier.Until())
-	s.refresh(t)
+	s.scheduleRecheck(t, t.outlier.Until())
+	s.updateCapacity(t)
 }
 
-// mayEject reports whether t may be ejected for longer.
-func (s *State) mayEject(t *targetState) bool {
+// mayEjectFully reports whether t may be ejected for longer.
+func (s *State) mayEjectFully(t *targetState) bool {
 	v := t.svc
-	left := v.capacity - t.granted
+	left := v.capacity - t.capacity
 	if left <= 0 && (v.idempotent || t.answeredAt == s.now) {
 		// The last one in use: without it all requests are refused. Where a
 		// test may end with an unknown outcome, it has to answer at least.
@@ -59,11 +59,11 @@
 	}
 	out := 1
 	for _, o := range v.targets {
-		if o != t && o.outlier.Standing() == target.Ejected && !o.brief {
+		if o != t && o.outlier.Standing() == target.Ejected && !o.ejectedBriefly {
 			out++
 		}
 	}
-	if out <= max(len(v.targets)/maxEjectedShare, 1) {
+	if out <= max(len(v.targets)/ejectedShareDivisor, 1) {
 		return true
 	}
 	return left > 0 && float64(left) >= v.demand()
@@ -72,36 +72,36 @@
 // demand is the slots that v's requests take, on average or now, whichever is
 // more.
 func (v *service) demand() float64 {
-	return max(float64(v.inFlight+v.queue.Len()), float64(v.capacity)-v.spare.mean)
+	return max(float64(v.inFlight+v.queue.Len()), float64(v.capacity)-v.freeSlots.mean)
 }
 
 // pause gives t nothing for a while after it refused a request.
 func (s *State) pause(t *targetState, d time.Duration) {
 	t.pausedUntil = max(t.pausedUntil, s.now.Add(d))
-	s.suspend(t, t.pausedUntil)
-	s.refresh(t)
+	s.scheduleRecheck(t, t.pausedUntil)
+	s.updateCapacity(t)
 }
 
-// suspend makes State look at t again at the given instant.
-func (s *State) suspend(t *targetState, until clock.Time) {
-	if !t.waiting {
-		t.waiting = true
+// scheduleRecheck makes State look at t again at the given instant.
+func (s *State) scheduleRecheck(t *targetState, until clock.Time) {
+	if !t.suspended {
+		t.suspended = true
 		s.suspended = append(s.suspended, t)
 	}
-	s.nextTest = min(s.nextTest, until)
+	s.nextRecheck = min(s.nextRecheck, until)
 }
 
-// resume looks at all suspended targets and lets back in those whose time has
+// recheckSuspended looks at all suspended targets and lets back in those whose time has
 // come.
-func (s *State) resume() {
-	s.nextTest = clock.Never
+func (s *State) recheckSuspended() {
+	s.nextRecheck = clock.Never
 	kept := s.suspended[:0]
 	for _, t := range s.suspended {
-		if at := s.resumeTarget(t); at != clock.Never {
-			s.nextTest = min(s.nextTest, at)
+		if at := s.recheckTarget(t); at != clock.Never {
+			s.nextRecheck = min(s.nextRecheck, at)
 			kept = append(kept, t)
 		} else {
-			t.waiting = false
+			t.suspended = false
 		}
 	}
 	clear(s.suspended[len(kept):])
@@ -109,15 +109,15 @@
 	s.drainAll()
 }
 
-// resumeTarget returns when to look at t again, clock.Never for not at all.
-func (s *State) resumeTarget(t *targetState) clock.Time {
+// recheckTarget returns when to look at t again, clock.Never for not at all.
+func (s *State) recheckTarget(t *targetState) clock.Time {
 	if !t.listed {
 		return clock.Never
 	}
 	if t.outlier.Standing() == target.Ejected && s.now >= t.outlier.Until() {
 		s.endEjection(t)
 	}
-	s.refresh(t)
+	s.updateCapacity(t)
 	next := clock.Never
 	if t.outlier.Standing() == target.Ejected {
 		next = t.outlier.Until()
@@ -132,22 +132,22 @@
 // service is a submission with an unknown outcome, so there a good health
 // report has to come first.
 func (s *State) endEjection(t *targetState) {
-	if !t.brief {
+	if !t.ejectedBriefly {
 		s.out.Probes = append(s.out.Probes, Probe{Target: t.id})
 	}
-	if !t.brief && !t.svc.idempotent && !t.healthySince() {
-		t.outlier.Postpone(s.now.Add(probeWait))
+	if !t.ejectedBriefly && !t.svc.idempotent && !t.healthySinceEjection() {
+		t.outlier.Postpone(s.now.Add(healthProbeInterval))
 		return
 	}
-	if t.share == 0 && !s.opts.Ungated {
+	if t.share == 0 && !s.opts.PlainBalancer {
 		t.outlier.Restore() // only borrowed, and only when it reports free slots
 		return
 	}
 	t.outlier.Test()
 }
 
-// healthySince reports whether t has said since its ejection that it is well.
-func (t *targetState) healthySince() bool { return t.healthyAt > t.ejectedAt }
+// healthySinceEjection reports whether t has said since its ejection that it is well.
+func (t *targetState) healthySinceEjection() bool { return t.healthyAt > t.ejectedAt }
 
 // health handles a target's own statement. It never brings a target back by
 // itself, and takes one out only where no request has lately been answered.
@@ -156,7 +156,7 @@
 	if t == nil || !t.listed {
 		return
 	}
-	s.loadReport(t, e.InFlight, e.Slots, e.Age)
+	s.recordLoad(t, e.InFlight, e.Slots, e.Age)
 	switch {
 	case e.OK:
 		t.healthyAt = max(t.healthyAt, s.now.Add(-e.Age))
@@ -167,7 +167,7 @@
 		t.limit = limit.Cold(t.share) // restarted without having been missed
 	}
 	t.cold = e.Cold
-	s.refresh(t)
+	s.updateCapacity(t)
 	s.drain(t.svc)
 }
 
@@ -175,7 +175,7 @@
 // target, its part of those that the target accepts; 0 for an unknown one.
 func (s *State) ConnectionLimit(id fleet.TargetID) int {
 	if t := s.targets[id]; t != nil && t.listed {
-		return t.connections
+		return t.connectionShare
 	}
 	return 0
 }
@@ -190,8 +190,8 @@
 	}
 	switch e.Event {
 	case Opened:
-		t.open++
+		t.openConnections++
 	default:
-		t.open = max(t.open-1, 0)
+		t.openConnections = max(t.openConnections-1, 0)
 	}
 }
--- a/decide/dispatch/expire.go
+++ b/decide/dispatch/expire.go
@@ -4,23 +4,23 @@
 	"github.com/azurethread/azurethread/decide/verdict"
 )
 
-// expire does everything that is due at the instant of the step.
-func (s *State) expire() {
-	if s.now >= s.nextTest {
-		s.resume()
+// runTimers does everything that is due at the instant of the step.
+func (s *State) runTimers() {
+	if s.now >= s.nextRecheck {
+		s.recheckSuspended()
 	}
-	for s.lingering.earliest() <= s.now {
-		s.endLingering()
+	for s.cancelled.earliest() <= s.now {
+		s.expireCancelled()
 	}
 	for s.timers.earliest() <= s.now {
-		s.due(s.timers[0])
+		s.handleTimer(s.timers[0])
 	}
 }
 
-// endLingering frees the slot of a cancelled attempt whose end the transport
+// expireCancelled frees the slot of a cancelled attempt whose end the transport
 // didn't report.
-func (s *State) endLingering() {
-	e := s.lingering.pop()
+func (s *State) expireCancelled() {
+	e := s.cancelled.pop()
 	a := s.attempts.find(e.attempt, e.req)
 	if a == nil {
 		return
@@ -30,38 +30,38 @@
 	s.drain(v)
 }
 
-// due handles the timer of r.
-func (s *State) due(r *request) {
-	if r.n == 0 {
-		s.giveUp(r, verdict.ReasonDeadline, retryAfter(s.expectedWait(r.svc, r.svc.queue.Len())))
+// handleTimer handles the timer of r.
+func (s *State) handleTimer(r *request) {
+	if r.numCurrent == 0 {
+		s.replyWithError(r, verdict.ReasonDeadline, retryAfter(s.expectedWait(r.svc, r.svc.queue.Len())))
 		return
 	}
 	if s.now >= r.deadline {
-		s.giveUp(r, verdict.ReasonDeadline, 0)
+		s.replyWithError(r, verdict.ReasonDeadline, 0)
 		return
 	}
-	if s.suspectSilent(r) {
+	if s.abandonSilent(r) {
 		return
 	}
 	if s.now >= s.hedgeAt(r) {
 		s.hedge(r)
 	}
-	if s.now >= s.secondAt(r) {
-		s.second(r)
+	if s.now >= s.duplicateAt(r) {
+		s.sendDuplicate(r)
 	}
 	s.schedule(r)
 }
 
-// suspectSilent looks at the attempts of r that are unanswered for too long.
+// abandonSilent looks at the attempts of r that are unanswered for too long.
 // It reports whether r has been dealt with.
-func (s *State) suspectSilent(r *request) bool {
-	for i := 0; i < r.n; i++ {
+func (s *State) abandonSilent(r *request) bool {
+	for i := 0; i < r.numCurrent; i++ {
 		a := r.current[i]
-		if s.now < a.silentAt {
+		if s.now < a.nextCheck {
 			continue
 		}
-		if !s.silent(r, a) {
-			a.silentAt = s.nextLook(a)
+		if !s.shouldAbandon(r, a) {
+			a.nextCheck = s.nextCheckAt(a)
 			continue
 		}
 		s.abandon(r, a)
@@ -70,41 +70,41 @@
 	return false
 }
 
-// silent reports whether the connection of a is to be given up: it is
+// shouldAbandon reports whether the connection of a is to be given up: it is
 // suspected, and the request can go elsewhere. One that can't, for lack of
 // budget, is looked at again later. So is a non-idempotent one, as long as it
 // may only be slow.
-func (s *State) silent(r *request, a *attempt) bool {
-	if !s.suspected(a) {
+func (s *State) shouldAbandon(r *request, a *attempt) bool {
+	if !s.isSilent(a) {
 		return false
 	}
-	s.extend(a)
+	s.extendTailBound(a)
 	if !r.idempotent {
-		s.doubt(a)
-		return s.now >= a.sentAt.Add(submissionBound) && a.overtaken()
+		s.recordSuspicion(a)
+		return s.now >= a.sentAt.Add(nonIdempotentGiveUpBound) && a.laterAnswered()
 	}
-	return r.n > 1 || s.mayRepeat(r)
+	return r.numCurrent > 1 || s.spendRepeat(r)
 }
 
 // abandon cancels an attempt on a silent connection and sends r elsewhere if
 // that does no harm.
 func (s *State) abandon(r *request, a *attempt) {
-	hedged := r.n > 1
+	hedged := r.numCurrent > 1
 	a.svc.silence.tail.Observe(s.now.Sub(a.sentAt))
-	s.doubt(a)
+	s.recordSuspicion(a)
 	if a.target != nil {
-		r.avoid = a.target
+		r.avoidTarget = a.target
 	} else {
-		r.avoidVM = a.link.vm
+		r.avoidVM = a.remote.vm
 	}
 	s.cancel(a, true)
-	r.joined = verdict.Join(r.joined, verdict.MayHaveRun)
+	r.joinedVerdict = verdict.Join(r.joinedVerdict, verdict.MayHaveRun)
 	switch {
 	case hedged:
 		s.schedule(r)
 	case r.idempotent:
-		s.again(r)
+		s.resend(r)
 	default:
-		s.giveUp(r, verdict.ReasonSilent, 0)
+		s.replyWithError(r, verdict.ReasonSilent, 0)
 	}
 }
--- a/decide/dispatch/golden_test.go
+++ b/decide/dispatch/golden_test.go
@@ -25,7 +25,7 @@
 			x.buf.Reset()
 			x.options(d)
 			for _, line := range strings.Split(d.Input, "\n") {
-				x.line(line)
+				x.runLine(line)
 			}
 			return x.buf.String()
 		})
@@ -89,7 +89,7 @@
 	return d
 }
 
-func (x *session) line(line string) {
+func (x *session) runLine(line string) {
 	words := strings.Fields(line)
 	f := fields{t: x.t, keyed: map[string]string{}}
 	for _, w := range words[2:] {
@@ -201,8 +201,8 @@
 	return id
 }
 
-// name gives a new attempt its name.
-func (x *session) name(r RequestID, a AttemptID) string {
+// nameAttempt gives a new attempt its name.
+func (x *session) nameAttempt(r RequestID, a AttemptID) string {
 	x.count[r]++
 	n := fmt.Sprintf("%d.%d", r, x.count[r])
 	x.ids[n], x.names[a] = a, n
@@ -216,10 +216,10 @@
 		x.print("cancel %s%s", x.names[e.Attempt], map[bool]string{true: " and replace its connection"}[e.Replace])
 	}
 	for _, e := range x.out.Sends {
-		x.print("send %s to %s, deadline %v%s", x.name(e.Req, e.Attempt), e.Target, time.Duration(e.Deadline), map[bool]string{true: ", on a new connection"}[e.Fresh])
+		x.print("send %s to %s, deadline %v%s", x.nameAttempt(e.Req, e.Attempt), e.Target, time.Duration(e.Deadline), map[bool]string{true: ", on a new connection"}[e.NewConnection])
 	}
 	for _, e := range x.out.Forwards {
-		x.print("forward %s to %s, deadline %v, expected wait %v", x.name(e.Req, e.Attempt), e.VM, time.Duration(e.Deadline), e.ExpectedWait.Round(time.Millisecond))
+		x.print("forward %s to %s, deadline %v, expected wait %v", x.nameAttempt(e.Req, e.Attempt), e.VM, time.Duration(e.Deadline), e.ExpectedWait.Round(time.Millisecond))
 	}
 	for _, e := range x.out.Delivers {
 		x.print("deliver %s", x.names[e.Attempt])
--- a/decide/dispatch/invariant.go
+++ b/decide/dispatch/invariant.go
@@ -10,22 +10,22 @@
 
 // The invariants, as named in Violation.
 const (
-	invSlots     = "in-flight-within-slots"
-	invOnce      = "non-idempotent-sent-once"
-	invLeaving   = "no-send-to-leaving-target"
-	invOneEffect = "one-final-effect"
-	invHops      = "forwarded-once"
-	invDeadline  = "deadline-within-request"
-	invAudit     = "books-balance"
+	invSlots         = "in-flight-within-slots"
+	invSentOnce      = "non-idempotent-sent-once"
+	invTargetInUse   = "no-send-to-leaving-target"
+	invOneEffect     = "one-final-effect"
+	invForwardedOnce = "forwarded-once"
+	invDeadline      = "deadline-within-request"
+	invCounts        = "books-balance"
 )
 
-// violate reports a broken invariant. In production the process goes on
+// reportViolation reports a broken invariant. In production the process goes on
 // serving, and the count and the log tell of it.
-func (s *State) violate(invariant, what string, subject, value uint64) {
+func (s *State) reportViolation(invariant, what string, subject, value uint64) {
 	s.violations++
 	detail := fmt.Sprintf("%s: %d (%d)", what, subject, value)
 	s.out.Violations = append(s.out.Violations, Violation{Invariant: invariant, Detail: detail})
-	if s.opts.Panic {
+	if s.opts.PanicOnViolation {
 		panic("dispatch: " + invariant + ": " + detail)
 	}
 }
@@ -33,49 +33,49 @@
 // Violations returns how many invariants were found broken so far.
 func (s *State) Violations() uint64 { return s.violations }
 
-// maySend asserts what has to hold of each send.
-func (s *State) maySend(r *request, t *targetState) bool {
+// checkSend asserts what has to hold of each send.
+func (s *State) checkSend(r *request, t *targetState) bool {
 	if t.leaving || !t.listed || t.outlier.Standing() == target.Ejected {
-		s.violate(invLeaving, "target not in use, request", uint64(r.id), uint64(t.inFlight))
+		s.reportViolation(invTargetInUse, "target not in use, request", uint64(r.id), uint64(t.inFlight))
 		return false
 	}
-	if t.inFlight+1 > s.allowed(t) || (!s.opts.Ungated && t.inFlight+1 > t.slots) {
-		s.violate(invSlots, "no free slot for request", uint64(r.id), uint64(t.inFlight))
+	if t.inFlight+1 > s.maxInFlight(t) || (!s.opts.PlainBalancer && t.inFlight+1 > t.slots) {
+		s.reportViolation(invSlots, "no free slot for request", uint64(r.id), uint64(t.inFlight))
 		return false
 	}
-	return s.mayStart(r)
+	return s.checkAttempt(r)
 }
 
-// mayForward asserts what has to hold of each forward.
-func (s *State) mayForward(r *request) bool {
+// checkForward asserts what has to hold of each forward.
+func (s *State) checkForward(r *request) bool {
 	if r.hops > 0 {
-		s.violate(invHops, "forwarded request", uint64(r.id), uint64(r.hops))
+		s.reportViolation(invForwardedOnce, "forwarded request", uint64(r.id), uint64(r.hops))
 		return false
 	}
-	return s.mayStart(r)
+	return s.checkAttempt(r)
 }
 
-// mayStart asserts what has to hold of each attempt.
-func (s *State) mayStart(r *request) bool {
-	if s.requests[r.id] != r || r.n == maxCurrent {
-		s.violate(invOneEffect, "attempt of a request that has ended", uint64(r.id), uint64(r.n))
+// checkAttempt asserts what has to hold of each attempt.
+func (s *State) checkAttempt(r *request) bool {
+	if s.requests[r.id] != r || r.numCurrent == maxCurrent {
+		s.reportViolation(invOneEffect, "attempt of a request that has ended", uint64(r.id), uint64(r.numCurrent))
 		return false
 	}
 	if s.now > r.deadline {
-		s.violate(invDeadline, "attempt after the deadline of request", uint64(r.id), uint64(s.now-r.deadline))
+		s.reportViolation(invDeadline, "attempt after the deadline of request", uint64(r.id), uint64(s.now-r.deadline))
 		return false
 	}
-	if !r.idempotent && r.attempts > 0 && (r.n > 0 || r.joined != verdict.NotRun) {
-		s.violate(invOnce, "request", uint64(r.id), uint64(r.attempts))
+	if !r.idempotent && r.attempts > 0 && (r.numCurrent > 0 || r.joinedVerdict != verdict.NotRun) {
+		s.reportViolation(invSentOnce, "request", uint64(r.id), uint64(r.attempts))
 		return false
 	}
 	return true
 }
 
-// checkReleased asserts that counts don't fall below zero.
-func (s *State) checkReleased(t *targetState) {
+// checkInFlight asserts that counts don't fall below zero.
+func (s *State) checkInFlight(t *targetState) {
 	if t.inFlight < 0 || t.svc.inFlight < 0 {
-		s.violate(invSlots, "in flight below zero", uint64(-t.inFlight), uint64(-t.svc.inFlight))
+		s.reportViolation(invSlots, "in flight below zero", uint64(-t.inFlight), uint64(-t.svc.inFlight))
 	}
 }
 
@@ -91,7 +91,7 @@
 
 func (s *State) auditAttempts() {
 	targets := make(map[*targetState]int)
-	links := make(map[*link]int)
+	links := make(map[*remoteService]int)
 	for _, a := range s.attempts.slots {
 		if a.svc == nil {
 			continue
@@ -99,20 +99,20 @@
 		if a.target != nil {
 			targets[a.target]++
 		} else {
-			links[a.link]++
+			links[a.remote]++
 		}
 		if a.req != nil && s.requests[a.reqID] != a.req {
-			s.violate(invOneEffect, "current attempt of an ended request", uint64(a.reqID), uint64(a.id))
+			s.reportViolation(invOneEffect, "current attempt of an ended request", uint64(a.reqID), uint64(a.id))
 		}
 	}
 	for t, n := range targets {
 		if t.inFlight != n {
-			s.violate(invAudit, "in flight at a target", uint64(t.inFlight), uint64(n))
+			s.reportViolation(invCounts, "in flight at a target", uint64(t.inFlight), uint64(n))
 		}
 	}
 	for l, n := range links {
 		if l.inFlight != n {
-			s.violate(invAudit, "in flight at an entry VM", uint64(l.inFlight), uint64(n))
+			s.reportViolation(invCounts, "in flight at an entry VM", uint64(l.inFlight), uint64(n))
 		}
 	}
 }
@@ -120,11 +120,11 @@
 func (s *State) auditQueues() {
 	items, bytes := 0, int64(0)
 	for id, r := range s.requests {
-		if r.id != id || r.timer == notTimed {
-			s.violate(invAudit, "request without a timer", uint64(id), 0)
+		if r.id != id || r.timerIndex == noTimer {
+			s.reportViolation(invCounts, "request without a timer", uint64(id), 0)
 		}
-		if r.node.Queued() != (r.n == 0) {
-			s.violate(invAudit, "request neither queued nor in flight", uint64(id), uint64(r.n))
+		if r.node.Queued() != (r.numCurrent == 0) {
+			s.reportViolation(invCounts, "request neither queued nor in flight", uint64(id), uint64(r.numCurrent))
 		}
 		if r.node.Queued() {
 			items++
@@ -132,7 +132,7 @@
 		}
 	}
 	if items != s.gate.Items() || bytes != s.gate.Bytes() {
-		s.violate(invAudit, "queued requests", uint64(items), uint64(s.gate.Items()))
+		s.reportViolation(invCounts, "queued requests", uint64(items), uint64(s.gate.Items()))
 	}
 }
 
@@ -141,7 +141,7 @@
 	last := clock.Time(0)
 	for n := v.queue.Front(); n != nil; n = n.Next() {
 		if n.Item.arrived < last {
-			s.violate(invAudit, "queue out of order at request", uint64(n.Item.id), uint64(last))
+			s.reportViolation(invCounts, "queue out of order at request", uint64(n.Item.id), uint64(last))
 		}
 		last = n.Item.arrived
 	}
@@ -150,13 +150,13 @@
 func (s *State) auditService(v *service) {
 	capacity, inFlight := 0, 0
 	for i, t := range v.targets {
-		capacity += t.granted
+		capacity += t.capacity
 		inFlight += t.inFlight
-		if t.index != i || v.free.has(i) != (t.inFlight < t.granted) || t.granted != t.grant(s.now, s.opts.Ungated) {
-			s.violate(invAudit, "target's books", uint64(i), uint64(t.granted))
+		if t.index != i || v.freeTargets.has(i) != (t.inFlight < t.capacity) || t.capacity != t.computeCapacity(s.now, s.opts.PlainBalancer) {
+			s.reportViolation(invCounts, "target's books", uint64(i), uint64(t.capacity))
 		}
 	}
 	if capacity != v.capacity || inFlight > v.inFlight {
-		s.violate(invAudit, "capacity of a service", uint64(capacity), uint64(v.capacity))
+		s.reportViolation(invCounts, "capacity of a service", uint64(capacity), uint64(v.capacity))
 	}
 }
--- a/decide/dispatch/load.go
+++ b/decide/dispatch/load.go
@@ -37,8 +37,8 @@
 func (s *State) load(v *service) ServiceLoad {
 	l := ServiceLoad{Service: v.name, Capacity: v.capacity, InFlight: v.inFlight, Queued: v.queue.Len(), Warming: v.warming()}
 	if !s.stopping {
-		v.observeSpare(s.now)
-		l.Headroom = int(math.Ceil(v.spare.mean - leastSpare))
+		v.observeFreeSlots(s.now)
+		l.Headroom = int(math.Ceil(v.freeSlots.mean - minReportedFree))
 	}
 	return l
 }
@@ -53,31 +53,31 @@
 	return false
 }
 
-func (v *service) observeSpare(now clock.Time) {
-	v.spare.observe(now, v.capacity-v.inFlight-v.queue.Len())
+func (v *service) observeFreeSlots(now clock.Time) {
+	v.freeSlots.observe(now, v.capacity-v.inFlight-v.queue.Len())
 }
 
-// leastSpare is the free part of a slot, on average, that isn't worth stating.
-const leastSpare = 0.25
+// minReportedFree is the free part of a slot, on average, that isn't worth stating.
+const minReportedFree = 0.25
 
-// spareMemory is the time over which spare averages.
-const spareMemory = 500 * time.Millisecond
+// freeSlotsTimeConstant is the time over which spare averages.
+const freeSlotsTimeConstant = 500 * time.Millisecond
 
-// spare is the average over time of the free slots of a service. With a few
+// slotAverage is the average over time of the free slots of a service. With a few
 // slots that are taken and freed every few milliseconds, the number free at
 // one instant says little about the second for which others rely on it.
-type spare struct {
-	mean float64
-	free float64 // since at
-	at   clock.Time
+type slotAverage struct {
+	mean    float64
+	current float64 // since at
+	since   clock.Time
 }
 
 // observe records that from now on, free slots are free.
-func (p *spare) observe(now clock.Time, free int) {
-	if p.at != 0 {
-		dt := float64(now.Sub(p.at))
-		p.mean += (p.free - p.mean) * dt / (dt + float64(spareMemory))
+func (p *slotAverage) observe(now clock.Time, free int) {
+	if p.since != 0 {
+		dt := float64(now.Sub(p.since))
+		p.mean += (p.current - p.mean) * dt / (dt + float64(freeSlotsTimeConstant))
 	}
-	p.at = now
-	p.free = float64(max(free, 0))
+	p.since = now
+	p.current = float64(max(free, 0))
 }
--- a/decide/dispatch/load_test.go
+++ b/decide/dispatch/load_test.go
@@ -16,7 +16,7 @@
 // cold start.
 func TestWarming(t *testing.T) {
 	is := is.New(t)
-	s := New(Options{VM: "self", Panic: true, Audit: true})
+	s := New(Options{VM: "self", PanicOnViolation: true, Audit: true})
 	now := clock.Time(time.Second)
 	var out Ready
 	step := func(ev Event) {
--- a/decide/dispatch/measure/measure.go
+++ b/decide/dispatch/measure/measure.go
@@ -40,31 +40,31 @@
 
 // Measure carries out one run.
 func Measure(run Run) Result {
-	w := newWorld(run)
+	w := newSimulation(run)
 	start := w.now
 	end := start.Add(run.Length)
 	for i := range run.Setup.Services {
-		w.arrivals(i, end)
+		w.startArrivals(i, end)
 	}
-	w.repeat(reportEvery, end, w.reports)
-	w.repeat(50*time.Millisecond, end, w.sample)
-	w.at(start.Add(faultAt), w.fault)
-	w.play(end.Add(15 * time.Second))
+	w.repeat(reportEvery, end, w.scheduleReports)
+	w.repeat(50*time.Millisecond, end, w.sampleHeadroom)
+	w.schedule(start.Add(faultAt), w.injectFault)
+	w.runUntil(end.Add(15 * time.Second))
 	return w.stats.result(run)
 }
 
-func (w *world) repeat(every time.Duration, end clock.Time, do func()) {
+func (w *simulation) repeat(every time.Duration, end clock.Time, do func()) {
 	var next func()
 	next = func() {
 		do()
 		if w.now < end {
-			w.after(every, next)
+			w.scheduleAfter(every, next)
 		}
 	}
-	w.after(every, next)
+	w.scheduleAfter(every, next)
 }
 
-func (w *world) reports() {
+func (w *simulation) scheduleReports() {
 	for _, u := range w.targets {
 		if !u.down {
 			u.report()
@@ -72,47 +72,47 @@
 	}
 	for i, v := range w.vms {
 		// Each reports at its own time within the second.
-		w.after(time.Duration(i)*reportEvery/time.Duration(len(w.vms)), v.report)
-		w.after(time.Duration(i)*reportEvery/time.Duration(len(w.vms))+reportEvery/2, v.takeReports)
+		w.scheduleAfter(time.Duration(i)*reportEvery/time.Duration(len(w.vms)), v.report)
+		w.scheduleAfter(time.Duration(i)*reportEvery/time.Duration(len(w.vms))+reportEvery/2, v.deliverReports)
 	}
 }
 
-// sample looks at the load of each region.
-func (w *world) sample() {
+// sampleHeadroom looks at the load of each region.
+func (w *simulation) sampleHeadroom() {
 	var load, slots [regions]int
 	for _, u := range w.targets {
 		load[u.region()] += u.load()
 		slots[u.region()] += u.slots
 	}
 	for r := range load {
-		if !w.lost[r] && w.now >= w.begin() {
+		if !w.regionLost[r] && w.now >= w.countingStart() {
 			w.stats.headroom = min(w.stats.headroom, 1-float64(load[r])/float64(slots[r]))
 		}
 	}
 }
 
-func (w *world) fault() {
+func (w *simulation) injectFault() {
 	w.stats.faultAt = w.now
 	for _, u := range w.firstTargets() {
 		switch w.run.Fault {
-		case TargetCrash, TargetMute:
-			u.mute = w.run.Fault == TargetMute
+		case TargetCrash, TargetUnresponsive:
+			u.unresponsive = w.run.Fault == TargetUnresponsive
 			u.crash()
-			w.after(backAt-faultAt, u.restart)
+			w.scheduleAfter(recoveryAt-faultAt, u.restart)
 		case SlowTarget:
-			u.factor = slowFactor
+			u.timeFactor = slowFactor
 		}
 	}
 	switch w.run.Fault {
 	case SilentConnections:
-		w.silence()
+		w.silenceConnections()
 	case RegionLost:
-		w.lost[regions-1] = true
+		w.regionLost[regions-1] = true
 	}
 }
 
 // firstTargets returns one target of each service, all in the first domain.
-func (w *world) firstTargets() []*upstream {
+func (w *simulation) firstTargets() []*upstream {
 	var list []*upstream
 	for i, u := range w.targets {
 		if i == 0 || w.targets[i-1].service != u.service {
@@ -122,8 +122,8 @@
 	return list
 }
 
-// silence makes every third connection, idle or in use, go silent.
-func (w *world) silence() {
+// silenceConnections makes every third connection, idle or in use, go silent.
+func (w *simulation) silenceConnections() {
 	n := 0
 	for _, v := range w.vms {
 		for _, u := range w.targets {
@@ -132,18 +132,18 @@
 				v.idle[u][i] = n%3 == 0
 			}
 		}
-		for _, a := range v.sorted() {
+		for _, a := range v.sortedAttempts() {
 			n++
 			if a.target != nil && n%3 == 0 {
 				a.target.cancel(a) // the model's way to have its answer lost
-				a.over = true
+				a.ended = true
 			}
 		}
 	}
 }
 
-// sorted returns the attempts in the order of their ids.
-func (v *vm) sorted() []*attempt {
+// sortedAttempts returns the attempts in the order of their ids.
+func (v *vm) sortedAttempts() []*attempt {
 	list := make([]*attempt, 0, len(v.attempts))
 	for _, a := range v.attempts {
 		list = append(list, a)
@@ -154,99 +154,99 @@
 
 // stats collects outcomes.
 type stats struct {
-	run        Run
-	per        []serviceStats
-	sends      int
-	sent       int
-	forwards   int
-	far        int
-	farRefused int
-	mayHaveRun int
-	headroom   float64
-	faultAt    clock.Time
-	crash      serviceStats
+	run          Run
+	perService   []serviceStats
+	sends        int
+	sentRequests int
+	forwards     int
+	farForwards  int
+	farRefused   int
+	mayHaveRun   int
+	headroom     float64
+	faultAt      clock.Time
+	afterFault   serviceStats
 }
 
 type serviceStats struct {
-	offered int
-	failed  int
-	took    []time.Duration
-	all     []time.Duration
-	good    int // answers in time within the run
+	offered     int
+	failed      int
+	answerTimes []time.Duration
+	allTimes    []time.Duration
+	inTime      int // answers in time within the run
 }
 
 func newStats(run Run) *stats {
-	return &stats{run: run, per: make([]serviceStats, len(run.Setup.Services)), headroom: 1}
+	return &stats{run: run, perService: make([]serviceStats, len(run.Setup.Services)), headroom: 1}
 }
 
-func (s *stats) offer(c *call, now clock.Time) {
+func (s *stats) countOffered(c *call, now clock.Time) {
 	if c.counted {
-		s.per[c.service].offered++
+		s.perService[c.service].offered++
 	}
 }
 
-func (s *stats) send(c *call, now clock.Time) {
+func (s *stats) countSend(c *call, now clock.Time) {
 	c.sends++
 	if !c.counted {
 		return
 	}
 	s.sends++
 	if c.sends == 1 {
-		s.sent++
+		s.sentRequests++
 	}
 }
 
-func (s *stats) answer(c *call, at clock.Time) {
+func (s *stats) countAnswer(c *call, at clock.Time) {
 	took := at.Sub(c.start)
 	if took > s.run.Setup.Services[c.service].Deadline {
-		s.fail(c, at)
+		s.countFailure(c, at)
 		return
 	}
-	p := &s.per[c.service]
+	p := &s.perService[c.service]
 	end := clock.Time(time.Second).Add(s.run.Length)
 	if at >= clock.Time(time.Second).Add(warmUp) && at < end {
-		p.good++
+		p.inTime++
 	}
 	if c.counted {
-		p.took = append(p.took, took)
-		p.all = append(p.all, took)
+		p.answerTimes = append(p.answerTimes, took)
+		p.allTimes = append(p.allTimes, took)
 	}
 }
 
-func (s *stats) refuse(c *call, at clock.Time, r *dispatch.Reply) {
+func (s *stats) countReply(c *call, at clock.Time, r *dispatch.Reply) {
 	if c.counted && r.Verdict == 0 {
 		s.mayHaveRun++
 	}
-	s.fail(c, at)
+	s.countFailure(c, at)
 }
 
-func (s *stats) fail(c *call, now clock.Time) {
+func (s *stats) countFailure(c *call, now clock.Time) {
 	if !c.counted {
 		return
 	}
-	p := &s.per[c.service]
+	p := &s.perService[c.service]
 	p.failed++
-	p.all = append(p.all, s.run.Setup.Services[c.service].Deadline)
+	p.allTimes = append(p.allTimes, s.run.Setup.Services[c.service].Deadline)
 	if c.service == 0 && s.faultAt != 0 && c.start >= s.faultAt-clock.Time(100*time.Millisecond) && c.start < s.faultAt.Add(time.Second) {
-		s.crash.failed++
+		s.afterFault.failed++
 	}
 }
 
 func (s *stats) result(run Run) Result {
 	seconds := (run.Length - warmUp).Seconds()
-	r := Result{Headroom: s.headroom, Forwards: s.forwards, FarForwards: s.far, FarRefused: s.farRefused}
+	r := Result{Headroom: s.headroom, Forwards: s.forwards, FarForwards: s.farForwards, FarRefused: s.farRefused}
 	var took, all []time.Duration
-	for _, p := range s.per {
-		slices.Sort(p.took)
-		slices.Sort(p.all)
+	for _, p := range s.perService {
+		slices.Sort(p.answerTimes)
+		slices.Sort(p.allTimes)
 		r.Offered += p.offered
-		r.Goodput += float64(p.good) / seconds
-		took = append(took, p.took...)
-		all = append(all, p.all...)
+		r.Goodput += float64(p.inTime) / seconds
+		took = append(took, p.answerTimes...)
+		all = append(all, p.allTimes...)
 		r.Services = append(r.Services, ServiceResult{
-			P50: quantile(p.took, 0.5), P99: quantile(p.took, 0.99), P99All: quantile(p.all, 0.99),
-			Goodput: float64(p.good) / seconds,
-			Failed:  1 - float64(len(p.took))/float64(max(p.offered, 1)),
+			P50: quantile(p.answerTimes, 0.5), P99: quantile(p.answerTimes, 0.99), P99All: quantile(p.allTimes, 0.99),
+			Goodput: float64(p.inTime) / seconds,
+			Failed:  1 - float64(len(p.answerTimes))/float64(max(p.offered, 1)),
 		})
 	}
 	slices.Sort(took)
@@ -254,10 +254,10 @@
 	r.P50, r.P99, r.P99All = quantile(took, 0.5), quantile(took, 0.99), quantile(all, 0.99)
 	r.Failed = 1 - float64(len(took))/float64(max(r.Offered, 1))
 	r.MayHaveRun = float64(s.mayHaveRun) / float64(max(r.Offered, 1))
-	r.Amplification = float64(s.sends) / float64(max(s.sent, 1))
+	r.Amplification = float64(s.sends) / float64(max(s.sentRequests, 1))
 	first := run.Setup.Services[0]
 	perSecond := float64(first.Targets*first.Slots) / first.Mean.Seconds() * run.Load
-	r.CrashFailed = float64(s.crash.failed) / (1.1 * perSecond)
+	r.CrashFailed = float64(s.afterFault.failed) / (1.1 * perSecond)
 	return r
 }
 
--- a/decide/dispatch/measure/measure_test.go
+++ b/decide/dispatch/measure/measure_test.go
@@ -45,7 +45,7 @@
 		if !*faults {
 			continue
 		}
-		for _, f := range []Fault{TargetCrash, TargetMute, SilentConnections, SlowTarget, EvenCallers, SkewedLoad} {
+		for _, f := range []Fault{TargetCrash, TargetUnresponsive, SilentConnections, SlowTarget, EvenCallers, SkewedLoad} {
 			compare(setup, *atFault, f)
 		}
 		compare(setup, *atFault-0.3, RegionLost)
--- a/decide/dispatch/measure/setup.go
+++ b/decide/dispatch/measure/setup.go
@@ -21,10 +21,10 @@
 
 // Setup is a deployment.
 type Setup struct {
-	Name     string
-	Services []Service
-	VMs      []int         // entry VMs of each domain
-	Near     time.Duration // one way between the domains of a region
+	Name        string
+	Services    []Service
+	VMs         []int         // entry VMs of each domain
+	InterDomain time.Duration // one way between the domains of a region
 }
 
 // The rest of the model, the same for all setups.
@@ -32,9 +32,9 @@
 	domainsPerRegion = 2
 	regions          = 3
 	domains          = regions * domainsPerRegion
-	local            = 250 * time.Microsecond // one way within a domain
-	far              = 55 * time.Millisecond  // one way between regions
-	client           = 8 * time.Millisecond   // one way between caller and entry VM
+	intraDomain      = 250 * time.Microsecond // one way within a domain
+	interRegion      = 55 * time.Millisecond  // one way between regions
+	callerLatency    = 8 * time.Millisecond   // one way between caller and entry VM
 	connectTime      = time.Millisecond
 	connections      = 330
 	backlogPerSlot   = 8 // requests a target keeps waiting for each slot
@@ -55,8 +55,8 @@
 			{Name: "permit-file", Targets: 12, Slots: 3, Mean: 60 * time.Millisecond, Deadline: 10 * time.Second, Priority: catalogue.Deferrable},
 			{Name: "drawing-vault", Targets: 12, Slots: 3, Mean: 150 * time.Millisecond, Deadline: 10 * time.Second, Priority: catalogue.Deferrable},
 		},
-		VMs:  []int{2, 1, 2, 1, 1, 1},
-		Near: 1500 * time.Microsecond,
+		VMs:         []int{2, 1, 2, 1, 1, 1},
+		InterDomain: 1500 * time.Microsecond,
 	}
 }
 
@@ -69,8 +69,8 @@
 			{Name: "switching", Targets: 12, Slots: 6, Mean: 60 * time.Millisecond, Deadline: 10 * time.Second, Priority: catalogue.Deferrable},
 			{Name: "statements", Targets: 12, Slots: 3, Mean: 150 * time.Millisecond, Deadline: 10 * time.Second, Idempotent: true, Priority: catalogue.Interactive},
 		},
-		VMs:  []int{2, 1, 2, 1, 1, 1},
-		Near: time.Millisecond,
+		VMs:         []int{2, 1, 2, 1, 1, 1},
+		InterDomain: time.Millisecond,
 	}
 }
 
@@ -82,8 +82,8 @@
 		Services: []Service{
 			{Name: "calc-lookup", Targets: 96, Slots: 3, Mean: 20 * time.Millisecond, Deadline: 2 * time.Second, Idempotent: true, Priority: catalogue.Interactive},
 		},
-		VMs:  []int{20, 20, 20, 20, 20, 20},
-		Near: time.Millisecond,
+		VMs:         []int{20, 20, 20, 20, 20, 20},
+		InterDomain: time.Millisecond,
 	}
 }
 
@@ -103,12 +103,12 @@
 		vs = append(vs, Variant{Name: "choice " + p, Options: dispatch.Options{Policy: p}})
 	}
 	for _, p := range []string{"round-robin", "random", "least-in-flight", "two-choices"} {
-		vs = append(vs, Variant{Name: "plain " + p, Options: dispatch.Options{Policy: p, Ungated: true}})
+		vs = append(vs, Variant{Name: "plain " + p, Options: dispatch.Options{Policy: p, PlainBalancer: true}})
 	}
 	return append(vs,
 		Variant{Name: "load in answers", Hints: true},
-		Variant{Name: "no forwards", Options: dispatch.Options{Limits: dispatch.Limits{RemoteHorizon: -1}}},
-		Variant{Name: "no hedges", Options: dispatch.Options{Limits: dispatch.Limits{HedgeMin: -1}}},
+		Variant{Name: "no forwards", Options: dispatch.Options{Limits: dispatch.Limits{MaxRemoteLoadAge: -1}}},
+		Variant{Name: "no hedges", Options: dispatch.Options{Limits: dispatch.Limits{MinHedgeDelay: -1}}},
 	)
 }
 
@@ -117,12 +117,12 @@
 
 // The faults.
 const (
-	NoFault           Fault = "none"
-	TargetCrash       Fault = "target-crash" // one target of each service; back after 5 s, cold
-	TargetMute        Fault = "target-mute"  // the same targets vanish without closing connections; back after 5 s, cold
-	SilentConnections Fault = "silent-connections"
-	SlowTarget        Fault = "slow-target" // one target of each service
-	RegionLost        Fault = "region-lost"
+	NoFault            Fault = "none"
+	TargetCrash        Fault = "target-crash" // one target of each service; back after 5 s, cold
+	TargetUnresponsive Fault = "target-mute"  // the same targets vanish without closing connections; back after 5 s, cold
+	SilentConnections  Fault = "silent-connections"
+	SlowTarget         Fault = "slow-target" // one target of each service
+	RegionLost         Fault = "region-lost"
 	// EvenCallers spreads the callers evenly over the regions, whose capacity
 	// differs, from the start. Otherwise they are spread by capacity.
 	EvenCallers Fault = "even-callers"
@@ -144,7 +144,7 @@
 
 // The times of a run, from its start.
 const (
-	warmUp  = 2 * time.Second // not counted
-	faultAt = 4 * time.Second
-	backAt  = faultAt + 5*time.Second
+	warmUp     = 2 * time.Second // not counted
+	faultAt    = 4 * time.Second
+	recoveryAt = faultAt + 5*time.Second
 )
--- a/decide/dispatch/measure/world.go
+++ b/decide/dispatch/measure/simulation.go
@@ -14,41 +14,41 @@
 	"github.com/azurethread/azurethread/decide/verdict"
 )
 
-// world is one run.
-type world struct {
-	run     Run
-	now     clock.Time
-	agenda  agenda
-	seq     uint64
-	rng     *rand.Rand   // of what depends on decisions
-	callers []*rand.Rand // of each service's callers, the same for all variants
-	vms     []*vm
-	targets []*upstream
-	byID    map[fleet.TargetID]*upstream
-	lost    [regions]bool
-	stats   *stats
-	nextID  dispatch.RequestID
-}
-
-// entry is something that happens at an instant.
-type entry struct {
+// simulation is one run.
+type simulation struct {
+	run        Run
+	now        clock.Time
+	events     eventQueue
+	seq        uint64
+	rng        *rand.Rand   // of what depends on decisions
+	callers    []*rand.Rand // of each service's callers, the same for all variants
+	vms        []*vm
+	targets    []*upstream
+	byID       map[fleet.TargetID]*upstream
+	regionLost [regions]bool
+	stats      *stats
+	nextID     dispatch.RequestID
+}
+
+// event is something that happens at an instant.
+type event struct {
 	at  clock.Time
 	seq uint64
-	do  func()
+	run func()
 }
 
-type agenda []entry
+type eventQueue []event
 
-func (a agenda) Len() int { return len(a) }
-func (a agenda) Less(i, j int) bool {
+func (a eventQueue) Len() int { return len(a) }
+func (a eventQueue) Less(i, j int) bool {
 	if a[i].at != a[j].at {
 		return a[i].at < a[j].at
 	}
 	return a[i].seq < a[j].seq
 }
-func (a agenda) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
-func (a *agenda) Push(x any)   { *a = append(*a, x.(entry)) }
-func (a *agenda) Pop() any {
+func (a eventQueue) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
+func (a *eventQueue) Push(x any)   { *a = append(*a, x.(event)) }
+func (a *eventQueue) Pop() any {
 	old := *a
 	e := old[len(old)-1]
 	*a = old[:len(old)-1]
@@ -67,7 +67,7 @@
 
 // vm is one entry VM.
 type vm struct {
-	w         *world
+	w         *simulation
 	id        fleet.VMID
 	domain    int
 	state     *dispatch.State
@@ -99,11 +99,11 @@
 	peer     *vm
 	peerReq  dispatch.RequestID
 	running  bool // occupies a slot of the target
-	over     bool
+	ended    bool
 }
 
-func newWorld(run Run) *world {
-	w := &world{
+func newSimulation(run Run) *simulation {
+	w := &simulation{
 		run:   run,
 		rng:   rand.New(rand.NewPCG(run.Seed, 1)),
 		byID:  make(map[fleet.TargetID]*upstream),
@@ -118,17 +118,17 @@
 	return w
 }
 
-func (w *world) at(t clock.Time, do func()) {
+func (w *simulation) schedule(t clock.Time, do func()) {
 	w.seq++
-	heap.Push(&w.agenda, entry{at: max(t, w.now), seq: w.seq, do: do})
+	heap.Push(&w.events, event{at: max(t, w.now), seq: w.seq, run: do})
 }
 
-func (w *world) after(d time.Duration, do func()) { w.at(w.now.Add(d), do) }
+func (w *simulation) scheduleAfter(d time.Duration, do func()) { w.schedule(w.now.Add(d), do) }
 
-func (w *world) addTargets() {
+func (w *simulation) addTargets() {
 	for i, s := range w.run.Setup.Services {
 		for k := 0; k < s.Targets; k++ {
-			u := &upstream{w: w, service: i, domain: k % domains, slots: s.Slots, factor: 1}
+			u := &upstream{w: w, service: i, domain: k % domains, slots: s.Slots, timeFactor: 1}
 			u.id = fleet.TargetID(fmt.Sprintf("%s-%02d", s.Name, k))
 			w.targets = append(w.targets, u)
 			w.byID[u.id] = u
@@ -136,7 +136,7 @@
 	}
 }
 
-func (w *world) addVMs() {
+func (w *simulation) addVMs() {
 	for d, n := range w.run.Setup.VMs {
 		for rank := 0; rank < n; rank++ {
 			w.addVM(d, n, rank)
@@ -144,11 +144,11 @@
 	}
 }
 
-func (w *world) addVM(domain, count, rank int) {
+func (w *simulation) addVM(domain, count, rank int) {
 	o := w.run.Variant.Options
 	o.VM = fleet.VMID(fmt.Sprintf("vm-%d-%d", domain, rank))
 	o.Seed = w.run.Seed*100 + uint64(len(w.vms))
-	o.Panic = true
+	o.PanicOnViolation = true
 	v := &vm{
 		w: w, id: o.VM, domain: domain, state: dispatch.New(o), tick: clock.Never,
 		calls:     make(map[dispatch.RequestID]*call),
@@ -164,7 +164,7 @@
 	v.step(&dispatch.Targets{List: w.targetList(domain)})
 }
 
-func (w *world) catalogue() []catalogue.Service {
+func (w *simulation) catalogue() []catalogue.Service {
 	var list []catalogue.Service
 	for _, s := range w.run.Setup.Services {
 		list = append(list, catalogue.Service{Name: s.Name, Idempotent: s.Idempotent, Priority: s.Priority, Timeout: catalogue.Duration(s.Deadline)})
@@ -172,7 +172,7 @@
 	return list
 }
 
-func (w *world) targetList(domain int) []fleet.Target {
+func (w *simulation) targetList(domain int) []fleet.Target {
 	var list []fleet.Target
 	for _, u := range w.targets {
 		if u.domain == domain {
@@ -182,20 +182,20 @@
 	return list
 }
 
-// play runs everything until nothing happens any more or the limit is passed.
-func (w *world) play(until clock.Time) {
-	for len(w.agenda) > 0 {
-		e := heap.Pop(&w.agenda).(entry)
+// runUntil runs everything until nothing happens any more or the limit is passed.
+func (w *simulation) runUntil(until clock.Time) {
+	for len(w.events) > 0 {
+		e := heap.Pop(&w.events).(event)
 		if e.at > until {
 			return
 		}
 		w.now = e.at
-		e.do()
+		e.run()
 	}
 }
 
-// arrivals starts the Poisson process of one service.
-func (w *world) arrivals(service int, end clock.Time) {
+// startArrivals starts the Poisson process of one service.
+func (w *simulation) startArrivals(service int, end clock.Time) {
 	s := w.run.Setup.Services[service]
 	capacity := float64(s.Targets*s.Slots) / s.Mean.Seconds()
 	rate := capacity * w.run.Load
@@ -205,31 +205,31 @@
 			return
 		}
 		w.arrive(service)
-		w.after(time.Duration(w.callers[service].ExpFloat64()/rate*1e9), next)
+		w.scheduleAfter(time.Duration(w.callers[service].ExpFloat64()/rate*1e9), next)
 	}
-	w.after(time.Duration(w.callers[service].ExpFloat64()/rate*1e9), next)
+	w.scheduleAfter(time.Duration(w.callers[service].ExpFloat64()/rate*1e9), next)
 }
 
 // arrive makes a caller send one request.
-func (w *world) arrive(service int) {
+func (w *simulation) arrive(service int) {
 	region := w.callerRegion(service)
-	way := client
+	way := callerLatency
 	rng := w.callers[service]
-	if w.lost[region] {
+	if w.regionLost[region] {
 		// The callers of a lost region ask another one.
 		region = (region + 1 + rng.IntN(regions-1)) % regions
-		way += far
+		way += interRegion
 	}
 	v := w.entryVM(region, rng)
-	c := &call{service: service, size: w.factor(rng), noise: w.factor(rng), start: w.now, counted: w.now >= w.begin()}
-	w.stats.offer(c, w.now)
+	c := &call{service: service, size: w.drawFactor(rng), noise: w.drawFactor(rng), start: w.now, counted: w.now >= w.countingStart()}
+	w.stats.countOffered(c, w.now)
 	w.nextID++
 	id := w.nextID
 	deadline := w.now.Add(w.run.Setup.Services[service].Deadline - way)
 	block := rng.Uint64()
-	w.after(way, func() {
-		if w.lost[region] {
-			w.stats.fail(c, w.now)
+	w.scheduleAfter(way, func() {
+		if w.regionLost[region] {
+			w.stats.countFailure(c, w.now)
 			return
 		}
 		v.calls[id] = c
@@ -238,7 +238,7 @@
 }
 
 // callerRegion draws the region of a caller.
-func (w *world) callerRegion(service int) int {
+func (w *simulation) callerRegion(service int) int {
 	rng := w.callers[service]
 	switch w.run.Fault {
 	case EvenCallers:
@@ -250,10 +250,10 @@
 	return k % domains / domainsPerRegion
 }
 
-func (w *world) begin() clock.Time { return clock.Time(time.Second).Add(warmUp) }
+func (w *simulation) countingStart() clock.Time { return clock.Time(time.Second).Add(warmUp) }
 
 // entryVM draws a domain of the region, then an entry VM there.
-func (w *world) entryVM(region int, rng *rand.Rand) *vm {
+func (w *simulation) entryVM(region int, rng *rand.Rand) *vm {
 	domain := region*domainsPerRegion + rng.IntN(domainsPerRegion)
 	n := rng.IntN(w.run.Setup.VMs[domain])
 	for _, v := range w.vms {
@@ -268,31 +268,31 @@
 	return nil
 }
 
-// factor draws from a log-normal distribution of mean 1.
-func (w *world) factor(rng *rand.Rand) float64 {
+// drawFactor draws from a log-normal distribution of mean 1.
+func (w *simulation) drawFactor(rng *rand.Rand) float64 {
 	s := w.run.Spread
 	return math.Exp(s*rng.NormFloat64() - s*s/2)
 }
 
-// way is the one-way latency between two domains.
-func (w *world) way(a, b int) time.Duration {
+// oneWayLatency is the one-way latency between two domains.
+func (w *simulation) oneWayLatency(a, b int) time.Duration {
 	switch {
 	case a == b:
-		return local
+		return intraDomain
 	case a/domainsPerRegion == b/domainsPerRegion:
-		return w.run.Setup.Near
+		return w.run.Setup.InterDomain
 	default:
-		return far
+		return interRegion
 	}
 }
 
 // message delivers something from one domain to another unless either is lost.
-func (w *world) message(from, to int, do func()) {
-	if w.lost[from/domainsPerRegion] {
+func (w *simulation) message(from, to int, do func()) {
+	if w.regionLost[from/domainsPerRegion] {
 		return
 	}
-	w.after(w.way(from, to), func() {
-		if !w.lost[to/domainsPerRegion] {
+	w.scheduleAfter(w.oneWayLatency(from, to), func() {
+		if !w.regionLost[to/domainsPerRegion] {
 			do()
 		}
 	})
@@ -300,7 +300,7 @@
 
 // step passes an event to the State and carries out its effects.
 func (v *vm) step(ev dispatch.Event) {
-	if v.w.lost[v.domain/domainsPerRegion] {
+	if v.w.regionLost[v.domain/domainsPerRegion] {
 		return
 	}
 	v.out.Reset()
@@ -315,15 +315,15 @@
 		v.forward(e)
 	}
 	for _, e := range v.out.Delivers {
-		v.final(e.Req, nil)
+		v.complete(e.Req, nil)
 	}
 	for i := range v.out.Replies {
-		v.final(v.out.Replies[i].Req, &v.out.Replies[i])
+		v.complete(v.out.Replies[i].Req, &v.out.Replies[i])
 	}
 	if v.out.Wake < v.tick {
 		v.tick = v.out.Wake
 		at := v.tick
-		v.w.at(at, func() {
+		v.w.schedule(at, func() {
 			if v.tick == at {
 				v.tick = clock.Never
 				v.step(&dispatch.Tick{})
@@ -332,9 +332,9 @@
 	}
 }
 
-// final passes the outcome to the caller or to the entry VM that forwarded
+// complete passes the outcome to the caller or to the entry VM that forwarded
 // the request; a nil reply is an answer.
-func (v *vm) final(id dispatch.RequestID, r *dispatch.Reply) {
+func (v *vm) complete(id dispatch.RequestID, r *dispatch.Reply) {
 	w := v.w
 	if o, ok := v.origins[id]; ok {
 		delete(v.origins, id)
@@ -344,33 +344,33 @@
 	c := v.calls[id]
 	delete(v.calls, id)
 	if r != nil {
-		w.stats.refuse(c, w.now.Add(client), r)
+		w.stats.countReply(c, w.now.Add(callerLatency), r)
 		return
 	}
-	w.stats.answer(c, w.now.Add(client))
+	w.stats.countAnswer(c, w.now.Add(callerLatency))
 }
 
 func (v *vm) answerOrigin(o origin, r *dispatch.Reply) {
 	if r == nil {
-		hint := v.hint(v.w.run.Setup.Services[o.vm.calls[o.req].service].Name)
+		hint := v.loadHint(v.w.run.Setup.Services[o.vm.calls[o.req].service].Name)
 		v.w.message(v.domain, o.vm.domain, func() {
-			o.vm.end(o.attempt)
+			o.vm.endAttempt(o.attempt)
 			o.vm.step(&dispatch.Answered{Req: o.req, Attempt: o.attempt, Status: 200, Load: hint})
 		})
 		return
 	}
-	if v.w.way(v.domain, o.vm.domain) == far {
+	if v.w.oneWayLatency(v.domain, o.vm.domain) == interRegion {
 		v.w.stats.farRefused++
 	}
 	failed := &dispatch.Failed{Req: o.req, Attempt: o.attempt, Verdict: r.Verdict, Reason: r.Reason, RetryAfter: r.RetryAfter}
 	v.w.message(v.domain, o.vm.domain, func() {
-		o.vm.end(o.attempt)
+		o.vm.endAttempt(o.attempt)
 		o.vm.step(failed)
 	})
 }
 
-// hint is the load an entry VM states in its answers.
-func (v *vm) hint(service fleet.ServiceName) *dispatch.LoadHint {
+// loadHint is the load an entry VM states in its answers.
+func (v *vm) loadHint(service fleet.ServiceName) *dispatch.LoadHint {
 	for _, l := range v.state.AppendLoads(nil) {
 		if l.Service == service {
 			return &dispatch.LoadHint{InFlight: l.Capacity - l.Headroom, Slots: l.Capacity}
@@ -379,9 +379,9 @@
 	return nil
 }
 
-func (v *vm) end(id dispatch.AttemptID) {
+func (v *vm) endAttempt(id dispatch.AttemptID) {
 	if a := v.attempts[id]; a != nil {
-		a.over = true
+		a.ended = true
 		delete(v.attempts, id)
 	}
 }
@@ -404,13 +404,13 @@
 	peer.origins[a.peerReq] = origin{vm: v, req: e.Req, attempt: e.Attempt}
 	ev := &dispatch.Arrive{Req: a.peerReq, Service: w.run.Setup.Services[c.service].Name, Block: w.rng.Uint64(), Deadline: e.Deadline, Hops: 1, BodyBytes: 1000, ExpectedWait: e.ExpectedWait}
 	w.stats.forwards++
-	if w.way(v.domain, peer.domain) == far {
-		w.stats.far++
+	if w.oneWayLatency(v.domain, peer.domain) == interRegion {
+		w.stats.farForwards++
 	}
 	w.message(v.domain, peer.domain, func() { peer.step(ev) })
 }
 
-func (w *world) vm(id fleet.VMID) *vm {
+func (w *simulation) vm(id fleet.VMID) *vm {
 	for _, v := range w.vms {
 		if v.id == id {
 			return v
@@ -424,7 +424,7 @@
 	u := v.w.byID[e.Target]
 	a := &attempt{vm: v, req: e.Req, id: e.Attempt, call: v.callOf(e.Req), deadline: e.Deadline, target: u}
 	v.attempts[a.id] = a
-	v.w.stats.send(a.call, v.w.now)
+	v.w.stats.countSend(a.call, v.w.now)
 	delay := connectTime
 	if idle := v.idle[u]; len(idle) > 0 {
 		delay = 0
@@ -434,7 +434,7 @@
 	if a.silent {
 		return // the request is lost on the way
 	}
-	v.w.after(delay+local, func() { u.receive(a) })
+	v.w.scheduleAfter(delay+intraDomain, func() { u.receive(a) })
 }
 
 // cancel closes the attempt's connection, and tells the other side.
@@ -452,10 +452,10 @@
 			}
 		})
 	} else {
-		w.after(local, func() { a.target.cancel(a) })
+		w.scheduleAfter(intraDomain, func() { a.target.cancel(a) })
 	}
-	w.after(2*local, func() {
-		v.end(a.id)
+	w.scheduleAfter(2*intraDomain, func() {
+		v.endAttempt(a.id)
 		v.step(&dispatch.Failed{Req: a.req, Attempt: a.id, Reason: verdict.ReasonCallerGone})
 	})
 }
@@ -479,14 +479,14 @@
 	}
 }
 
-// takeReports passes on the newest reports of the other entry VMs.
-func (v *vm) takeReports() {
+// deliverReports passes on the newest reports of the other entry VMs.
+func (v *vm) deliverReports() {
 	w := v.w
 	ev := &dispatch.Remotes{}
 	for _, o := range w.vms {
 		for _, r := range v.remotes[o.id] {
 			r.Age = w.now.Sub(v.remotesAt[o.id])
-			r.RTT = 2 * w.way(v.domain, o.domain)
+			r.RTT = 2 * w.oneWayLatency(v.domain, o.domain)
 			ev.List = append(ev.List, r)
 		}
 	}
--- a/decide/dispatch/measure/upstream.go
+++ b/decide/dispatch/measure/upstream.go
@@ -11,18 +11,18 @@
 
 // upstream is a target.
 type upstream struct {
-	w       *world
-	id      fleet.TargetID
-	service int
-	domain  int
-	slots   int
-	factor  float64 // of all service times
-	busy    int
-	backlog []*attempt
-	down    bool
-	mute    bool // down, and nothing comes back
-	warmAt  clock.Time
-	life    int // rises with each crash
+	w            *simulation
+	id           fleet.TargetID
+	service      int
+	domain       int
+	slots        int
+	timeFactor   float64 // of all service times
+	busy         int
+	backlog      []*attempt
+	down         bool
+	unresponsive bool // down, and nothing comes back
+	warmAt       clock.Time
+	generation   int // rises with each crash
 }
 
 func (u *upstream) region() int { return u.domain / domainsPerRegion }
@@ -32,7 +32,7 @@
 
 func (u *upstream) receive(a *attempt) {
 	switch {
-	case a.over || u.mute || u.w.lost[u.region()]:
+	case a.ended || u.unresponsive || u.w.regionLost[u.region()]:
 	case u.down:
 		u.fail(a, verdict.NotRun, verdict.ReasonConnect)
 	case u.busy < u.slots:
@@ -47,15 +47,15 @@
 func (u *upstream) start(a *attempt) {
 	u.busy++
 	a.running = true
-	life := u.life
-	u.w.after(u.serviceTime(a), func() {
-		if u.life != life || !a.running {
+	life := u.generation
+	u.w.scheduleAfter(u.serviceTime(a), func() {
+		if u.generation != life || !a.running {
 			return
 		}
 		a.running = false
 		u.busy--
 		u.answer(a)
-		u.next()
+		u.startBacklog()
 	})
 }
 
@@ -63,21 +63,21 @@
 	mean := u.w.run.Setup.Services[u.service].Mean
 	noise := a.call.noise
 	if a.call.sends > 1 {
-		noise = u.w.factor(u.w.rng)
+		noise = u.w.drawFactor(u.w.rng)
 	}
-	f := a.call.size * noise * u.factor
+	f := a.call.size * noise * u.timeFactor
 	if u.w.now < u.warmAt {
 		f *= coldFactor
 	}
 	return time.Duration(float64(mean) * f)
 }
 
-// next starts waiting work, and drops what nobody waits for any more.
-func (u *upstream) next() {
+// startBacklog starts waiting work, and drops what nobody waits for any more.
+func (u *upstream) startBacklog() {
 	for u.busy < u.slots && len(u.backlog) > 0 {
 		a := u.backlog[0]
 		u.backlog = u.backlog[1:]
-		if !a.over && u.w.now < a.deadline {
+		if !a.ended && u.w.now < a.deadline {
 			u.start(a)
 		}
 	}
@@ -85,12 +85,12 @@
 
 func (u *upstream) cancel(a *attempt) {
 	if !a.running || u.down {
-		a.over = true
+		a.ended = true
 		return
 	}
 	a.running = false
 	u.busy--
-	u.next()
+	u.startBacklog()
 }
 
 func (u *upstream) answer(a *attempt) {
@@ -98,22 +98,22 @@
 	if u.w.run.Variant.Hints {
 		e.Load = &dispatch.LoadHint{InFlight: u.load(), Slots: u.slots}
 	}
-	u.w.after(local, func() {
-		if a.over || u.w.lost[u.region()] {
+	u.w.scheduleAfter(intraDomain, func() {
+		if a.ended || u.w.regionLost[u.region()] {
 			return
 		}
-		a.vm.end(a.id)
+		a.vm.endAttempt(a.id)
 		a.vm.idle[u] = append(a.vm.idle[u], false)
 		a.vm.step(e)
 	})
 }
 
 func (u *upstream) fail(a *attempt, v verdict.Verdict, r verdict.Reason) {
-	u.w.after(local, func() {
-		if a.over || u.w.lost[u.region()] {
+	u.w.scheduleAfter(intraDomain, func() {
+		if a.ended || u.w.regionLost[u.region()] {
 			return
 		}
-		a.vm.end(a.id)
+		a.vm.endAttempt(a.id)
 		a.vm.step(&dispatch.Failed{Req: a.req, Attempt: a.id, Verdict: v, Reason: r})
 	})
 }
@@ -121,16 +121,16 @@
 // crash ends the target's process with all it works on.
 func (u *upstream) crash() {
 	u.down = true
-	u.life++
+	u.generation++
 	u.busy = 0
 	u.backlog = nil
 	for _, v := range u.w.vms {
 		delete(v.idle, u)
-		for _, a := range v.sorted() {
+		for _, a := range v.sortedAttempts() {
 			if a.target == u {
 				a.running = false
 			}
-			if a.target == u && !u.mute {
+			if a.target == u && !u.unresponsive {
 				u.fail(a, verdict.MayHaveRun, verdict.ReasonConnectionLost)
 			}
 		}
@@ -139,14 +139,14 @@
 
 func (u *upstream) restart() {
 	u.down = false
-	u.mute = false
+	u.unresponsive = false
 	u.warmAt = u.w.now.Add(coldTime)
 }
 
 // report sends the load endpoint's statement to the entry VMs of the domain.
 func (u *upstream) report() {
 	h := dispatch.Health{Target: u.id, OK: !u.down, InFlight: u.load(), Slots: u.slots, Cold: u.w.now < u.warmAt, Age: reportLag}
-	u.w.after(reportLag, func() {
+	u.w.scheduleAfter(reportLag, func() {
 		for _, v := range u.w.vms {
 			if v.domain == u.domain {
 				c := h
--- a/decide/dispatch/membership.go
+++ b/decide/dispatch/membership.go
@@ -59,11 +59,11 @@
 		s.setTarget(&list[i])
 	}
 	s.forgetTargets()
-	s.settled = true
+	s.targetsReceived = true
 	for _, v := range s.services {
 		slices.SortFunc(v.targets, func(a, b *targetState) int { return cmp.Compare(a.id, b.id) })
 	}
-	s.partition()
+	s.assignShares()
 	s.drainAll()
 }
 
@@ -80,26 +80,26 @@
 		s.targets[f.ID] = t
 		s.initTarget(t, f)
 	}
-	if f.Slots != t.declared {
-		t.declared = f.Slots
+	if f.Slots != t.declaredSlots {
+		t.declaredSlots = f.Slots
 		t.slots = max(f.Slots, defaultSlots)
 	}
-	t.svc.seen = true
-	t.accepts = f.Connections
+	t.svc.hadTargets = true
+	t.acceptedConnections = f.Connections
 	t.listed = true
 	t.leaving = f.State != fleet.Live
 	t.svc.targets = append(t.svc.targets, t)
 	if t.outlier.Standing() == target.Ejected {
-		s.suspend(t, t.outlier.Until()) // it was unlisted, and forgotten there
+		s.scheduleRecheck(t, t.outlier.Until()) // it was unlisted, and forgotten there
 	}
 }
 
 // initTarget sets the limit of a target not known before. One that appears
 // while this entry VM runs has just started and has cold caches.
 func (s *State) initTarget(t *targetState, f *fleet.Target) {
-	t.declared = f.Slots
+	t.declaredSlots = f.Slots
 	t.slots = max(f.Slots, defaultSlots)
-	if s.settled {
+	if s.targetsReceived {
 		t.limit = limit.Cold(t.slots)
 	} else {
 		t.limit = limit.Full(t.slots)
@@ -121,53 +121,53 @@
 		return
 	}
 	s.peers = p
-	s.partition()
+	s.assignShares()
 	s.drainAll()
 }
 
-// partition deals out the slots and connections of all targets among the
+// assignShares deals out the slots and connections of all targets among the
 // entry VMs of the domain.
-func (s *State) partition() {
+func (s *State) assignShares() {
 	for _, v := range s.services {
-		s.partitionService(v)
+		s.assignServiceShares(v)
 	}
 }
 
-func (s *State) partitionService(v *service) {
-	v.free = newBitset(len(v.targets))
+func (s *State) assignServiceShares(v *service) {
+	v.freeTargets = newBitset(len(v.targets))
 	v.capacity = 0
 	slots, connections := 0, 0
 	for i, t := range v.targets {
 		t.index = i
-		t.granted = 0
+		t.capacity = 0
 		t.share = 0
 		if t.leaving {
 			continue
 		}
-		total := t.accepts
+		total := t.acceptedConnections
 		if total <= 0 {
 			total = defaultConnections
 		}
 		t.share = limit.Share(t.slots, slots, s.peers.Count, s.peers.Rank)
-		t.connections = limit.Share(total, connections, s.peers.Count, s.peers.Rank)
+		t.connectionShare = limit.Share(total, connections, s.peers.Count, s.peers.Rank)
 		t.limit.SetSlots(t.share)
 		slots += t.slots
 		connections += total
 	}
 	for _, t := range v.targets {
-		s.refresh(t)
+		s.updateCapacity(t)
 	}
 }
 
-// refresh brings granted and what depends on it up to date after a change of
+// updateCapacity brings granted and what depends on it up to date after a change of
 // anything that grant looks at, or of inFlight.
-func (s *State) refresh(t *targetState) {
-	g := t.grant(s.now, s.opts.Ungated)
+func (s *State) updateCapacity(t *targetState) {
+	g := t.computeCapacity(s.now, s.opts.PlainBalancer)
 	if !t.listed {
-		t.granted = 0
+		t.capacity = 0
 		return
 	}
-	t.svc.capacity += g - t.granted
-	t.granted = g
-	t.svc.free.set(t.index, t.inFlight < g)
+	t.svc.capacity += g - t.capacity
+	t.capacity = g
+	t.svc.freeTargets.set(t.index, t.inFlight < g)
 }
--- a/decide/dispatch/options.go
+++ b/decide/dispatch/options.go
@@ -20,14 +20,14 @@
 	// "two-choices".
 	Policy string
 	Limits Limits
-	// Panic makes a broken invariant a panic; for tests.
-	Panic bool
+	// PanicOnViolation makes a broken invariant a panic; for tests.
+	PanicOnViolation bool
 	// Audit recounts all state after each step; for tests, as it is slow.
 	Audit bool
-	// Ungated sends each request to the chosen target at once, beyond its
+	// PlainBalancer sends each request to the chosen target at once, beyond its
 	// slots, with no queue and no forwards. It is there to measure against a
 	// plain balancer and is never set in production.
-	Ungated bool
+	PlainBalancer bool
 }
 
 // Limits bound what a State holds and how long. A zero field takes the
@@ -51,33 +51,33 @@
 	RepeatShare float64
 	// RepeatBurst is how many repeats are saved up; default 20.
 	RepeatBurst int
-	// HedgeMin is the least delay before a hedge; default 5 ms. Negative
+	// MinHedgeDelay is the least delay before a hedge; default 5 ms. Negative
 	// turns hedges off.
-	HedgeMin time.Duration
+	MinHedgeDelay time.Duration
 	// CancelGrace is how long a cancelled attempt counts as in flight when
 	// the transport doesn't report its end; default 500 ms.
 	CancelGrace time.Duration
-	// LoadHorizon is the age at which a target's load report counts for
+	// MaxLoadAge is the age at which a target's load report counts for
 	// nothing; default 500 ms.
-	LoadHorizon time.Duration
-	// RemoteHorizon is the same for reports of other entry VMs; default 3 s.
+	MaxLoadAge time.Duration
+	// MaxRemoteLoadAge is the same for reports of other entry VMs; default 3 s.
 	// Negative turns forwarding off.
-	RemoteHorizon time.Duration
+	MaxRemoteLoadAge time.Duration
 }
 
 // The defaults of Limits.
 const (
-	defaultMaxAttempts     = 4
-	defaultQueueItems      = 1024
-	defaultQueueBytes      = 64 << 20
-	defaultDeferrableShare = 0.75
-	defaultInteractiveWait = 250 * time.Millisecond
-	defaultRepeatShare     = 0.1
-	defaultRepeatBurst     = 20
-	defaultHedgeMin        = 5 * time.Millisecond
-	defaultCancelGrace     = 500 * time.Millisecond
-	defaultLoadHorizon     = 500 * time.Millisecond
-	defaultRemoteHorizon   = 3 * time.Second
+	defaultMaxAttempts      = 4
+	defaultQueueItems       = 1024
+	defaultQueueBytes       = 64 << 20
+	defaultDeferrableShare  = 0.75
+	defaultInteractiveWait  = 250 * time.Millisecond
+	defaultRepeatShare      = 0.1
+	defaultRepeatBurst      = 20
+	defaultMinHedgeDelay    = 5 * time.Millisecond
+	defaultCancelGrace      = 500 * time.Millisecond
+	defaultMaxLoadAge       = 500 * time.Millisecond
+	defaultMaxRemoteLoadAge = 3 * time.Second
 )
 
 // WithDefaults returns l with every zero field at its default.
@@ -89,10 +89,10 @@
 	setDefault(&l.InteractiveWait, defaultInteractiveWait)
 	setDefault(&l.RepeatShare, defaultRepeatShare)
 	setDefault(&l.RepeatBurst, defaultRepeatBurst)
-	setDefault(&l.HedgeMin, defaultHedgeMin)
+	setDefault(&l.MinHedgeDelay, defaultMinHedgeDelay)
 	setDefault(&l.CancelGrace, defaultCancelGrace)
-	setDefault(&l.LoadHorizon, defaultLoadHorizon)
-	setDefault(&l.RemoteHorizon, defaultRemoteHorizon)
+	setDefault(&l.MaxLoadAge, defaultMaxLoadAge)
+	setDefault(&l.MaxRemoteLoadAge, defaultMaxRemoteLoadAge)
 	return l
 }
 
--- a/decide/dispatch/outcome.go
+++ b/decide/dispatch/outcome.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	serverError = 500 // lowest HTTP status that counts against a target
-	slowAnswer  = 3   // times the usual latency that lower a target's limit
+	serverError      = 500 // lowest HTTP status that counts against a target
+	slowAnswerFactor = 3   // times the usual latency that lower a target's limit
 	// leavingPause is how long a target that said it is leaving gets nothing,
 	// though the lagging list still calls it live.
 	leavingPause = 30 * time.Second
@@ -26,28 +26,28 @@
 	if a == nil {
 		return
 	}
-	r, v, t, l := a.req, a.svc, a.target, a.link
+	r, v, t, l := a.req, a.svc, a.target, a.remote
 	sentAt := a.sentAt
 	took := s.now.Sub(sentAt)
 	borrowed := a.borrowed
 	wanted := r != nil
 	if a.watched && e.Status < serverError {
-		v.silence.answered(s.now, a.connection)
+		v.silence.answered(s.now, a.detectID)
 	}
 	s.release(a)
 	v.lastAnswer = s.now
 	if t != nil {
-		t.overtaken.answered(sentAt)
+		t.recentAnswers.record(sentAt)
 		t.answeredAt = s.now
 		s.targetAnswered(t, e, took, borrowed, wanted)
 	} else {
-		l.overtaken.answered(sentAt)
+		l.recentAnswers.record(sentAt)
 		v.silence.observeForward(took)
-		s.linkAnswered(l, e.Load, took)
-		s.spill(v)
+		s.remoteAnswered(l, e.Load, took)
+		s.forwardQueued(v)
 	}
 	if wanted {
-		r.joined = verdict.Join(r.joined, verdict.Ran)
+		r.joinedVerdict = verdict.Join(r.joinedVerdict, verdict.Ran)
 		s.deliver(r, e.Attempt)
 	}
 	s.drain(v)
@@ -57,10 +57,10 @@
 func (s *State) targetAnswered(t *targetState, e *Answered, took time.Duration, borrowed, wanted bool) {
 	v := t.svc
 	if e.Load != nil {
-		s.loadReport(t, e.Load.InFlight, e.Load.Slots, 0)
+		s.recordLoad(t, e.Load.InFlight, e.Load.Slots, 0)
 	}
 	if e.Status >= serverError {
-		s.targetFailed(t)
+		s.recordTargetFailure(t)
 		return
 	}
 	if t.outlier.Answered(s.now) {
@@ -68,10 +68,10 @@
 		t.limit = limit.Cold(t.share)
 	}
 	if !wanted {
-		s.refresh(t)
+		s.updateCapacity(t)
 		return
 	}
-	if float64(took) > slowAnswer*v.usual() && float64(took) > slowAnswer*t.mean.Value(v.usual()) {
+	if float64(took) > slowAnswerFactor*v.meanLatency() && float64(took) > slowAnswerFactor*t.mean.Value(v.meanLatency()) {
 		t.limit.Slow()
 	} else {
 		t.limit.Answered()
@@ -83,21 +83,21 @@
 	v.mean.Observe(s.now, took)
 	v.tail.Observe(took)
 	v.silence.observe(took)
-	s.refresh(t)
+	s.updateCapacity(t)
 }
 
-// loadReport records what a target said about its load age ago. Of two
+// recordLoad records what a target said about its load age ago. Of two
 // statements about its slots the lower one is believed: too few cost
 // throughput, too many overload it.
-func (s *State) loadReport(t *targetState, inFlight, slots int, age time.Duration) {
+func (s *State) recordLoad(t *targetState, inFlight, slots int, age time.Duration) {
 	t.borrow.Observe(limit.Report{Others: max(inFlight-t.inFlight, 0), At: s.now.Add(-age)})
 	if slots <= 0 {
 		return
 	}
-	believed := min(max(t.declared, defaultSlots), slots)
+	believed := min(max(t.declaredSlots, defaultSlots), slots)
 	if believed != t.slots {
 		t.slots = believed
-		s.partitionService(t.svc)
+		s.assignServiceShares(t.svc)
 	}
 }
 
@@ -107,7 +107,7 @@
 	if a == nil {
 		return
 	}
-	r, v, t, l := a.req, a.svc, a.target, a.link
+	r, v, t, l := a.req, a.svc, a.target, a.remote
 	wanted := r != nil
 	sentAt := a.sentAt
 	s.release(a)
@@ -116,20 +116,20 @@
 		// other side.
 		switch {
 		case t != nil:
-			r.avoid = t
-			s.targetEnded(t, e, sentAt)
+			r.avoidTarget = t
+			s.targetAttemptFailed(t, e, sentAt)
 		default:
 			r.avoidVM = l.vm
-			s.linkEnded(l, e, sentAt)
+			s.remoteAttemptFailed(l, e, sentAt)
 		}
-		r.joined = verdict.Join(r.joined, e.Verdict)
+		r.joinedVerdict = verdict.Join(r.joinedVerdict, e.Verdict)
 		s.afterFailure(r, l, e)
 	}
 	s.drain(v)
 }
 
-// targetEnded learns from a failed attempt at t.
-func (s *State) targetEnded(t *targetState, e *Failed, sentAt clock.Time) {
+// targetAttemptFailed learns from a failed attempt at t.
+func (s *State) targetAttemptFailed(t *targetState, e *Failed, sentAt clock.Time) {
 	switch e.Reason {
 	case verdict.ReasonShed, verdict.ReasonOverload, verdict.ReasonQueueFull, verdict.ReasonNotReady:
 		t.limit.Shed()
@@ -139,52 +139,52 @@
 		s.pause(t, leavingPause)
 	case verdict.ReasonSilent:
 		if t.outlier.LastAnswer() < sentAt {
-			s.targetFailed(t)
+			s.recordTargetFailure(t)
 		}
 	case verdict.ReasonBodyTooLarge, verdict.ReasonBadRequest, verdict.ReasonCallerGone, verdict.ReasonDeadline:
 		// Nothing is wrong with the target.
 	default:
-		s.targetFailed(t)
+		s.recordTargetFailure(t)
 	}
 }
 
 // afterFailure decides what becomes of r after one of its attempts ended
 // without an answer.
-func (s *State) afterFailure(r *request, l *link, e *Failed) {
-	if r.n > 0 {
+func (s *State) afterFailure(r *request, l *remoteService, e *Failed) {
+	if r.numCurrent > 0 {
 		s.schedule(r) // the other attempt may still be answered
 		return
 	}
-	if !r.joined.MayRepeat(r.idempotent) || final(e.Reason) {
-		s.giveUp(r, e.Reason, e.RetryAfter)
+	if !r.joinedVerdict.MayRepeat(r.idempotent) || isRequestError(e.Reason) {
+		s.replyWithError(r, e.Reason, e.RetryAfter)
 		return
 	}
 	if l != nil && e.Verdict == verdict.NotRun && refusedForLoad(e.Reason) {
 		// It cost a round trip and no work, so it needs no budget.
 		r.attempts--
 		r.countRefusal(l)
-		s.place(r)
+		s.forwardOrQueue(r)
 		return
 	}
 	// A refusal by a machine that is leaving happens once for each of its
 	// slots, so it needs no budget, and a planned drain can't use it up.
-	if e.Reason != verdict.ReasonStopping && !s.mayRepeat(r) {
-		s.giveUp(r, verdict.ReasonRetriesExhausted, retryAfter(max(e.RetryAfter, s.expectedWait(r.svc, 0))))
+	if e.Reason != verdict.ReasonStopping && !s.spendRepeat(r) {
+		s.replyWithError(r, verdict.ReasonRetriesExhausted, retryAfter(max(e.RetryAfter, s.expectedWait(r.svc, 0))))
 		return
 	}
-	s.again(r)
+	s.resend(r)
 }
 
-// mayRepeat takes a repeat of r from the budget, if it has attempts left.
-func (s *State) mayRepeat(r *request) bool {
+// spendRepeat takes a repeat of r from the budget, if it has attempts left.
+func (s *State) spendRepeat(r *request) bool {
 	r.svc.budget.Pass(s.now)
 	return r.attempts < s.lim.MaxAttempts && r.svc.budget.Spend()
 }
 
-// again sends r once more, before those that wait for their first attempt.
-func (s *State) again(r *request) {
+// resend sends r once more, before those that wait for their first attempt.
+func (s *State) resend(r *request) {
 	if s.now >= s.latestStart(r) {
-		s.giveUp(r, verdict.ReasonDeadline, 0)
+		s.replyWithError(r, verdict.ReasonDeadline, 0)
 		return
 	}
 	if s.trySend(r) {
@@ -192,20 +192,20 @@
 	}
 	wait := s.expectedWait(r.svc, 0)
 	if r.hops == 0 {
-		if l := s.pickLink(r, wait); l != nil && s.forward(r, l, wait) {
+		if l := s.chooseRemote(r, wait); l != nil && s.forward(r, l, wait) {
 			return
 		}
 	}
 	if s.now.Add(wait) > s.latestStart(r) {
-		s.giveUp(r, verdict.ReasonOverload, retryAfter(wait))
+		s.replyWithError(r, verdict.ReasonOverload, retryAfter(wait))
 		return
 	}
 	s.enqueue(r)
 }
 
-// final reports whether the reason lies in the request, so that no target
+// isRequestError reports whether the reason lies in the request, so that no target
 // would answer otherwise.
-func final(reason verdict.Reason) bool {
+func isRequestError(reason verdict.Reason) bool {
 	switch reason {
 	case verdict.ReasonBodyTooLarge, verdict.ReasonBadRequest, verdict.ReasonCallerGone,
 		verdict.ReasonUnknownService, verdict.ReasonTokenRequired, verdict.ReasonTokenInvalid,
--- a/decide/dispatch/random_test.go
+++ b/decide/dispatch/random_test.go
@@ -32,55 +32,55 @@
 	os.Exit(m.Run())
 }
 
-// world drives one State with random events and checks every effect against
+// randomRun drives one State with random events and checks every effect against
 // books of its own, which share no code with State.
-type world struct {
-	fail     func(string, ...any)
-	intn     func(n int) int
-	s        *State
-	now      clock.Time
-	out      Ready
-	grace    time.Duration
-	targets  []fleet.Target
-	idem     map[fleet.ServiceName]bool
-	requests map[RequestID]*bookedRequest
-	attempts map[AttemptID]*bookedAttempt
-	open     []AttemptID    // not ended, in order
-	old      []Answered     // answers to attempts that have ended, for late ones
-	current  AttemptID      // whose answer is being passed on, unless cancelled before
-	missing  fleet.TargetID // not in the last list
-	last     RequestID
-	events   int
+type randomRun struct {
+	fail        func(string, ...any)
+	intn        func(n int) int
+	s           *State
+	now         clock.Time
+	out         Ready
+	grace       time.Duration
+	targets     []fleet.Target
+	idempotent  map[fleet.ServiceName]bool
+	requests    map[RequestID]*trackedRequest
+	attempts    map[AttemptID]*trackedAttempt
+	open        []AttemptID    // not ended, in order
+	lateAnswers []Answered     // answers to attempts that have ended, for late ones
+	answering   AttemptID      // whose answer is being passed on, unless cancelled before
+	unlisted    fleet.TargetID // not in the last list
+	lastRequest RequestID
+	events      int
 }
 
-type bookedRequest struct {
-	idem     bool // when it arrived
-	deadline clock.Time
-	hops     uint8
-	final    bool
-	gone     bool
-	mayRun   bool // an attempt that did not end with a refusal
-	running  int
+type trackedRequest struct {
+	idempotent bool // when it arrived
+	deadline   clock.Time
+	hops       uint8
+	final      bool
+	gone       bool
+	mayHaveRun bool // an attempt that did not end with a refusal
+	running    int
 }
 
-type bookedAttempt struct {
+type trackedAttempt struct {
 	req       RequestID
 	target    fleet.TargetID // empty for a forward
 	cancelled clock.Time     // 0 when not
 }
 
-func newWorld(seed uint64, intn func(int) int, fail func(string, ...any)) *world {
-	w := &world{
+func newRandomRun(seed uint64, intn func(int) int, fail func(string, ...any)) *randomRun {
+	w := &randomRun{
 		fail: fail, intn: intn, now: 1e9, grace: defaultCancelGrace,
-		idem:     map[fleet.ServiceName]bool{"look": true},
-		requests: map[RequestID]*bookedRequest{}, attempts: map[AttemptID]*bookedAttempt{},
+		idempotent: map[fleet.ServiceName]bool{"look": true},
+		requests:   map[RequestID]*trackedRequest{}, attempts: map[AttemptID]*trackedAttempt{},
 	}
 	policies := []string{"", "round-robin", "random", "least-in-flight", "two-choices"}
 	w.s = New(Options{
-		VM: "self", Seed: seed, Policy: policies[max(intn(10)-5, 0)], Panic: false, Audit: true,
+		VM: "self", Seed: seed, Policy: policies[max(intn(10)-5, 0)], PanicOnViolation: false, Audit: true,
 		Limits: Limits{QueueItems: 4 + intn(40), QueueBytes: 4000, RepeatBurst: 1 + intn(20)},
 	})
-	w.services()
+	w.setServices()
 	for i := 0; i < 2+intn(8); i++ {
 		service := []fleet.ServiceName{"look", "post", "bulk"}[i%3]
 		w.targets = append(w.targets, fleet.Target{ID: fleet.TargetID(fmt.Sprint("t", i)), Service: service, Slots: 1 + intn(4), Connections: 100})
@@ -89,18 +89,18 @@
 	return w
 }
 
-// services sets the catalogue; whether bulk is idempotent changes.
-func (w *world) services() {
-	w.idem["bulk"] = w.intn(2) == 0
+// setServices sets the catalogue; whether bulk is idempotent changes.
+func (w *randomRun) setServices() {
+	w.idempotent["bulk"] = w.intn(2) == 0
 	w.step(&Services{List: []catalogue.Service{
 		{Name: "look", Idempotent: true, Priority: catalogue.Interactive},
 		{Name: "post", Priority: catalogue.Deferrable},
-		{Name: "bulk", Idempotent: w.idem["bulk"], Priority: catalogue.Deferrable},
+		{Name: "bulk", Idempotent: w.idempotent["bulk"], Priority: catalogue.Deferrable},
 	}})
 }
 
 // step passes on an event and books its effects.
-func (w *world) step(ev Event) {
+func (w *randomRun) step(ev Event) {
 	w.events++
 	w.out.Reset()
 	w.s.Step(w.now, ev, &w.out)
@@ -115,34 +115,34 @@
 		}
 		a.cancelled = w.now
 		w.requests[a.req].running--
-		w.requests[a.req].mayRun = true
+		w.requests[a.req].mayHaveRun = true
 	}
 	for _, e := range w.out.Sends {
-		w.start(e.Req, e.Attempt, e.Deadline, e.Target)
+		w.recordAttempt(e.Req, e.Attempt, e.Deadline, e.Target)
 	}
 	for _, e := range w.out.Forwards {
 		if w.requests[e.Req].hops > 0 {
 			w.fail("request %d forwarded twice", e.Req)
 		}
-		w.start(e.Req, e.Attempt, e.Deadline, "")
+		w.recordAttempt(e.Req, e.Attempt, e.Deadline, "")
 	}
 	for _, e := range w.out.Delivers {
 		answer, ok := ev.(*Answered)
-		if !ok || answer.Req != e.Req || answer.Attempt != e.Attempt || w.current != e.Attempt {
+		if !ok || answer.Req != e.Req || answer.Attempt != e.Attempt || w.answering != e.Attempt {
 			w.fail("request %d got another's answer", e.Req)
 		}
-		w.final(e.Req)
+		w.recordFinal(e.Req)
 	}
 	for _, e := range w.out.Replies {
-		if r := w.requests[e.Req]; e.Verdict == verdict.NotRun && (r.mayRun || r.running > 0) {
+		if r := w.requests[e.Req]; e.Verdict == verdict.NotRun && (r.mayHaveRun || r.running > 0) {
 			w.fail("request %d told not run, but it may have", e.Req)
 		}
-		w.final(e.Req)
+		w.recordFinal(e.Req)
 	}
-	w.settled()
+	w.checkOpenRequests()
 }
 
-func (w *world) final(id RequestID) {
+func (w *randomRun) recordFinal(id RequestID) {
 	r := w.requests[id]
 	if r.final || r.gone {
 		w.fail("request %d has two final effects", id)
@@ -150,7 +150,7 @@
 	r.final = true
 }
 
-func (w *world) start(id RequestID, a AttemptID, deadline clock.Time, t fleet.TargetID) {
+func (w *randomRun) recordAttempt(id RequestID, a AttemptID, deadline clock.Time, t fleet.TargetID) {
 	r := w.requests[id]
 	if r.final || r.gone {
 		w.fail("request %d sent after its end", id)
@@ -158,13 +158,13 @@
 	if deadline > r.deadline {
 		w.fail("attempt of %d outlives the request", id)
 	}
-	if !r.idem && (r.mayRun || r.running > 0) {
+	if !r.idempotent && (r.mayHaveRun || r.running > 0) {
 		w.fail("request %d repeated though it may have run", id)
 	}
 	if w.attempts[a] != nil {
 		w.fail("attempt id %d given out twice", a)
 	}
-	w.attempts[a] = &bookedAttempt{req: id, target: t}
+	w.attempts[a] = &trackedAttempt{req: id, target: t}
 	w.open = append(w.open, a)
 	r.running++
 	if t != "" {
@@ -173,9 +173,9 @@
 }
 
 // checkTarget counts what is in flight at a target that just got a request.
-func (w *world) checkTarget(id fleet.TargetID) {
+func (w *randomRun) checkTarget(id fleet.TargetID) {
 	i := slices.IndexFunc(w.targets, func(t fleet.Target) bool { return t.ID == id })
-	if id == w.missing || w.targets[i].State != fleet.Live {
+	if id == w.unlisted || w.targets[i].State != fleet.Live {
 		w.fail("send to target %s, which is leaving", id)
 		return
 	}
@@ -191,9 +191,9 @@
 	}
 }
 
-// settled checks that no request is forgotten: each still open has a timer no
+// checkOpenRequests checks that no request is forgotten: each still open has a timer no
 // later than its deadline.
-func (w *world) settled() {
+func (w *randomRun) checkOpenRequests() {
 	for id, r := range w.requests {
 		if r.final || r.gone {
 			if r.running > 0 {
@@ -213,12 +213,12 @@
 	}
 }
 
-func (w *world) hasOpen(id RequestID) bool {
+func (w *randomRun) hasOpen(id RequestID) bool {
 	return slices.ContainsFunc(w.open, func(a AttemptID) bool { return w.attempts[a].req == id })
 }
 
-// next does one random thing.
-func (w *world) next() {
+// randomEvent does one random thing.
+func (w *randomRun) randomEvent() {
 	w.now = w.now.Add(time.Duration(w.intn(4)*w.intn(4)*w.intn(4)) * time.Millisecond)
 	if w.out.Wake <= w.now {
 		w.now = max(w.out.Wake, w.now)
@@ -233,7 +233,7 @@
 	case k < 82:
 		w.failAttempt()
 	case k < 84:
-		w.duplicate()
+		w.lateAnswer()
 	case k < 86:
 		w.callerGone()
 	case k < 89:
@@ -241,9 +241,9 @@
 	case k < 92:
 		w.step(&Peers{Count: 1 + w.intn(5), Rank: w.intn(3)})
 	case k < 94:
-		w.remotes()
+		w.setRemotes()
 	case k < 95:
-		w.services()
+		w.setServices()
 	case k < 98:
 		t := w.targets[w.intn(len(w.targets))]
 		w.step(&Health{Target: t.ID, OK: w.intn(3) > 0, InFlight: w.intn(5), Slots: w.intn(t.Slots + 1), Cold: w.intn(4) == 0, Age: time.Duration(w.intn(1000)) * time.Millisecond})
@@ -255,17 +255,17 @@
 	}
 }
 
-func (w *world) arrive() {
-	w.last++
+func (w *randomRun) arrive() {
+	w.lastRequest++
 	service := []fleet.ServiceName{"look", "post", "bulk"}[w.intn(3)]
-	r := &bookedRequest{idem: w.idem[service], deadline: w.now.Add(time.Duration(1+w.intn(2000)) * time.Millisecond), hops: uint8(max(w.intn(4)-2, 0))}
-	w.requests[w.last] = r
-	w.step(&Arrive{Req: w.last, Service: service, Block: uint64(w.intn(50)), Deadline: r.deadline, Hops: r.hops, BodyBytes: int64(w.intn(500)), ExpectedWait: time.Duration(w.intn(300)) * time.Millisecond})
+	r := &trackedRequest{idempotent: w.idempotent[service], deadline: w.now.Add(time.Duration(1+w.intn(2000)) * time.Millisecond), hops: uint8(max(w.intn(4)-2, 0))}
+	w.requests[w.lastRequest] = r
+	w.step(&Arrive{Req: w.lastRequest, Service: service, Block: uint64(w.intn(50)), Deadline: r.deadline, Hops: r.hops, BodyBytes: int64(w.intn(500)), ExpectedWait: time.Duration(w.intn(300)) * time.Millisecond})
 }
 
-// take removes a random open attempt from the books; answers thus come in any
+// takeAttempt removes a random open attempt from the books; answers thus come in any
 // order, and late ones after a cancel.
-func (w *world) take() (AttemptID, *bookedAttempt) {
+func (w *randomRun) takeAttempt() (AttemptID, *trackedAttempt) {
 	if len(w.open) == 0 {
 		return 0, nil
 	}
@@ -279,8 +279,8 @@
 	return id, a
 }
 
-func (w *world) answer() {
-	id, a := w.take()
+func (w *randomRun) answer() {
+	id, a := w.takeAttempt()
 	if a == nil {
 		return
 	}
@@ -289,18 +289,18 @@
 		e.Load = &LoadHint{InFlight: w.intn(4), Slots: w.intn(5)}
 	}
 	if r := w.requests[a.req]; r != nil {
-		r.mayRun = true
+		r.mayHaveRun = true
 	}
 	if a.cancelled == 0 {
-		w.current = id
+		w.answering = id
 	}
 	w.step(&e)
-	w.current = 0
-	w.old = append(w.old, e)
+	w.answering = 0
+	w.lateAnswers = append(w.lateAnswers, e)
 }
 
-func (w *world) failAttempt() {
-	id, a := w.take()
+func (w *randomRun) failAttempt() {
+	id, a := w.takeAttempt()
 	if a == nil {
 		return
 	}
@@ -310,45 +310,45 @@
 		e.Verdict = verdict.MayHaveRun
 		e.Reason = []verdict.Reason{verdict.ReasonConnectionLost, verdict.ReasonSilent, verdict.ReasonAnswerCut}[w.intn(3)]
 		if r := w.requests[a.req]; r != nil {
-			r.mayRun = true
+			r.mayHaveRun = true
 		}
 	}
 	w.step(&e)
-	w.old = append(w.old, Answered{Req: e.Req, Attempt: id, Status: 200})
+	w.lateAnswers = append(w.lateAnswers, Answered{Req: e.Req, Attempt: id, Status: 200})
 }
 
-// duplicate gives a late answer, to one of the last attempts that ended.
-func (w *world) duplicate() {
-	if len(w.old) > 0 {
-		e := w.old[max(len(w.old)-1-w.intn(4), 0)]
+// lateAnswer gives a late answer, to one of the last attempts that ended.
+func (w *randomRun) lateAnswer() {
+	if len(w.lateAnswers) > 0 {
+		e := w.lateAnswers[max(len(w.lateAnswers)-1-w.intn(4), 0)]
 		w.step(&e)
 	}
 }
 
-func (w *world) callerGone() {
-	id := w.last - RequestID(w.intn(5))
+func (w *randomRun) callerGone() {
+	id := w.lastRequest - RequestID(w.intn(5))
 	if r := w.requests[id]; r != nil && !r.final {
 		r.gone = true
 	}
 	w.step(&CallerGone{Req: id})
 }
 
-func (w *world) changeTargets() {
+func (w *randomRun) changeTargets() {
 	t := &w.targets[w.intn(len(w.targets))]
 	t.State = fleet.State(max(w.intn(4)-1, 0))
 	t.Slots = 1 + w.intn(4)
 	if w.intn(4) == 0 {
 		// A target vanishes from the list, and may come back later.
 		w.targets[0], w.targets[len(w.targets)-1] = w.targets[len(w.targets)-1], w.targets[0]
-		w.missing = w.targets[0].ID
+		w.unlisted = w.targets[0].ID
 		w.step(&Targets{List: w.targets[1:]})
 		return
 	}
-	w.missing = ""
+	w.unlisted = ""
 	w.step(&Targets{List: w.targets})
 }
 
-func (w *world) remotes() {
+func (w *randomRun) setRemotes() {
 	e := &Remotes{}
 	for i := 0; i < w.intn(4); i++ {
 		e.List = append(e.List, Remote{
@@ -362,9 +362,9 @@
 func TestRandomEvents(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		intn := func(n int) int { return rapid.IntRange(0, n-1).Draw(rt, "n") }
-		w := newWorld(1, intn, rt.Fatalf)
+		w := newRandomRun(1, intn, rt.Fatalf)
 		for i := 0; i < 60; i++ {
-			w.next()
+			w.randomEvent()
 		}
 	})
 }
@@ -373,12 +373,12 @@
 	const each = 20_000
 	for seed, n := *randomSeed, 0; n < *randomEvents; seed++ {
 		rng := rand.New(rand.NewPCG(seed, 7))
-		w := newWorld(seed, rng.IntN, func(f string, args ...any) {
+		w := newRandomRun(seed, rng.IntN, func(f string, args ...any) {
 			t.Helper()
 			t.Fatalf("seed %d: "+f, append([]any{seed}, args...)...)
 		})
 		for w.events < each {
-			w.next()
+			w.randomEvent()
 		}
 		n += w.events
 	}
--- a/decide/dispatch/ready.go
+++ b/decide/dispatch/ready.go
@@ -14,9 +14,9 @@
 	Attempt  AttemptID
 	Target   fleet.TargetID
 	Deadline clock.Time
-	// Fresh says that an earlier attempt may be on a silent connection, so that
+	// NewConnection says that an earlier attempt may be on a silent connection, so that
 	// this one needs a new connection: free ones may be silent as well.
-	Fresh bool
+	NewConnection bool
 }
 
 // Forward hands a request to an entry VM elsewhere.
--- a/decide/dispatch/remote.go
+++ b/decide/dispatch/remote.go
@@ -12,43 +12,43 @@
 )
 
 const (
-	// maxNearRefusals and maxFarRefusals are how many entry VMs in the region
+	// maxRegionRefusals and maxFarRefusals are how many entry VMs in the region
 	// and elsewhere may refuse one request before it stays here.
-	maxNearRefusals = 3
-	maxFarRefusals  = 2
-	// similarCost is how much longer than the best a forward may take and
+	maxRegionRefusals = 3
+	maxOtherRefusals  = 2
+	// costTolerance is how much longer than the best a forward may take and
 	// still be drawn for it, so that not all senders choose the same receiver.
-	similarCost = 3 * time.Millisecond
-	// nearRTT is the longest round trip within a region.
-	nearRTT = 10 * time.Millisecond
-	// minRoom is the least room a receiver must have.
-	minRoom = 1
+	costTolerance = 3 * time.Millisecond
+	// maxRegionRTT is the longest round trip within a region.
+	maxRegionRTT = 10 * time.Millisecond
+	// minHeadroom is the least room a receiver must have.
+	minHeadroom = 1
 )
 
 // setRemotes takes over the load reports of other entry VMs.
 func (s *State) setRemotes(list []Remote) {
-	s.unseeLinks()
+	s.clearReported()
 	s.vmCount = 0
 	for i := range list {
 		s.setRemoteVM(&list[i])
 	}
 	for i := range list {
-		s.setLink(&list[i])
+		s.setRemoteService(&list[i])
 	}
-	s.forgetLinks()
+	s.dropUnreported()
 	s.drainAll()
 	for _, v := range s.services {
-		s.spill(v)
+		s.forwardQueued(v)
 	}
 }
 
-func (s *State) unseeLinks() {
+func (s *State) clearReported() {
 	for _, vm := range s.vms {
-		vm.seen = false
+		vm.reported = false
 	}
 	for _, v := range s.services {
-		for _, l := range v.links {
-			l.seen = false
+		for _, l := range v.remotes {
+			l.reported = false
 		}
 	}
 }
@@ -62,71 +62,71 @@
 		vm = &remoteVM{id: e.VM}
 		s.vms[e.VM] = vm
 	}
-	if !vm.seen {
-		vm.seen = true
+	if !vm.reported {
+		vm.reported = true
 		s.vmCount++
 	}
 	vm.rtt = e.RTT
 }
 
-func (s *State) setLink(e *Remote) {
+func (s *State) setRemoteService(e *Remote) {
 	vm := s.vms[e.VM]
 	if vm == nil {
 		return
 	}
 	v := s.service(e.Service)
-	i, found := slices.BinarySearchFunc(v.links, e.VM, func(l *link, id fleet.VMID) int { return cmp.Compare(l.vm.id, id) })
+	i, found := slices.BinarySearchFunc(v.remotes, e.VM, func(l *remoteService, id fleet.VMID) int { return cmp.Compare(l.vm.id, id) })
 	if !found {
-		v.links = slices.Insert(v.links, i, &link{vm: vm, svc: v})
+		v.remotes = slices.Insert(v.remotes, i, &remoteService{vm: vm, svc: v})
 	}
-	l := v.links[i]
-	l.seen = true
-	l.window.Report(e.Headroom, l.stretch(), s.now.Add(-e.Age), l.inFlight, s.vmCount, s.rng)
+	l := v.remotes[i]
+	l.reported = true
+	l.window.Report(e.Headroom, l.inFlightRatio(), s.now.Add(-e.Age), l.inFlight, s.vmCount, s.rng)
 }
 
-// forgetLinks drops what the last reports don't mention, once nothing is in
+// dropUnreported drops what the last reports don't mention, once nothing is in
 // flight there.
-func (s *State) forgetLinks() {
+func (s *State) dropUnreported() {
 	for _, v := range s.services {
-		v.links = slices.DeleteFunc(v.links, func(l *link) bool { return !l.seen && l.inFlight == 0 })
+		v.remotes = slices.DeleteFunc(v.remotes, func(l *remoteService) bool { return !l.reported && l.inFlight == 0 })
 	}
 	for id, vm := range s.vms {
-		if !vm.seen && vm.inFlight == 0 {
+		if !vm.reported && vm.inFlight == 0 {
 			delete(s.vms, id)
 		}
 	}
 }
 
-// pickLink returns the entry VM to forward r to when that is expected to be
+// chooseRemote returns the entry VM to forward r to when that is expected to be
 // sooner than waiting here for the given time, or nil.
-func (s *State) pickLink(r *request, wait time.Duration) *link {
-	if r.hops > 0 || s.opts.Ungated || s.lim.RemoteHorizon < 0 {
+func (s *State) chooseRemote(r *request, wait time.Duration) *remoteService {
+	if r.hops > 0 || s.opts.PlainBalancer || s.lim.MaxRemoteLoadAge < 0 {
 		return nil
 	}
 	v := r.svc
 	limit := min(float64(wait), float64(s.latestStart(r)-s.now))
 	best := limit
-	for _, l := range v.links {
-		if c := s.forwardCost(l); c < best && s.room(r, l) >= minRoom {
+	for _, l := range v.remotes {
+		if c := s.forwardCost(l); c < best && s.headroomFor(r, l) >= minHeadroom {
 			best = c
 		}
 	}
 	if best >= limit {
 		return nil
 	}
-	return s.drawLink(r, min(best+float64(similarCost), limit))
+	return s.drawRemote(r, min(best+float64(costTolerance), limit))
 }
 
-// drawLink draws among the entry VMs up to the given cost, by their room.
-func (s *State) drawLink(r *request, most float64) *link {
-	var chosen *link
+// drawRemote draws among the entry VMs up to the given cost, by their room.
+func (s *State) drawRemote(r *request, most float64) *remoteService {
+	var chosen *remoteService
 	total := 0.0
-	for _, l := range r.svc.links {
+	for _, l := range r.svc.remotes {
 		if s.forwardCost(l) > most {
 			continue
 		}
-		room := s.room(r, l)
-		if room < minRoom {
+		room := s.headroomFor(r, l)
+		if room < minHeadroom {
 			continue
 		}
 		total += room
@@ -137,12 +137,12 @@
 	return chosen
 }
 
-// spill forwards waiting requests when there is room elsewhere again: those
+// forwardQueued forwards waiting requests when there is room elsewhere again: those
 // that have waited longest among the ones whose turn here would come later
 // than an answer from there.
-func (s *State) spill(v *service) {
+func (s *State) forwardQueued(v *service) {
 	for v.queue.Len() > 0 {
-		ahead := s.turnsWithin(v, s.cheapestRoom(v))
+		ahead := s.servedWithin(v, s.lowestForwardCost(v))
 		n := v.queue.Front()
 		for i := 0; i < ahead && n != nil; i++ {
 			n = n.Next()
@@ -151,100 +151,100 @@
 			return
 		}
 		wait := s.expectedWait(v, ahead)
-		l := s.pickLink(n.Item, wait)
+		l := s.chooseRemote(n.Item, wait)
 		if l == nil || !s.forward(n.Item, l, wait) {
 			return
 		}
 	}
 }
 
-// cheapestRoom returns the least cost of a forward to an entry VM with room.
-func (s *State) cheapestRoom(v *service) float64 {
-	best := float64(longWait)
-	for _, l := range v.links {
-		if c := s.forwardCost(l); c < best && s.linkRoom(l) >= minRoom {
+// lowestForwardCost returns the least cost of a forward to an entry VM with room.
+func (s *State) lowestForwardCost(v *service) float64 {
+	best := float64(unknownWait)
+	for _, l := range v.remotes {
+		if c := s.forwardCost(l); c < best && s.headroom(l) >= minHeadroom {
 			best = c
 		}
 	}
 	return best
 }
 
-// turnsWithin returns how many waiting requests are served here within d ns.
-func (s *State) turnsWithin(v *service, d float64) int {
-	return int(d * float64(v.capacity) / v.usual())
+// servedWithin returns how many waiting requests are served here within d ns.
+func (s *State) servedWithin(v *service, d float64) int {
+	return int(d * float64(v.capacity) / v.meanLatency())
 }
 
-// near reports whether a round trip to l costs next to nothing.
-func (l *link) near() bool { return l.vm.rtt <= nearRTT }
+// inRegion reports whether a round trip to l costs next to nothing.
+func (l *remoteService) inRegion() bool { return l.vm.rtt <= maxRegionRTT }
 
 // countRefusal records that l refused r.
-func (r *request) countRefusal(l *link) {
-	if l.near() {
-		r.nearRefusals++
+func (r *request) countRefusal(l *remoteService) {
+	if l.inRegion() {
+		r.regionRefusals++
 	} else {
-		r.farRefusals++
+		r.otherRefusals++
 	}
 }
 
-func (r *request) tooManyRefusals(l *link) bool {
-	if l.near() {
-		return r.nearRefusals >= maxNearRefusals
+func (r *request) tooManyRefusals(l *remoteService) bool {
+	if l.inRegion() {
+		return r.regionRefusals >= maxRegionRefusals
 	}
-	return r.farRefusals >= maxFarRefusals
+	return r.otherRefusals >= maxOtherRefusals
 }
 
 // forwardCost is the time a forward is expected to take beyond the usual
 // latency, in ns.
-func (s *State) forwardCost(l *link) float64 {
+func (s *State) forwardCost(l *remoteService) float64 {
 	rtt := float64(l.vm.rtt)
-	usual := l.svc.usual()
+	usual := l.svc.meanLatency()
 	return max(rtt, l.mean.At(s.now, rtt+usual)-usual)
 }
 
-// room returns how many forwards l can take now.
-func (s *State) room(r *request, l *link) float64 {
+// headroomFor returns how many forwards l can take now.
+func (s *State) headroomFor(r *request, l *remoteService) float64 {
 	if l.vm == r.avoidVM || r.tooManyRefusals(l) {
 		return 0
 	}
-	return s.linkRoom(l)
+	return s.headroom(l)
 }
 
-// linkRoom is room for any request.
-func (s *State) linkRoom(l *link) float64 {
+// headroom is room for any request.
+func (s *State) headroom(l *remoteService) float64 {
 	switch l.vm.outlier.Standing() {
 	case target.Ejected:
 		if s.now < l.vm.outlier.Until() {
 			return 0
 		}
-		return s.testRoom(l)
+		return s.testHeadroom(l)
 	case target.Testing:
-		return s.testRoom(l)
+		return s.testHeadroom(l)
 	default:
-		return l.window.Room(s.now, l.inFlight, s.lim.RemoteHorizon, l.near())
+		return l.window.Room(s.now, l.inFlight, s.lim.MaxRemoteLoadAge, l.inRegion())
 	}
 }
 
-// testRoom lets one request at a time show whether an entry VM answers again.
+// testHeadroom lets one request at a time show whether an entry VM answers again.
 // It needs a report made lately, as a region that is lost makes none.
-func (s *State) testRoom(l *link) float64 {
-	if l.window.Room(s.now, l.inFlight, s.lim.RemoteHorizon, true) <= 0 {
+func (s *State) testHeadroom(l *remoteService) float64 {
+	if l.window.Room(s.now, l.inFlight, s.lim.MaxRemoteLoadAge, true) <= 0 {
 		return 0
 	}
 	return float64(1 - l.vm.inFlight)
 }
 
-// linkAnswered learns from the answer to a forward.
-func (s *State) linkAnswered(l *link, load *LoadHint, took time.Duration) {
+// remoteAnswered learns from the answer to a forward.
+func (s *State) remoteAnswered(l *remoteService, load *LoadHint, took time.Duration) {
 	l.vm.outlier.Answered(s.now)
 	l.window.Answered()
 	l.mean.Observe(s.now, took)
 	if load != nil && load.Slots > 0 {
-		l.window.Report(load.Slots-load.InFlight, l.stretch(), s.now, l.inFlight, s.vmCount, s.rng)
+		l.window.Report(load.Slots-load.InFlight, l.inFlightRatio(), s.now, l.inFlight, s.vmCount, s.rng)
 	}
 }
 
-// linkEnded learns from a forward that failed.
-func (s *State) linkEnded(l *link, e *Failed, sentAt clock.Time) {
+// remoteAttemptFailed learns from a forward that failed.
+func (s *State) remoteAttemptFailed(l *remoteService, e *Failed, sentAt clock.Time) {
 	switch {
 	case e.Verdict == verdict.NotRun && refusedForLoad(e.Reason):
 		l.window.Refused(s.now, sentAt, l.vm.rtt)
@@ -252,13 +252,13 @@
 		l.vm.outlier.Eject(s.now, s.rng)
 		l.vm.outlier.Postpone(s.now.Add(leavingPause))
 	case e.Reason == verdict.ReasonConnect, e.Reason == verdict.ReasonConnectionLost, e.Reason == verdict.ReasonSilent:
-		s.linkFailed(l)
+		s.recordRemoteFailure(l)
 	}
 }
 
-// linkFailed records that an entry VM didn't answer. Other reasons are those
+// recordRemoteFailure records that an entry VM didn't answer. Other reasons are those
 // of a target behind it.
-func (s *State) linkFailed(l *link) {
+func (s *State) recordRemoteFailure(l *remoteService) {
 	if l.vm.outlier.Failed() && s.now >= l.vm.outlier.Until() {
 		l.vm.outlier.Eject(s.now, s.rng)
 	}
--- a/decide/dispatch/request.go
+++ b/decide/dispatch/request.go
@@ -15,42 +15,42 @@
 
 // request is one accepted request until its final effect.
 type request struct {
-	id         RequestID
-	svc        *service
-	node       queue.Node[*request]
-	block      uint64
-	bytes      int64
-	arrived    clock.Time
-	deadline   clock.Time
-	hops       uint8
-	worthWait  time.Duration // of a forwarded request: the wait that its sender thinks worth while
-	idempotent bool          // as the catalogue said on arrival
-	hedged     bool
-	seconded   bool       // sent once more on a new connection, without a cancel
-	secondFrom clock.Time // when to try that again after it wasn't possible
-
-	attempts     int             // sends and forwards so far, without refused forwards
-	nearRefusals int             // by entry VMs of the region, for lack of capacity
-	farRefusals  int             // by others
-	joined       verdict.Verdict // of all ended attempts; NotRun before any
-	current      [maxCurrent]*attempt
-	n            int          // used part of current
-	avoid        *targetState // target of the last failed attempt
-	avoidVM      *remoteVM    // entry VM of the last failed forward
-
-	wake  clock.Time
-	timer int // index in timers, or notTimed
+	id                 RequestID
+	svc                *service
+	node               queue.Node[*request]
+	block              uint64
+	bytes              int64
+	arrived            clock.Time
+	deadline           clock.Time
+	hops               uint8
+	acceptableWait     time.Duration // of a forwarded request: the wait that its sender thinks worth while
+	idempotent         bool          // as the catalogue said on arrival
+	hedged             bool
+	duplicated         bool       // sent once more on a new connection, without a cancel
+	duplicateNotBefore clock.Time // when to try that again after it wasn't possible
+
+	attempts       int             // sends and forwards so far, without refused forwards
+	regionRefusals int             // by entry VMs of the region, for lack of capacity
+	otherRefusals  int             // by others
+	joinedVerdict  verdict.Verdict // of all ended attempts; NotRun before any
+	current        [maxCurrent]*attempt
+	numCurrent     int          // used part of current
+	avoidTarget    *targetState // target of the last failed attempt
+	avoidVM        *remoteVM    // entry VM of the last failed forward
+
+	due        clock.Time
+	timerIndex int // index in timers, or notTimed
 }
 
-// drop takes a out of the current attempts and reports whether it was one.
-func (r *request) drop(a *attempt) bool {
-	for i := 0; i < r.n; i++ {
+// removeCurrent takes a out of the current attempts and reports whether it was one.
+func (r *request) removeCurrent(a *attempt) bool {
+	for i := 0; i < r.numCurrent; i++ {
 		if r.current[i] != a {
 			continue
 		}
-		r.n--
-		r.current[i] = r.current[r.n]
-		r.current[r.n] = nil
+		r.numCurrent--
+		r.current[i] = r.current[r.numCurrent]
+		r.current[r.numCurrent] = nil
 		return true
 	}
 	return false
@@ -59,24 +59,24 @@
 // attempt is one send or forward from its start until its connection is free
 // again. It may outlive its request: the slot it takes is used until then.
 type attempt struct {
-	id       AttemptID
-	reqID    RequestID
-	req      *request // nil once its answer is no longer wanted
-	svc      *service
-	target   *targetState  // nil for a forward
-	link     *link         // nil for a send
-	mayWait  time.Duration // of a forward: the wait that the receiver was told is worth while
-	borrowed bool
-	sentAt   clock.Time
-	silentAt clock.Time // when to look next whether the connection is silent
-	tailFrom clock.Time // from when the tail rule counts
-	expires  clock.Time // of a cancelled attempt: when it counts as ended
-
-	connection detect.ID // its number in svc.silence, while watched
-	watched    bool
-	doubted    bool // suspected, and counted against the receiver
-	outlasted  bool // was over the bound of the tail rule, with nobody answered
-	seconded   bool // its request was sent once more because of it
+	id             AttemptID
+	reqID          RequestID
+	req            *request // nil once its answer is no longer wanted
+	svc            *service
+	target         *targetState   // nil for a forward
+	remote         *remoteService // nil for a send
+	acceptableWait time.Duration  // of a forward: the wait that the receiver was told is worth while
+	borrowed       bool
+	sentAt         clock.Time
+	nextCheck      clock.Time // when to look next whether the connection is silent
+	tailStart      clock.Time // from when the tail rule counts
+	releaseAt      clock.Time // of a cancelled attempt: when it counts as ended
+
+	detectID      detect.ID // its number in svc.silence, while watched
+	watched       bool
+	suspected     bool // suspected, and counted against the receiver
+	boundExceeded bool // was over the bound of the tail rule, with nobody answered
+	duplicated    bool // its request was sent once more because of it
 }
 
 // attempts gives out attempt ids and finds attempts by them. An id is an index
@@ -126,21 +126,21 @@
 // running returns how many attempts have not ended.
 func (t *attempts) running() int { return len(t.slots) - len(t.free) }
 
-// lingering is the queue of cancelled attempts by the instant they count as
+// cancelledQueue is the queue of cancelled attempts by the instant they count as
 // ended. All wait for the same time, so it is in order by itself.
-type lingering struct {
-	ring  []lingerer
+type cancelledQueue struct {
+	ring  []cancelledAttempt
 	first int
 	n     int
 }
 
-type lingerer struct {
-	attempt AttemptID
-	req     RequestID
-	expires clock.Time
+type cancelledAttempt struct {
+	attempt   AttemptID
+	req       RequestID
+	releaseAt clock.Time
 }
 
-func (l *lingering) push(e lingerer) {
+func (l *cancelledQueue) push(e cancelledAttempt) {
 	if l.n == len(l.ring) {
 		l.grow()
 	}
@@ -148,22 +148,22 @@
 	l.n++
 }
 
-func (l *lingering) grow() {
-	bigger := make([]lingerer, max(2*len(l.ring), 16))
+func (l *cancelledQueue) grow() {
+	bigger := make([]cancelledAttempt, max(2*len(l.ring), 16))
 	for i := 0; i < l.n; i++ {
 		bigger[i] = l.ring[(l.first+i)%len(l.ring)]
 	}
 	l.ring, l.first = bigger, 0
 }
 
-func (l *lingering) earliest() clock.Time {
+func (l *cancelledQueue) earliest() clock.Time {
 	if l.n == 0 {
 		return clock.Never
 	}
-	return l.ring[l.first].expires
+	return l.ring[l.first].releaseAt
 }
 
-func (l *lingering) pop() lingerer {
+func (l *cancelledQueue) pop() cancelledAttempt {
 	e := l.ring[l.first]
 	l.first = (l.first + 1) % len(l.ring)
 	l.n--
--- a/decide/dispatch/state.go
+++ b/decide/dispatch/state.go
@@ -20,23 +20,23 @@
 	now clock.Time // of the step at hand
 	out *Ready     // of the step at hand
 
-	services  []*service // sorted by name
-	byName    map[fleet.ServiceName]*service
-	targets   map[fleet.TargetID]*targetState
-	vms       map[fleet.VMID]*remoteVM
-	vmCount   int // other entry VMs in the last Remotes event
-	peers     Peers
-	settled   bool // a Targets event has been seen
-	suspended []*targetState
-	nextTest  clock.Time // when a suspended target or entry VM is due
-	stopping  bool
+	services        []*service // sorted by name
+	byName          map[fleet.ServiceName]*service
+	targets         map[fleet.TargetID]*targetState
+	vms             map[fleet.VMID]*remoteVM
+	vmCount         int // other entry VMs in the last Remotes event
+	peers           Peers
+	targetsReceived bool // a Targets event has been seen
+	suspended       []*targetState
+	nextRecheck     clock.Time // when a suspended target or entry VM is due
+	stopping        bool
 
-	requests  map[RequestID]*request
-	pool      []*request
-	attempts  attempts
-	lingering lingering
-	timers    timers
-	gate      queue.Gate
+	requests    map[RequestID]*request
+	requestPool []*request
+	attempts    attempts
+	cancelled   cancelledQueue
+	timers      timers
+	gate        queue.Gate
 
 	violations uint64
 }
@@ -53,16 +53,16 @@
 	}
 	lim := o.Limits.WithDefaults()
 	return &State{
-		opts:     o,
-		lim:      lim,
-		policy:   policy,
-		rng:      rand.New(rand.NewPCG(o.Seed, seedStream)),
-		byName:   make(map[fleet.ServiceName]*service),
-		targets:  make(map[fleet.TargetID]*targetState),
-		vms:      make(map[fleet.VMID]*remoteVM),
-		peers:    Peers{Count: 1},
-		nextTest: clock.Never,
-		requests: make(map[RequestID]*request),
+		opts:        o,
+		lim:         lim,
+		policy:      policy,
+		rng:         rand.New(rand.NewPCG(o.Seed, seedStream)),
+		byName:      make(map[fleet.ServiceName]*service),
+		targets:     make(map[fleet.TargetID]*targetState),
+		vms:         make(map[fleet.VMID]*remoteVM),
+		peers:       Peers{Count: 1},
+		nextRecheck: clock.Never,
+		requests:    make(map[RequestID]*request),
 		gate: queue.Gate{
 			MaxItems:        lim.QueueItems,
 			MaxBytes:        lim.QueueBytes,
@@ -78,8 +78,8 @@
 	s.now = max(now, s.now)
 	s.out = out
 	s.apply(ev)
-	s.expire()
-	out.Wake = s.wake()
+	s.runTimers()
+	out.Wake = s.nextWake()
 	if s.opts.Audit {
 		s.audit()
 	}
@@ -114,9 +114,9 @@
 	}
 }
 
-// wake returns when the next Tick is due.
-func (s *State) wake() clock.Time {
-	return min(s.timers.earliest(), s.lingering.earliest(), s.nextTest)
+// nextWake returns when the next Tick is due.
+func (s *State) nextWake() clock.Time {
+	return min(s.timers.earliest(), s.cancelled.earliest(), s.nextRecheck)
 }
 
 // Pending returns how many requests have no final effect yet. A leaving entry
--- a/decide/dispatch/timers.go
+++ b/decide/dispatch/timers.go
@@ -5,39 +5,39 @@
 // timers is a binary heap of requests by the instant they need attention.
 type timers []*request
 
-// notTimed is the heap index of a request without a timer.
-const notTimed = -1
+// noTimer is the heap index of a request without a timer.
+const noTimer = -1
 
 // earliest returns when the first request is due.
 func (h timers) earliest() clock.Time {
 	if len(h) == 0 {
 		return clock.Never
 	}
-	return h[0].wake
+	return h[0].due
 }
 
 // set makes r due at the given instant.
 func (h *timers) set(r *request, at clock.Time) {
-	r.wake = at
-	if r.timer == notTimed {
-		r.timer = len(*h)
+	r.due = at
+	if r.timerIndex == noTimer {
+		r.timerIndex = len(*h)
 		*h = append(*h, r)
 	}
-	h.up(r.timer)
-	h.down(r.timer)
+	h.up(r.timerIndex)
+	h.down(r.timerIndex)
 }
 
 // remove drops the timer of r, if any.
 func (h *timers) remove(r *request) {
-	i := r.timer
-	if i == notTimed {
+	i := r.timerIndex
+	if i == noTimer {
 		return
 	}
 	last := len(*h) - 1
 	h.swap(i, last)
 	(*h)[last] = nil
 	*h = (*h)[:last]
-	r.timer = notTimed
+	r.timerIndex = noTimer
 	if i < last {
 		h.up(i)
 		h.down(i)
@@ -46,13 +46,13 @@
 
 func (h timers) swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].timer = i
-	h[j].timer = j
+	h[i].timerIndex = i
+	h[j].timerIndex = j
 }
 
 func (h timers) less(i, j int) bool {
-	if h[i].wake != h[j].wake {
-		return h[i].wake < h[j].wake
+	if h[i].due != h[j].due {
+		return h[i].due < h[j].due
 	}
 	return h[i].id < h[j].id
 }
--- a/serve/daemon/attempt.go
+++ b/serve/daemon/attempt.go
@@ -39,7 +39,7 @@
 	delete(r.Header, headerHops)
 	delete(r.Header, headerWait)
 	delete(r.Header, headerClient)
-	r.Fresh = s.Fresh
+	r.Fresh = s.NewConnection
 	a.span.inject(r.Header)
 	d.start(c, a, &r)
 }
