--- a/decide/dispatch/arrive.go
+++ b/decide/dispatch/arrive.go
@@ -7,22 +7,21 @@
 	"github.com/azurethread/azurethread/decide/verdict"
 )
 
-// The bounds of a RetryAfter that this package works out.
+// Bounds of a RetryAfter that this package computes.
 const (
 	minRetryAfter = 100 * time.Millisecond
 	maxRetryAfter = 30 * time.Second
 )
 
-// interactiveWaitFactor is the usual latencies that interactive work may wait at
-// least.
+// interactiveWaitFactor is the multiple of the mean latency that interactive
+// requests may wait at least.
 const interactiveWaitFactor = 3
 
-// unlistedRetryAfter is what a caller is told to wait for a service of which no target
-// has ever been listed: an entry VM that has just started gets its list any
-// moment.
+// unlistedRetryAfter is the RetryAfter for a service without any target listed
+// so far: an entry VM that has just started receives its list soon.
 const unlistedRetryAfter = time.Second
 
-// unknownWait stands for the wait when no target can be used.
+// unknownWait stands for the expected wait when no target can be used.
 const unknownWait = time.Hour
 
 func (s *State) arrive(e *Arrive) {
@@ -30,47 +29,47 @@
 		s.reportViolation(invOneEffect, "request id used twice", uint64(e.Req), 0)
 		return
 	}
-	v := s.byName[e.Service]
+	svc := s.byName[e.Service]
 	switch {
 	case s.stopping:
 		s.refuse(e.Req, verdict.ReasonStopping, 0)
 		return
-	case v == nil || !v.listed:
+	case svc == nil || !svc.listed:
 		s.refuse(e.Req, verdict.ReasonUnknownService, 0)
 		return
 	}
 	deadline := e.Deadline
 	if deadline == 0 {
-		deadline = s.now.Add(v.timeout)
+		deadline = s.now.Add(svc.timeout)
 	}
 	if deadline <= s.now {
 		s.refuse(e.Req, verdict.ReasonDeadline, 0)
 		return
 	}
-	r := s.accept(e, v, deadline)
-	v.budget.Earn()
-	if v.queue.Len() == 0 && s.trySend(r) {
+	r := s.accept(e, svc, deadline)
+	svc.budget.Earn()
+	if svc.queue.Len() == 0 && s.trySend(r) {
 		return
 	}
 	s.forwardOrQueue(r)
 }
 
-// refuse answers a request that was never accepted.
+// refuse answers a request that was not accepted.
 func (s *State) refuse(id RequestID, reason verdict.Reason, after time.Duration) {
 	s.out.Replies = append(s.out.Replies, Reply{Req: id, Verdict: verdict.NotRun, Reason: reason, RetryAfter: after})
 }
 
-func (s *State) accept(e *Arrive, v *service, deadline clock.Time) *request {
+func (s *State) accept(e *Arrive, svc *service, deadline clock.Time) *request {
 	r := s.newRequest()
 	r.id = e.Req
-	r.svc = v
+	r.svc = svc
 	r.block = e.Block
 	r.bytes = e.BodyBytes
 	r.arrived = s.now
 	r.deadline = deadline
 	r.hops = e.Hops
 	r.acceptableWait = e.ExpectedWait
-	r.idempotent = v.idempotent
+	r.idempotent = svc.idempotent
 	r.joinedVerdict = verdict.NotRun
 	s.requests[r.id] = r
 	return r
@@ -87,26 +86,27 @@
 	return r
 }
 
-// forwardOrQueue finds a place for a request that no local target can take now: an
-// entry VM elsewhere, the queue, or back to the caller.
+// forwardOrQueue forwards or queues a request that no local target can take
+// now, or answers it with an error.
 func (s *State) forwardOrQueue(r *request) {
-	v := r.svc
-	ahead := v.queue.Len()
-	if f := v.queue.Front(); f != nil && r.arrived < f.Item.arrived {
+	svc := r.svc
+	ahead := svc.queue.Len()
+	if f := svc.queue.Front(); f != nil && r.arrived < f.Item.arrived {
 		ahead = 0
 	}
-	wait := s.expectedWait(v, ahead)
+	wait := s.expectedWait(svc, ahead)
 	if r.hops > 0 && !s.admitsForwarded(r, wait) {
-		// The sender has other choices, so it is told at once. The request is
-		// never forwarded again, or full domains would pass it to and fro.
+		// The sender has other choices, so it gets the refusal at once. A
+		// forwarded request is never forwarded again; otherwise entry VMs of
+		// full domains would pass it back and forth.
 		s.replyWithError(r, verdict.ReasonOverload, retryAfter(wait))
 		return
 	}
-	if l := s.chooseRemote(r, wait); l != nil && s.forward(r, l, wait) {
+	if rs := s.chooseRemote(r, wait); rs != nil && s.forward(r, rs, wait) {
 		return
 	}
 	if reason := s.queueRefusal(r, wait); reason != verdict.ReasonNone {
-		if reason == verdict.ReasonNoTarget && !v.hadTargets {
+		if reason == verdict.ReasonNoTarget && !svc.hadTargets {
 			wait = unlistedRetryAfter
 		}
 		s.replyWithError(r, reason, retryAfter(wait))
@@ -115,56 +115,56 @@
 	s.enqueue(r)
 }
 
-// maxForwardedWaitFactor is the longest expected wait of a forwarded request, as a part
-// of the usual latency.
+// maxForwardedWaitFactor is the longest expected wait of a forwarded request,
+// as a multiple of the mean latency.
 const maxForwardedWaitFactor = 0.5
 
-// admitsForwarded reports whether work from another entry VM may wait here. It
-// may where slots are free most of the time: then the queue is a passing one,
-// and a refusal would waste the round trip. Where they aren't, it would take
-// the place of this domain's own callers, unless it would wait longer still
-// where it comes from: then queues that differ are evened out.
+// admitsForwarded reports whether a forwarded request may wait here. It may if
+// slots are free most of the time: the queue is then short-lived, and a refusal
+// would waste the round trip. Otherwise it would delay the callers of this
+// domain, so it may wait only if it would wait longer at the sender, which
+// evens out queues of different lengths.
 func (s *State) admitsForwarded(r *request, wait time.Duration) bool {
-	v := r.svc
+	svc := r.svc
 	if wait < r.acceptableWait {
 		return true
 	}
-	return v.freeSlots.mean >= 1 && float64(wait) <= maxForwardedWaitFactor*v.meanLatency()
+	return svc.freeSlots.mean >= 1 && float64(wait) <= maxForwardedWaitFactor*svc.meanLatency()
 }
 
-// queueRefusal returns why r can't wait in the queue, or ReasonNone.
+// queueRefusal returns the reason why r can't be queued, or ReasonNone.
 func (s *State) queueRefusal(r *request, wait time.Duration) verdict.Reason {
-	v := r.svc
-	if wait >= unknownWait && len(v.targets) == 0 {
+	svc := r.svc
+	if wait >= unknownWait && len(svc.targets) == 0 {
 		return verdict.ReasonNoTarget
 	}
 	if s.now.Add(wait) > s.latestStart(r) {
 		return verdict.ReasonOverload
 	}
-	if !v.deferrable && wait > s.interactiveWait(v) {
+	if !svc.deferrable && wait > s.interactiveWait(svc) {
 		return verdict.ReasonOverload
 	}
-	for !s.gate.Admits(v.deferrable, r.bytes) {
-		if v.deferrable || !s.evictDeferrable() {
+	for !s.gate.Admits(svc.deferrable, r.bytes) {
+		if svc.deferrable || !s.evictDeferrable() {
 			return verdict.ReasonQueueFull
 		}
 	}
 	return verdict.ReasonNone
 }
 
-// interactiveWait bounds the wait of interactive work.
-func (s *State) interactiveWait(v *service) time.Duration {
-	return max(s.lim.InteractiveWait, time.Duration(interactiveWaitFactor*v.meanLatency()))
+// interactiveWait returns the longest expected wait of an interactive request
+// of svc.
+func (s *State) interactiveWait(svc *service) time.Duration {
+	return max(s.lim.InteractiveWait, time.Duration(interactiveWaitFactor*svc.meanLatency()))
 }
 
-// evictDeferrable gives up the deferrable request that was queued last, in the
-// longest queue, to make room for interactive work. It reports whether there
-// was one.
+// evictDeferrable gives up the last request of the longest deferrable queue, to
+// make room for an interactive request. It reports whether there was one.
 func (s *State) evictDeferrable() bool {
 	var longest *service
-	for _, v := range s.services {
-		if v.deferrable && v.queue.Len() > 0 && (longest == nil || v.queue.Len() > longest.queue.Len()) {
-			longest = v
+	for _, svc := range s.services {
+		if svc.deferrable && svc.queue.Len() > 0 && (longest == nil || svc.queue.Len() > longest.queue.Len()) {
+			longest = svc
 		}
 	}
 	if longest == nil {
@@ -175,14 +175,14 @@
 	return true
 }
 
-// expectedWait estimates how long a request waits for a local slot with ahead
-// requests before it.
-func (s *State) expectedWait(v *service, ahead int) time.Duration {
-	if v.capacity > 0 {
-		return time.Duration(v.meanLatency() * float64(ahead+1) / float64(v.capacity))
+// expectedWait returns the expected wait for a local slot with the given number
+// of requests ahead.
+func (s *State) expectedWait(svc *service, ahead int) time.Duration {
+	if svc.capacity > 0 {
+		return time.Duration(svc.meanLatency() * float64(ahead+1) / float64(svc.capacity))
 	}
 	back := clock.Never
-	for _, t := range v.targets {
+	for _, t := range svc.targets {
 		if t.leaving {
 			continue
 		}
@@ -191,23 +191,24 @@
 	if back == clock.Never || back <= s.now {
 		return unknownWait
 	}
-	return back.Sub(s.now) + time.Duration(v.meanLatency()*float64(ahead+1))
+	return back.Sub(s.now) + time.Duration(svc.meanLatency()*float64(ahead+1))
 }
 
-// latestStart is when r has to be sent for an answer before its deadline to be
-// likely.
+// latestStart returns the latest time to send r at which an answer before its
+// deadline is likely.
 func (s *State) latestStart(r *request) clock.Time {
 	need := max(time.Duration(r.svc.meanLatency()), r.svc.tail.P95())
 	if !r.idempotent {
-		// Work cut off by its deadline has an unknown outcome.
+		// A non-idempotent request cut off by its deadline has an unknown
+		// outcome.
 		need = max(need, r.svc.tail.P99())
 	}
 	need = min(need, r.deadline.Sub(r.arrived)/2)
 	return r.deadline - clock.Time(need)
 }
 
-// enqueue lets r wait in the order of arrival: one that comes back from an
-// attempt takes the place it would have had.
+// enqueue queues r in the order of arrival: a request that returns from an
+// attempt is queued before all that arrived after it.
 func (s *State) enqueue(r *request) {
 	q := &r.svc.queue
 	at := q.Back()
@@ -222,7 +223,7 @@
 	s.timers.set(r, s.latestStart(r))
 }
 
-// dequeue takes r out of its queue, if it is in one.
+// dequeue removes r from its queue, if it is in one.
 func (s *State) dequeue(r *request) {
 	if !r.node.Queued() {
 		return
@@ -232,7 +233,7 @@
 	s.timers.remove(r)
 }
 
-// retryAfter rounds a wait to what a caller is told.
+// retryAfter converts an expected wait to a RetryAfter.
 func retryAfter(wait time.Duration) time.Duration {
 	return min(max(wait, minRetryAfter), maxRetryAfter).Round(time.Millisecond)
 }
--- a/decide/dispatch/bitset.go
+++ b/decide/dispatch/bitset.go
@@ -3,7 +3,7 @@
 import "math/bits"
 
 // bitset marks the targets of a service that have a free slot, so that the
-// choice among hundreds of targets looks only at those.
+// choice among hundreds of targets visits only those.
 type bitset []uint64
 
 func newBitset(n int) bitset { return make(bitset, (n+63)/64) }
@@ -35,8 +35,8 @@
 	return w*64 + bits.TrailingZeros64(rest)
 }
 
-// cyclic returns the first marked index at or after i, going on from 0 at the
-// end, or -1.
+// cyclic returns the first marked index at or after i, wrapping around to 0, or
+// -1.
 func (b bitset) cyclic(i int) int {
 	if n := b.next(i); n >= 0 {
 		return n
--- a/decide/dispatch/choose.go
+++ b/decide/dispatch/choose.go
@@ -4,30 +4,30 @@
 	"github.com/azurethread/azurethread/decide/target"
 )
 
-// The constants of the choice.
+// Bounds and weights for the choice of a target.
 const (
 	maxCompared         = 16  // free targets compared for one request
-	maxBorrowCandidates = 16  // full targets looked at for a borrowed slot
-	loadCostWeight      = 0.1 // added cost of a target that is all but full
-	slowTargetFactor    = 3   // a free target this much slower than usual isn't taken if waiting is shorter
+	maxBorrowCandidates = 16  // full targets checked for a slot to borrow
+	loadCostWeight      = 0.1 // relative cost added at full load
+	slowTargetFactor    = 3   // multiple of the mean latency above which a free target is skipped if waiting is faster
 )
 
-// choose returns a target with a free slot for r, or nil. Borrowed says that
-// the slot is beyond this entry VM's share.
+// choose returns a target with a free slot for r, or nil. Borrowed reports that
+// the slot exceeds this entry VM's share.
 func (s *State) choose(r *request) (t *targetState, borrowed bool) {
-	v := r.svc
-	if len(v.targets) == 0 {
+	svc := r.svc
+	if len(svc.targets) == 0 {
 		return nil, false
 	}
 	switch s.policy {
 	case target.RoundRobin:
-		t = s.roundRobin(v)
+		t = s.roundRobin(svc)
 	case target.Random:
-		t = s.randomFree(v)
+		t = s.randomFree(svc)
 	case target.LeastInFlight:
-		t = s.leastInFlight(v)
+		t = s.leastInFlight(svc)
 	case target.TwoChoices:
-		t = s.twoChoices(v)
+		t = s.twoChoices(svc)
 	default:
 		t = s.lowestExpectedLatency(r)
 	}
@@ -40,44 +40,45 @@
 	return s.borrowTarget(r), true
 }
 
-// lowestExpectedLatency returns the free target whose answer is expected first.
+// lowestExpectedLatency returns the free target with the lowest expected
+// latency, or nil when waiting for another one is faster.
 func (s *State) lowestExpectedLatency(r *request) *targetState {
-	v := r.svc
-	usual := v.meanLatency()
-	n := len(v.targets)
+	svc := r.svc
+	mean := svc.meanLatency()
+	n := len(svc.targets)
 	start := int(r.block % uint64(n))
 	var best *targetState
 	bestCost := 0.0
-	i := v.freeTargets.cyclic(start)
+	i := svc.freeTargets.cyclic(start)
 	first := i
 	for seen := 0; i >= 0 && seen < maxCompared; seen++ {
-		t := v.targets[i]
+		t := svc.targets[i]
 		if t != r.avoidTarget || best == nil {
-			if c := s.expectedLatency(t, usual); best == nil || c < bestCost || best == r.avoidTarget {
+			if c := s.expectedLatency(t, mean); best == nil || c < bestCost || best == r.avoidTarget {
 				best, bestCost = t, c
 			}
 		}
 		if i++; i == n {
 			i = 0
 		}
-		if i = v.freeTargets.cyclic(i); i == first {
+		if i = svc.freeTargets.cyclic(i); i == first {
 			break
 		}
 	}
 	if best == nil {
 		return nil
 	}
-	// The slots that a second attempt would wait for may be those of silent
-	// connections, which nobody frees.
-	if !r.duplicated && bestCost > slowTargetFactor*usual && s.fasterToWait(v, bestCost, usual) {
+	// The slots that a duplicate would wait for may be occupied by attempts on
+	// silent connections, which are not freed.
+	if !r.duplicated && bestCost > slowTargetFactor*mean && s.fasterToWait(svc, bestCost, mean) {
 		return nil
 	}
 	return best
 }
 
-// expectedLatency is the expected time to the answer of t in ns.
-func (s *State) expectedLatency(t *targetState, usual float64) float64 {
-	c := t.mean.At(s.now, usual)
+// expectedLatency returns the expected time until t answers, in ns.
+func (s *State) expectedLatency(t *targetState, mean float64) float64 {
+	c := t.mean.At(s.now, mean)
 	slots := float64(t.slots)
 	busy := float64(t.inFlight) + t.borrow.Others(s.now, t.slots, t.share, s.lim.MaxLoadAge)
 	if busy+1 > slots {
@@ -86,11 +87,11 @@
 	return c * (1 + loadCostWeight*busy/slots)
 }
 
-// fasterToWait reports whether a slot of an ordinary target is expected to
-// come free, and answer, before a slow target would.
-func (s *State) fasterToWait(v *service, slow, usual float64) bool {
+// fasterToWait reports whether waiting for a slot of a busy target is expected
+// to give an answer before a slow target does.
+func (s *State) fasterToWait(svc *service, slow, mean float64) bool {
 	others := 0
-	for _, t := range v.targets {
+	for _, t := range svc.targets {
 		if t.capacity > 0 && t.inFlight >= t.capacity {
 			others += t.inFlight
 		}
@@ -98,21 +99,21 @@
 	if others == 0 {
 		return false
 	}
-	ahead := float64(v.queue.Len() + 1)
-	return usual+usual*ahead/float64(others) < slow
+	ahead := float64(svc.queue.Len() + 1)
+	return mean+mean*ahead/float64(others) < slow
 }
 
-// borrowTarget returns a target whose slots beyond the own share are reported
-// free, or nil.
+// borrowTarget returns a target that has reported free slots beyond this entry
+// VM's share, or nil.
 func (s *State) borrowTarget(r *request) *targetState {
 	if s.peers.Count == 1 {
 		return nil
 	}
-	v := r.svc
-	n := len(v.targets)
+	svc := r.svc
+	n := len(svc.targets)
 	start := int(r.block % uint64(n))
 	for k := 0; k < min(n, maxBorrowCandidates); k++ {
-		t := v.targets[(start+k)%n]
+		t := svc.targets[(start+k)%n]
 		if t != r.avoidTarget && t.inFlight < s.maxInFlight(t) {
 			return t
 		}
@@ -120,54 +121,56 @@
 	return nil
 }
 
-// maxInFlight is how many requests t may have in flight, borrowed slots included.
+// maxInFlight returns how many requests t may have in flight, including
+// borrowed slots.
 func (s *State) maxInFlight(t *targetState) int {
 	if t.leaving || s.now < t.pausedUntil || t.outlier.Standing() != target.InUse {
 		return t.capacity
 	}
 	if t.limit.Limit() < t.share {
-		return t.capacity // refused or slow lately: not a target to ask for more
+		return t.capacity // don't borrow from a target that was slow or refused requests lately
 	}
 	return t.capacity + t.borrow.Slots(s.now, t.slots, t.share, s.lim.MaxLoadAge)
 }
 
-func (s *State) roundRobin(v *service) *targetState {
-	i := v.freeTargets.cyclic(v.nextIndex % len(v.targets))
+func (s *State) roundRobin(svc *service) *targetState {
+	i := svc.freeTargets.cyclic(svc.nextIndex % len(svc.targets))
 	if i < 0 {
 		return nil
 	}
-	v.nextIndex = i + 1
-	return v.targets[i]
+	svc.nextIndex = i + 1
+	return svc.targets[i]
 }
 
-func (s *State) randomFree(v *service) *targetState {
-	n := v.freeTargets.count()
+func (s *State) randomFree(svc *service) *targetState {
+	n := svc.freeTargets.count()
 	if n == 0 {
 		return nil
 	}
-	i := v.freeTargets.next(0)
+	i := svc.freeTargets.next(0)
 	for k := s.rng.IntN(n); k > 0; k-- {
-		i = v.freeTargets.next(i + 1)
+		i = svc.freeTargets.next(i + 1)
 	}
-	return v.targets[i]
+	return svc.targets[i]
 }
 
-// leastInFlight looks at the targets in turn, so that equal ones share.
-func (s *State) leastInFlight(v *service) *targetState {
+// leastInFlight starts at a different target each time, so that equally loaded
+// targets share the requests.
+func (s *State) leastInFlight(svc *service) *targetState {
 	var best *targetState
-	n := len(v.targets)
-	v.nextIndex++
+	n := len(svc.targets)
+	svc.nextIndex++
 	for k := 0; k < n; k++ {
-		i := (v.nextIndex + k) % n
-		if t := v.targets[i]; v.freeTargets.has(i) && (best == nil || t.inFlight < best.inFlight) {
+		i := (svc.nextIndex + k) % n
+		if t := svc.targets[i]; svc.freeTargets.has(i) && (best == nil || t.inFlight < best.inFlight) {
 			best = t
 		}
 	}
 	return best
 }
 
-func (s *State) twoChoices(v *service) *targetState {
-	a, b := s.randomFree(v), s.randomFree(v)
+func (s *State) twoChoices(svc *service) *targetState {
+	a, b := s.randomFree(svc), s.randomFree(svc)
 	if a == nil || a.inFlight <= b.inFlight {
 		return a
 	}
--- a/decide/dispatch/duplicate.go
+++ b/decide/dispatch/duplicate.go
@@ -6,20 +6,20 @@
 	"github.com/azurethread/azurethread/decide/clock"
 )
 
-// The bounds of the time after which an idempotent request is sent once more.
+// Bounds of the time after which an idempotent request is sent once more.
 const (
-	maxDuplicateDelay        = 5 * time.Second // while nothing is known of the latency
+	maxDuplicateDelay        = 5 * time.Second // while the latency is unknown
 	maxDuplicateDelayKnown   = time.Second     // once a bound is known, which may be longer
-	duplicateDeadlineDivisor = 2               // of the time to the deadline, as 1/plainShare
-	// duplicateRetryInterval is the time between two tries when no slot was free or the
-	// budget was used up.
+	duplicateDeadlineDivisor = 2               // a duplicate is sent after this part of the time to the deadline
+	// duplicateRetryInterval is the time between two tries when no slot or no
+	// budget was available.
 	duplicateRetryInterval = 100 * time.Millisecond
 )
 
-// duplicateAt returns when r is sent once more though nothing tells a silent
-// connection from a slow service: nobody else has been answered, as when there
-// is but one caller, or nothing is known of the latency. Whether the first
-// attempt is silent isn't known then, so it goes on, and the first answer wins.
+// duplicateAt returns when to send r once more although a silent connection
+// can't be told from a slow service: either no other attempt has been answered,
+// for example because there is only one caller, or the latency is unknown. The
+// first attempt may not be silent, so it continues, and the first answer wins.
 func (s *State) duplicateAt(r *request) clock.Time {
 	if !r.idempotent || r.duplicated || r.numCurrent == 0 || r.numCurrent == maxCurrent || r.attempts >= s.lim.MaxAttempts || s.opts.PlainBalancer {
 		return clock.Never
@@ -28,7 +28,7 @@
 	return max(a.sentAt.Add(s.duplicateDelay(r, a)), r.duplicateNotBefore)
 }
 
-// duplicateDelay returns how long r waits for a alone.
+// duplicateDelay returns how long r waits for a before it is sent once more.
 func (s *State) duplicateDelay(r *request, a *attempt) time.Duration {
 	wait := min(r.deadline.Sub(a.sentAt)/duplicateDeadlineDivisor, maxDuplicateDelay)
 	bound, known := a.svc.silence.bound()
@@ -52,8 +52,8 @@
 	return first
 }
 
-// sendDuplicate sends r once more, on a new connection and if possible to another
-// target.
+// sendDuplicate sends r once more, on a new connection and if possible to
+// another target.
 func (s *State) sendDuplicate(r *request) {
 	a := r.oldest()
 	if a.target != nil {
--- a/decide/dispatch/ejection.go
+++ b/decide/dispatch/ejection.go
@@ -10,18 +10,19 @@
 )
 
 const (
-	// ejectedShareDivisor is the part of a service's targets that may be ejected
-	// whatever the load, as 1/maxEjectedShare; one may be always.
+	// ejectedShareDivisor limits ejections that ignore the load:
+	// 1/ejectedShareDivisor of a service's targets, and at least one, may
+	// always be ejected.
 	ejectedShareDivisor = 3
-	// briefEjectionTime spaces the tests of a target that fails but may not be
-	// ejected for longer.
+	// briefEjectionTime is the time between tests of a target that fails but
+	// may not be ejected for longer.
 	briefEjectionTime = 100 * time.Millisecond
-	// healthProbeInterval is how long a non-idempotent service waits for a health
-	// report before it asks again.
+	// healthProbeInterval is the time between health probes of an ejected
+	// target of a non-idempotent service.
 	healthProbeInterval = time.Second
 )
 
-// recordTargetFailure records a failed request at t and ejects t when it is an
+// recordTargetFailure records a failed request at t and ejects t if it is an
 // outlier.
 func (s *State) recordTargetFailure(t *targetState) {
 	if t.outlier.Failed() {
@@ -30,9 +31,10 @@
 	s.updateCapacity(t)
 }
 
-// eject takes t out of use. When too many are out already, failing requests
-// are more likely due to something that all targets share, and the rest could
-// not bear the load: t is then only left alone briefly between two tests.
+// eject takes t out of use. If too many targets are ejected already, the
+// failures are more likely caused by something that all targets share, and the
+// others could not carry the load. In that case t is only ejected briefly
+// between two tests.
 func (s *State) eject(t *targetState) {
 	if t.outlier.Standing() == target.Ejected {
 		return
@@ -48,41 +50,43 @@
 	s.updateCapacity(t)
 }
 
-// mayEjectFully reports whether t may be ejected for longer.
+// mayEjectFully reports whether t may be ejected for longer than
+// briefEjectionTime.
 func (s *State) mayEjectFully(t *targetState) bool {
-	v := t.svc
-	left := v.capacity - t.capacity
-	if left <= 0 && (v.idempotent || t.answeredAt == s.now) {
-		// The last one in use: without it all requests are refused. Where a
-		// test may end with an unknown outcome, it has to answer at least.
+	svc := t.svc
+	left := svc.capacity - t.capacity
+	if left <= 0 && (svc.idempotent || t.answeredAt == s.now) {
+		// This is the last target in use: without it all requests are refused.
+		// Where a test may end with an unknown outcome, the target must at
+		// least be answering.
 		return false
 	}
 	out := 1
-	for _, o := range v.targets {
+	for _, o := range svc.targets {
 		if o != t && o.outlier.Standing() == target.Ejected && !o.ejectedBriefly {
 			out++
 		}
 	}
-	if out <= max(len(v.targets)/ejectedShareDivisor, 1) {
+	if out <= max(len(svc.targets)/ejectedShareDivisor, 1) {
 		return true
 	}
-	return left > 0 && float64(left) >= v.demand()
+	return left > 0 && float64(left) >= svc.demand()
 }
 
-// demand is the slots that v's requests take, on average or now, whichever is
-// more.
-func (v *service) demand() float64 {
-	return max(float64(v.inFlight+v.queue.Len()), float64(v.capacity)-v.freeSlots.mean)
+// demand returns the number of slots that requests of svc need, on average or
+// now, whichever is more.
+func (svc *service) demand() float64 {
+	return max(float64(svc.inFlight+svc.queue.Len()), float64(svc.capacity)-svc.freeSlots.mean)
 }
 
-// pause gives t nothing for a while after it refused a request.
+// pause sends no requests to t for the time d after it refused one.
 func (s *State) pause(t *targetState, d time.Duration) {
 	t.pausedUntil = max(t.pausedUntil, s.now.Add(d))
 	s.scheduleRecheck(t, t.pausedUntil)
 	s.updateCapacity(t)
 }
 
-// scheduleRecheck makes State look at t again at the given instant.
+// scheduleRecheck makes State check t again at the given time.
 func (s *State) scheduleRecheck(t *targetState, until clock.Time) {
 	if !t.suspended {
 		t.suspended = true
@@ -91,8 +95,8 @@
 	s.nextRecheck = min(s.nextRecheck, until)
 }
 
-// recheckSuspended looks at all suspended targets and lets back in those whose time has
-// come.
+// recheckSuspended checks all suspended targets and puts those back into use
+// whose ejection or pause is over.
 func (s *State) recheckSuspended() {
 	s.nextRecheck = clock.Never
 	kept := s.suspended[:0]
@@ -109,7 +113,7 @@
 	s.drainAll()
 }
 
-// recheckTarget returns when to look at t again, clock.Never for not at all.
+// recheckTarget returns when to check t again, or clock.Never.
 func (s *State) recheckTarget(t *targetState) clock.Time {
 	if !t.listed {
 		return clock.Never
@@ -128,9 +132,9 @@
 	return next
 }
 
-// endEjection lets t take test requests. A failed test of a non-idempotent
-// service is a submission with an unknown outcome, so there a good health
-// report has to come first.
+// endEjection lets t receive test requests. In a non-idempotent service a
+// failed test is a request with an unknown outcome, so there a good health
+// report is required first.
 func (s *State) endEjection(t *targetState) {
 	if !t.ejectedBriefly {
 		s.out.Probes = append(s.out.Probes, Probe{Target: t.id})
@@ -140,17 +144,19 @@
 		return
 	}
 	if t.share == 0 && !s.opts.PlainBalancer {
-		t.outlier.Restore() // only borrowed, and only when it reports free slots
+		t.outlier.Restore() // only slots reported free are borrowed from it, so it needs no test
 		return
 	}
 	t.outlier.Test()
 }
 
-// healthySinceEjection reports whether t has said since its ejection that it is well.
+// healthySinceEjection reports whether t has sent a good health report since
+// its ejection.
 func (t *targetState) healthySinceEjection() bool { return t.healthyAt > t.ejectedAt }
 
-// health handles a target's own statement. It never brings a target back by
-// itself, and takes one out only where no request has lately been answered.
+// health applies a health report of a target. A good report alone never puts a
+// target back into use, and a bad one ejects a target only if no request to it
+// has been answered lately.
 func (s *State) health(e *Health) {
 	t := s.targets[e.Target]
 	if t == nil || !t.listed {
@@ -164,15 +170,16 @@
 		s.eject(t)
 	}
 	if e.Cold && !t.cold {
-		t.limit = limit.Cold(t.share) // restarted without having been missed
+		t.limit = limit.Cold(t.share) // it restarted without any failed request
 	}
 	t.cold = e.Cold
 	s.updateCapacity(t)
 	s.drain(t.svc)
 }
 
-// ConnectionLimit returns how many connections this entry VM may hold to the
-// target, its part of those that the target accepts; 0 for an unknown one.
+// ConnectionLimit returns how many connections this entry VM may open to the
+// target, which is its share of those that the target accepts; 0 for an unknown
+// target.
 func (s *State) ConnectionLimit(id fleet.TargetID) int {
 	if t := s.targets[id]; t != nil && t.listed {
 		return t.connectionShare
@@ -180,9 +187,9 @@
 	return 0
 }
 
-// connection handles the opening and closing of connections. An idle
-// connection that went silent says nothing about the target as long as others
-// are answered; the requests on them decide.
+// connection counts the open connections of a target. A connection that goes
+// silent while idle doesn't count against the target as long as requests on
+// other connections are answered; only the outcomes of requests do.
 func (s *State) connection(e *Connection) {
 	t := s.targets[e.Target]
 	if t == nil {
--- a/decide/dispatch/expire.go
+++ b/decide/dispatch/expire.go
@@ -4,7 +4,7 @@
 	"github.com/azurethread/azurethread/decide/verdict"
 )
 
-// runTimers does everything that is due at the instant of the step.
+// runTimers runs all timers that are due.
 func (s *State) runTimers() {
 	if s.now >= s.nextRecheck {
 		s.recheckSuspended()
@@ -17,17 +17,17 @@
 	}
 }
 
-// expireCancelled frees the slot of a cancelled attempt whose end the transport
-// didn't report.
+// expireCancelled frees the slot of the cancelled attempt whose end the
+// transport hasn't reported for the longest time.
 func (s *State) expireCancelled() {
 	e := s.cancelled.pop()
 	a := s.attempts.find(e.attempt, e.req)
 	if a == nil {
 		return
 	}
-	v := a.svc
+	svc := a.svc
 	s.release(a)
-	s.drain(v)
+	s.drain(svc)
 }
 
 // handleTimer handles the timer of r.
@@ -52,8 +52,8 @@
 	s.schedule(r)
 }
 
-// abandonSilent looks at the attempts of r that are unanswered for too long.
-// It reports whether r has been dealt with.
+// abandonSilent checks the attempts of r whose check is due. It abandons the
+// first one found silent and reports whether there was one.
 func (s *State) abandonSilent(r *request) bool {
 	for i := 0; i < r.numCurrent; i++ {
 		a := r.current[i]
@@ -70,10 +70,9 @@
 	return false
 }
 
-// shouldAbandon reports whether the connection of a is to be given up: it is
-// suspected, and the request can go elsewhere. One that can't, for lack of
-// budget, is looked at again later. So is a non-idempotent one, as long as it
-// may only be slow.
+// shouldAbandon reports whether a is to be abandoned: it is silent, and its
+// request can be sent elsewhere. If the budget doesn't allow that, a is checked
+// again later. So is a non-idempotent request as long as it may only be slow.
 func (s *State) shouldAbandon(r *request, a *attempt) bool {
 	if !s.isSilent(a) {
 		return false
@@ -86,8 +85,9 @@
 	return r.numCurrent > 1 || s.spendRepeat(r)
 }
 
-// abandon cancels an attempt on a silent connection and sends r elsewhere if
-// that does no harm.
+// abandon cancels an attempt on a silent connection. An idempotent request is
+// sent again, unless another attempt is still current; a non-idempotent one
+// gets an error.
 func (s *State) abandon(r *request, a *attempt) {
 	hedged := r.numCurrent > 1
 	a.svc.silence.tail.Observe(s.now.Sub(a.sentAt))
--- a/decide/dispatch/golden_test.go
+++ b/decide/dispatch/golden_test.go
@@ -14,9 +14,10 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// TestSessions replays the sessions in testdata/sessions. Each line of a session is an
-// instant, an event and its fields; the output is the effects. Attempts are
-// named after their request: 7.2 is the second attempt of request 7.
+// TestSessions replays the sessions in testdata/sessions. Each line of a
+// session holds a time, an event and its fields; the output lists the effects.
+// Attempts are named after their request: 7.2 is the second attempt of request
+// 7.
 func TestSessions(t *testing.T) {
 	datadriven.Walk(t, "testdata/sessions", func(t *testing.T, path string) {
 		x := &session{t: t, ids: map[string]AttemptID{}, names: map[AttemptID]string{}, count: map[RequestID]int{}}
@@ -32,7 +33,7 @@
 	})
 }
 
-// options starts anew when the command states limits.
+// options starts a new State when the command sets limits.
 func (x *session) options(d *datadriven.TestData) {
 	var l Limits
 	d.MaybeScanArgs(x.t, "burst", &l.RepeatBurst)
@@ -54,7 +55,8 @@
 	services []catalogue.Service
 }
 
-// fields are the words of a line behind its event: plain ones, and key=value.
+// fields holds the words after the event of a line: plain ones and key=value
+// pairs.
 type fields struct {
 	t     *testing.T
 	plain []string
@@ -201,7 +203,7 @@
 	return id
 }
 
-// nameAttempt gives a new attempt its name.
+// nameAttempt assigns the name of a new attempt.
 func (x *session) nameAttempt(r RequestID, a AttemptID) string {
 	x.count[r]++
 	n := fmt.Sprintf("%d.%d", r, x.count[r])
--- a/decide/dispatch/invariant.go
+++ b/decide/dispatch/invariant.go
@@ -8,7 +8,7 @@
 	"github.com/azurethread/azurethread/decide/verdict"
 )
 
-// The invariants, as named in Violation.
+// The values of Violation.Invariant.
 const (
 	invSlots         = "in-flight-within-slots"
 	invSentOnce      = "non-idempotent-sent-once"
@@ -19,8 +19,8 @@
 	invCounts        = "books-balance"
 )
 
-// reportViolation reports a broken invariant. In production the process goes on
-// serving, and the count and the log tell of it.
+// reportViolation reports a violated invariant. In production the process
+// continues to serve; the violation is counted and logged.
 func (s *State) reportViolation(invariant, what string, subject, value uint64) {
 	s.violations++
 	detail := fmt.Sprintf("%s: %d (%d)", what, subject, value)
@@ -30,62 +30,62 @@
 	}
 }
 
-// Violations returns how many invariants were found broken so far.
+// Violations returns the number of violations so far.
 func (s *State) Violations() uint64 { return s.violations }
 
-// checkSend asserts what has to hold of each send.
+// checkSend checks the invariants of a send.
 func (s *State) checkSend(r *request, t *targetState) bool {
 	if t.leaving || !t.listed || t.outlier.Standing() == target.Ejected {
-		s.reportViolation(invTargetInUse, "target not in use, request", uint64(r.id), uint64(t.inFlight))
+		s.reportViolation(invTargetInUse, "send to a target not in use; request (target in flight)", uint64(r.id), uint64(t.inFlight))
 		return false
 	}
 	if t.inFlight+1 > s.maxInFlight(t) || (!s.opts.PlainBalancer && t.inFlight+1 > t.slots) {
-		s.reportViolation(invSlots, "no free slot for request", uint64(r.id), uint64(t.inFlight))
+		s.reportViolation(invSlots, "send to a target without a free slot; request (target in flight)", uint64(r.id), uint64(t.inFlight))
 		return false
 	}
 	return s.checkAttempt(r)
 }
 
-// checkForward asserts what has to hold of each forward.
+// checkForward checks the invariants of a forward.
 func (s *State) checkForward(r *request) bool {
 	if r.hops > 0 {
-		s.reportViolation(invForwardedOnce, "forwarded request", uint64(r.id), uint64(r.hops))
+		s.reportViolation(invForwardedOnce, "second forward of a request; request (hops)", uint64(r.id), uint64(r.hops))
 		return false
 	}
 	return s.checkAttempt(r)
 }
 
-// checkAttempt asserts what has to hold of each attempt.
+// checkAttempt checks the invariants of any attempt.
 func (s *State) checkAttempt(r *request) bool {
 	if s.requests[r.id] != r || r.numCurrent == maxCurrent {
-		s.reportViolation(invOneEffect, "attempt of a request that has ended", uint64(r.id), uint64(r.numCurrent))
+		s.reportViolation(invOneEffect, "attempt for an ended request or beyond the allowed number; request (current attempts)", uint64(r.id), uint64(r.numCurrent))
 		return false
 	}
 	if s.now > r.deadline {
-		s.reportViolation(invDeadline, "attempt after the deadline of request", uint64(r.id), uint64(s.now-r.deadline))
+		s.reportViolation(invDeadline, "attempt after the deadline; request (ns after the deadline)", uint64(r.id), uint64(s.now-r.deadline))
 		return false
 	}
 	if !r.idempotent && r.attempts > 0 && (r.numCurrent > 0 || r.joinedVerdict != verdict.NotRun) {
-		s.reportViolation(invSentOnce, "request", uint64(r.id), uint64(r.attempts))
+		s.reportViolation(invSentOnce, "non-idempotent request sent again though it may have run; request (attempts)", uint64(r.id), uint64(r.attempts))
 		return false
 	}
 	return true
 }
 
-// checkInFlight asserts that counts don't fall below zero.
+// checkInFlight checks that counts of requests in flight are not negative.
 func (s *State) checkInFlight(t *targetState) {
 	if t.inFlight < 0 || t.svc.inFlight < 0 {
-		s.reportViolation(invSlots, "in flight below zero", uint64(-t.inFlight), uint64(-t.svc.inFlight))
+		s.reportViolation(invSlots, "negative count in flight; target (service)", uint64(-t.inFlight), uint64(-t.svc.inFlight))
 	}
 }
 
-// audit recounts everything that is counted step by step.
+// audit recounts everything that is counted incrementally.
 func (s *State) audit() {
 	s.auditAttempts()
 	s.auditQueues()
-	for _, v := range s.services {
-		s.auditService(v)
-		s.auditOrder(v)
+	for _, svc := range s.services {
+		s.auditService(svc)
+		s.auditOrder(svc)
 	}
 }
 
@@ -102,17 +102,17 @@
 			links[a.remote]++
 		}
 		if a.req != nil && s.requests[a.reqID] != a.req {
-			s.reportViolation(invOneEffect, "current attempt of an ended request", uint64(a.reqID), uint64(a.id))
+			s.reportViolation(invOneEffect, "current attempt of an ended request; request (attempt)", uint64(a.reqID), uint64(a.id))
 		}
 	}
 	for t, n := range targets {
 		if t.inFlight != n {
-			s.reportViolation(invCounts, "in flight at a target", uint64(t.inFlight), uint64(n))
+			s.reportViolation(invCounts, "in flight at a target; count (recount)", uint64(t.inFlight), uint64(n))
 		}
 	}
-	for l, n := range links {
-		if l.inFlight != n {
-			s.reportViolation(invCounts, "in flight at an entry VM", uint64(l.inFlight), uint64(n))
+	for rs, n := range links {
+		if rs.inFlight != n {
+			s.reportViolation(invCounts, "in flight at an entry VM; count (recount)", uint64(rs.inFlight), uint64(n))
 		}
 	}
 }
@@ -121,10 +121,10 @@
 	items, bytes := 0, int64(0)
 	for id, r := range s.requests {
 		if r.id != id || r.timerIndex == noTimer {
-			s.reportViolation(invCounts, "request without a timer", uint64(id), 0)
+			s.reportViolation(invCounts, "wrong id or no timer; request (0)", uint64(id), 0)
 		}
 		if r.node.Queued() != (r.numCurrent == 0) {
-			s.reportViolation(invCounts, "request neither queued nor in flight", uint64(id), uint64(r.numCurrent))
+			s.reportViolation(invCounts, "request must be either queued or in flight; request (current attempts)", uint64(id), uint64(r.numCurrent))
 		}
 		if r.node.Queued() {
 			items++
@@ -132,31 +132,31 @@
 		}
 	}
 	if items != s.gate.Items() || bytes != s.gate.Bytes() {
-		s.reportViolation(invCounts, "queued requests", uint64(items), uint64(s.gate.Items()))
+		s.reportViolation(invCounts, "queued requests or bytes; recount (count)", uint64(items), uint64(s.gate.Items()))
 	}
 }
 
-// auditOrder checks that requests wait in the order of arrival.
-func (s *State) auditOrder(v *service) {
+// auditOrder checks that requests are queued in the order of arrival.
+func (s *State) auditOrder(svc *service) {
 	last := clock.Time(0)
-	for n := v.queue.Front(); n != nil; n = n.Next() {
+	for n := svc.queue.Front(); n != nil; n = n.Next() {
 		if n.Item.arrived < last {
-			s.reportViolation(invCounts, "queue out of order at request", uint64(n.Item.id), uint64(last))
+			s.reportViolation(invCounts, "queue out of order; request (previous arrival)", uint64(n.Item.id), uint64(last))
 		}
 		last = n.Item.arrived
 	}
 }
 
-func (s *State) auditService(v *service) {
+func (s *State) auditService(svc *service) {
 	capacity, inFlight := 0, 0
-	for i, t := range v.targets {
+	for i, t := range svc.targets {
 		capacity += t.capacity
 		inFlight += t.inFlight
-		if t.index != i || v.freeTargets.has(i) != (t.inFlight < t.capacity) || t.capacity != t.computeCapacity(s.now, s.opts.PlainBalancer) {
-			s.reportViolation(invCounts, "target's books", uint64(i), uint64(t.capacity))
+		if t.index != i || svc.freeTargets.has(i) != (t.inFlight < t.capacity) || t.capacity != t.computeCapacity(s.now, s.opts.PlainBalancer) {
+			s.reportViolation(invCounts, "index, free slots or capacity of a target; index (capacity)", uint64(i), uint64(t.capacity))
 		}
 	}
-	if capacity != v.capacity || inFlight > v.inFlight {
-		s.reportViolation(invCounts, "capacity of a service", uint64(capacity), uint64(v.capacity))
+	if capacity != svc.capacity || inFlight > svc.inFlight {
+		s.reportViolation(invCounts, "capacity or in flight of a service; recounted capacity (capacity)", uint64(capacity), uint64(svc.capacity))
 	}
 }
--- a/decide/dispatch/load_test.go
+++ b/decide/dispatch/load_test.go
@@ -10,10 +10,10 @@
 	"github.com/matryer/is"
 )
 
-// Symptom: a shift of traffic is judged harmful while the caches it needs fill.
-// Sequence: a2 appears while a1 is in use, answers until it has all its slots.
-// Cause: the load didn't say that slow answers and missing slots are those of a
-// cold start.
+// A traffic shift must not be judged harmful while the caches that it needs
+// fill. The load therefore has to report a cold start, during which answers are
+// slow and slots are missing. Here a2 appears while a1 is in use, and answers
+// until it has all its slots.
 func TestWarming(t *testing.T) {
 	is := is.New(t)
 	s := New(Options{VM: "self", PanicOnViolation: true, Audit: true})
--- a/decide/dispatch/measure/measure.go
+++ b/decide/dispatch/measure/measure.go
@@ -9,28 +9,28 @@
 	"github.com/azurethread/azurethread/decide/dispatch"
 )
 
-// Result is what a run measured; a share is in [0,1].
+// Result is the result of a run. Shares are in [0,1].
 type Result struct {
 	Offered  int           // requests counted
-	P50, P99 time.Duration // of answers in time, seen by the caller
-	// P99All is the p99 of all requests, one without an answer in time
-	// counting as its deadline.
+	P50, P99 time.Duration // of answers in time, as observed by callers
+	// P99All is the p99 of all requests, where one without an answer in time
+	// counts with its deadline.
 	P99All        time.Duration
 	Goodput       float64 // answers in time a second
 	Failed        float64 // share of requests without an answer in time
-	MayHaveRun    float64 // share told that the request may have run
-	Amplification float64 // sends to targets for each request sent at all
-	Headroom      float64 // least free share of the slots of a region; negative when work waits at targets
-	Forwards      int     // to other entry VMs, all together
-	FarForwards   int     // of these to another region
-	FarRefused    int     // of these refused
-	// CrashFailed is the share of idempotent requests of the second after the
-	// fault that failed.
+	MayHaveRun    float64 // share whose callers got an error saying that the request may have run
+	Amplification float64 // sends to targets per request that was sent at least once
+	Headroom      float64 // lowest free share of the slots of a region; negative when requests wait at targets
+	Forwards      int     // to other entry VMs
+	FarForwards   int     // to other regions
+	FarRefused    int     // refused by other regions
+	// CrashFailed is the failed share of idempotent requests that arrived in
+	// the second after the fault.
 	CrashFailed float64
 	Services    []ServiceResult
 }
 
-// ServiceResult is the part of one service.
+// ServiceResult is the result for one service.
 type ServiceResult struct {
 	P50, P99, P99All time.Duration
 
@@ -71,13 +71,13 @@
 		}
 	}
 	for i, v := range w.vms {
-		// Each reports at its own time within the second.
+		// Their reports are spread evenly over the second.
 		w.scheduleAfter(time.Duration(i)*reportEvery/time.Duration(len(w.vms)), v.report)
 		w.scheduleAfter(time.Duration(i)*reportEvery/time.Duration(len(w.vms))+reportEvery/2, v.deliverReports)
 	}
 }
 
-// sampleHeadroom looks at the load of each region.
+// sampleHeadroom records the lowest headroom of a region so far.
 func (w *simulation) sampleHeadroom() {
 	var load, slots [regions]int
 	for _, u := range w.targets {
@@ -135,14 +135,14 @@
 		for _, a := range v.sortedAttempts() {
 			n++
 			if a.target != nil && n%3 == 0 {
-				a.target.cancel(a) // the model's way to have its answer lost
+				a.target.cancel(a) // its answer is then lost
 				a.ended = true
 			}
 		}
 	}
 }
 
-// sortedAttempts returns the attempts in the order of their ids.
+// sortedAttempts returns the attempts sorted by id.
 func (v *vm) sortedAttempts() []*attempt {
 	list := make([]*attempt, 0, len(v.attempts))
 	for _, a := range v.attempts {
@@ -152,7 +152,7 @@
 	return list
 }
 
-// stats collects outcomes.
+// stats counts the outcomes of a run.
 type stats struct {
 	run          Run
 	perService   []serviceStats
@@ -172,7 +172,7 @@
 	failed      int
 	answerTimes []time.Duration
 	allTimes    []time.Duration
-	inTime      int // answers in time within the run
+	inTime      int // answers in time during the measured part of the run
 }
 
 func newStats(run Run) *stats {
--- a/decide/dispatch/measure/measure_test.go
+++ b/decide/dispatch/measure/measure_test.go
@@ -95,7 +95,7 @@
 
 func ms(d time.Duration) float64 { return float64(d) / 1e6 }
 
-// measureGoal measures the product, or a baseline, on the first user's sizes.
+// measureGoal measures one variant on the sizes of the first user.
 func measureGoal(t *testing.T, variant string, load float64, f Fault) Result {
 	t.Helper()
 	for _, v := range Variants() {
@@ -114,13 +114,13 @@
 		r := measureGoal(t, "azurethread", load, NoFault)
 		is.True(r.Goodput >= 0.95*full.Goodput)
 		is.True(r.Amplification <= 1.1)
-		is.True(r.Headroom >= 0) // nothing waits at targets
+		is.True(r.Headroom >= 0) // no request waits at a target
 	}
 }
 
-// Symptom: look-ups fail when a target crashes.
-// Cause: those in flight there are lost, and new ones meet a closed port until
-// it is ejected. Retries within the budget answer all but 0.1%.
+// Requests in flight at a crashing target are lost, and new ones meet a closed
+// port until it is ejected. Retries within the budget must answer all but 0.1%
+// of the look-ups.
 func TestTargetCrash(t *testing.T) {
 	is := is.New(t)
 	r := measureGoal(t, "azurethread", 0.8, TargetCrash)
@@ -129,8 +129,8 @@
 	is.True(r.Headroom >= 0)
 }
 
-// A target five times slower than the others, and regions whose callers don't
-// match their capacity, are where the choice shows.
+// The choice of targets matters most with a target five times slower than the
+// others, and with regions whose callers don't match their capacity.
 func TestTailAgainstBaselines(t *testing.T) {
 	is := is.New(t)
 	for _, f := range []Fault{SlowTarget, EvenCallers} {
--- a/decide/dispatch/measure/setup.go
+++ b/decide/dispatch/measure/setup.go
@@ -8,26 +8,26 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// Service is one service of a setup.
+// Service describes one service of a Setup.
 type Service struct {
 	Name       fleet.ServiceName
-	Targets    int // upstreams over all domains
-	Slots      int // of each
+	Targets    int // in all domains together
+	Slots      int // per target
 	Mean       time.Duration
 	Deadline   time.Duration
 	Idempotent bool
 	Priority   catalogue.Priority
 }
 
-// Setup is a deployment.
+// Setup describes a deployment.
 type Setup struct {
 	Name        string
 	Services    []Service
-	VMs         []int         // entry VMs of each domain
-	InterDomain time.Duration // one way between the domains of a region
+	VMs         []int         // number of entry VMs in each domain
+	InterDomain time.Duration // one-way latency between the domains of a region
 }
 
-// The rest of the model, the same for all setups.
+// The parts of the model that all setups share.
 const (
 	domainsPerRegion = 2
 	regions          = 3
@@ -37,7 +37,7 @@
 	callerLatency    = 8 * time.Millisecond   // one way between caller and entry VM
 	connectTime      = time.Millisecond
 	connections      = 330
-	backlogPerSlot   = 8 // requests a target keeps waiting for each slot
+	backlogPerSlot   = 8 // requests that a target queues per slot
 	reportEvery      = time.Second
 	reportLag        = time.Second
 	coldTime         = 3 * time.Second
@@ -45,7 +45,7 @@
 	slowFactor       = 5
 )
 
-// Statikos is the first user's deployment. Mean times and deadlines are
+// Statikos is the deployment of the first user. Mean times and deadlines are
 // assumptions; sizes and latencies are the user's.
 func Statikos() Setup {
 	return Setup{
@@ -60,7 +60,7 @@
 	}
 }
 
-// Inzira is the second user's deployment, under the same assumptions.
+// Inzira is the deployment of the second user, under the same assumptions.
 func Inzira() Setup {
 	return Setup{
 		Name: "inzira",
@@ -74,8 +74,8 @@
 	}
 }
 
-// Crowded has many entry VMs for each target, as the fleet of two years from
-// now: a VM's share is two or three slots of a domain's 48.
+// Crowded has many entry VMs for each target, as expected of a fleet two years
+// from now: the share of an entry VM is two or three slots of a domain's 48.
 func Crowded() Setup {
 	return Setup{
 		Name: "crowded",
@@ -87,16 +87,16 @@
 	}
 }
 
-// Variant is a way of deciding that is measured.
+// Variant is a configuration to be compared.
 type Variant struct {
 	Name    string
-	Options dispatch.Options // Policy, Ungated and Limits are looked at
+	Options dispatch.Options // Policy, PlainBalancer and Limits are used
 	Hints   bool             // targets state their load in each answer
 }
 
-// Variants returns the policy of the product, the same with each baseline
-// choice in its place, plain balancers that send at once, and the product
-// without forwards and without hedges.
+// Variants returns the default configuration, the same with each baseline
+// policy, plain balancers that send at once, the default with load hints in
+// answers, and the default without forwards and without hedges.
 func Variants() []Variant {
 	vs := []Variant{{Name: "azurethread"}}
 	for _, p := range []string{"round-robin", "random", "least-in-flight", "two-choices"} {
@@ -112,37 +112,37 @@
 	)
 }
 
-// Fault is what goes wrong in the middle of a run.
+// Fault is the fault injected in a run.
 type Fault string
 
 // The faults.
 const (
 	NoFault            Fault = "none"
 	TargetCrash        Fault = "target-crash" // one target of each service; back after 5 s, cold
-	TargetUnresponsive Fault = "target-mute"  // the same targets vanish without closing connections; back after 5 s, cold
+	TargetUnresponsive Fault = "target-mute"  // the same targets stop without closing connections; back after 5 s, cold
 	SilentConnections  Fault = "silent-connections"
 	SlowTarget         Fault = "slow-target" // one target of each service
 	RegionLost         Fault = "region-lost"
-	// EvenCallers spreads the callers evenly over the regions, whose capacity
-	// differs, from the start. Otherwise they are spread by capacity.
+	// EvenCallers spreads callers evenly over regions of different capacity,
+	// from the start. Otherwise they are spread by capacity.
 	EvenCallers Fault = "even-callers"
 	SkewedLoad  Fault = "skewed-load" // half of the callers in one region, from the start
 )
 
-// Run is one measurement.
+// Run describes one measurement.
 type Run struct {
 	Setup   Setup
 	Variant Variant
-	Load    float64 // offered load as a part of the capacity
+	Load    float64 // offered load as a share of the capacity
 	Fault   Fault
-	Length  time.Duration // of arrivals
-	// Spread is the sigma of both log-normal factors of the time that a
-	// request takes.
+	Length  time.Duration // time during which callers arrive
+	// Spread is the sigma of both log-normal factors of the time that a request
+	// takes.
 	Spread float64
 	Seed   uint64
 }
 
-// The times of a run, from its start.
+// Times from the start of a run.
 const (
 	warmUp     = 2 * time.Second // not counted
 	faultAt    = 4 * time.Second
--- a/decide/dispatch/measure/simulation.go
+++ b/decide/dispatch/measure/simulation.go
@@ -14,14 +14,14 @@
 	"github.com/azurethread/azurethread/decide/verdict"
 )
 
-// simulation is one run.
+// simulation is the state of one run.
 type simulation struct {
 	run        Run
 	now        clock.Time
 	events     eventQueue
 	seq        uint64
-	rng        *rand.Rand   // of what depends on decisions
-	callers    []*rand.Rand // of each service's callers, the same for all variants
+	rng        *rand.Rand   // for everything that depends on decisions
+	callers    []*rand.Rand // one per service, for its callers; the same sequence for all variants
 	vms        []*vm
 	targets    []*upstream
 	byID       map[fleet.TargetID]*upstream
@@ -30,7 +30,7 @@
 	nextID     dispatch.RequestID
 }
 
-// event is something that happens at an instant.
+// event is a function scheduled for a time.
 type event struct {
 	at  clock.Time
 	seq uint64
@@ -55,17 +55,17 @@
 	return e
 }
 
-// call is a caller's request.
+// call is a request of a caller.
 type call struct {
 	service int
 	size    float64
-	noise   float64 // of the first attempt
+	noise   float64 // time factor of the first attempt
 	start   clock.Time
 	counted bool
 	sends   int
 }
 
-// vm is one entry VM.
+// vm models an entry VM.
 type vm struct {
 	w         *simulation
 	id        fleet.VMID
@@ -76,7 +76,7 @@
 	calls     map[dispatch.RequestID]*call
 	origins   map[dispatch.RequestID]origin // of forwarded requests
 	attempts  map[dispatch.AttemptID]*attempt
-	idle      map[*upstream][]bool // connections not in use; true when silent
+	idle      map[*upstream][]bool // unused connections; true when silent
 	remotes   map[fleet.VMID][]dispatch.Remote
 	remotesAt map[fleet.VMID]clock.Time
 }
@@ -87,7 +87,7 @@
 	attempt dispatch.AttemptID
 }
 
-// attempt is a send or forward as the transport sees it.
+// attempt is a send or forward as seen by the transport.
 type attempt struct {
 	vm       *vm
 	req      dispatch.RequestID
@@ -182,7 +182,7 @@
 	return list
 }
 
-// runUntil runs everything until nothing happens any more or the limit is passed.
+// runUntil runs events until none is left or the time is past until.
 func (w *simulation) runUntil(until clock.Time) {
 	for len(w.events) > 0 {
 		e := heap.Pop(&w.events).(event)
@@ -194,7 +194,7 @@
 	}
 }
 
-// startArrivals starts the Poisson process of one service.
+// startArrivals starts the Poisson process of the callers of one service.
 func (w *simulation) startArrivals(service int, end clock.Time) {
 	s := w.run.Setup.Services[service]
 	capacity := float64(s.Targets*s.Slots) / s.Mean.Seconds()
@@ -213,21 +213,21 @@
 // arrive makes a caller send one request.
 func (w *simulation) arrive(service int) {
 	region := w.callerRegion(service)
-	way := callerLatency
+	latency := callerLatency
 	rng := w.callers[service]
 	if w.regionLost[region] {
-		// The callers of a lost region ask another one.
+		// The callers of a lost region use another one.
 		region = (region + 1 + rng.IntN(regions-1)) % regions
-		way += interRegion
+		latency += interRegion
 	}
 	v := w.entryVM(region, rng)
 	c := &call{service: service, size: w.drawFactor(rng), noise: w.drawFactor(rng), start: w.now, counted: w.now >= w.countingStart()}
 	w.stats.countOffered(c, w.now)
 	w.nextID++
 	id := w.nextID
-	deadline := w.now.Add(w.run.Setup.Services[service].Deadline - way)
+	deadline := w.now.Add(w.run.Setup.Services[service].Deadline - latency)
 	block := rng.Uint64()
-	w.scheduleAfter(way, func() {
+	w.scheduleAfter(latency, func() {
 		if w.regionLost[region] {
 			w.stats.countFailure(c, w.now)
 			return
@@ -252,7 +252,7 @@
 
 func (w *simulation) countingStart() clock.Time { return clock.Time(time.Second).Add(warmUp) }
 
-// entryVM draws a domain of the region, then an entry VM there.
+// entryVM draws a domain of the region and an entry VM of that domain.
 func (w *simulation) entryVM(region int, rng *rand.Rand) *vm {
 	domain := region*domainsPerRegion + rng.IntN(domainsPerRegion)
 	n := rng.IntN(w.run.Setup.VMs[domain])
@@ -268,13 +268,13 @@
 	return nil
 }
 
-// drawFactor draws from a log-normal distribution of mean 1.
+// drawFactor draws from a log-normal distribution with mean 1.
 func (w *simulation) drawFactor(rng *rand.Rand) float64 {
 	s := w.run.Spread
 	return math.Exp(s*rng.NormFloat64() - s*s/2)
 }
 
-// oneWayLatency is the one-way latency between two domains.
+// oneWayLatency returns the one-way latency between two domains.
 func (w *simulation) oneWayLatency(a, b int) time.Duration {
 	switch {
 	case a == b:
@@ -286,7 +286,8 @@
 	}
 }
 
-// message delivers something from one domain to another unless either is lost.
+// message delivers a message from one domain to another unless the region of
+// either is lost.
 func (w *simulation) message(from, to int, do func()) {
 	if w.regionLost[from/domainsPerRegion] {
 		return
@@ -298,7 +299,7 @@
 	})
 }
 
-// step passes an event to the State and carries out its effects.
+// step applies an event to the State and carries out its effects.
 func (v *vm) step(ev dispatch.Event) {
 	if v.w.regionLost[v.domain/domainsPerRegion] {
 		return
@@ -332,8 +333,8 @@
 	}
 }
 
-// complete passes the outcome to the caller or to the entry VM that forwarded
-// the request; a nil reply is an answer.
+// complete passes the outcome to the caller, or to the entry VM that forwarded
+// the request. A nil reply stands for an answer.
 func (v *vm) complete(id dispatch.RequestID, r *dispatch.Reply) {
 	w := v.w
 	if o, ok := v.origins[id]; ok {
@@ -369,7 +370,7 @@
 	})
 }
 
-// loadHint is the load an entry VM states in its answers.
+// loadHint returns the load that an entry VM states in its answers.
 func (v *vm) loadHint(service fleet.ServiceName) *dispatch.LoadHint {
 	for _, l := range v.state.AppendLoads(nil) {
 		if l.Service == service {
@@ -419,7 +420,7 @@
 	return nil
 }
 
-// send takes an idle connection, or opens one, and sends the request on it.
+// send sends the request on an idle connection, or opens a new one.
 func (v *vm) send(e dispatch.Send) {
 	u := v.w.byID[e.Target]
 	a := &attempt{vm: v, req: e.Req, id: e.Attempt, call: v.callOf(e.Req), deadline: e.Deadline, target: u}
@@ -432,12 +433,12 @@
 		v.idle[u] = idle[:len(idle)-1]
 	}
 	if a.silent {
-		return // the request is lost on the way
+		return // the request is lost
 	}
 	v.w.scheduleAfter(delay+intraDomain, func() { u.receive(a) })
 }
 
-// cancel closes the attempt's connection, and tells the other side.
+// cancel closes the attempt's connection and notifies the receiver.
 func (v *vm) cancel(e dispatch.Cancel) {
 	a := v.attempts[e.Attempt]
 	if a == nil {
@@ -479,7 +480,7 @@
 	}
 }
 
-// deliverReports passes on the newest reports of the other entry VMs.
+// deliverReports applies the latest reports of the other entry VMs.
 func (v *vm) deliverReports() {
 	w := v.w
 	ev := &dispatch.Remotes{}
--- a/decide/dispatch/measure/upstream.go
+++ b/decide/dispatch/measure/upstream.go
@@ -9,25 +9,26 @@
 	"github.com/azurethread/azurethread/decide/verdict"
 )
 
-// upstream is a target.
+// upstream models a target.
 type upstream struct {
 	w            *simulation
 	id           fleet.TargetID
 	service      int
 	domain       int
 	slots        int
-	timeFactor   float64 // of all service times
+	timeFactor   float64 // multiplies all service times
 	busy         int
 	backlog      []*attempt
 	down         bool
-	unresponsive bool // down, and nothing comes back
+	unresponsive bool // down, without closing connections or answering
 	warmAt       clock.Time
-	generation   int // rises with each crash
+	generation   int // incremented by each crash
 }
 
 func (u *upstream) region() int { return u.domain / domainsPerRegion }
 
-// load is the work at the target by its slots; above 1 some of it waits.
+// load returns the number of requests at the target. If it exceeds slots, some
+// of them wait.
 func (u *upstream) load() int { return u.busy + len(u.backlog) }
 
 func (u *upstream) receive(a *attempt) {
@@ -72,7 +73,8 @@
 	return time.Duration(float64(mean) * f)
 }
 
-// startBacklog starts waiting work, and drops what nobody waits for any more.
+// startBacklog starts waiting requests, and drops those that were cancelled or
+// are past their deadline.
 func (u *upstream) startBacklog() {
 	for u.busy < u.slots && len(u.backlog) > 0 {
 		a := u.backlog[0]
@@ -118,7 +120,7 @@
 	})
 }
 
-// crash ends the target's process with all it works on.
+// crash ends the process of the target; the requests in work are lost.
 func (u *upstream) crash() {
 	u.down = true
 	u.generation++
@@ -143,7 +145,7 @@
 	u.warmAt = u.w.now.Add(coldTime)
 }
 
-// report sends the load endpoint's statement to the entry VMs of the domain.
+// report sends the load endpoint's report to the entry VMs of the domain.
 func (u *upstream) report() {
 	h := dispatch.Health{Target: u.id, OK: !u.down, InFlight: u.load(), Slots: u.slots, Cold: u.w.now < u.warmAt, Age: reportLag}
 	u.w.scheduleAfter(reportLag, func() {
--- a/decide/dispatch/membership.go
+++ b/decide/dispatch/membership.go
@@ -11,25 +11,25 @@
 	"github.com/azurethread/azurethread/decide/target"
 )
 
-// The slots and connections of a target that states none.
+// Slots and connections of a target that states none.
 const (
 	defaultSlots       = 1
 	defaultConnections = 330
 )
 
-// service returns the service of the given name, made when it is new.
+// service returns the service with the given name and creates it if needed.
 func (s *State) service(name fleet.ServiceName) *service {
-	if v := s.byName[name]; v != nil {
-		return v
+	if svc := s.byName[name]; svc != nil {
+		return svc
 	}
-	v := &service{
+	svc := &service{
 		name:   name,
 		budget: retry.NewBudget(max(s.lim.RepeatShare, 0), s.repeatBurst()),
 	}
-	s.byName[name] = v
-	s.services = append(s.services, v)
+	s.byName[name] = svc
+	s.services = append(s.services, svc)
 	slices.SortFunc(s.services, func(a, b *service) int { return cmp.Compare(a.name, b.name) })
-	return v
+	return svc
 }
 
 func (s *State) repeatBurst() int {
@@ -40,8 +40,8 @@
 }
 
 func (s *State) setServices(list []catalogue.Service) {
-	for _, v := range s.services {
-		v.listed = false
+	for _, svc := range s.services {
+		svc.listed = false
 	}
 	for _, c := range list {
 		s.service(c.Name).configure(c)
@@ -49,19 +49,19 @@
 }
 
 func (s *State) setTargets(list []fleet.Target) {
-	for _, v := range s.services {
-		v.targets = v.targets[:0]
+	for _, svc := range s.services {
+		svc.targets = svc.targets[:0]
 	}
 	for _, t := range s.targets {
-		t.listed = false // the same for each, so the map's order doesn't matter
+		t.listed = false // the same for each, so the iteration order doesn't matter
 	}
 	for i := range list {
 		s.setTarget(&list[i])
 	}
 	s.forgetTargets()
 	s.targetsReceived = true
-	for _, v := range s.services {
-		slices.SortFunc(v.targets, func(a, b *targetState) int { return cmp.Compare(a.id, b.id) })
+	for _, svc := range s.services {
+		slices.SortFunc(svc.targets, func(a, b *targetState) int { return cmp.Compare(a.id, b.id) })
 	}
 	s.assignShares()
 	s.drainAll()
@@ -90,11 +90,11 @@
 	t.leaving = f.State != fleet.Live
 	t.svc.targets = append(t.svc.targets, t)
 	if t.outlier.Standing() == target.Ejected {
-		s.scheduleRecheck(t, t.outlier.Until()) // it was unlisted, and forgotten there
+		s.scheduleRecheck(t, t.outlier.Until()) // rechecks stop while a target is unlisted
 	}
 }
 
-// initTarget sets the limit of a target not known before. One that appears
+// initTarget sets the initial limit of a new target. A target that appears
 // while this entry VM runs has just started and has cold caches.
 func (s *State) initTarget(t *targetState, f *fleet.Target) {
 	t.declaredSlots = f.Slots
@@ -106,7 +106,7 @@
 	}
 }
 
-// forgetTargets drops targets that are gone and hold no request.
+// forgetTargets removes unlisted targets without requests in flight.
 func (s *State) forgetTargets() {
 	for id, t := range s.targets {
 		if !t.listed && t.inFlight == 0 {
@@ -125,19 +125,19 @@
 	s.drainAll()
 }
 
-// assignShares deals out the slots and connections of all targets among the
-// entry VMs of the domain.
+// assignShares divides the slots and connections of all targets among the entry
+// VMs of the domain.
 func (s *State) assignShares() {
-	for _, v := range s.services {
-		s.assignServiceShares(v)
+	for _, svc := range s.services {
+		s.assignServiceShares(svc)
 	}
 }
 
-func (s *State) assignServiceShares(v *service) {
-	v.freeTargets = newBitset(len(v.targets))
-	v.capacity = 0
+func (s *State) assignServiceShares(svc *service) {
+	svc.freeTargets = newBitset(len(svc.targets))
+	svc.capacity = 0
 	slots, connections := 0, 0
-	for i, t := range v.targets {
+	for i, t := range svc.targets {
 		t.index = i
 		t.capacity = 0
 		t.share = 0
@@ -154,13 +154,14 @@
 		slots += t.slots
 		connections += total
 	}
-	for _, t := range v.targets {
+	for _, t := range svc.targets {
 		s.updateCapacity(t)
 	}
 }
 
-// updateCapacity brings granted and what depends on it up to date after a change of
-// anything that grant looks at, or of inFlight.
+// updateCapacity recomputes the capacity of t and what depends on it. It has to
+// be called after a change of inFlight or of anything that computeCapacity
+// reads.
 func (s *State) updateCapacity(t *targetState) {
 	g := t.computeCapacity(s.now, s.opts.PlainBalancer)
 	if !t.listed {
--- a/decide/dispatch/options.go
+++ b/decide/dispatch/options.go
@@ -8,60 +8,64 @@
 	"github.com/azurethread/azurethread/decide/target"
 )
 
-// Options are the settings of a State. They don't change while it runs.
+// Options are the settings of a State. They are fixed while it runs.
 type Options struct {
 	VM     fleet.VMID
 	Domain fleet.Domain
 	Region fleet.Region
-	// Seed starts the generator behind every random choice.
+	// Seed initialises the random number generator.
 	Seed uint64
-	// Policy names the way of choosing a target: "expected-wait" (also when
+	// Policy names the policy that chooses a target: "expected-wait" (also when
 	// empty), or for comparison "round-robin", "random", "least-in-flight" or
 	// "two-choices".
 	Policy string
 	Limits Limits
-	// PanicOnViolation makes a broken invariant a panic; for tests.
+	// PanicOnViolation panics when an invariant is violated; for tests.
 	PanicOnViolation bool
-	// Audit recounts all state after each step; for tests, as it is slow.
+	// Audit recounts the whole state after each step. It is slow and meant for
+	// tests.
 	Audit bool
-	// PlainBalancer sends each request to the chosen target at once, beyond its
-	// slots, with no queue and no forwards. It is there to measure against a
-	// plain balancer and is never set in production.
+	// PlainBalancer sends each request to the chosen target at once, whether a
+	// slot is free or not, without a queue and without forwards. It is a
+	// baseline for comparisons and is never set in production.
 	PlainBalancer bool
 }
 
-// Limits bound what a State holds and how long. A zero field takes the
-// documented default; a negative one means none at all where that makes sense.
+// Limits bound what a State holds and for how long. A zero field takes the
+// documented default; a negative one turns the feature off where that is
+// stated.
 type Limits struct {
 	// MaxAttempts bounds the sends and forwards of one request; default 4.
 	MaxAttempts int
-	// QueueItems bounds waiting requests of all services; default 1024.
+	// QueueItems bounds the number of queued requests of all services; default
+	// 1024.
 	QueueItems int
-	// QueueBytes bounds their bodies, in bytes; default 64 MiB.
+	// QueueBytes bounds the size of their bodies in bytes; default 64 MiB.
 	QueueBytes int64
-	// DeferrableShare is the part of the queue bounds that deferrable work
-	// may fill; default 0.75.
+	// DeferrableShare is the part of the queue bounds that deferrable requests
+	// may use; default 0.75.
 	DeferrableShare float64
-	// InteractiveWait bounds the expected wait of interactive work in the
-	// queue; default 250 ms, and three times the service's usual latency if
-	// that is longer. Deferrable work may wait until its deadline.
+	// InteractiveWait bounds the expected wait of interactive requests in the
+	// queue; default 250 ms, and three times the mean latency of the service if
+	// that is longer. Deferrable requests may wait until their deadline.
 	InteractiveWait time.Duration
-	// RepeatShare is the part of the traffic that may be sent again, as a
-	// retry or a hedge; default 0.1, none when negative.
+	// RepeatShare is the part of the traffic that may be sent again, as a retry
+	// or a hedge; default 0.1, none when negative.
 	RepeatShare float64
-	// RepeatBurst is how many repeats are saved up; default 20.
+	// RepeatBurst is the largest number of repeats that can be saved up;
+	// default 20.
 	RepeatBurst int
-	// MinHedgeDelay is the least delay before a hedge; default 5 ms. Negative
-	// turns hedges off.
+	// MinHedgeDelay is the shortest delay before a hedge; default 5 ms. A
+	// negative value turns hedges off.
 	MinHedgeDelay time.Duration
-	// CancelGrace is how long a cancelled attempt counts as in flight when
-	// the transport doesn't report its end; default 500 ms.
+	// CancelGrace is how long a cancelled attempt counts as in flight when the
+	// transport doesn't report its end; default 500 ms.
 	CancelGrace time.Duration
-	// MaxLoadAge is the age at which a target's load report counts for
-	// nothing; default 500 ms.
+	// MaxLoadAge is the age from which on a target's load report is ignored;
+	// default 500 ms.
 	MaxLoadAge time.Duration
-	// MaxRemoteLoadAge is the same for reports of other entry VMs; default 3 s.
-	// Negative turns forwarding off.
+	// MaxRemoteLoadAge is the same for the load reports of other entry VMs;
+	// default 3 s. A negative value turns forwarding off.
 	MaxRemoteLoadAge time.Duration
 }
 
@@ -80,7 +84,7 @@
 	defaultMaxRemoteLoadAge = 3 * time.Second
 )
 
-// WithDefaults returns l with every zero field at its default.
+// WithDefaults returns l with the default in each zero field.
 func (l Limits) WithDefaults() Limits {
 	setDefault(&l.MaxAttempts, defaultMaxAttempts)
 	setDefault(&l.QueueItems, defaultQueueItems)
@@ -102,7 +106,7 @@
 	}
 }
 
-// Validate reports settings that New would refuse.
+// Validate reports the settings for which New would panic.
 func (o Options) Validate() error {
 	if _, err := target.ParsePolicy(o.Policy); err != nil {
 		return fmt.Errorf("dispatch: %w", err)
--- a/decide/dispatch/outcome.go
+++ b/decide/dispatch/outcome.go
@@ -9,53 +9,54 @@
 )
 
 const (
-	serverError      = 500 // lowest HTTP status that counts against a target
-	slowAnswerFactor = 3   // times the usual latency that lower a target's limit
-	// leavingPause is how long a target that said it is leaving gets nothing,
-	// though the lagging list still calls it live.
+	serverError      = 500 // lowest HTTP status that counts as a failure of a target
+	slowAnswerFactor = 3   // multiple of the mean latency above which an answer lowers a target's limit
+	// leavingPause is how long a target or entry VM that has stated that it is
+	// leaving gets no requests, because the lagging list may still contain it
+	// as live.
 	leavingPause = 30 * time.Second
 	minShedPause = 10 * time.Millisecond
 	maxShedPause = time.Second
 )
 
-// answered handles a whole answer. One whose attempt is no longer current goes
-// nowhere: its request has been answered or given up, and its id may not be
-// mixed up with another's.
+// answered handles a complete answer. If its attempt is no longer current the
+// answer is dropped: its request has been answered or given up, and the answer
+// must not be delivered to another request.
 func (s *State) answered(e *Answered) {
 	a := s.attempts.find(e.Attempt, e.Req)
 	if a == nil {
 		return
 	}
-	r, v, t, l := a.req, a.svc, a.target, a.remote
+	r, svc, t, rs := a.req, a.svc, a.target, a.remote
 	sentAt := a.sentAt
 	took := s.now.Sub(sentAt)
 	borrowed := a.borrowed
 	wanted := r != nil
 	if a.watched && e.Status < serverError {
-		v.silence.answered(s.now, a.detectID)
+		svc.silence.answered(s.now, a.detectID)
 	}
 	s.release(a)
-	v.lastAnswer = s.now
+	svc.lastAnswer = s.now
 	if t != nil {
 		t.recentAnswers.record(sentAt)
 		t.answeredAt = s.now
 		s.targetAnswered(t, e, took, borrowed, wanted)
 	} else {
-		l.recentAnswers.record(sentAt)
-		v.silence.observeForward(took)
-		s.remoteAnswered(l, e.Load, took)
-		s.forwardQueued(v)
+		rs.recentAnswers.record(sentAt)
+		svc.silence.observeForward(took)
+		s.remoteAnswered(rs, e.Load, took)
+		s.forwardQueued(svc)
 	}
 	if wanted {
 		r.joinedVerdict = verdict.Join(r.joinedVerdict, verdict.Ran)
 		s.deliver(r, e.Attempt)
 	}
-	s.drain(v)
+	s.drain(svc)
 }
 
-// targetAnswered learns from an answer of t.
+// targetAnswered records an answer of t.
 func (s *State) targetAnswered(t *targetState, e *Answered, took time.Duration, borrowed, wanted bool) {
-	v := t.svc
+	svc := t.svc
 	if e.Load != nil {
 		s.recordLoad(t, e.Load.InFlight, e.Load.Slots, 0)
 	}
@@ -64,14 +65,15 @@
 		return
 	}
 	if t.outlier.Answered(s.now) {
-		// Back after an ejection, so perhaps restarted, with cold caches.
+		// It is back in use after an ejection, so it may have restarted with
+		// cold caches.
 		t.limit = limit.Cold(t.share)
 	}
 	if !wanted {
 		s.updateCapacity(t)
 		return
 	}
-	if float64(took) > slowAnswerFactor*v.meanLatency() && float64(took) > slowAnswerFactor*t.mean.Value(v.meanLatency()) {
+	if float64(took) > slowAnswerFactor*svc.meanLatency() && float64(took) > slowAnswerFactor*t.mean.Value(svc.meanLatency()) {
 		t.limit.Slow()
 	} else {
 		t.limit.Answered()
@@ -80,15 +82,15 @@
 		t.borrow.Answered()
 	}
 	t.mean.Observe(s.now, took)
-	v.mean.Observe(s.now, took)
-	v.tail.Observe(took)
-	v.silence.observe(took)
+	svc.mean.Observe(s.now, took)
+	svc.tail.Observe(took)
+	svc.silence.observe(took)
 	s.updateCapacity(t)
 }
 
-// recordLoad records what a target said about its load age ago. Of two
-// statements about its slots the lower one is believed: too few cost
-// throughput, too many overload it.
+// recordLoad records the load that a target reported age ago. Of the declared
+// and the reported number of slots the lower one is used: too few slots cost
+// throughput, too many overload the target.
 func (s *State) recordLoad(t *targetState, inFlight, slots int, age time.Duration) {
 	t.borrow.Observe(limit.Report{Others: max(inFlight-t.inFlight, 0), At: s.now.Add(-age)})
 	if slots <= 0 {
@@ -101,34 +103,33 @@
 	}
 }
 
-// failed handles the end of an attempt without a whole answer.
+// failed handles the end of an attempt without a complete answer.
 func (s *State) failed(e *Failed) {
 	a := s.attempts.find(e.Attempt, e.Req)
 	if a == nil {
 		return
 	}
-	r, v, t, l := a.req, a.svc, a.target, a.remote
+	r, svc, t, rs := a.req, a.svc, a.target, a.remote
 	wanted := r != nil
 	sentAt := a.sentAt
 	s.release(a)
 	if wanted {
-		// The end of an attempt that was cancelled says nothing about the
-		// other side.
+		// The end of a cancelled attempt says nothing about the receiver.
 		switch {
 		case t != nil:
 			r.avoidTarget = t
 			s.targetAttemptFailed(t, e, sentAt)
 		default:
-			r.avoidVM = l.vm
-			s.remoteAttemptFailed(l, e, sentAt)
+			r.avoidVM = rs.vm
+			s.remoteAttemptFailed(rs, e, sentAt)
 		}
 		r.joinedVerdict = verdict.Join(r.joinedVerdict, e.Verdict)
-		s.afterFailure(r, l, e)
+		s.afterFailure(r, rs, e)
 	}
-	s.drain(v)
+	s.drain(svc)
 }
 
-// targetAttemptFailed learns from a failed attempt at t.
+// targetAttemptFailed records a failed attempt at t.
 func (s *State) targetAttemptFailed(t *targetState, e *Failed, sentAt clock.Time) {
 	switch e.Reason {
 	case verdict.ReasonShed, verdict.ReasonOverload, verdict.ReasonQueueFull, verdict.ReasonNotReady:
@@ -142,32 +143,33 @@
 			s.recordTargetFailure(t)
 		}
 	case verdict.ReasonBodyTooLarge, verdict.ReasonBadRequest, verdict.ReasonCallerGone, verdict.ReasonDeadline:
-		// Nothing is wrong with the target.
+		// These are not failures of the target.
 	default:
 		s.recordTargetFailure(t)
 	}
 }
 
-// afterFailure decides what becomes of r after one of its attempts ended
+// afterFailure decides what to do with r after one of its attempts ended
 // without an answer.
-func (s *State) afterFailure(r *request, l *remoteService, e *Failed) {
+func (s *State) afterFailure(r *request, rs *remoteService, e *Failed) {
 	if r.numCurrent > 0 {
-		s.schedule(r) // the other attempt may still be answered
+		s.schedule(r) // another attempt may still be answered
 		return
 	}
 	if !r.joinedVerdict.MayRepeat(r.idempotent) || isRequestError(e.Reason) {
 		s.replyWithError(r, e.Reason, e.RetryAfter)
 		return
 	}
-	if l != nil && e.Verdict == verdict.NotRun && refusedForLoad(e.Reason) {
-		// It cost a round trip and no work, so it needs no budget.
+	if rs != nil && e.Verdict == verdict.NotRun && refusedForLoad(e.Reason) {
+		// The refusal cost a round trip but ran nothing, so the repeat needs no
+		// budget.
 		r.attempts--
-		r.countRefusal(l)
+		r.countRefusal(rs)
 		s.forwardOrQueue(r)
 		return
 	}
-	// A refusal by a machine that is leaving happens once for each of its
-	// slots, so it needs no budget, and a planned drain can't use it up.
+	// A target or entry VM that is leaving refuses once for each of its slots.
+	// Its refusals need no budget, so that a planned drain can't use it up.
 	if e.Reason != verdict.ReasonStopping && !s.spendRepeat(r) {
 		s.replyWithError(r, verdict.ReasonRetriesExhausted, retryAfter(max(e.RetryAfter, s.expectedWait(r.svc, 0))))
 		return
@@ -175,13 +177,15 @@
 	s.resend(r)
 }
 
-// spendRepeat takes a repeat of r from the budget, if it has attempts left.
+// spendRepeat takes a repeat of r from the budget. It reports whether there was
+// one and r has attempts left.
 func (s *State) spendRepeat(r *request) bool {
 	r.svc.budget.Pass(s.now)
 	return r.attempts < s.lim.MaxAttempts && r.svc.budget.Spend()
 }
 
-// resend sends r once more, before those that wait for their first attempt.
+// resend sends r once more, ahead of requests that wait for their first
+// attempt.
 func (s *State) resend(r *request) {
 	if s.now >= s.latestStart(r) {
 		s.replyWithError(r, verdict.ReasonDeadline, 0)
@@ -192,7 +196,7 @@
 	}
 	wait := s.expectedWait(r.svc, 0)
 	if r.hops == 0 {
-		if l := s.chooseRemote(r, wait); l != nil && s.forward(r, l, wait) {
+		if rs := s.chooseRemote(r, wait); rs != nil && s.forward(r, rs, wait) {
 			return
 		}
 	}
@@ -203,8 +207,8 @@
 	s.enqueue(r)
 }
 
-// isRequestError reports whether the reason lies in the request, so that no target
-// would answer otherwise.
+// isRequestError reports whether the reason lies in the request, so that every
+// target would refuse it.
 func isRequestError(reason verdict.Reason) bool {
 	switch reason {
 	case verdict.ReasonBodyTooLarge, verdict.ReasonBadRequest, verdict.ReasonCallerGone,
@@ -215,13 +219,13 @@
 	return false
 }
 
-// callerGone drops a request that nobody waits for.
+// callerGone ends a request whose caller no longer waits.
 func (s *State) callerGone(id RequestID) {
 	r := s.requests[id]
 	if r == nil {
 		return
 	}
-	v := r.svc
+	svc := r.svc
 	s.finish(r)
-	s.drain(v)
+	s.drain(svc)
 }
--- a/decide/dispatch/random_test.go
+++ b/decide/dispatch/random_test.go
@@ -21,8 +21,8 @@
 	randomSeed   = flag.Uint64("dispatch.seed", 1, "first seed of the long randomised run")
 )
 
-// TestMain fixes rapid's seed, so that CI runs the same cases each time, and
-// keeps rapid from writing files.
+// TestMain sets a fixed seed for rapid, so that each CI run checks the same
+// cases, and keeps rapid from writing files.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	flag.Set("rapid.nofailfile", "true")
@@ -32,8 +32,8 @@
 	os.Exit(m.Run())
 }
 
-// randomRun drives one State with random events and checks every effect against
-// books of its own, which share no code with State.
+// randomRun applies random events to one State and checks every effect against
+// its own records, which share no code with State.
 type randomRun struct {
 	fail        func(string, ...any)
 	intn        func(n int) int
@@ -45,28 +45,28 @@
 	idempotent  map[fleet.ServiceName]bool
 	requests    map[RequestID]*trackedRequest
 	attempts    map[AttemptID]*trackedAttempt
-	open        []AttemptID    // not ended, in order
-	lateAnswers []Answered     // answers to attempts that have ended, for late ones
-	answering   AttemptID      // whose answer is being passed on, unless cancelled before
-	unlisted    fleet.TargetID // not in the last list
+	open        []AttemptID    // attempts that have not ended, in the order of their start
+	lateAnswers []Answered     // answers to attempts that have ended
+	answering   AttemptID      // attempt that is being answered, unless it was cancelled before
+	unlisted    fleet.TargetID // target that is missing from the last list
 	lastRequest RequestID
 	events      int
 }
 
 type trackedRequest struct {
-	idempotent bool // when it arrived
+	idempotent bool // according to the catalogue when it arrived
 	deadline   clock.Time
 	hops       uint8
 	final      bool
 	gone       bool
-	mayHaveRun bool // an attempt that did not end with a refusal
+	mayHaveRun bool // an attempt ended otherwise than with a refusal
 	running    int
 }
 
 type trackedAttempt struct {
 	req       RequestID
 	target    fleet.TargetID // empty for a forward
-	cancelled clock.Time     // 0 when not
+	cancelled clock.Time     // 0 unless cancelled
 }
 
 func newRandomRun(seed uint64, intn func(int) int, fail func(string, ...any)) *randomRun {
@@ -89,7 +89,7 @@
 	return w
 }
 
-// setServices sets the catalogue; whether bulk is idempotent changes.
+// setServices replaces the catalogue with bulk randomly idempotent or not.
 func (w *randomRun) setServices() {
 	w.idempotent["bulk"] = w.intn(2) == 0
 	w.step(&Services{List: []catalogue.Service{
@@ -99,7 +99,7 @@
 	}})
 }
 
-// step passes on an event and books its effects.
+// step applies an event, and checks and records its effects.
 func (w *randomRun) step(ev Event) {
 	w.events++
 	w.out.Reset()
@@ -129,13 +129,13 @@
 	for _, e := range w.out.Delivers {
 		answer, ok := ev.(*Answered)
 		if !ok || answer.Req != e.Req || answer.Attempt != e.Attempt || w.answering != e.Attempt {
-			w.fail("request %d got another's answer", e.Req)
+			w.fail("request %d got the answer of another attempt", e.Req)
 		}
 		w.recordFinal(e.Req)
 	}
 	for _, e := range w.out.Replies {
 		if r := w.requests[e.Req]; e.Verdict == verdict.NotRun && (r.mayHaveRun || r.running > 0) {
-			w.fail("request %d told not run, but it may have", e.Req)
+			w.fail("request %d got verdict not-run, but it may have run", e.Req)
 		}
 		w.recordFinal(e.Req)
 	}
@@ -153,16 +153,16 @@
 func (w *randomRun) recordAttempt(id RequestID, a AttemptID, deadline clock.Time, t fleet.TargetID) {
 	r := w.requests[id]
 	if r.final || r.gone {
-		w.fail("request %d sent after its end", id)
+		w.fail("attempt of request %d after its final effect", id)
 	}
 	if deadline > r.deadline {
-		w.fail("attempt of %d outlives the request", id)
+		w.fail("attempt of request %d has a later deadline than the request", id)
 	}
 	if !r.idempotent && (r.mayHaveRun || r.running > 0) {
-		w.fail("request %d repeated though it may have run", id)
+		w.fail("non-idempotent request %d sent again though it may have run", id)
 	}
 	if w.attempts[a] != nil {
-		w.fail("attempt id %d given out twice", a)
+		w.fail("attempt id %d assigned twice", a)
 	}
 	w.attempts[a] = &trackedAttempt{req: id, target: t}
 	w.open = append(w.open, a)
@@ -172,11 +172,12 @@
 	}
 }
 
-// checkTarget counts what is in flight at a target that just got a request.
+// checkTarget checks the number of attempts in flight at a target that was just
+// sent a request.
 func (w *randomRun) checkTarget(id fleet.TargetID) {
 	i := slices.IndexFunc(w.targets, func(t fleet.Target) bool { return t.ID == id })
 	if id == w.unlisted || w.targets[i].State != fleet.Live {
-		w.fail("send to target %s, which is leaving", id)
+		w.fail("send to target %s, which is not live or not listed", id)
 		return
 	}
 	n := 0
@@ -191,13 +192,13 @@
 	}
 }
 
-// checkOpenRequests checks that no request is forgotten: each still open has a timer no
-// later than its deadline.
+// checkOpenRequests checks that every open request has a timer no later than
+// its deadline, and that no attempt of an ended request is still current.
 func (w *randomRun) checkOpenRequests() {
 	for id, r := range w.requests {
 		if r.final || r.gone {
 			if r.running > 0 {
-				w.fail("request %d ended with an attempt not cancelled", id)
+				w.fail("request %d ended, but one of its attempts was not cancelled", id)
 			}
 			if r.running == 0 && !w.hasOpen(id) {
 				delete(w.requests, id)
@@ -205,10 +206,10 @@
 			continue
 		}
 		if w.now >= r.deadline {
-			w.fail("request %d open after its deadline", id)
+			w.fail("request %d still open after its deadline", id)
 		}
 		if w.out.Wake > r.deadline {
-			w.fail("wake at %d, request %d due at %d", w.out.Wake, id, r.deadline)
+			w.fail("wake at %d, but request %d has its deadline at %d", w.out.Wake, id, r.deadline)
 		}
 	}
 }
@@ -217,7 +218,7 @@
 	return slices.ContainsFunc(w.open, func(a AttemptID) bool { return w.attempts[a].req == id })
 }
 
-// randomEvent does one random thing.
+// randomEvent applies one random event.
 func (w *randomRun) randomEvent() {
 	w.now = w.now.Add(time.Duration(w.intn(4)*w.intn(4)*w.intn(4)) * time.Millisecond)
 	if w.out.Wake <= w.now {
@@ -263,8 +264,8 @@
 	w.step(&Arrive{Req: w.lastRequest, Service: service, Block: uint64(w.intn(50)), Deadline: r.deadline, Hops: r.hops, BodyBytes: int64(w.intn(500)), ExpectedWait: time.Duration(w.intn(300)) * time.Millisecond})
 }
 
-// takeAttempt removes a random open attempt from the books; answers thus come in any
-// order, and late ones after a cancel.
+// takeAttempt removes a random open attempt from the records, so that answers
+// come in any order, and late after a cancel.
 func (w *randomRun) takeAttempt() (AttemptID, *trackedAttempt) {
 	if len(w.open) == 0 {
 		return 0, nil
@@ -317,7 +318,7 @@
 	w.lateAnswers = append(w.lateAnswers, Answered{Req: e.Req, Attempt: id, Status: 200})
 }
 
-// lateAnswer gives a late answer, to one of the last attempts that ended.
+// lateAnswer answers one of the last attempts that have ended.
 func (w *randomRun) lateAnswer() {
 	if len(w.lateAnswers) > 0 {
 		e := w.lateAnswers[max(len(w.lateAnswers)-1-w.intn(4), 0)]
@@ -338,7 +339,7 @@
 	t.State = fleet.State(max(w.intn(4)-1, 0))
 	t.Slots = 1 + w.intn(4)
 	if w.intn(4) == 0 {
-		// A target vanishes from the list, and may come back later.
+		// One target is missing from the list, and may return later.
 		w.targets[0], w.targets[len(w.targets)-1] = w.targets[len(w.targets)-1], w.targets[0]
 		w.unlisted = w.targets[0].ID
 		w.step(&Targets{List: w.targets[1:]})
--- a/decide/dispatch/ready.go
+++ b/decide/dispatch/ready.go
@@ -8,18 +8,18 @@
 	"github.com/azurethread/azurethread/decide/verdict"
 )
 
-// Send hands a request to a target of the own failure domain.
+// Send sends a request to a target of the own failure domain.
 type Send struct {
 	Req      RequestID
 	Attempt  AttemptID
 	Target   fleet.TargetID
 	Deadline clock.Time
-	// NewConnection says that an earlier attempt may be on a silent connection, so that
-	// this one needs a new connection: free ones may be silent as well.
+	// NewConnection asks for a new connection: an earlier attempt may be on a
+	// silent connection, and free connections may be silent as well.
 	NewConnection bool
 }
 
-// Forward hands a request to an entry VM elsewhere.
+// Forward sends a request to another entry VM.
 type Forward struct {
 	Req      RequestID
 	Attempt  AttemptID
@@ -37,34 +37,34 @@
 	Attempt AttemptID
 }
 
-// Reply gives the caller an error. It is the request's final effect.
+// Reply answers the caller with an error. It is the request's final effect.
 type Reply struct {
 	Req        RequestID
 	Verdict    verdict.Verdict
 	Reason     verdict.Reason
-	RetryAfter time.Duration // 0 when there is nothing to say
+	RetryAfter time.Duration // 0 when not stated
 }
 
-// Cancel ends an attempt whose answer is no longer wanted.
+// Cancel ends an attempt whose answer is no longer needed.
 type Cancel struct {
 	Req     RequestID
 	Attempt AttemptID
-	// Replace says that the attempt's connection is suspected silent: close
-	// it and open another.
+	// Replace reports that the attempt's connection is suspected to be silent:
+	// close it and open another.
 	Replace bool
 }
 
-// Probe asks for a Health event about a target.
+// Probe requests a Health event about a target.
 type Probe struct{ Target fleet.TargetID }
 
-// Violation is a broken invariant: a defect of this package.
+// Violation reports a violated invariant, which is a bug in this package.
 type Violation struct {
 	Invariant string
 	Detail    string
 }
 
 // Ready holds the effects of Step. The transport carries out Cancels before
-// Sends and Forwards, and may carry out the rest in any order.
+// Sends and Forwards; the other effects have no order.
 type Ready struct {
 	Sends      []Send
 	Forwards   []Forward
@@ -77,7 +77,7 @@
 	Wake clock.Time
 }
 
-// Reset empties r and keeps its memory.
+// Reset empties r but keeps its memory.
 func (r *Ready) Reset() {
 	r.Sends = r.Sends[:0]
 	r.Forwards = r.Forwards[:0]
--- a/decide/dispatch/remote.go
+++ b/decide/dispatch/remote.go
@@ -12,20 +12,21 @@
 )
 
 const (
-	// maxRegionRefusals and maxFarRefusals are how many entry VMs in the region
-	// and elsewhere may refuse one request before it stays here.
+	// maxRegionRefusals and maxOtherRefusals limit how many entry VMs within
+	// the region and outside of it may refuse a request before it is no longer
+	// forwarded there.
 	maxRegionRefusals = 3
 	maxOtherRefusals  = 2
 	// costTolerance is how much longer than the best a forward may take and
-	// still be drawn for it, so that not all senders choose the same receiver.
+	// still be a candidate, so that senders don't all choose the same receiver.
 	costTolerance = 3 * time.Millisecond
 	// maxRegionRTT is the longest round trip within a region.
 	maxRegionRTT = 10 * time.Millisecond
-	// minHeadroom is the least room a receiver must have.
+	// minHeadroom is the least headroom of a receiver.
 	minHeadroom = 1
 )
 
-// setRemotes takes over the load reports of other entry VMs.
+// setRemotes applies the load reports of other entry VMs.
 func (s *State) setRemotes(list []Remote) {
 	s.clearReported()
 	s.vmCount = 0
@@ -37,8 +38,8 @@
 	}
 	s.dropUnreported()
 	s.drainAll()
-	for _, v := range s.services {
-		s.forwardQueued(v)
+	for _, svc := range s.services {
+		s.forwardQueued(svc)
 	}
 }
 
@@ -46,9 +47,9 @@
 	for _, vm := range s.vms {
 		vm.reported = false
 	}
-	for _, v := range s.services {
-		for _, l := range v.remotes {
-			l.reported = false
+	for _, svc := range s.services {
+		for _, rs := range svc.remotes {
+			rs.reported = false
 		}
 	}
 }
@@ -74,21 +75,21 @@
 	if vm == nil {
 		return
 	}
-	v := s.service(e.Service)
-	i, found := slices.BinarySearchFunc(v.remotes, e.VM, func(l *remoteService, id fleet.VMID) int { return cmp.Compare(l.vm.id, id) })
+	svc := s.service(e.Service)
+	i, found := slices.BinarySearchFunc(svc.remotes, e.VM, func(rs *remoteService, id fleet.VMID) int { return cmp.Compare(rs.vm.id, id) })
 	if !found {
-		v.remotes = slices.Insert(v.remotes, i, &remoteService{vm: vm, svc: v})
+		svc.remotes = slices.Insert(svc.remotes, i, &remoteService{vm: vm, svc: svc})
 	}
-	l := v.remotes[i]
-	l.reported = true
-	l.window.Report(e.Headroom, l.inFlightRatio(), s.now.Add(-e.Age), l.inFlight, s.vmCount, s.rng)
+	rs := svc.remotes[i]
+	rs.reported = true
+	rs.window.Report(e.Headroom, rs.inFlightRatio(), s.now.Add(-e.Age), rs.inFlight, s.vmCount, s.rng)
 }
 
-// dropUnreported drops what the last reports don't mention, once nothing is in
-// flight there.
+// dropUnreported removes services and entry VMs that are missing from the last
+// reports and have nothing in flight.
 func (s *State) dropUnreported() {
-	for _, v := range s.services {
-		v.remotes = slices.DeleteFunc(v.remotes, func(l *remoteService) bool { return !l.reported && l.inFlight == 0 })
+	for _, svc := range s.services {
+		svc.remotes = slices.DeleteFunc(svc.remotes, func(rs *remoteService) bool { return !rs.reported && rs.inFlight == 0 })
 	}
 	for id, vm := range s.vms {
 		if !vm.reported && vm.inFlight == 0 {
@@ -97,17 +98,17 @@
 	}
 }
 
-// chooseRemote returns the entry VM to forward r to when that is expected to be
-// sooner than waiting here for the given time, or nil.
+// chooseRemote returns the entry VM to forward r to if that is expected to be
+// faster than waiting here for the given time, else nil.
 func (s *State) chooseRemote(r *request, wait time.Duration) *remoteService {
 	if r.hops > 0 || s.opts.PlainBalancer || s.lim.MaxRemoteLoadAge < 0 {
 		return nil
 	}
-	v := r.svc
+	svc := r.svc
 	limit := min(float64(wait), float64(s.latestStart(r)-s.now))
 	best := limit
-	for _, l := range v.remotes {
-		if c := s.forwardCost(l); c < best && s.headroomFor(r, l) >= minHeadroom {
+	for _, rs := range svc.remotes {
+		if c := s.forwardCost(rs); c < best && s.headroomFor(r, rs) >= minHeadroom {
 			best = c
 		}
 	}
@@ -117,150 +118,156 @@
 	return s.drawRemote(r, min(best+float64(costTolerance), limit))
 }
 
-// drawRemote draws among the entry VMs up to the given cost, by their room.
+// drawRemote draws among the entry VMs up to the given cost, weighted by their
+// headroom.
 func (s *State) drawRemote(r *request, most float64) *remoteService {
 	var chosen *remoteService
 	total := 0.0
-	for _, l := range r.svc.remotes {
-		if s.forwardCost(l) > most {
+	for _, rs := range r.svc.remotes {
+		if s.forwardCost(rs) > most {
 			continue
 		}
-		room := s.headroomFor(r, l)
+		room := s.headroomFor(r, rs)
 		if room < minHeadroom {
 			continue
 		}
 		total += room
 		if s.rng.Float64()*total < room {
-			chosen = l
+			chosen = rs
 		}
 	}
 	return chosen
 }
 
-// forwardQueued forwards waiting requests when there is room elsewhere again: those
-// that have waited longest among the ones whose turn here would come later
-// than an answer from there.
-func (s *State) forwardQueued(v *service) {
-	for v.queue.Len() > 0 {
-		ahead := s.servedWithin(v, s.lowestForwardCost(v))
-		n := v.queue.Front()
+// forwardQueued forwards queued requests when entry VMs elsewhere have headroom
+// again. Of the requests that would be served here later than there, it takes
+// those that have waited longest.
+func (s *State) forwardQueued(svc *service) {
+	for svc.queue.Len() > 0 {
+		ahead := s.servedWithin(svc, s.lowestForwardCost(svc))
+		n := svc.queue.Front()
 		for i := 0; i < ahead && n != nil; i++ {
 			n = n.Next()
 		}
 		if n == nil {
 			return
 		}
-		wait := s.expectedWait(v, ahead)
-		l := s.chooseRemote(n.Item, wait)
-		if l == nil || !s.forward(n.Item, l, wait) {
+		wait := s.expectedWait(svc, ahead)
+		rs := s.chooseRemote(n.Item, wait)
+		if rs == nil || !s.forward(n.Item, rs, wait) {
 			return
 		}
 	}
 }
 
-// lowestForwardCost returns the least cost of a forward to an entry VM with room.
-func (s *State) lowestForwardCost(v *service) float64 {
+// lowestForwardCost returns the lowest cost of a forward to an entry VM with
+// headroom.
+func (s *State) lowestForwardCost(svc *service) float64 {
 	best := float64(unknownWait)
-	for _, l := range v.remotes {
-		if c := s.forwardCost(l); c < best && s.headroom(l) >= minHeadroom {
+	for _, rs := range svc.remotes {
+		if c := s.forwardCost(rs); c < best && s.headroom(rs) >= minHeadroom {
 			best = c
 		}
 	}
 	return best
 }
 
-// servedWithin returns how many waiting requests are served here within d ns.
-func (s *State) servedWithin(v *service, d float64) int {
-	return int(d * float64(v.capacity) / v.meanLatency())
+// servedWithin returns how many queued requests are expected to be served here
+// within d ns.
+func (s *State) servedWithin(svc *service, d float64) int {
+	return int(d * float64(svc.capacity) / svc.meanLatency())
 }
 
-// inRegion reports whether a round trip to l costs next to nothing.
-func (l *remoteService) inRegion() bool { return l.vm.rtt <= maxRegionRTT }
+// inRegion reports whether the round trip is short enough for an entry VM
+// within the region.
+func (rs *remoteService) inRegion() bool { return rs.vm.rtt <= maxRegionRTT }
 
-// countRefusal records that l refused r.
-func (r *request) countRefusal(l *remoteService) {
-	if l.inRegion() {
+// countRefusal records that rs refused r.
+func (r *request) countRefusal(rs *remoteService) {
+	if rs.inRegion() {
 		r.regionRefusals++
 	} else {
 		r.otherRefusals++
 	}
 }
 
-func (r *request) tooManyRefusals(l *remoteService) bool {
-	if l.inRegion() {
+func (r *request) tooManyRefusals(rs *remoteService) bool {
+	if rs.inRegion() {
 		return r.regionRefusals >= maxRegionRefusals
 	}
 	return r.otherRefusals >= maxOtherRefusals
 }
 
-// forwardCost is the time a forward is expected to take beyond the usual
+// forwardCost returns the time a forward is expected to take beyond the mean
 // latency, in ns.
-func (s *State) forwardCost(l *remoteService) float64 {
-	rtt := float64(l.vm.rtt)
-	usual := l.svc.meanLatency()
-	return max(rtt, l.mean.At(s.now, rtt+usual)-usual)
+func (s *State) forwardCost(rs *remoteService) float64 {
+	rtt := float64(rs.vm.rtt)
+	mean := rs.svc.meanLatency()
+	return max(rtt, rs.mean.At(s.now, rtt+mean)-mean)
 }
 
-// headroomFor returns how many forwards l can take now.
-func (s *State) headroomFor(r *request, l *remoteService) float64 {
-	if l.vm == r.avoidVM || r.tooManyRefusals(l) {
+// headroomFor returns how many forwards rs can take now, if r may be forwarded
+// to it, else 0.
+func (s *State) headroomFor(r *request, rs *remoteService) float64 {
+	if rs.vm == r.avoidVM || r.tooManyRefusals(rs) {
 		return 0
 	}
-	return s.headroom(l)
+	return s.headroom(rs)
 }
 
-// headroom is room for any request.
-func (s *State) headroom(l *remoteService) float64 {
-	switch l.vm.outlier.Standing() {
+// headroom returns how many forwards rs can take now.
+func (s *State) headroom(rs *remoteService) float64 {
+	switch rs.vm.outlier.Standing() {
 	case target.Ejected:
-		if s.now < l.vm.outlier.Until() {
+		if s.now < rs.vm.outlier.Until() {
 			return 0
 		}
-		return s.testHeadroom(l)
+		return s.testHeadroom(rs)
 	case target.Testing:
-		return s.testHeadroom(l)
+		return s.testHeadroom(rs)
 	default:
-		return l.window.Room(s.now, l.inFlight, s.lim.MaxRemoteLoadAge, l.inRegion())
+		return rs.window.Room(s.now, rs.inFlight, s.lim.MaxRemoteLoadAge, rs.inRegion())
 	}
 }
 
-// testHeadroom lets one request at a time show whether an entry VM answers again.
-// It needs a report made lately, as a region that is lost makes none.
-func (s *State) testHeadroom(l *remoteService) float64 {
-	if l.window.Room(s.now, l.inFlight, s.lim.MaxRemoteLoadAge, true) <= 0 {
+// testHeadroom allows one request at a time, to test whether an entry VM
+// answers again. It requires a recent report, because a lost region sends none.
+func (s *State) testHeadroom(rs *remoteService) float64 {
+	if rs.window.Room(s.now, rs.inFlight, s.lim.MaxRemoteLoadAge, true) <= 0 {
 		return 0
 	}
-	return float64(1 - l.vm.inFlight)
+	return float64(1 - rs.vm.inFlight)
 }
 
-// remoteAnswered learns from the answer to a forward.
-func (s *State) remoteAnswered(l *remoteService, load *LoadHint, took time.Duration) {
-	l.vm.outlier.Answered(s.now)
-	l.window.Answered()
-	l.mean.Observe(s.now, took)
+// remoteAnswered records the answer to a forward.
+func (s *State) remoteAnswered(rs *remoteService, load *LoadHint, took time.Duration) {
+	rs.vm.outlier.Answered(s.now)
+	rs.window.Answered()
+	rs.mean.Observe(s.now, took)
 	if load != nil && load.Slots > 0 {
-		l.window.Report(load.Slots-load.InFlight, l.inFlightRatio(), s.now, l.inFlight, s.vmCount, s.rng)
+		rs.window.Report(load.Slots-load.InFlight, rs.inFlightRatio(), s.now, rs.inFlight, s.vmCount, s.rng)
 	}
 }
 
-// remoteAttemptFailed learns from a forward that failed.
-func (s *State) remoteAttemptFailed(l *remoteService, e *Failed, sentAt clock.Time) {
+// remoteAttemptFailed records the failure of a forward.
+func (s *State) remoteAttemptFailed(rs *remoteService, e *Failed, sentAt clock.Time) {
 	switch {
 	case e.Verdict == verdict.NotRun && refusedForLoad(e.Reason):
-		l.window.Refused(s.now, sentAt, l.vm.rtt)
+		rs.window.Refused(s.now, sentAt, rs.vm.rtt)
 	case e.Verdict == verdict.NotRun && e.Reason == verdict.ReasonStopping:
-		l.vm.outlier.Eject(s.now, s.rng)
-		l.vm.outlier.Postpone(s.now.Add(leavingPause))
+		rs.vm.outlier.Eject(s.now, s.rng)
+		rs.vm.outlier.Postpone(s.now.Add(leavingPause))
 	case e.Reason == verdict.ReasonConnect, e.Reason == verdict.ReasonConnectionLost, e.Reason == verdict.ReasonSilent:
-		s.recordRemoteFailure(l)
+		s.recordRemoteFailure(rs)
 	}
 }
 
-// recordRemoteFailure records that an entry VM didn't answer. Other reasons are those
-// of a target behind it.
-func (s *State) recordRemoteFailure(l *remoteService) {
-	if l.vm.outlier.Failed() && s.now >= l.vm.outlier.Until() {
-		l.vm.outlier.Eject(s.now, s.rng)
+// recordRemoteFailure records that an entry VM didn't answer and ejects it if
+// it is an outlier. Other reasons are caused by a target behind it and are not
+// recorded.
+func (s *State) recordRemoteFailure(rs *remoteService) {
+	if rs.vm.outlier.Failed() && s.now >= rs.vm.outlier.Until() {
+		rs.vm.outlier.Eject(s.now, s.rng)
 	}
 }
 
--- a/decide/dispatch/request.go
+++ b/decide/dispatch/request.go
@@ -9,11 +9,11 @@
 	"github.com/azurethread/azurethread/decide/verdict"
 )
 
-// maxCurrent is how many attempts of a request can be current at once: the
-// first one, a hedge and a second one on a new connection.
+// maxCurrent is the number of attempts of a request that can be current at
+// once: the first one, a hedge and a duplicate on a new connection.
 const maxCurrent = 3
 
-// request is one accepted request until its final effect.
+// request is an accepted request without a final effect.
 type request struct {
 	id                 RequestID
 	svc                *service
@@ -23,26 +23,27 @@
 	arrived            clock.Time
 	deadline           clock.Time
 	hops               uint8
-	acceptableWait     time.Duration // of a forwarded request: the wait that its sender thinks worth while
-	idempotent         bool          // as the catalogue said on arrival
+	acceptableWait     time.Duration // of a forwarded request: how long it may wait here and still be served sooner than at the sender
+	idempotent         bool          // according to the catalogue on arrival
 	hedged             bool
-	duplicated         bool       // sent once more on a new connection, without a cancel
-	duplicateNotBefore clock.Time // when to try that again after it wasn't possible
+	duplicated         bool       // sent once more on a new connection while the first attempt continues
+	duplicateNotBefore clock.Time // earliest next try after no slot or budget was available
 
-	attempts       int             // sends and forwards so far, without refused forwards
-	regionRefusals int             // by entry VMs of the region, for lack of capacity
-	otherRefusals  int             // by others
-	joinedVerdict  verdict.Verdict // of all ended attempts; NotRun before any
+	attempts       int             // sends and forwards so far, except refused forwards
+	regionRefusals int             // for lack of capacity, by entry VMs within the region
+	otherRefusals  int             // for lack of capacity, by entry VMs of other regions
+	joinedVerdict  verdict.Verdict // of all ended attempts; NotRun before the first end
 	current        [maxCurrent]*attempt
-	numCurrent     int          // used part of current
+	numCurrent     int          // number of entries used in current
 	avoidTarget    *targetState // target of the last failed attempt
 	avoidVM        *remoteVM    // entry VM of the last failed forward
 
-	due        clock.Time
-	timerIndex int // index in timers, or notTimed
+	due        clock.Time // when its timer fires
+	timerIndex int        // in State.timers, or noTimer
 }
 
-// removeCurrent takes a out of the current attempts and reports whether it was one.
+// removeCurrent removes a from the current attempts and reports whether it was
+// one of them.
 func (r *request) removeCurrent(a *attempt) bool {
 	for i := 0; i < r.numCurrent; i++ {
 		if r.current[i] != a {
@@ -56,32 +57,32 @@
 	return false
 }
 
-// attempt is one send or forward from its start until its connection is free
-// again. It may outlive its request: the slot it takes is used until then.
+// attempt is one send or forward, from its start until its connection is free
+// again. It may outlive its request, and occupies its slot until then.
 type attempt struct {
 	id             AttemptID
 	reqID          RequestID
-	req            *request // nil once its answer is no longer wanted
+	req            *request // nil once the answer is no longer needed
 	svc            *service
 	target         *targetState   // nil for a forward
 	remote         *remoteService // nil for a send
-	acceptableWait time.Duration  // of a forward: the wait that the receiver was told is worth while
+	acceptableWait time.Duration  // of a forward: how long the receiver may let it wait
 	borrowed       bool
 	sentAt         clock.Time
-	nextCheck      clock.Time // when to look next whether the connection is silent
-	tailStart      clock.Time // from when the tail rule counts
+	nextCheck      clock.Time // when to check again whether the connection is silent
+	tailStart      clock.Time // from when the p99 rule measures the silence
 	releaseAt      clock.Time // of a cancelled attempt: when it counts as ended
 
-	detectID      detect.ID // its number in svc.silence, while watched
+	detectID      detect.ID // in svc.silence, while watched
 	watched       bool
-	suspected     bool // suspected, and counted against the receiver
-	boundExceeded bool // was over the bound of the tail rule, with nobody answered
+	suspected     bool // found silent, and counted as a failure of the receiver
+	boundExceeded bool // was silent beyond the p99 rule, while nobody else was answered
 	duplicated    bool // its request was sent once more because of it
 }
 
-// attempts gives out attempt ids and finds attempts by them. An id is an index
-// into the table with a generation above it, so that finding one needs no map
-// and an id is never given out twice.
+// attempts allocates attempts and finds them by id. An id combines an index
+// into the table with a generation number, so that a look-up needs no map and
+// an id is never reused.
 type attempts struct {
 	slots []*attempt
 	free  []uint32
@@ -89,7 +90,7 @@
 
 const indexBits = 32
 
-// start returns a new attempt.
+// start allocates an attempt.
 func (t *attempts) start() *attempt {
 	if len(t.free) == 0 {
 		i := uint32(len(t.slots))
@@ -103,7 +104,7 @@
 	return a
 }
 
-// find returns the attempt of the given id if it belongs to the request and
+// find returns the attempt with the given id if it belongs to the request and
 // hasn't ended, else nil.
 func (t *attempts) find(id AttemptID, req RequestID) *attempt {
 	i := id & (1<<indexBits - 1)
@@ -117,17 +118,18 @@
 	return a
 }
 
-// end frees a; its id is never found again.
+// end frees a. Its id is not found any more.
 func (t *attempts) end(a *attempt) {
 	*a = attempt{id: a.id}
 	t.free = append(t.free, uint32(a.id&(1<<indexBits-1)))
 }
 
-// running returns how many attempts have not ended.
+// running returns the number of attempts that have not ended.
 func (t *attempts) running() int { return len(t.slots) - len(t.free) }
 
-// cancelledQueue is the queue of cancelled attempts by the instant they count as
-// ended. All wait for the same time, so it is in order by itself.
+// cancelledQueue is a FIFO of cancelled attempts, ordered by the time at which
+// they count as ended. That time is the same after each cancel, so appending
+// keeps the order.
 type cancelledQueue struct {
 	ring  []cancelledAttempt
 	first int
--- a/decide/dispatch/send.go
+++ b/decide/dispatch/send.go
@@ -7,8 +7,9 @@
 	"github.com/azurethread/azurethread/decide/verdict"
 )
 
-// minHedgeFreeShare is the part of the slots that must be free on average for hedges
-// to be sent: near capacity they delay more requests than they help.
+// minHedgeFreeShare is the part of the slots that must be free on average
+// before hedges are sent: near capacity they delay more requests than they
+// help.
 const minHedgeFreeShare = 0.3
 
 // trySend sends r to a local target if one has a free slot.
@@ -20,8 +21,8 @@
 	return s.send(r, t, borrowed)
 }
 
-// send hands r to t. It reports false, and does nothing, when that would
-// break an invariant.
+// send sends r to t. It does nothing and returns false when that would violate
+// an invariant.
 func (s *State) send(r *request, t *targetState, borrowed bool) bool {
 	if !s.checkSend(r, t) {
 		return false
@@ -40,32 +41,32 @@
 	return true
 }
 
-// forward hands r to the entry VM of l. It reports false, and does nothing,
-// when that would break an invariant.
-func (s *State) forward(r *request, l *remoteService, wait time.Duration) bool {
+// forward forwards r to the entry VM of rs. It does nothing and returns false
+// when that would violate an invariant.
+func (s *State) forward(r *request, rs *remoteService, wait time.Duration) bool {
 	if !s.checkForward(r) {
 		return false
 	}
 	s.dequeue(r)
 	a := s.startAttempt(r)
-	a.remote = l
-	a.acceptableWait = s.acceptableWait(l, wait)
+	a.remote = rs
+	a.acceptableWait = s.acceptableWait(rs, wait)
 	s.watch(a)
-	l.inFlight++
-	l.vm.inFlight++
-	// The other entry VM must give up early enough for its answer to be here
-	// in time.
-	deadline := max(r.deadline-clock.Time(l.vm.rtt/2), s.now)
-	s.out.Forwards = append(s.out.Forwards, Forward{Req: r.id, Attempt: a.id, VM: l.vm.id, Deadline: deadline, ExpectedWait: a.acceptableWait})
+	rs.inFlight++
+	rs.vm.inFlight++
+	// The other entry VM has to give up early enough for its reply to arrive
+	// here in time.
+	deadline := max(r.deadline-clock.Time(rs.vm.rtt/2), s.now)
+	s.out.Forwards = append(s.out.Forwards, Forward{Req: r.id, Attempt: a.id, VM: rs.vm.id, Deadline: deadline, ExpectedWait: a.acceptableWait})
 	s.schedule(r)
 	return true
 }
 
-// acceptableWait returns how long a request may wait at l and still be served
-// sooner than here after the given wait. It is bounded, as a receiver that is
-// lost is noticed that much later.
-func (s *State) acceptableWait(l *remoteService, wait time.Duration) time.Duration {
-	return min(max(wait-l.vm.rtt, 0), s.interactiveWait(l.svc))
+// acceptableWait returns how long a request may wait at rs and still be served
+// sooner than here, where it would wait for the given time. It is bounded,
+// because a lost receiver is detected later by that time.
+func (s *State) acceptableWait(rs *remoteService, wait time.Duration) time.Duration {
+	return min(max(wait-rs.vm.rtt, 0), s.interactiveWait(rs.svc))
 }
 
 func (s *State) startAttempt(r *request) *attempt {
@@ -81,7 +82,7 @@
 	return a
 }
 
-// schedule sets the timer of a request with current attempts.
+// schedule sets the timer of a request that has current attempts.
 func (s *State) schedule(r *request) {
 	at := r.deadline
 	for i := 0; i < r.numCurrent; i++ {
@@ -90,7 +91,7 @@
 	s.timers.set(r, min(at, s.hedgeAt(r), s.duplicateAt(r)))
 }
 
-// hedgeAt returns when a second attempt of r is worth its cost.
+// hedgeAt returns when to hedge r.
 func (s *State) hedgeAt(r *request) clock.Time {
 	if !r.idempotent || r.hedged || r.numCurrent != 1 || s.lim.MinHedgeDelay < 0 || s.opts.PlainBalancer {
 		return clock.Never
@@ -103,51 +104,51 @@
 	return a.sentAt.Add(max(p95, s.lim.MinHedgeDelay))
 }
 
-// hedge sends r a second time when that takes nothing from others: there is a
-// free slot at another target, nobody waits, and the budget has to spare.
+// hedge sends r a second time if that delays no other request: another target
+// has a free slot, no request is queued, and the budget has tokens to spare.
 func (s *State) hedge(r *request) {
 	r.hedged = true
-	v := r.svc
-	if v.queue.Len() > 0 || r.attempts >= s.lim.MaxAttempts || v.freeSlots.mean < minHedgeFreeShare*float64(v.capacity) {
+	svc := r.svc
+	if svc.queue.Len() > 0 || r.attempts >= s.lim.MaxAttempts || svc.freeSlots.mean < minHedgeFreeShare*float64(svc.capacity) {
 		return
 	}
 	r.avoidTarget = r.current[0].target
 	t, borrowed := s.choose(r)
-	if t == nil || borrowed || t == r.avoidTarget || !v.budget.SpendSpare() {
+	if t == nil || borrowed || t == r.avoidTarget || !svc.budget.SpendSpare() {
 		return
 	}
 	s.send(r, t, false)
 }
 
-// drainAll serves all queues after a change of what targets may take.
+// drainAll drains the queues of all services after a change of capacity.
 func (s *State) drainAll() {
-	for _, v := range s.services {
-		s.drain(v)
+	for _, svc := range s.services {
+		s.drain(svc)
 	}
 }
 
-// drain sends waiting requests while there are slots.
-func (s *State) drain(v *service) {
-	for n := v.queue.Front(); n != nil; n = v.queue.Front() {
+// drain sends or forwards queued requests while there are free slots.
+func (s *State) drain(svc *service) {
+	for n := svc.queue.Front(); n != nil; n = svc.queue.Front() {
 		r := n.Item
 		if s.now >= s.latestStart(r) {
-			s.replyWithError(r, verdict.ReasonDeadline, retryAfter(s.expectedWait(v, v.queue.Len())))
+			s.replyWithError(r, verdict.ReasonDeadline, retryAfter(s.expectedWait(svc, svc.queue.Len())))
 			continue
 		}
 		if s.trySend(r) {
 			continue
 		}
-		// The first in line waits only for the next slot, but an entry VM close
-		// by with a free one is sooner still.
-		wait := s.expectedWait(v, 0)
-		l := s.chooseRemote(r, wait)
-		if l == nil || !s.forward(r, l, wait) {
+		// The first request in the queue waits only for the next slot, but a
+		// nearby entry VM with a free slot may still be faster.
+		wait := s.expectedWait(svc, 0)
+		rs := s.chooseRemote(r, wait)
+		if rs == nil || !s.forward(r, rs, wait) {
 			return
 		}
 	}
 }
 
-// finish ends r after its final effect and cancels attempts still current.
+// finish ends r after its final effect and cancels its current attempts.
 func (s *State) finish(r *request) {
 	s.dequeue(r)
 	for r.numCurrent > 0 {
@@ -161,8 +162,8 @@
 	s.requestPool = append(s.requestPool, r)
 }
 
-// cancel ends the interest in a; its slot stays taken until the transport
-// reports the end, or for the grace period.
+// cancel cancels a. Its slot stays occupied until the transport reports the
+// end, or for CancelGrace.
 func (s *State) cancel(a *attempt, replace bool) {
 	s.out.Cancels = append(s.out.Cancels, Cancel{Req: a.reqID, Attempt: a.id, Replace: replace})
 	s.unwatch(a)
@@ -172,7 +173,7 @@
 	s.cancelled.push(cancelledAttempt{attempt: a.id, req: a.reqID, releaseAt: a.releaseAt})
 }
 
-// release frees what a holds, and a itself.
+// release frees a and the slot that it occupies.
 func (s *State) release(a *attempt) {
 	s.unwatch(a)
 	if a.req != nil {
@@ -185,14 +186,14 @@
 		s.updateCapacity(t)
 		t.svc.observeFreeSlots(s.now)
 	}
-	if l := a.remote; l != nil {
-		l.inFlight--
-		l.vm.inFlight--
+	if rs := a.remote; rs != nil {
+		rs.inFlight--
+		rs.vm.inFlight--
 	}
 	s.attempts.end(a)
 }
 
-// deliver passes on the answer of a.
+// deliver passes on the answer to the attempt with the given id.
 func (s *State) deliver(r *request, id AttemptID) {
 	for _, a := range r.current[:r.numCurrent] {
 		if a.duplicated {
@@ -203,8 +204,8 @@
 	s.finish(r)
 }
 
-// replyWithError answers r with an error. Attempts still running may yet run, so the
-// verdict counts them.
+// replyWithError ends r with an error. Attempts that are still current may run,
+// so the verdict includes them.
 func (s *State) replyWithError(r *request, reason verdict.Reason, after time.Duration) {
 	v := r.joinedVerdict
 	if r.numCurrent > 0 {
--- a/decide/dispatch/service.go
+++ b/decide/dispatch/service.go
@@ -12,21 +12,22 @@
 	"github.com/azurethread/azurethread/decide/target"
 )
 
-// initialMeanLatency stands for a service's latency before the first answer.
+// initialMeanLatency stands in for a service's mean latency before its first
+// answer.
 const initialMeanLatency = 50 * time.Millisecond
 
-// service is what State holds for one service.
+// service is the state of one service.
 type service struct {
 	name       fleet.ServiceName
 	listed     bool // in the catalogue
-	hadTargets bool // a target of it has been in a list
+	hadTargets bool // some list of targets has contained one of it
 	idempotent bool
 	deferrable bool
 	timeout    time.Duration
 
 	targets     []*targetState // sorted by id
 	freeTargets bitset         // targets with a free slot
-	capacity    int            // sum of granted
+	capacity    int            // sum over targets of their capacity
 	inFlight    int            // sends that have not ended
 	queue       queue.FIFO[*request]
 	remotes     []*remoteService // sorted by VM
@@ -35,61 +36,61 @@
 	tail       target.Quantiles
 	silence    silenceDetector
 	budget     retry.Budget
-	lastAnswer clock.Time  // of any target or entry VM
-	nextIndex  int         // of RoundRobin
-	freeSlots  slotAverage // free slots over time
+	lastAnswer clock.Time  // by any target or entry VM
+	nextIndex  int         // into targets, for RoundRobin and LeastInFlight
+	freeSlots  slotAverage // average over time
 }
 
-// meanLatency returns the expected latency of a send in ns.
-func (v *service) meanLatency() float64 { return v.mean.Value(float64(initialMeanLatency)) }
+// meanLatency returns the mean latency of a send in ns.
+func (svc *service) meanLatency() float64 { return svc.mean.Value(float64(initialMeanLatency)) }
 
-// configure takes over what the catalogue says.
-func (v *service) configure(c catalogue.Service) {
-	v.listed = true
-	v.idempotent = c.Idempotent
-	v.deferrable = c.Priority != catalogue.Interactive
+// configure applies the settings of the catalogue.
+func (svc *service) configure(c catalogue.Service) {
+	svc.listed = true
+	svc.idempotent = c.Idempotent
+	svc.deferrable = c.Priority != catalogue.Interactive
 	timeout := time.Duration(c.Timeout)
 	if timeout == 0 {
 		timeout = catalogue.DefaultTimeout
 	}
-	if timeout != v.timeout {
-		v.timeout = timeout
-		v.silence.configure(timeout)
+	if timeout != svc.timeout {
+		svc.timeout = timeout
+		svc.silence.configure(timeout)
 	}
 }
 
-// targetState is what State holds for one target of the own failure domain.
+// targetState is the state of one target of the own failure domain.
 type targetState struct {
 	id            fleet.TargetID
 	svc           *service
 	index         int  // in svc.targets
 	listed        bool // in the last Targets event
-	leaving       bool // as the list says
-	declaredSlots int  // slots as the list says
-	slots         int  // slots in force: declared, or fewer when the target says so
-	share         int  // slots of this entry VM
+	leaving       bool // according to that list
+	declaredSlots int  // according to that list
+	slots         int  // in use: declaredSlots, or fewer when the target states fewer
+	share         int  // this entry VM's part of slots
 	inFlight      int
-	capacity      int // requests this entry VM may have in flight without borrowing
+	capacity      int // requests that this entry VM may have in flight without borrowing
 
 	limit          limit.Adaptive
 	borrow         limit.Borrow
 	mean           target.Mean
 	outlier        target.Outlier
 	recentAnswers  recentAnswers
-	ejectedBriefly bool       // the present ejection doesn't count against the bound
+	ejectedBriefly bool       // the current ejection doesn't count against the limit on ejections
 	pausedUntil    clock.Time // after a refusal
 	suspended      bool       // in State.suspended
-	healthyAt      clock.Time // when it last said that it is well
-	cold           bool       // as last said
+	healthyAt      clock.Time // time of the last good health report
+	cold           bool       // according to its last health report
 	ejectedAt      clock.Time // start of the last ejection
 
-	acceptedConnections int        // connections the target accepts from all entry VMs
+	acceptedConnections int        // that the target accepts from all entry VMs together
 	connectionShare     int        // this entry VM's part of them
-	answeredAt          clock.Time // of the last answer with any status
-	openConnections     int        // as reported by Connection events
+	answeredAt          clock.Time // time of the last answer with any status
+	openConnections     int        // according to Connection events
 }
 
-// computeCapacity computes granted.
+// computeCapacity returns the value for capacity.
 func (t *targetState) computeCapacity(now clock.Time, ungated bool) int {
 	if t.leaving || !t.listed || now < t.pausedUntil {
 		return 0
@@ -107,29 +108,29 @@
 	}
 }
 
-// inFlightRatio is how much longer a forward is in flight here than its work takes
-// a slot there.
-func (l *remoteService) inFlightRatio() float64 {
-	usual := l.svc.meanLatency()
-	return (usual + float64(l.vm.rtt)) / usual
+// inFlightRatio returns how many times longer a forward is in flight here than
+// its request occupies a slot there.
+func (rs *remoteService) inFlightRatio() float64 {
+	mean := rs.svc.meanLatency()
+	return (mean + float64(rs.vm.rtt)) / mean
 }
 
-// remoteVM is what State holds for one other entry VM.
+// remoteVM is the state of one other entry VM.
 type remoteVM struct {
 	id       fleet.VMID
 	rtt      time.Duration
 	inFlight int
 	outlier  target.Outlier
-	reported bool // in the Remotes event at hand
+	reported bool // in the Remotes event being applied
 }
 
-// remoteService is one service at one other entry VM.
+// remoteService is the state of one service at one other entry VM.
 type remoteService struct {
 	vm            *remoteVM
 	svc           *service
 	window        limit.Window
-	mean          target.Mean // latency of forwards, round trip included
+	mean          target.Mean // latency of forwards, including the round trip
 	recentAnswers recentAnswers
 	inFlight      int
-	reported      bool
+	reported      bool // in the Remotes event being applied
 }
--- a/decide/dispatch/silence.go
+++ b/decide/dispatch/silence.go
@@ -9,76 +9,78 @@
 )
 
 const (
-	p99Factor = 3 // times the p99 latency
-	// minSilenceBound is above a pause of a target's collector or scheduler. Shorter
-	// silences are suspected by neither rule: in a service of steady latency
-	// phi alone would, and the callers of non-idempotent requests would be
-	// told of unknown outcomes at each pause.
+	p99Factor = 3 // multiple of the p99 latency after which the p99 rule suspects an attempt
+	// minSilenceBound exceeds a garbage collection or scheduling pause of a
+	// target. Neither rule suspects shorter silences: in a service of steady
+	// latency, phi would suspect each pause, and callers of non-idempotent
+	// requests would get unknown outcomes.
 	minSilenceBound = 200 * time.Millisecond
 	maxSilenceBound = 5 * time.Second
-	// minBoundWithoutP99 is the least bound while there are too few answers for a p99;
-	// the longest of them stands for it.
+	// minBoundWithoutP99 is the least bound while there are too few answers for
+	// a p99, where the longest latency is used instead.
 	minBoundWithoutP99 = time.Second
-	// minP99Factor is the least of the bound as a multiple of that latency,
-	// whatever maxBound says: a service that takes longer isn't silent.
+	// minP99Factor keeps the bound above that latency even where
+	// maxSilenceBound is lower: a service that takes longer is slow, not
+	// silent.
 	minP99Factor = 1.5
-	// unknownLatencyCheckInterval is the time between two looks at an attempt while nothing is
-	// known of its service's latency. None is given up meanwhile; the looks find
-	// what has been learnt since.
+	// unknownLatencyCheckInterval is the time between two checks of an attempt
+	// while the latency of its service is unknown. No attempt is abandoned
+	// meanwhile; a check only finds out whether the latency is known by then.
 	unknownLatencyCheckInterval = time.Second
-	// nonIdempotentSilenceFactor multiplies both for non-idempotent requests.
-	// Giving such a request up turns an answer that may still come into an
-	// unknown outcome, so only a far longer silence justifies it.
+	// nonIdempotentSilenceFactor multiplies the bounds for non-idempotent
+	// requests. Abandoning such a request turns an answer that may still come
+	// into an unknown outcome, so only a much longer silence justifies it.
 	nonIdempotentSilenceFactor = 2
-	// nonIdempotentGiveUpBound and overtakers are what a non-idempotent request is given
-	// up for: so long a silence, while so many later requests at the same
-	// target have been answered. Cut early, a submission at a healthy but slow
-	// target ends with an unknown outcome, and its caller gains nothing but to
-	// hear of it sooner.
+	// A non-idempotent request is given up after a silence of
+	// nonIdempotentGiveUpBound during which minLaterAnswers later requests to
+	// the same target have been answered. If given up earlier, a request at a
+	// healthy but slow target ends with an unknown outcome, and the caller
+	// gains nothing but an earlier error.
 	nonIdempotentGiveUpBound = time.Second
 	minLaterAnswers          = 3
-	// suspectedCheckInterval is the time between two looks at a submission that is
-	// suspected and not given up.
+	// suspectedCheckInterval is the time between two checks of a non-idempotent
+	// request that is suspected but not given up.
 	suspectedCheckInterval = 100 * time.Millisecond
-	// minCheckInterval is the least time between two looks at one attempt.
+	// minCheckInterval is the least time between two checks of an attempt.
 	minCheckInterval = 10 * time.Millisecond
 )
 
-// silenceDetector tells the silent connections of one service from slow ones. A
-// connection carries one request at a time and is closed when its attempt is
-// given up, so an attempt stands for its connection.
+// silenceDetector distinguishes silent connections of one service from slow
+// ones. A connection carries one request at a time and is closed when its
+// attempt is abandoned, so each attempt stands for its connection.
 //
-// Two rules suspect an attempt, whichever does so first. The first is phi
-// accrual over the attempts at the service's targets: close to the usual
-// latency where that varies little, but without a bound where the tail is
-// long. The second is a multiple of the p99 latency, while others have been
-// answered since. Forwards, whose latency is of another kind and whose number
-// is small, are judged by the second alone. With too few answers for a p99, the
-// longest latency seen stands for it; before any, neither rule speaks.
+// Two rules suspect an attempt, and either is sufficient. The phi rule is phi
+// accrual over the attempts at the service's targets. Its bound is close to the
+// mean latency where that varies little, but has no upper limit where the tail
+// is long. The p99 rule is a multiple of the p99 latency, and requires that
+// other attempts have been answered since. Forwards have a different latency
+// and are few, so only the p99 rule applies to them. With too few answers for a
+// p99, the longest latency observed is used instead; before any answer, neither
+// rule applies.
 type silenceDetector struct {
 	phi     *detect.Phi
-	freeIDs []detect.ID // numbers not in use
-	nextID  detect.ID   // number not used yet
-	// tail holds the latencies, and for attempts given up how long they had
-	// lasted: when the service has become slow as a whole, the bound rises
-	// instead of cutting off ever more work that would have been answered.
+	freeIDs []detect.ID // allocated and not in use
+	nextID  detect.ID   // next to be allocated
+	// tail holds latencies, and for abandoned attempts the time until they were
+	// abandoned. When the service as a whole becomes slow, the bound rises
+	// instead of cutting off ever more requests that would have been answered.
 	tail target.Quantiles
-	// longestLatency is the longest latency, that of forwards included. An attempt
-	// given up isn't in it: of several lost together, the first one would
-	// multiply the bound of the others.
+	// longestLatency is the longest latency, including forwards. Abandoned
+	// attempts are excluded: of several lost together, the first would multiply
+	// the bound of the others.
 	longestLatency time.Duration
-	// timeout is phi's bound while it knows too little.
+	// timeout is phi's bound while it has too few samples.
 	timeout time.Duration
 }
 
-// configure sets the timeout of the service's requests. What is in flight is
-// judged by the tail rule alone from then on.
+// configure sets the timeout of the service's requests. From then on only the
+// p99 rule applies to attempts already in flight.
 func (d *silenceDetector) configure(timeout time.Duration) {
 	d.phi = detect.ForAnswers(timeout)
 	d.timeout = timeout
 }
 
-// sent starts to watch an attempt and returns its number.
+// sent starts watching an attempt and returns its id.
 func (d *silenceDetector) sent(now clock.Time) detect.ID {
 	if len(d.freeIDs) == 0 {
 		d.freeIDs = append(d.freeIDs, d.nextID)
@@ -94,49 +96,49 @@
 // answered records the answer to a watched attempt.
 func (d *silenceDetector) answered(now clock.Time, id detect.ID) { d.phi.Done(now, id) }
 
-// forget ends the watch of an attempt.
+// forget stops watching an attempt.
 func (d *silenceDetector) forget(id detect.ID) {
 	d.phi.Forget(id)
 	d.freeIDs = append(d.freeIDs, id)
 }
 
-// bound returns the time after which the tail rule suspects a send, and
-// whether enough is known for it.
+// bound returns the time after which the p99 rule suspects a send, and whether
+// the latency is known well enough for it.
 func (d *silenceDetector) bound() (b time.Duration, known bool) {
-	least, usual := minSilenceBound, d.tail.P99()
-	if usual == 0 {
-		least, usual = minBoundWithoutP99, d.longestLatency
+	minBound, latency := minSilenceBound, d.tail.P99()
+	if latency == 0 {
+		minBound, latency = minBoundWithoutP99, d.longestLatency
 	}
-	if usual == 0 {
+	if latency == 0 {
 		return 0, false
 	}
-	most := max(maxSilenceBound, time.Duration(minP99Factor*float64(usual)))
-	return min(max(p99Factor*usual, least), most), true
+	maxBound := max(maxSilenceBound, time.Duration(minP99Factor*float64(latency)))
+	return min(max(p99Factor*latency, minBound), maxBound), true
 }
 
-// observe learns from the latency of an attempt at a target.
+// observe records the latency of an attempt at a target.
 func (d *silenceDetector) observe(took time.Duration) {
 	d.tail.Observe(took)
 	d.observeForward(took)
 }
 
-// observeForward learns from the latency of a forward, which says little of
-// the targets here.
+// observeForward records the latency of a forward, which says little about the
+// targets here.
 func (d *silenceDetector) observeForward(took time.Duration) {
 	d.longestLatency = max(d.longestLatency, took)
 }
 
-// phiSuspects reports whether phi suspects a watched attempt. Before phi has a
-// fit it suspects by time alone, and that isn't listened to.
+// phiSuspects reports whether phi suspects a watched attempt. Until phi has
+// fitted a distribution it uses only its timeout, and that result is ignored.
 func (d *silenceDetector) phiSuspects(now clock.Time, id detect.ID) bool {
 	return d.phi.Bound() < d.timeout && d.phi.Suspect(now, id)
 }
 
-// recentAnswers keeps when the answered attempts at one receiver had been sent:
-// the latest ones, the latest first.
+// recentAnswers holds the latest send times among the answered attempts at one
+// receiver, in descending order.
 type recentAnswers [minLaterAnswers]clock.Time
 
-// record records an answer to an attempt.
+// record adds an answered attempt.
 func (o *recentAnswers) record(sentAt clock.Time) {
 	for i, at := range o {
 		if sentAt > at {
@@ -147,11 +149,11 @@
 	}
 }
 
-// allSentAfter reports whether enough attempts sent after the given instant have been
-// answered.
+// allSentAfter reports whether minLaterAnswers attempts sent after the given
+// time have been answered.
 func (o *recentAnswers) allSentAfter(sentAt clock.Time) bool { return o[minLaterAnswers-1] > sentAt }
 
-// watch starts to watch a, which has just been sent or forwarded.
+// watch starts watching a, which has just been sent or forwarded.
 func (s *State) watch(a *attempt) {
 	if a.target != nil {
 		a.detectID = a.svc.silence.sent(s.now)
@@ -169,8 +171,8 @@
 	}
 }
 
-// tailAt returns when the tail rule suspects a, by what is known now: answers
-// that came after a was sent count as much as those before.
+// tailAt returns when the p99 rule suspects a according to current knowledge,
+// which includes answers received after a was sent.
 func (s *State) tailAt(a *attempt) clock.Time {
 	d, known := a.svc.silence.bound()
 	if !known {
@@ -182,7 +184,8 @@
 	return a.tailStart.Add(a.req.silenceFactor() * d)
 }
 
-// silenceFactor is how many times the bounds of silence r waits for.
+// silenceFactor returns the factor by which the bounds of silence are
+// multiplied for r.
 func (r *request) silenceFactor() time.Duration {
 	if r.idempotent {
 		return 1
@@ -190,7 +193,7 @@
 	return nonIdempotentSilenceFactor
 }
 
-// nextCheckAt returns when to look at a again.
+// nextCheckAt returns when to check a again.
 func (s *State) nextCheckAt(a *attempt) clock.Time {
 	if a.suspected {
 		return s.now.Add(suspectedCheckInterval)
@@ -203,14 +206,14 @@
 	return min(at, due)
 }
 
-// minSilenceAt returns the end of the shortest silence that may be suspected.
+// minSilenceAt returns when the shortest silence that may be suspected ends.
 func (a *attempt) minSilenceAt() clock.Time {
 	return a.sentAt.Add(a.req.silenceFactor() * minSilenceBound)
 }
 
-// isSilent reports whether a has been silent for too long. Without an answer
-// of others since it was sent, neither rule says so: this entry VM or the
-// whole service may stand still.
+// isSilent reports whether a has been silent for too long. If no other attempt
+// of the service has been answered since a was sent, it returns false: this
+// entry VM or the whole service may be stalled.
 func (s *State) isSilent(a *attempt) bool {
 	if a.svc.lastAnswer <= a.sentAt {
 		s.extendTailBound(a)
@@ -219,7 +222,7 @@
 	return s.exceedsBound(a)
 }
 
-// exceedsBound reports whether one of the rules is met by a.
+// exceedsBound reports whether one of the two rules applies to a.
 func (s *State) exceedsBound(a *attempt) bool {
 	if s.now >= s.tailAt(a) {
 		return true
@@ -227,7 +230,8 @@
 	return a.watched && s.now >= a.minSilenceAt() && a.svc.silence.phiSuspects(s.now, a.detectID)
 }
 
-// extendTailBound lets the tail rule wait for its bound once more.
+// extendTailBound restarts the bound of the p99 rule for a if it has been
+// exceeded.
 func (s *State) extendTailBound(a *attempt) {
 	if s.now >= s.tailAt(a) {
 		a.tailStart = s.now
@@ -235,8 +239,9 @@
 	}
 }
 
-// recordSuspicion counts a suspected attempt against its receiver, once, unless that has
-// answered somebody since. The attempt goes on.
+// recordSuspicion counts a silent attempt once as a failure of its receiver,
+// unless the receiver has answered another attempt since. The attempt
+// continues.
 func (s *State) recordSuspicion(a *attempt) {
 	if a.suspected {
 		return
@@ -251,7 +256,8 @@
 	}
 }
 
-// laterAnswered reports whether later attempts at a's receiver have been answered.
+// laterAnswered reports whether enough later attempts at a's receiver have been
+// answered.
 func (a *attempt) laterAnswered() bool {
 	if a.remote != nil {
 		return a.remote.recentAnswers.allSentAfter(a.sentAt)
@@ -259,8 +265,8 @@
 	return a.target.recentAnswers.allSentAfter(a.sentAt)
 }
 
-// shouldReplace reports whether the connection of a is to be replaced when a is
-// cancelled.
+// shouldReplace reports whether the connection of a has to be replaced when a
+// is cancelled.
 func (s *State) shouldReplace(a *attempt) bool {
 	return a.boundExceeded || a.duplicated || s.exceedsBound(a)
 }
--- a/decide/dispatch/state.go
+++ b/decide/dispatch/state.go
@@ -17,8 +17,8 @@
 	policy target.Policy
 	rng    *rand.Rand
 
-	now clock.Time // of the step at hand
-	out *Ready     // of the step at hand
+	now clock.Time // time of the current step
+	out *Ready     // effects of the current step
 
 	services        []*service // sorted by name
 	byName          map[fleet.ServiceName]*service
@@ -26,9 +26,9 @@
 	vms             map[fleet.VMID]*remoteVM
 	vmCount         int // other entry VMs in the last Remotes event
 	peers           Peers
-	targetsReceived bool // a Targets event has been seen
-	suspended       []*targetState
-	nextRecheck     clock.Time // when a suspended target or entry VM is due
+	targetsReceived bool           // whether a Targets event has been received
+	suspended       []*targetState // ejected or paused targets
+	nextRecheck     clock.Time     // when to check the suspended targets
 	stopping        bool
 
 	requests    map[RequestID]*request
@@ -41,11 +41,11 @@
 	violations uint64
 }
 
-// seedStream tells this generator's stream from others with the same seed.
+// seedStream separates this generator's stream from others with the same seed.
 const seedStream = 0x646973_7061746368
 
-// New returns a State that knows no services, targets or other entry VMs yet.
-// It panics when o.Validate reports an error.
+// New returns a State without services, targets and other entry VMs. It panics
+// when o.Validate reports an error.
 func New(o Options) *State {
 	policy, err := target.ParsePolicy(o.Policy)
 	if err != nil {
@@ -71,9 +71,8 @@
 	}
 }
 
-// Step applies one event at the instant now and appends its effects to out,
-// which the caller has Reset. An instant before the last step's counts as
-// that one.
+// Step applies one event at the time now and appends its effects to out, which
+// the caller has Reset. A time before that of the last step counts as that one.
 func (s *State) Step(now clock.Time, ev Event, out *Ready) {
 	s.now = max(now, s.now)
 	s.out = out
@@ -119,10 +118,10 @@
 	return min(s.timers.earliest(), s.cancelled.earliest(), s.nextRecheck)
 }
 
-// Pending returns how many requests have no final effect yet. A leaving entry
-// VM may exit when it is 0.
+// Pending returns the number of requests without a final effect. An entry VM
+// that is leaving may exit when it is 0.
 func (s *State) Pending() int { return len(s.requests) }
 
-// InFlight returns how many attempts have not ended, the cancelled ones
-// included.
+// InFlight returns the number of attempts that have not ended, including
+// cancelled ones.
 func (s *State) InFlight() int { return s.attempts.running() }
--- a/decide/dispatch/step_bench_test.go
+++ b/decide/dispatch/step_bench_test.go
@@ -10,15 +10,16 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// BenchmarkRequest is the common path: a request arrives, is sent, answered
-// and delivered, with half of the slots in use.
+// BenchmarkRequest measures the common path: a request arrives, is sent,
+// answered and delivered, with half of the slots in use.
 func BenchmarkRequest(b *testing.B) {
 	for _, n := range []int{16, 940} {
 		b.Run(fmt.Sprint(n, "targets"), func(b *testing.B) { benchmarkRequest(b, n, 3*n/2) })
 	}
 }
 
-// BenchmarkRequestBusy is the same with one free slot, the longest search.
+// BenchmarkRequestBusy measures the same with one free slot, which takes the
+// longest search.
 func BenchmarkRequestBusy(b *testing.B) {
 	for _, n := range []int{16, 940} {
 		b.Run(fmt.Sprint(n, "targets"), func(b *testing.B) { benchmarkRequest(b, n, 3*n-1) })
--- a/decide/dispatch/timers.go
+++ b/decide/dispatch/timers.go
@@ -2,13 +2,14 @@
 
 import "github.com/azurethread/azurethread/decide/clock"
 
-// timers is a binary heap of requests by the instant they need attention.
+// timers is a binary heap of requests, ordered by the time at which their timer
+// fires.
 type timers []*request
 
 // noTimer is the heap index of a request without a timer.
 const noTimer = -1
 
-// earliest returns when the first request is due.
+// earliest returns when the first timer fires.
 func (h timers) earliest() clock.Time {
 	if len(h) == 0 {
 		return clock.Never
@@ -16,7 +17,7 @@
 	return h[0].due
 }
 
-// set makes r due at the given instant.
+// set sets the timer of r.
 func (h *timers) set(r *request, at clock.Time) {
 	r.due = at
 	if r.timerIndex == noTimer {
@@ -27,7 +28,7 @@
 	h.down(r.timerIndex)
 }
 
-// remove drops the timer of r, if any.
+// remove removes the timer of r, if any.
 func (h *timers) remove(r *request) {
 	i := r.timerIndex
 	if i == noTimer {
