--- a/decide/dispatch/arrive.go
+++ b/decide/dispatch/arrive.go
@@ -24,7 +24,7 @@
 // unknownWait stands for the expected wait when no target can be used.
 const unknownWait = time.Hour
 
-func (s *State) arrive(e *Arrive) {
+func (s *State) handleArrive(e *Arrive) {
 	if s.requests[e.Req] != nil {
 		s.reportViolation(invOneEffect, "request id used twice", uint64(e.Req), 0)
 		return
@@ -144,7 +144,7 @@
 	if !svc.deferrable && wait > s.interactiveWait(svc) {
 		return verdict.ReasonOverload
 	}
-	for !s.gate.Admits(svc.deferrable, r.bytes) {
+	for !s.queueBounds.Admits(svc.deferrable, r.bytes) {
 		if svc.deferrable || !s.evictDeferrable() {
 			return verdict.ReasonQueueFull
 		}
@@ -181,30 +181,30 @@
 	if svc.capacity > 0 {
 		return time.Duration(svc.meanLatency() * float64(ahead+1) / float64(svc.capacity))
 	}
-	back := clock.Never
+	availableAt := clock.Never
 	for _, t := range svc.targets {
 		if t.leaving {
 			continue
 		}
-		back = min(back, max(t.outlier.Until(), t.pausedUntil))
+		availableAt = min(availableAt, max(t.outlier.Until(), t.pausedUntil))
 	}
-	if back == clock.Never || back <= s.now {
+	if availableAt == clock.Never || availableAt <= s.now {
 		return unknownWait
 	}
-	return back.Sub(s.now) + time.Duration(svc.meanLatency()*float64(ahead+1))
+	return availableAt.Sub(s.now) + time.Duration(svc.meanLatency()*float64(ahead+1))
 }
 
 // latestStart returns the latest time to send r at which an answer before its
 // deadline is likely.
 func (s *State) latestStart(r *request) clock.Time {
-	need := max(time.Duration(r.svc.meanLatency()), r.svc.tail.P95())
+	latency := max(time.Duration(r.svc.meanLatency()), r.svc.tail.P95())
 	if !r.idempotent {
 		// A non-idempotent request cut off by its deadline has an unknown
 		// outcome.
-		need = max(need, r.svc.tail.P99())
+		latency = max(latency, r.svc.tail.P99())
 	}
-	need = min(need, r.deadline.Sub(r.arrived)/2)
-	return r.deadline - clock.Time(need)
+	latency = min(latency, r.deadline.Sub(r.arrived)/2)
+	return r.deadline - clock.Time(latency)
 }
 
 // enqueue queues r in the order of arrival: a request that returns from an
@@ -219,7 +219,7 @@
 		at = at.Prev()
 	}
 	q.InsertAfter(at, &r.node)
-	s.gate.Add(r.bytes)
+	s.queueBounds.Add(r.bytes)
 	s.timers.set(r, s.latestStart(r))
 }
 
@@ -229,7 +229,7 @@
 		return
 	}
 	r.svc.queue.Remove(&r.node)
-	s.gate.Remove(r.bytes)
+	s.queueBounds.Remove(r.bytes)
 	s.timers.remove(r)
 }
 
--- a/decide/dispatch/choose.go
+++ b/decide/dispatch/choose.go
@@ -90,17 +90,17 @@
 // fasterToWait reports whether waiting for a slot of a busy target is expected
 // to give an answer before a slow target does.
 func (s *State) fasterToWait(svc *service, slow, mean float64) bool {
-	others := 0
+	busySlots := 0
 	for _, t := range svc.targets {
 		if t.capacity > 0 && t.inFlight >= t.capacity {
-			others += t.inFlight
+			busySlots += t.inFlight
 		}
 	}
-	if others == 0 {
+	if busySlots == 0 {
 		return false
 	}
 	ahead := float64(svc.queue.Len() + 1)
-	return mean+mean*ahead/float64(others) < slow
+	return mean+mean*ahead/float64(busySlots) < slow
 }
 
 // borrowTarget returns a target that has reported free slots beyond this entry
--- a/decide/dispatch/duplicate.go
+++ b/decide/dispatch/duplicate.go
@@ -10,7 +10,7 @@
 const (
 	maxDuplicateDelay        = 5 * time.Second // while the latency is unknown
 	maxDuplicateDelayKnown   = time.Second     // once a bound is known, which may be longer
-	duplicateDeadlineDivisor = 2               // a duplicate is sent after this part of the time to the deadline
+	duplicateDeadlineDivisor = 2               // the delay is at most the time to the deadline divided by this
 	// duplicateRetryInterval is the time between two tries when no slot or no
 	// budget was available.
 	duplicateRetryInterval = 100 * time.Millisecond
--- a/decide/dispatch/ejection.go
+++ b/decide/dispatch/ejection.go
@@ -54,23 +54,23 @@
 // briefEjectionTime.
 func (s *State) mayEjectFully(t *targetState) bool {
 	svc := t.svc
-	left := svc.capacity - t.capacity
-	if left <= 0 && (svc.idempotent || t.answeredAt == s.now) {
+	remaining := svc.capacity - t.capacity
+	if remaining <= 0 && (svc.idempotent || t.answeredAt == s.now) {
 		// This is the last target in use: without it all requests are refused.
 		// Where a test may end with an unknown outcome, the target must at
 		// least be answering.
 		return false
 	}
-	out := 1
+	ejected := 1
 	for _, o := range svc.targets {
 		if o != t && o.outlier.Standing() == target.Ejected && !o.ejectedBriefly {
-			out++
+			ejected++
 		}
 	}
-	if out <= max(len(svc.targets)/ejectedShareDivisor, 1) {
+	if ejected <= max(len(svc.targets)/ejectedShareDivisor, 1) {
 		return true
 	}
-	return left > 0 && float64(left) >= svc.demand()
+	return remaining > 0 && float64(remaining) >= svc.demand()
 }
 
 // demand returns the number of slots that requests of svc need, on average or
@@ -154,10 +154,10 @@
 // its ejection.
 func (t *targetState) healthySinceEjection() bool { return t.healthyAt > t.ejectedAt }
 
-// health applies a health report of a target. A good report alone never puts a
-// target back into use, and a bad one ejects a target only if no request to it
-// has been answered lately.
-func (s *State) health(e *Health) {
+// handleHealth applies a health report of a target. A good report alone never
+// puts a target back into use, and a bad one ejects a target only if no request
+// to it has been answered lately.
+func (s *State) handleHealth(e *Health) {
 	t := s.targets[e.Target]
 	if t == nil || !t.listed {
 		return
@@ -187,10 +187,10 @@
 	return 0
 }
 
-// connection counts the open connections of a target. A connection that goes
-// silent while idle doesn't count against the target as long as requests on
-// other connections are answered; only the outcomes of requests do.
-func (s *State) connection(e *Connection) {
+// handleConnection counts the open connections of a target. A connection that
+// goes silent while idle doesn't count against the target as long as requests
+// on other connections are answered; only the outcomes of requests do.
+func (s *State) handleConnection(e *Connection) {
 	t := s.targets[e.Target]
 	if t == nil {
 		return
--- a/decide/dispatch/event.go
+++ b/decide/dispatch/event.go
@@ -36,7 +36,7 @@
 
 // LoadHint is the load that a target or a remote entry VM states in an answer.
 type LoadHint struct {
-	InFlight int // requests in work besides the answered one
+	InFlight int // requests being processed, besides the answered one
 	Slots    int // requests it can work on at once; 0 when not stated
 }
 
--- a/decide/dispatch/expire.go
+++ b/decide/dispatch/expire.go
@@ -17,8 +17,8 @@
 	}
 }
 
-// expireCancelled frees the slot of the cancelled attempt whose end the
-// transport hasn't reported for the longest time.
+// expireCancelled removes the oldest cancelled attempt from the queue and frees
+// its slot if the transport hasn't reported its end.
 func (s *State) expireCancelled() {
 	e := s.cancelled.pop()
 	a := s.attempts.find(e.attempt, e.req)
@@ -71,8 +71,9 @@
 }
 
 // shouldAbandon reports whether a is to be abandoned: it is silent, and its
-// request can be sent elsewhere. If the budget doesn't allow that, a is checked
-// again later. So is a non-idempotent request as long as it may only be slow.
+// request can be sent elsewhere, for which a repeat is taken from the budget.
+// If the budget doesn't allow that, a is checked again later. So is a
+// non-idempotent request as long as it may only be slow.
 func (s *State) shouldAbandon(r *request, a *attempt) bool {
 	if !s.isSilent(a) {
 		return false
@@ -89,7 +90,7 @@
 // sent again, unless another attempt is still current; a non-idempotent one
 // gets an error.
 func (s *State) abandon(r *request, a *attempt) {
-	hedged := r.numCurrent > 1
+	otherCurrent := r.numCurrent > 1
 	a.svc.silence.tail.Observe(s.now.Sub(a.sentAt))
 	s.recordSuspicion(a)
 	if a.target != nil {
@@ -100,7 +101,7 @@
 	s.cancel(a, true)
 	r.joinedVerdict = verdict.Join(r.joinedVerdict, verdict.MayHaveRun)
 	switch {
-	case hedged:
+	case otherCurrent:
 		s.schedule(r)
 	case r.idempotent:
 		s.resend(r)
--- a/decide/dispatch/invariant.go
+++ b/decide/dispatch/invariant.go
@@ -91,7 +91,7 @@
 
 func (s *State) auditAttempts() {
 	targets := make(map[*targetState]int)
-	links := make(map[*remoteService]int)
+	remotes := make(map[*remoteService]int)
 	for _, a := range s.attempts.slots {
 		if a.svc == nil {
 			continue
@@ -99,7 +99,7 @@
 		if a.target != nil {
 			targets[a.target]++
 		} else {
-			links[a.remote]++
+			remotes[a.remote]++
 		}
 		if a.req != nil && s.requests[a.reqID] != a.req {
 			s.reportViolation(invOneEffect, "current attempt of an ended request; request (attempt)", uint64(a.reqID), uint64(a.id))
@@ -110,7 +110,7 @@
 			s.reportViolation(invCounts, "in flight at a target; count (recount)", uint64(t.inFlight), uint64(n))
 		}
 	}
-	for rs, n := range links {
+	for rs, n := range remotes {
 		if rs.inFlight != n {
 			s.reportViolation(invCounts, "in flight at an entry VM; count (recount)", uint64(rs.inFlight), uint64(n))
 		}
@@ -131,8 +131,8 @@
 			bytes += r.bytes
 		}
 	}
-	if items != s.gate.Items() || bytes != s.gate.Bytes() {
-		s.reportViolation(invCounts, "queued requests or bytes; recount (count)", uint64(items), uint64(s.gate.Items()))
+	if items != s.queueBounds.Items() || bytes != s.queueBounds.Bytes() {
+		s.reportViolation(invCounts, "queued requests or bytes; recount (count)", uint64(items), uint64(s.queueBounds.Items()))
 	}
 }
 
--- a/decide/dispatch/load.go
+++ b/decide/dispatch/load.go
@@ -75,11 +75,11 @@
 }
 
 // observe records that the number of free slots is free from now on.
-func (p *slotAverage) observe(now clock.Time, free int) {
-	if p.since != 0 {
-		dt := float64(now.Sub(p.since))
-		p.mean += (p.current - p.mean) * dt / (dt + float64(freeSlotsTimeConstant))
+func (a *slotAverage) observe(now clock.Time, free int) {
+	if a.since != 0 {
+		dt := float64(now.Sub(a.since))
+		a.mean += (a.current - a.mean) * dt / (dt + float64(freeSlotsTimeConstant))
 	}
-	p.since = now
-	p.current = float64(max(free, 0))
+	a.since = now
+	a.current = float64(max(free, 0))
 }
--- a/decide/dispatch/measure/measure.go
+++ b/decide/dispatch/measure/measure.go
@@ -15,15 +15,15 @@
 	P50, P99 time.Duration // of answers in time, as observed by callers
 	// P99All is the p99 of all requests, where one without an answer in time
 	// counts with its deadline.
-	P99All        time.Duration
-	Goodput       float64 // answers in time a second
-	Failed        float64 // share of requests without an answer in time
-	MayHaveRun    float64 // share whose callers got an error saying that the request may have run
-	Amplification float64 // sends to targets per request that was sent at least once
-	Headroom      float64 // lowest free share of the slots of a region; negative when requests wait at targets
-	Forwards      int     // to other entry VMs
-	FarForwards   int     // to other regions
-	FarRefused    int     // refused by other regions
+	P99All              time.Duration
+	Goodput             float64 // answers in time a second
+	Failed              float64 // share of requests without an answer in time
+	MayHaveRun          float64 // share whose callers got an error saying that the request may have run
+	Amplification       float64 // sends to targets per request that was sent at least once
+	Headroom            float64 // lowest free share of the slots of a region; negative when requests wait at targets
+	Forwards            int     // to other entry VMs
+	InterRegionForwards int     // to other regions
+	InterRegionRefused  int     // refused by other regions
 	// CrashFailed is the failed share of idempotent requests that arrived in
 	// the second after the fault.
 	CrashFailed float64
@@ -40,82 +40,82 @@
 
 // Measure carries out one run.
 func Measure(run Run) Result {
-	w := newSimulation(run)
-	start := w.now
+	sim := newSimulation(run)
+	start := sim.now
 	end := start.Add(run.Length)
 	for i := range run.Setup.Services {
-		w.startArrivals(i, end)
+		sim.startArrivals(i, end)
 	}
-	w.repeat(reportEvery, end, w.scheduleReports)
-	w.repeat(50*time.Millisecond, end, w.sampleHeadroom)
-	w.schedule(start.Add(faultAt), w.injectFault)
-	w.runUntil(end.Add(15 * time.Second))
-	return w.stats.result(run)
+	sim.repeat(reportEvery, end, sim.scheduleReports)
+	sim.repeat(50*time.Millisecond, end, sim.sampleHeadroom)
+	sim.schedule(start.Add(faultAt), sim.injectFault)
+	sim.runUntil(end.Add(15 * time.Second))
+	return sim.stats.result(run)
 }
 
-func (w *simulation) repeat(every time.Duration, end clock.Time, do func()) {
+func (sim *simulation) repeat(every time.Duration, end clock.Time, do func()) {
 	var next func()
 	next = func() {
 		do()
-		if w.now < end {
-			w.scheduleAfter(every, next)
+		if sim.now < end {
+			sim.scheduleAfter(every, next)
 		}
 	}
-	w.scheduleAfter(every, next)
+	sim.scheduleAfter(every, next)
 }
 
-func (w *simulation) scheduleReports() {
-	for _, u := range w.targets {
+func (sim *simulation) scheduleReports() {
+	for _, u := range sim.targets {
 		if !u.down {
 			u.report()
 		}
 	}
-	for i, v := range w.vms {
+	for i, v := range sim.vms {
 		// Their reports are spread evenly over the second.
-		w.scheduleAfter(time.Duration(i)*reportEvery/time.Duration(len(w.vms)), v.report)
-		w.scheduleAfter(time.Duration(i)*reportEvery/time.Duration(len(w.vms))+reportEvery/2, v.deliverReports)
+		sim.scheduleAfter(time.Duration(i)*reportEvery/time.Duration(len(sim.vms)), v.report)
+		sim.scheduleAfter(time.Duration(i)*reportEvery/time.Duration(len(sim.vms))+reportEvery/2, v.deliverReports)
 	}
 }
 
 // sampleHeadroom records the lowest headroom of a region so far.
-func (w *simulation) sampleHeadroom() {
+func (sim *simulation) sampleHeadroom() {
 	var load, slots [regions]int
-	for _, u := range w.targets {
+	for _, u := range sim.targets {
 		load[u.region()] += u.load()
 		slots[u.region()] += u.slots
 	}
 	for r := range load {
-		if !w.regionLost[r] && w.now >= w.countingStart() {
-			w.stats.headroom = min(w.stats.headroom, 1-float64(load[r])/float64(slots[r]))
+		if !sim.regionLost[r] && sim.now >= sim.countingStart() {
+			sim.stats.headroom = min(sim.stats.headroom, 1-float64(load[r])/float64(slots[r]))
 		}
 	}
 }
 
-func (w *simulation) injectFault() {
-	w.stats.faultAt = w.now
-	for _, u := range w.firstTargets() {
-		switch w.run.Fault {
+func (sim *simulation) injectFault() {
+	sim.stats.faultAt = sim.now
+	for _, u := range sim.firstTargets() {
+		switch sim.run.Fault {
 		case TargetCrash, TargetUnresponsive:
-			u.unresponsive = w.run.Fault == TargetUnresponsive
+			u.unresponsive = sim.run.Fault == TargetUnresponsive
 			u.crash()
-			w.scheduleAfter(recoveryAt-faultAt, u.restart)
+			sim.scheduleAfter(recoveryAt-faultAt, u.restart)
 		case SlowTarget:
 			u.timeFactor = slowFactor
 		}
 	}
-	switch w.run.Fault {
+	switch sim.run.Fault {
 	case SilentConnections:
-		w.silenceConnections()
+		sim.silenceConnections()
 	case RegionLost:
-		w.regionLost[regions-1] = true
+		sim.regionLost[regions-1] = true
 	}
 }
 
 // firstTargets returns one target of each service, all in the first domain.
-func (w *simulation) firstTargets() []*upstream {
+func (sim *simulation) firstTargets() []*upstream {
 	var list []*upstream
-	for i, u := range w.targets {
-		if i == 0 || w.targets[i-1].service != u.service {
+	for i, u := range sim.targets {
+		if i == 0 || sim.targets[i-1].service != u.service {
 			list = append(list, u)
 		}
 	}
@@ -123,10 +123,10 @@
 }
 
 // silenceConnections makes every third connection, idle or in use, go silent.
-func (w *simulation) silenceConnections() {
+func (sim *simulation) silenceConnections() {
 	n := 0
-	for _, v := range w.vms {
-		for _, u := range w.targets {
+	for _, v := range sim.vms {
+		for _, u := range sim.targets {
 			for i := range v.idle[u] {
 				n++
 				v.idle[u][i] = n%3 == 0
@@ -154,17 +154,17 @@
 
 // stats counts the outcomes of a run.
 type stats struct {
-	run          Run
-	perService   []serviceStats
-	sends        int
-	sentRequests int
-	forwards     int
-	farForwards  int
-	farRefused   int
-	mayHaveRun   int
-	headroom     float64
-	faultAt      clock.Time
-	afterFault   serviceStats
+	run                 Run
+	perService          []serviceStats
+	sends               int
+	sentRequests        int
+	forwards            int
+	interRegionForwards int
+	interRegionRefused  int
+	mayHaveRun          int
+	headroom            float64
+	faultAt             clock.Time
+	afterFault          serviceStats
 }
 
 type serviceStats struct {
@@ -234,7 +234,7 @@
 
 func (s *stats) result(run Run) Result {
 	seconds := (run.Length - warmUp).Seconds()
-	r := Result{Headroom: s.headroom, Forwards: s.forwards, FarForwards: s.farForwards, FarRefused: s.farRefused}
+	r := Result{Headroom: s.headroom, Forwards: s.forwards, InterRegionForwards: s.interRegionForwards, InterRegionRefused: s.interRegionRefused}
 	var took, all []time.Duration
 	for _, p := range s.perService {
 		slices.Sort(p.answerTimes)
--- a/decide/dispatch/measure/measure_test.go
+++ b/decide/dispatch/measure/measure_test.go
@@ -85,7 +85,7 @@
 		}
 		fmt.Printf("%-23s %6.1f %6.1f %7.1f %6.0f %7.3f %6.3f %6.3f %6.2f %6d %6d %6d %7.3f |",
 			vs[i].Name, ms(r.P50), ms(r.P99), ms(r.P99All), r.Goodput, 100*r.Failed, 100*r.MayHaveRun, r.Amplification,
-			r.Headroom, r.Forwards, r.FarForwards, r.FarRefused, 100*r.CrashFailed)
+			r.Headroom, r.Forwards, r.InterRegionForwards, r.InterRegionRefused, 100*r.CrashFailed)
 		for _, s := range r.Services {
 			fmt.Printf(" %.0f/%.0f/%.0f/%.2f", ms(s.P50), ms(s.P99), ms(s.P99All), 100*s.Failed)
 		}
--- a/decide/dispatch/measure/setup.go
+++ b/decide/dispatch/measure/setup.go
@@ -21,28 +21,28 @@
 
 // Setup describes a deployment.
 type Setup struct {
-	Name        string
-	Services    []Service
-	VMs         []int         // number of entry VMs in each domain
-	InterDomain time.Duration // one-way latency between the domains of a region
+	Name               string
+	Services           []Service
+	VMs                []int         // number of entry VMs in each domain
+	InterDomainLatency time.Duration // one-way latency between the domains of a region
 }
 
 // The parts of the model that all setups share.
 const (
-	domainsPerRegion = 2
-	regions          = 3
-	domains          = regions * domainsPerRegion
-	intraDomain      = 250 * time.Microsecond // one way within a domain
-	interRegion      = 55 * time.Millisecond  // one way between regions
-	callerLatency    = 8 * time.Millisecond   // one way between caller and entry VM
-	connectTime      = time.Millisecond
-	connections      = 330
-	backlogPerSlot   = 8 // requests that a target queues per slot
-	reportEvery      = time.Second
-	reportLag        = time.Second
-	coldTime         = 3 * time.Second
-	coldFactor       = 3
-	slowFactor       = 5
+	domainsPerRegion   = 2
+	regions            = 3
+	domains            = regions * domainsPerRegion
+	intraDomainLatency = 250 * time.Microsecond // one way within a domain
+	interRegionLatency = 55 * time.Millisecond  // one way between regions
+	callerLatency      = 8 * time.Millisecond   // one way between caller and entry VM
+	connectTime        = time.Millisecond
+	connections        = 330
+	backlogPerSlot     = 8 // requests that a target queues per slot
+	reportEvery        = time.Second
+	reportLag          = time.Second
+	coldTime           = 3 * time.Second
+	coldFactor         = 3
+	slowFactor         = 5
 )
 
 // Statikos is the deployment of the first user. Mean times and deadlines are
@@ -55,8 +55,8 @@
 			{Name: "permit-file", Targets: 12, Slots: 3, Mean: 60 * time.Millisecond, Deadline: 10 * time.Second, Priority: catalogue.Deferrable},
 			{Name: "drawing-vault", Targets: 12, Slots: 3, Mean: 150 * time.Millisecond, Deadline: 10 * time.Second, Priority: catalogue.Deferrable},
 		},
-		VMs:         []int{2, 1, 2, 1, 1, 1},
-		InterDomain: 1500 * time.Microsecond,
+		VMs:                []int{2, 1, 2, 1, 1, 1},
+		InterDomainLatency: 1500 * time.Microsecond,
 	}
 }
 
@@ -69,8 +69,8 @@
 			{Name: "switching", Targets: 12, Slots: 6, Mean: 60 * time.Millisecond, Deadline: 10 * time.Second, Priority: catalogue.Deferrable},
 			{Name: "statements", Targets: 12, Slots: 3, Mean: 150 * time.Millisecond, Deadline: 10 * time.Second, Idempotent: true, Priority: catalogue.Interactive},
 		},
-		VMs:         []int{2, 1, 2, 1, 1, 1},
-		InterDomain: time.Millisecond,
+		VMs:                []int{2, 1, 2, 1, 1, 1},
+		InterDomainLatency: time.Millisecond,
 	}
 }
 
@@ -82,16 +82,16 @@
 		Services: []Service{
 			{Name: "calc-lookup", Targets: 96, Slots: 3, Mean: 20 * time.Millisecond, Deadline: 2 * time.Second, Idempotent: true, Priority: catalogue.Interactive},
 		},
-		VMs:         []int{20, 20, 20, 20, 20, 20},
-		InterDomain: time.Millisecond,
+		VMs:                []int{20, 20, 20, 20, 20, 20},
+		InterDomainLatency: time.Millisecond,
 	}
 }
 
 // Variant is a configuration to be compared.
 type Variant struct {
-	Name    string
-	Options dispatch.Options // Policy, PlainBalancer and Limits are used
-	Hints   bool             // targets state their load in each answer
+	Name      string
+	Options   dispatch.Options // Policy, PlainBalancer and Limits are used
+	LoadHints bool             // targets state their load in each answer
 }
 
 // Variants returns the default configuration, the same with each baseline
@@ -106,7 +106,7 @@
 		vs = append(vs, Variant{Name: "plain " + p, Options: dispatch.Options{Policy: p, PlainBalancer: true}})
 	}
 	return append(vs,
-		Variant{Name: "load in answers", Hints: true},
+		Variant{Name: "load in answers", LoadHints: true},
 		Variant{Name: "no forwards", Options: dispatch.Options{Limits: dispatch.Limits{MaxRemoteLoadAge: -1}}},
 		Variant{Name: "no hedges", Options: dispatch.Options{Limits: dispatch.Limits{MinHedgeDelay: -1}}},
 	)
--- a/decide/dispatch/measure/simulation.go
+++ b/decide/dispatch/measure/simulation.go
@@ -39,26 +39,26 @@
 
 type eventQueue []event
 
-func (a eventQueue) Len() int { return len(a) }
-func (a eventQueue) Less(i, j int) bool {
-	if a[i].at != a[j].at {
-		return a[i].at < a[j].at
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(i, j int) bool {
+	if q[i].at != q[j].at {
+		return q[i].at < q[j].at
 	}
-	return a[i].seq < a[j].seq
+	return q[i].seq < q[j].seq
 }
-func (a eventQueue) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
-func (a *eventQueue) Push(x any)   { *a = append(*a, x.(event)) }
-func (a *eventQueue) Pop() any {
-	old := *a
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(x any)   { *q = append(*q, x.(event)) }
+func (q *eventQueue) Pop() any {
+	old := *q
 	e := old[len(old)-1]
-	*a = old[:len(old)-1]
+	*q = old[:len(old)-1]
 	return e
 }
 
 // call is a request of a caller.
 type call struct {
 	service int
-	size    float64
+	size    float64 // time factor of the request
 	noise   float64 // time factor of the first attempt
 	start   clock.Time
 	counted bool
@@ -67,7 +67,7 @@
 
 // vm models an entry VM.
 type vm struct {
-	w         *simulation
+	sim       *simulation
 	id        fleet.VMID
 	domain    int
 	state     *dispatch.State
@@ -103,54 +103,54 @@
 }
 
 func newSimulation(run Run) *simulation {
-	w := &simulation{
+	sim := &simulation{
 		run:   run,
 		rng:   rand.New(rand.NewPCG(run.Seed, 1)),
 		byID:  make(map[fleet.TargetID]*upstream),
 		stats: newStats(run),
 	}
-	w.now = clock.Time(time.Second)
+	sim.now = clock.Time(time.Second)
 	for i := range run.Setup.Services {
-		w.callers = append(w.callers, rand.New(rand.NewPCG(run.Seed, 100+uint64(i))))
+		sim.callers = append(sim.callers, rand.New(rand.NewPCG(run.Seed, 100+uint64(i))))
 	}
-	w.addTargets()
-	w.addVMs()
-	return w
+	sim.addTargets()
+	sim.addVMs()
+	return sim
 }
 
-func (w *simulation) schedule(t clock.Time, do func()) {
-	w.seq++
-	heap.Push(&w.events, event{at: max(t, w.now), seq: w.seq, run: do})
+func (sim *simulation) schedule(t clock.Time, do func()) {
+	sim.seq++
+	heap.Push(&sim.events, event{at: max(t, sim.now), seq: sim.seq, run: do})
 }
 
-func (w *simulation) scheduleAfter(d time.Duration, do func()) { w.schedule(w.now.Add(d), do) }
+func (sim *simulation) scheduleAfter(d time.Duration, do func()) { sim.schedule(sim.now.Add(d), do) }
 
-func (w *simulation) addTargets() {
-	for i, s := range w.run.Setup.Services {
+func (sim *simulation) addTargets() {
+	for i, s := range sim.run.Setup.Services {
 		for k := 0; k < s.Targets; k++ {
-			u := &upstream{w: w, service: i, domain: k % domains, slots: s.Slots, timeFactor: 1}
+			u := &upstream{sim: sim, service: i, domain: k % domains, slots: s.Slots, timeFactor: 1}
 			u.id = fleet.TargetID(fmt.Sprintf("%s-%02d", s.Name, k))
-			w.targets = append(w.targets, u)
-			w.byID[u.id] = u
+			sim.targets = append(sim.targets, u)
+			sim.byID[u.id] = u
 		}
 	}
 }
 
-func (w *simulation) addVMs() {
-	for d, n := range w.run.Setup.VMs {
+func (sim *simulation) addVMs() {
+	for d, n := range sim.run.Setup.VMs {
 		for rank := 0; rank < n; rank++ {
-			w.addVM(d, n, rank)
+			sim.addVM(d, n, rank)
 		}
 	}
 }
 
-func (w *simulation) addVM(domain, count, rank int) {
-	o := w.run.Variant.Options
+func (sim *simulation) addVM(domain, count, rank int) {
+	o := sim.run.Variant.Options
 	o.VM = fleet.VMID(fmt.Sprintf("vm-%d-%d", domain, rank))
-	o.Seed = w.run.Seed*100 + uint64(len(w.vms))
+	o.Seed = sim.run.Seed*100 + uint64(len(sim.vms))
 	o.PanicOnViolation = true
 	v := &vm{
-		w: w, id: o.VM, domain: domain, state: dispatch.New(o), tick: clock.Never,
+		sim: sim, id: o.VM, domain: domain, state: dispatch.New(o), tick: clock.Never,
 		calls:     make(map[dispatch.RequestID]*call),
 		origins:   make(map[dispatch.RequestID]origin),
 		attempts:  make(map[dispatch.AttemptID]*attempt),
@@ -158,105 +158,105 @@
 		remotes:   make(map[fleet.VMID][]dispatch.Remote),
 		remotesAt: make(map[fleet.VMID]clock.Time),
 	}
-	w.vms = append(w.vms, v)
-	v.step(&dispatch.Services{List: w.catalogue()})
+	sim.vms = append(sim.vms, v)
+	v.step(&dispatch.Services{List: sim.catalogue()})
 	v.step(&dispatch.Peers{Count: count, Rank: rank})
-	v.step(&dispatch.Targets{List: w.targetList(domain)})
+	v.step(&dispatch.Targets{List: sim.targetList(domain)})
 }
 
-func (w *simulation) catalogue() []catalogue.Service {
+func (sim *simulation) catalogue() []catalogue.Service {
 	var list []catalogue.Service
-	for _, s := range w.run.Setup.Services {
+	for _, s := range sim.run.Setup.Services {
 		list = append(list, catalogue.Service{Name: s.Name, Idempotent: s.Idempotent, Priority: s.Priority, Timeout: catalogue.Duration(s.Deadline)})
 	}
 	return list
 }
 
-func (w *simulation) targetList(domain int) []fleet.Target {
+func (sim *simulation) targetList(domain int) []fleet.Target {
 	var list []fleet.Target
-	for _, u := range w.targets {
+	for _, u := range sim.targets {
 		if u.domain == domain {
-			list = append(list, fleet.Target{ID: u.id, Service: w.run.Setup.Services[u.service].Name, Slots: u.slots, Connections: connections})
+			list = append(list, fleet.Target{ID: u.id, Service: sim.run.Setup.Services[u.service].Name, Slots: u.slots, Connections: connections})
 		}
 	}
 	return list
 }
 
 // runUntil runs events until none is left or the time is past until.
-func (w *simulation) runUntil(until clock.Time) {
-	for len(w.events) > 0 {
-		e := heap.Pop(&w.events).(event)
+func (sim *simulation) runUntil(until clock.Time) {
+	for len(sim.events) > 0 {
+		e := heap.Pop(&sim.events).(event)
 		if e.at > until {
 			return
 		}
-		w.now = e.at
+		sim.now = e.at
 		e.run()
 	}
 }
 
 // startArrivals starts the Poisson process of the callers of one service.
-func (w *simulation) startArrivals(service int, end clock.Time) {
-	s := w.run.Setup.Services[service]
+func (sim *simulation) startArrivals(service int, end clock.Time) {
+	s := sim.run.Setup.Services[service]
 	capacity := float64(s.Targets*s.Slots) / s.Mean.Seconds()
-	rate := capacity * w.run.Load
+	rate := capacity * sim.run.Load
 	var next func()
 	next = func() {
-		if w.now >= end {
+		if sim.now >= end {
 			return
 		}
-		w.arrive(service)
-		w.scheduleAfter(time.Duration(w.callers[service].ExpFloat64()/rate*1e9), next)
+		sim.arrive(service)
+		sim.scheduleAfter(time.Duration(sim.callers[service].ExpFloat64()/rate*1e9), next)
 	}
-	w.scheduleAfter(time.Duration(w.callers[service].ExpFloat64()/rate*1e9), next)
+	sim.scheduleAfter(time.Duration(sim.callers[service].ExpFloat64()/rate*1e9), next)
 }
 
 // arrive makes a caller send one request.
-func (w *simulation) arrive(service int) {
-	region := w.callerRegion(service)
+func (sim *simulation) arrive(service int) {
+	region := sim.callerRegion(service)
 	latency := callerLatency
-	rng := w.callers[service]
-	if w.regionLost[region] {
+	rng := sim.callers[service]
+	if sim.regionLost[region] {
 		// The callers of a lost region use another one.
 		region = (region + 1 + rng.IntN(regions-1)) % regions
-		latency += interRegion
-	}
-	v := w.entryVM(region, rng)
-	c := &call{service: service, size: w.drawFactor(rng), noise: w.drawFactor(rng), start: w.now, counted: w.now >= w.countingStart()}
-	w.stats.countOffered(c, w.now)
-	w.nextID++
-	id := w.nextID
-	deadline := w.now.Add(w.run.Setup.Services[service].Deadline - latency)
+		latency += interRegionLatency
+	}
+	v := sim.entryVM(region, rng)
+	c := &call{service: service, size: sim.drawFactor(rng), noise: sim.drawFactor(rng), start: sim.now, counted: sim.now >= sim.countingStart()}
+	sim.stats.countOffered(c, sim.now)
+	sim.nextID++
+	id := sim.nextID
+	deadline := sim.now.Add(sim.run.Setup.Services[service].Deadline - latency)
 	block := rng.Uint64()
-	w.scheduleAfter(latency, func() {
-		if w.regionLost[region] {
-			w.stats.countFailure(c, w.now)
+	sim.scheduleAfter(latency, func() {
+		if sim.regionLost[region] {
+			sim.stats.countFailure(c, sim.now)
 			return
 		}
 		v.calls[id] = c
-		v.step(&dispatch.Arrive{Req: id, Service: w.run.Setup.Services[service].Name, Block: block, Deadline: deadline, BodyBytes: 1000})
+		v.step(&dispatch.Arrive{Req: id, Service: sim.run.Setup.Services[service].Name, Block: block, Deadline: deadline, BodyBytes: 1000})
 	})
 }
 
 // callerRegion draws the region of a caller.
-func (w *simulation) callerRegion(service int) int {
-	rng := w.callers[service]
-	switch w.run.Fault {
+func (sim *simulation) callerRegion(service int) int {
+	rng := sim.callers[service]
+	switch sim.run.Fault {
 	case EvenCallers:
 		return rng.IntN(regions)
 	case SkewedLoad:
 		return rng.IntN(2) * (1 + rng.IntN(regions-1))
 	}
-	k := rng.IntN(w.run.Setup.Services[service].Targets)
+	k := rng.IntN(sim.run.Setup.Services[service].Targets)
 	return k % domains / domainsPerRegion
 }
 
-func (w *simulation) countingStart() clock.Time { return clock.Time(time.Second).Add(warmUp) }
+func (sim *simulation) countingStart() clock.Time { return clock.Time(time.Second).Add(warmUp) }
 
 // entryVM draws a domain of the region and an entry VM of that domain.
-func (w *simulation) entryVM(region int, rng *rand.Rand) *vm {
+func (sim *simulation) entryVM(region int, rng *rand.Rand) *vm {
 	domain := region*domainsPerRegion + rng.IntN(domainsPerRegion)
-	n := rng.IntN(w.run.Setup.VMs[domain])
-	for _, v := range w.vms {
+	n := rng.IntN(sim.run.Setup.VMs[domain])
+	for _, v := range sim.vms {
 		if v.domain != domain {
 			continue
 		}
@@ -269,31 +269,31 @@
 }
 
 // drawFactor draws from a log-normal distribution with mean 1.
-func (w *simulation) drawFactor(rng *rand.Rand) float64 {
-	s := w.run.Spread
+func (sim *simulation) drawFactor(rng *rand.Rand) float64 {
+	s := sim.run.Spread
 	return math.Exp(s*rng.NormFloat64() - s*s/2)
 }
 
 // oneWayLatency returns the one-way latency between two domains.
-func (w *simulation) oneWayLatency(a, b int) time.Duration {
+func (sim *simulation) oneWayLatency(a, b int) time.Duration {
 	switch {
 	case a == b:
-		return intraDomain
+		return intraDomainLatency
 	case a/domainsPerRegion == b/domainsPerRegion:
-		return w.run.Setup.InterDomain
+		return sim.run.Setup.InterDomainLatency
 	default:
-		return interRegion
+		return interRegionLatency
 	}
 }
 
 // message delivers a message from one domain to another unless the region of
 // either is lost.
-func (w *simulation) message(from, to int, do func()) {
-	if w.regionLost[from/domainsPerRegion] {
+func (sim *simulation) message(from, to int, do func()) {
+	if sim.regionLost[from/domainsPerRegion] {
 		return
 	}
-	w.scheduleAfter(w.oneWayLatency(from, to), func() {
-		if !w.regionLost[to/domainsPerRegion] {
+	sim.scheduleAfter(sim.oneWayLatency(from, to), func() {
+		if !sim.regionLost[to/domainsPerRegion] {
 			do()
 		}
 	})
@@ -301,11 +301,11 @@
 
 // step applies an event to the State and carries out its effects.
 func (v *vm) step(ev dispatch.Event) {
-	if v.w.regionLost[v.domain/domainsPerRegion] {
+	if v.sim.regionLost[v.domain/domainsPerRegion] {
 		return
 	}
 	v.out.Reset()
-	v.state.Step(v.w.now, ev, &v.out)
+	v.state.Step(v.sim.now, ev, &v.out)
 	for _, e := range v.out.Cancels {
 		v.cancel(e)
 	}
@@ -324,7 +324,7 @@
 	if v.out.Wake < v.tick {
 		v.tick = v.out.Wake
 		at := v.tick
-		v.w.schedule(at, func() {
+		v.sim.schedule(at, func() {
 			if v.tick == at {
 				v.tick = clock.Never
 				v.step(&dispatch.Tick{})
@@ -336,7 +336,7 @@
 // complete passes the outcome to the caller, or to the entry VM that forwarded
 // the request. A nil reply stands for an answer.
 func (v *vm) complete(id dispatch.RequestID, r *dispatch.Reply) {
-	w := v.w
+	sim := v.sim
 	if o, ok := v.origins[id]; ok {
 		delete(v.origins, id)
 		v.answerOrigin(o, r)
@@ -345,26 +345,26 @@
 	c := v.calls[id]
 	delete(v.calls, id)
 	if r != nil {
-		w.stats.countReply(c, w.now.Add(callerLatency), r)
+		sim.stats.countReply(c, sim.now.Add(callerLatency), r)
 		return
 	}
-	w.stats.countAnswer(c, w.now.Add(callerLatency))
+	sim.stats.countAnswer(c, sim.now.Add(callerLatency))
 }
 
 func (v *vm) answerOrigin(o origin, r *dispatch.Reply) {
 	if r == nil {
-		hint := v.loadHint(v.w.run.Setup.Services[o.vm.calls[o.req].service].Name)
-		v.w.message(v.domain, o.vm.domain, func() {
+		hint := v.loadHint(v.sim.run.Setup.Services[o.vm.calls[o.req].service].Name)
+		v.sim.message(v.domain, o.vm.domain, func() {
 			o.vm.endAttempt(o.attempt)
 			o.vm.step(&dispatch.Answered{Req: o.req, Attempt: o.attempt, Status: 200, Load: hint})
 		})
 		return
 	}
-	if v.w.oneWayLatency(v.domain, o.vm.domain) == interRegion {
-		v.w.stats.farRefused++
+	if v.sim.oneWayLatency(v.domain, o.vm.domain) == interRegionLatency {
+		v.sim.stats.interRegionRefused++
 	}
 	failed := &dispatch.Failed{Req: o.req, Attempt: o.attempt, Verdict: r.Verdict, Reason: r.Reason, RetryAfter: r.RetryAfter}
-	v.w.message(v.domain, o.vm.domain, func() {
+	v.sim.message(v.domain, o.vm.domain, func() {
 		o.vm.endAttempt(o.attempt)
 		o.vm.step(failed)
 	})
@@ -395,24 +395,24 @@
 }
 
 func (v *vm) forward(e dispatch.Forward) {
-	w := v.w
-	peer := w.vm(e.VM)
+	sim := v.sim
+	peer := sim.vm(e.VM)
 	a := &attempt{vm: v, req: e.Req, id: e.Attempt, peer: peer}
 	v.attempts[a.id] = a
-	w.nextID++
-	a.peerReq = w.nextID
+	sim.nextID++
+	a.peerReq = sim.nextID
 	c := v.callOf(e.Req)
 	peer.origins[a.peerReq] = origin{vm: v, req: e.Req, attempt: e.Attempt}
-	ev := &dispatch.Arrive{Req: a.peerReq, Service: w.run.Setup.Services[c.service].Name, Block: w.rng.Uint64(), Deadline: e.Deadline, Hops: 1, BodyBytes: 1000, ExpectedWait: e.ExpectedWait}
-	w.stats.forwards++
-	if w.oneWayLatency(v.domain, peer.domain) == interRegion {
-		w.stats.farForwards++
+	ev := &dispatch.Arrive{Req: a.peerReq, Service: sim.run.Setup.Services[c.service].Name, Block: sim.rng.Uint64(), Deadline: e.Deadline, Hops: 1, BodyBytes: 1000, ExpectedWait: e.ExpectedWait}
+	sim.stats.forwards++
+	if sim.oneWayLatency(v.domain, peer.domain) == interRegionLatency {
+		sim.stats.interRegionForwards++
 	}
-	w.message(v.domain, peer.domain, func() { peer.step(ev) })
+	sim.message(v.domain, peer.domain, func() { peer.step(ev) })
 }
 
-func (w *simulation) vm(id fleet.VMID) *vm {
-	for _, v := range w.vms {
+func (sim *simulation) vm(id fleet.VMID) *vm {
+	for _, v := range sim.vms {
 		if v.id == id {
 			return v
 		}
@@ -422,10 +422,10 @@
 
 // send sends the request on an idle connection, or opens a new one.
 func (v *vm) send(e dispatch.Send) {
-	u := v.w.byID[e.Target]
+	u := v.sim.byID[e.Target]
 	a := &attempt{vm: v, req: e.Req, id: e.Attempt, call: v.callOf(e.Req), deadline: e.Deadline, target: u}
 	v.attempts[a.id] = a
-	v.w.stats.countSend(a.call, v.w.now)
+	v.sim.stats.countSend(a.call, v.sim.now)
 	delay := connectTime
 	if idle := v.idle[u]; len(idle) > 0 {
 		delay = 0
@@ -435,7 +435,7 @@
 	if a.silent {
 		return // the request is lost
 	}
-	v.w.scheduleAfter(delay+intraDomain, func() { u.receive(a) })
+	v.sim.scheduleAfter(delay+intraDomainLatency, func() { u.receive(a) })
 }
 
 // cancel closes the attempt's connection and notifies the receiver.
@@ -444,18 +444,18 @@
 	if a == nil {
 		return
 	}
-	w := v.w
+	sim := v.sim
 	if a.peer != nil {
-		w.message(v.domain, a.peer.domain, func() {
+		sim.message(v.domain, a.peer.domain, func() {
 			if _, ok := a.peer.origins[a.peerReq]; ok {
 				delete(a.peer.origins, a.peerReq)
 				a.peer.step(&dispatch.CallerGone{Req: a.peerReq})
 			}
 		})
 	} else {
-		w.scheduleAfter(intraDomain, func() { a.target.cancel(a) })
+		sim.scheduleAfter(intraDomainLatency, func() { a.target.cancel(a) })
 	}
-	w.scheduleAfter(2*intraDomain, func() {
+	sim.scheduleAfter(2*intraDomainLatency, func() {
 		v.endAttempt(a.id)
 		v.step(&dispatch.Failed{Req: a.req, Attempt: a.id, Reason: verdict.ReasonCallerGone})
 	})
@@ -463,17 +463,17 @@
 
 // report sends the load of this entry VM to the others.
 func (v *vm) report() {
-	w := v.w
-	made := w.now
+	sim := v.sim
+	made := sim.now
 	var list []dispatch.Remote
 	for _, l := range v.state.AppendLoads(nil) {
 		list = append(list, dispatch.Remote{VM: v.id, Service: l.Service, Capacity: l.Capacity, InFlight: l.InFlight, Headroom: l.Headroom})
 	}
-	for _, o := range w.vms {
+	for _, o := range sim.vms {
 		if o == v {
 			continue
 		}
-		w.message(v.domain, o.domain, func() {
+		sim.message(v.domain, o.domain, func() {
 			o.remotes[v.id] = list
 			o.remotesAt[v.id] = made
 		})
@@ -482,12 +482,12 @@
 
 // deliverReports applies the latest reports of the other entry VMs.
 func (v *vm) deliverReports() {
-	w := v.w
+	sim := v.sim
 	ev := &dispatch.Remotes{}
-	for _, o := range w.vms {
+	for _, o := range sim.vms {
 		for _, r := range v.remotes[o.id] {
-			r.Age = w.now.Sub(v.remotesAt[o.id])
-			r.RTT = 2 * w.oneWayLatency(v.domain, o.domain)
+			r.Age = sim.now.Sub(v.remotesAt[o.id])
+			r.RTT = 2 * sim.oneWayLatency(v.domain, o.domain)
 			ev.List = append(ev.List, r)
 		}
 	}
--- a/decide/dispatch/measure/upstream.go
+++ b/decide/dispatch/measure/upstream.go
@@ -11,7 +11,7 @@
 
 // upstream models a target.
 type upstream struct {
-	w            *simulation
+	sim          *simulation
 	id           fleet.TargetID
 	service      int
 	domain       int
@@ -33,7 +33,7 @@
 
 func (u *upstream) receive(a *attempt) {
 	switch {
-	case a.ended || u.unresponsive || u.w.regionLost[u.region()]:
+	case a.ended || u.unresponsive || u.sim.regionLost[u.region()]:
 	case u.down:
 		u.fail(a, verdict.NotRun, verdict.ReasonConnect)
 	case u.busy < u.slots:
@@ -48,9 +48,9 @@
 func (u *upstream) start(a *attempt) {
 	u.busy++
 	a.running = true
-	life := u.generation
-	u.w.scheduleAfter(u.serviceTime(a), func() {
-		if u.generation != life || !a.running {
+	generation := u.generation
+	u.sim.scheduleAfter(u.serviceTime(a), func() {
+		if u.generation != generation || !a.running {
 			return
 		}
 		a.running = false
@@ -61,13 +61,13 @@
 }
 
 func (u *upstream) serviceTime(a *attempt) time.Duration {
-	mean := u.w.run.Setup.Services[u.service].Mean
+	mean := u.sim.run.Setup.Services[u.service].Mean
 	noise := a.call.noise
 	if a.call.sends > 1 {
-		noise = u.w.drawFactor(u.w.rng)
+		noise = u.sim.drawFactor(u.sim.rng)
 	}
 	f := a.call.size * noise * u.timeFactor
-	if u.w.now < u.warmAt {
+	if u.sim.now < u.warmAt {
 		f *= coldFactor
 	}
 	return time.Duration(float64(mean) * f)
@@ -79,7 +79,7 @@
 	for u.busy < u.slots && len(u.backlog) > 0 {
 		a := u.backlog[0]
 		u.backlog = u.backlog[1:]
-		if !a.ended && u.w.now < a.deadline {
+		if !a.ended && u.sim.now < a.deadline {
 			u.start(a)
 		}
 	}
@@ -97,11 +97,11 @@
 
 func (u *upstream) answer(a *attempt) {
 	e := &dispatch.Answered{Req: a.req, Attempt: a.id, Status: 200}
-	if u.w.run.Variant.Hints {
+	if u.sim.run.Variant.LoadHints {
 		e.Load = &dispatch.LoadHint{InFlight: u.load(), Slots: u.slots}
 	}
-	u.w.scheduleAfter(intraDomain, func() {
-		if a.ended || u.w.regionLost[u.region()] {
+	u.sim.scheduleAfter(intraDomainLatency, func() {
+		if a.ended || u.sim.regionLost[u.region()] {
 			return
 		}
 		a.vm.endAttempt(a.id)
@@ -111,8 +111,8 @@
 }
 
 func (u *upstream) fail(a *attempt, v verdict.Verdict, r verdict.Reason) {
-	u.w.scheduleAfter(intraDomain, func() {
-		if a.ended || u.w.regionLost[u.region()] {
+	u.sim.scheduleAfter(intraDomainLatency, func() {
+		if a.ended || u.sim.regionLost[u.region()] {
 			return
 		}
 		a.vm.endAttempt(a.id)
@@ -120,13 +120,13 @@
 	})
 }
 
-// crash ends the process of the target; the requests in work are lost.
+// crash ends the process of the target; the requests being processed are lost.
 func (u *upstream) crash() {
 	u.down = true
 	u.generation++
 	u.busy = 0
 	u.backlog = nil
-	for _, v := range u.w.vms {
+	for _, v := range u.sim.vms {
 		delete(v.idle, u)
 		for _, a := range v.sortedAttempts() {
 			if a.target == u {
@@ -142,14 +142,14 @@
 func (u *upstream) restart() {
 	u.down = false
 	u.unresponsive = false
-	u.warmAt = u.w.now.Add(coldTime)
+	u.warmAt = u.sim.now.Add(coldTime)
 }
 
 // report sends the load endpoint's report to the entry VMs of the domain.
 func (u *upstream) report() {
-	h := dispatch.Health{Target: u.id, OK: !u.down, InFlight: u.load(), Slots: u.slots, Cold: u.w.now < u.warmAt, Age: reportLag}
-	u.w.scheduleAfter(reportLag, func() {
-		for _, v := range u.w.vms {
+	h := dispatch.Health{Target: u.id, OK: !u.down, InFlight: u.load(), Slots: u.slots, Cold: u.sim.now < u.warmAt, Age: reportLag}
+	u.sim.scheduleAfter(reportLag, func() {
+		for _, v := range u.sim.vms {
 			if v.domain == u.domain {
 				c := h
 				v.step(&c)
--- a/decide/dispatch/membership.go
+++ b/decide/dispatch/membership.go
@@ -163,12 +163,12 @@
 // be called after a change of inFlight or of anything that computeCapacity
 // reads.
 func (s *State) updateCapacity(t *targetState) {
-	g := t.computeCapacity(s.now, s.opts.PlainBalancer)
+	capacity := t.computeCapacity(s.now, s.opts.PlainBalancer)
 	if !t.listed {
 		t.capacity = 0
 		return
 	}
-	t.svc.capacity += g - t.capacity
-	t.capacity = g
-	t.svc.freeTargets.set(t.index, t.inFlight < g)
+	t.svc.capacity += capacity - t.capacity
+	t.capacity = capacity
+	t.svc.freeTargets.set(t.index, t.inFlight < capacity)
 }
--- a/decide/dispatch/outcome.go
+++ b/decide/dispatch/outcome.go
@@ -19,10 +19,10 @@
 	maxShedPause = time.Second
 )
 
-// answered handles a complete answer. If its attempt is no longer current the
-// answer is dropped: its request has been answered or given up, and the answer
-// must not be delivered to another request.
-func (s *State) answered(e *Answered) {
+// handleAnswered handles a complete answer. If its attempt is no longer current
+// the answer is dropped: its request has been answered or given up, and the
+// answer must not be delivered to another request.
+func (s *State) handleAnswered(e *Answered) {
 	a := s.attempts.find(e.Attempt, e.Req)
 	if a == nil {
 		return
@@ -96,15 +96,15 @@
 	if slots <= 0 {
 		return
 	}
-	believed := min(max(t.declaredSlots, defaultSlots), slots)
-	if believed != t.slots {
-		t.slots = believed
+	usable := min(max(t.declaredSlots, defaultSlots), slots)
+	if usable != t.slots {
+		t.slots = usable
 		s.assignServiceShares(t.svc)
 	}
 }
 
-// failed handles the end of an attempt without a complete answer.
-func (s *State) failed(e *Failed) {
+// handleFailed handles the end of an attempt without a complete answer.
+func (s *State) handleFailed(e *Failed) {
 	a := s.attempts.find(e.Attempt, e.Req)
 	if a == nil {
 		return
@@ -219,8 +219,8 @@
 	return false
 }
 
-// callerGone ends a request whose caller no longer waits.
-func (s *State) callerGone(id RequestID) {
+// handleCallerGone ends a request whose caller no longer waits.
+func (s *State) handleCallerGone(id RequestID) {
 	r := s.requests[id]
 	if r == nil {
 		return
--- a/decide/dispatch/random_test.go
+++ b/decide/dispatch/random_test.go
@@ -70,302 +70,302 @@
 }
 
 func newRandomRun(seed uint64, intn func(int) int, fail func(string, ...any)) *randomRun {
-	w := &randomRun{
+	run := &randomRun{
 		fail: fail, intn: intn, now: 1e9, grace: defaultCancelGrace,
 		idempotent: map[fleet.ServiceName]bool{"look": true},
 		requests:   map[RequestID]*trackedRequest{}, attempts: map[AttemptID]*trackedAttempt{},
 	}
 	policies := []string{"", "round-robin", "random", "least-in-flight", "two-choices"}
-	w.s = New(Options{
+	run.s = New(Options{
 		VM: "self", Seed: seed, Policy: policies[max(intn(10)-5, 0)], PanicOnViolation: false, Audit: true,
 		Limits: Limits{QueueItems: 4 + intn(40), QueueBytes: 4000, RepeatBurst: 1 + intn(20)},
 	})
-	w.setServices()
+	run.setServices()
 	for i := 0; i < 2+intn(8); i++ {
 		service := []fleet.ServiceName{"look", "post", "bulk"}[i%3]
-		w.targets = append(w.targets, fleet.Target{ID: fleet.TargetID(fmt.Sprint("t", i)), Service: service, Slots: 1 + intn(4), Connections: 100})
+		run.targets = append(run.targets, fleet.Target{ID: fleet.TargetID(fmt.Sprint("t", i)), Service: service, Slots: 1 + intn(4), Connections: 100})
 	}
-	w.step(&Targets{List: w.targets})
-	return w
+	run.step(&Targets{List: run.targets})
+	return run
 }
 
 // setServices replaces the catalogue with bulk randomly idempotent or not.
-func (w *randomRun) setServices() {
-	w.idempotent["bulk"] = w.intn(2) == 0
-	w.step(&Services{List: []catalogue.Service{
+func (run *randomRun) setServices() {
+	run.idempotent["bulk"] = run.intn(2) == 0
+	run.step(&Services{List: []catalogue.Service{
 		{Name: "look", Idempotent: true, Priority: catalogue.Interactive},
 		{Name: "post", Priority: catalogue.Deferrable},
-		{Name: "bulk", Idempotent: w.idempotent["bulk"], Priority: catalogue.Deferrable},
+		{Name: "bulk", Idempotent: run.idempotent["bulk"], Priority: catalogue.Deferrable},
 	}})
 }
 
 // step applies an event, and checks and records its effects.
-func (w *randomRun) step(ev Event) {
-	w.events++
-	w.out.Reset()
-	w.s.Step(w.now, ev, &w.out)
-	for _, v := range w.out.Violations {
-		w.fail("violation %s: %s", v.Invariant, v.Detail)
-	}
-	for _, e := range w.out.Cancels {
-		a := w.attempts[e.Attempt]
+func (run *randomRun) step(ev Event) {
+	run.events++
+	run.out.Reset()
+	run.s.Step(run.now, ev, &run.out)
+	for _, v := range run.out.Violations {
+		run.fail("violation %s: %s", v.Invariant, v.Detail)
+	}
+	for _, e := range run.out.Cancels {
+		a := run.attempts[e.Attempt]
 		if a == nil || a.req != e.Req || a.cancelled != 0 {
-			w.fail("cancel of unknown attempt %d", e.Attempt)
+			run.fail("cancel of unknown attempt %d", e.Attempt)
 			return
 		}
-		a.cancelled = w.now
-		w.requests[a.req].running--
-		w.requests[a.req].mayHaveRun = true
+		a.cancelled = run.now
+		run.requests[a.req].running--
+		run.requests[a.req].mayHaveRun = true
 	}
-	for _, e := range w.out.Sends {
-		w.recordAttempt(e.Req, e.Attempt, e.Deadline, e.Target)
+	for _, e := range run.out.Sends {
+		run.recordAttempt(e.Req, e.Attempt, e.Deadline, e.Target)
 	}
-	for _, e := range w.out.Forwards {
-		if w.requests[e.Req].hops > 0 {
-			w.fail("request %d forwarded twice", e.Req)
+	for _, e := range run.out.Forwards {
+		if run.requests[e.Req].hops > 0 {
+			run.fail("request %d forwarded twice", e.Req)
 		}
-		w.recordAttempt(e.Req, e.Attempt, e.Deadline, "")
+		run.recordAttempt(e.Req, e.Attempt, e.Deadline, "")
 	}
-	for _, e := range w.out.Delivers {
+	for _, e := range run.out.Delivers {
 		answer, ok := ev.(*Answered)
-		if !ok || answer.Req != e.Req || answer.Attempt != e.Attempt || w.answering != e.Attempt {
-			w.fail("request %d got the answer of another attempt", e.Req)
+		if !ok || answer.Req != e.Req || answer.Attempt != e.Attempt || run.answering != e.Attempt {
+			run.fail("request %d got the answer of another attempt", e.Req)
 		}
-		w.recordFinal(e.Req)
+		run.recordFinal(e.Req)
 	}
-	for _, e := range w.out.Replies {
-		if r := w.requests[e.Req]; e.Verdict == verdict.NotRun && (r.mayHaveRun || r.running > 0) {
-			w.fail("request %d got verdict not-run, but it may have run", e.Req)
+	for _, e := range run.out.Replies {
+		if r := run.requests[e.Req]; e.Verdict == verdict.NotRun && (r.mayHaveRun || r.running > 0) {
+			run.fail("request %d got verdict not-run, but it may have run", e.Req)
 		}
-		w.recordFinal(e.Req)
+		run.recordFinal(e.Req)
 	}
-	w.checkOpenRequests()
+	run.checkOpenRequests()
 }
 
-func (w *randomRun) recordFinal(id RequestID) {
-	r := w.requests[id]
+func (run *randomRun) recordFinal(id RequestID) {
+	r := run.requests[id]
 	if r.final || r.gone {
-		w.fail("request %d has two final effects", id)
+		run.fail("request %d has two final effects", id)
 	}
 	r.final = true
 }
 
-func (w *randomRun) recordAttempt(id RequestID, a AttemptID, deadline clock.Time, t fleet.TargetID) {
-	r := w.requests[id]
+func (run *randomRun) recordAttempt(id RequestID, a AttemptID, deadline clock.Time, t fleet.TargetID) {
+	r := run.requests[id]
 	if r.final || r.gone {
-		w.fail("attempt of request %d after its final effect", id)
+		run.fail("attempt of request %d after its final effect", id)
 	}
 	if deadline > r.deadline {
-		w.fail("attempt of request %d has a later deadline than the request", id)
+		run.fail("attempt of request %d has a later deadline than the request", id)
 	}
 	if !r.idempotent && (r.mayHaveRun || r.running > 0) {
-		w.fail("non-idempotent request %d sent again though it may have run", id)
+		run.fail("non-idempotent request %d sent again though it may have run", id)
 	}
-	if w.attempts[a] != nil {
-		w.fail("attempt id %d assigned twice", a)
+	if run.attempts[a] != nil {
+		run.fail("attempt id %d assigned twice", a)
 	}
-	w.attempts[a] = &trackedAttempt{req: id, target: t}
-	w.open = append(w.open, a)
+	run.attempts[a] = &trackedAttempt{req: id, target: t}
+	run.open = append(run.open, a)
 	r.running++
 	if t != "" {
-		w.checkTarget(t)
+		run.checkTarget(t)
 	}
 }
 
 // checkTarget checks the number of attempts in flight at a target that was just
 // sent a request.
-func (w *randomRun) checkTarget(id fleet.TargetID) {
-	i := slices.IndexFunc(w.targets, func(t fleet.Target) bool { return t.ID == id })
-	if id == w.unlisted || w.targets[i].State != fleet.Live {
-		w.fail("send to target %s, which is not live or not listed", id)
+func (run *randomRun) checkTarget(id fleet.TargetID) {
+	i := slices.IndexFunc(run.targets, func(t fleet.Target) bool { return t.ID == id })
+	if id == run.unlisted || run.targets[i].State != fleet.Live {
+		run.fail("send to target %s, which is not live or not listed", id)
 		return
 	}
 	n := 0
-	for _, a := range w.open {
-		b := w.attempts[a]
-		if b.target == id && (b.cancelled == 0 || w.now < b.cancelled.Add(w.grace)) {
+	for _, a := range run.open {
+		b := run.attempts[a]
+		if b.target == id && (b.cancelled == 0 || run.now < b.cancelled.Add(run.grace)) {
 			n++
 		}
 	}
-	if n > w.targets[i].Slots {
-		w.fail("target %s has %d in flight, %d slots", id, n, w.targets[i].Slots)
+	if n > run.targets[i].Slots {
+		run.fail("target %s has %d in flight, %d slots", id, n, run.targets[i].Slots)
 	}
 }
 
 // checkOpenRequests checks that every open request has a timer no later than
 // its deadline, and that no attempt of an ended request is still current.
-func (w *randomRun) checkOpenRequests() {
-	for id, r := range w.requests {
+func (run *randomRun) checkOpenRequests() {
+	for id, r := range run.requests {
 		if r.final || r.gone {
 			if r.running > 0 {
-				w.fail("request %d ended, but one of its attempts was not cancelled", id)
+				run.fail("request %d ended, but one of its attempts was not cancelled", id)
 			}
-			if r.running == 0 && !w.hasOpen(id) {
-				delete(w.requests, id)
+			if r.running == 0 && !run.hasOpen(id) {
+				delete(run.requests, id)
 			}
 			continue
 		}
-		if w.now >= r.deadline {
-			w.fail("request %d still open after its deadline", id)
+		if run.now >= r.deadline {
+			run.fail("request %d still open after its deadline", id)
 		}
-		if w.out.Wake > r.deadline {
-			w.fail("wake at %d, but request %d has its deadline at %d", w.out.Wake, id, r.deadline)
+		if run.out.Wake > r.deadline {
+			run.fail("wake at %d, but request %d has its deadline at %d", run.out.Wake, id, r.deadline)
 		}
 	}
 }
 
-func (w *randomRun) hasOpen(id RequestID) bool {
-	return slices.ContainsFunc(w.open, func(a AttemptID) bool { return w.attempts[a].req == id })
+func (run *randomRun) hasOpen(id RequestID) bool {
+	return slices.ContainsFunc(run.open, func(a AttemptID) bool { return run.attempts[a].req == id })
 }
 
 // randomEvent applies one random event.
-func (w *randomRun) randomEvent() {
-	w.now = w.now.Add(time.Duration(w.intn(4)*w.intn(4)*w.intn(4)) * time.Millisecond)
-	if w.out.Wake <= w.now {
-		w.now = max(w.out.Wake, w.now)
-		w.step(&Tick{})
+func (run *randomRun) randomEvent() {
+	run.now = run.now.Add(time.Duration(run.intn(4)*run.intn(4)*run.intn(4)) * time.Millisecond)
+	if run.out.Wake <= run.now {
+		run.now = max(run.out.Wake, run.now)
+		run.step(&Tick{})
 		return
 	}
-	switch k := w.intn(100); {
+	switch k := run.intn(100); {
 	case k < 40:
-		w.arrive()
+		run.arrive()
 	case k < 70:
-		w.answer()
+		run.answer()
 	case k < 82:
-		w.failAttempt()
+		run.failAttempt()
 	case k < 84:
-		w.lateAnswer()
+		run.lateAnswer()
 	case k < 86:
-		w.callerGone()
+		run.callerGone()
 	case k < 89:
-		w.changeTargets()
+		run.changeTargets()
 	case k < 92:
-		w.step(&Peers{Count: 1 + w.intn(5), Rank: w.intn(3)})
+		run.step(&Peers{Count: 1 + run.intn(5), Rank: run.intn(3)})
 	case k < 94:
-		w.setRemotes()
+		run.setRemotes()
 	case k < 95:
-		w.setServices()
+		run.setServices()
 	case k < 98:
-		t := w.targets[w.intn(len(w.targets))]
-		w.step(&Health{Target: t.ID, OK: w.intn(3) > 0, InFlight: w.intn(5), Slots: w.intn(t.Slots + 1), Cold: w.intn(4) == 0, Age: time.Duration(w.intn(1000)) * time.Millisecond})
+		t := run.targets[run.intn(len(run.targets))]
+		run.step(&Health{Target: t.ID, OK: run.intn(3) > 0, InFlight: run.intn(5), Slots: run.intn(t.Slots + 1), Cold: run.intn(4) == 0, Age: time.Duration(run.intn(1000)) * time.Millisecond})
 	case k < 99:
-		w.now = w.now.Add(time.Duration(w.intn(3000)) * time.Millisecond)
-		w.step(&Tick{})
-	case w.events > 15_000:
-		w.step(&Stop{})
+		run.now = run.now.Add(time.Duration(run.intn(3000)) * time.Millisecond)
+		run.step(&Tick{})
+	case run.events > 15_000:
+		run.step(&Stop{})
 	}
 }
 
-func (w *randomRun) arrive() {
-	w.lastRequest++
-	service := []fleet.ServiceName{"look", "post", "bulk"}[w.intn(3)]
-	r := &trackedRequest{idempotent: w.idempotent[service], deadline: w.now.Add(time.Duration(1+w.intn(2000)) * time.Millisecond), hops: uint8(max(w.intn(4)-2, 0))}
-	w.requests[w.lastRequest] = r
-	w.step(&Arrive{Req: w.lastRequest, Service: service, Block: uint64(w.intn(50)), Deadline: r.deadline, Hops: r.hops, BodyBytes: int64(w.intn(500)), ExpectedWait: time.Duration(w.intn(300)) * time.Millisecond})
+func (run *randomRun) arrive() {
+	run.lastRequest++
+	service := []fleet.ServiceName{"look", "post", "bulk"}[run.intn(3)]
+	r := &trackedRequest{idempotent: run.idempotent[service], deadline: run.now.Add(time.Duration(1+run.intn(2000)) * time.Millisecond), hops: uint8(max(run.intn(4)-2, 0))}
+	run.requests[run.lastRequest] = r
+	run.step(&Arrive{Req: run.lastRequest, Service: service, Block: uint64(run.intn(50)), Deadline: r.deadline, Hops: r.hops, BodyBytes: int64(run.intn(500)), ExpectedWait: time.Duration(run.intn(300)) * time.Millisecond})
 }
 
 // takeAttempt removes a random open attempt from the records, so that answers
 // come in any order, and late after a cancel.
-func (w *randomRun) takeAttempt() (AttemptID, *trackedAttempt) {
-	if len(w.open) == 0 {
+func (run *randomRun) takeAttempt() (AttemptID, *trackedAttempt) {
+	if len(run.open) == 0 {
 		return 0, nil
 	}
-	i := w.intn(len(w.open))
-	id := w.open[i]
-	w.open = slices.Delete(w.open, i, i+1)
-	a := w.attempts[id]
+	i := run.intn(len(run.open))
+	id := run.open[i]
+	run.open = slices.Delete(run.open, i, i+1)
+	a := run.attempts[id]
 	if a.cancelled == 0 {
-		w.requests[a.req].running--
+		run.requests[a.req].running--
 	}
 	return id, a
 }
 
-func (w *randomRun) answer() {
-	id, a := w.takeAttempt()
+func (run *randomRun) answer() {
+	id, a := run.takeAttempt()
 	if a == nil {
 		return
 	}
-	e := Answered{Req: a.req, Attempt: id, Status: 200 + 300*max(w.intn(10)-8, 0)}
-	if w.intn(3) == 0 {
-		e.Load = &LoadHint{InFlight: w.intn(4), Slots: w.intn(5)}
+	e := Answered{Req: a.req, Attempt: id, Status: 200 + 300*max(run.intn(10)-8, 0)}
+	if run.intn(3) == 0 {
+		e.Load = &LoadHint{InFlight: run.intn(4), Slots: run.intn(5)}
 	}
-	if r := w.requests[a.req]; r != nil {
+	if r := run.requests[a.req]; r != nil {
 		r.mayHaveRun = true
 	}
 	if a.cancelled == 0 {
-		w.answering = id
+		run.answering = id
 	}
-	w.step(&e)
-	w.answering = 0
-	w.lateAnswers = append(w.lateAnswers, e)
+	run.step(&e)
+	run.answering = 0
+	run.lateAnswers = append(run.lateAnswers, e)
 }
 
-func (w *randomRun) failAttempt() {
-	id, a := w.takeAttempt()
+func (run *randomRun) failAttempt() {
+	id, a := run.takeAttempt()
 	if a == nil {
 		return
 	}
 	e := Failed{Req: a.req, Attempt: id, Verdict: verdict.NotRun}
-	e.Reason = []verdict.Reason{verdict.ReasonShed, verdict.ReasonConnect, verdict.ReasonStopping, verdict.ReasonOverload, verdict.ReasonBadRequest}[w.intn(5)]
-	if w.intn(2) == 0 {
+	e.Reason = []verdict.Reason{verdict.ReasonShed, verdict.ReasonConnect, verdict.ReasonStopping, verdict.ReasonOverload, verdict.ReasonBadRequest}[run.intn(5)]
+	if run.intn(2) == 0 {
 		e.Verdict = verdict.MayHaveRun
-		e.Reason = []verdict.Reason{verdict.ReasonConnectionLost, verdict.ReasonSilent, verdict.ReasonAnswerCut}[w.intn(3)]
-		if r := w.requests[a.req]; r != nil {
+		e.Reason = []verdict.Reason{verdict.ReasonConnectionLost, verdict.ReasonSilent, verdict.ReasonAnswerCut}[run.intn(3)]
+		if r := run.requests[a.req]; r != nil {
 			r.mayHaveRun = true
 		}
 	}
-	w.step(&e)
-	w.lateAnswers = append(w.lateAnswers, Answered{Req: e.Req, Attempt: id, Status: 200})
+	run.step(&e)
+	run.lateAnswers = append(run.lateAnswers, Answered{Req: e.Req, Attempt: id, Status: 200})
 }
 
 // lateAnswer answers one of the last attempts that have ended.
-func (w *randomRun) lateAnswer() {
-	if len(w.lateAnswers) > 0 {
-		e := w.lateAnswers[max(len(w.lateAnswers)-1-w.intn(4), 0)]
-		w.step(&e)
+func (run *randomRun) lateAnswer() {
+	if len(run.lateAnswers) > 0 {
+		e := run.lateAnswers[max(len(run.lateAnswers)-1-run.intn(4), 0)]
+		run.step(&e)
 	}
 }
 
-func (w *randomRun) callerGone() {
-	id := w.lastRequest - RequestID(w.intn(5))
-	if r := w.requests[id]; r != nil && !r.final {
+func (run *randomRun) callerGone() {
+	id := run.lastRequest - RequestID(run.intn(5))
+	if r := run.requests[id]; r != nil && !r.final {
 		r.gone = true
 	}
-	w.step(&CallerGone{Req: id})
+	run.step(&CallerGone{Req: id})
 }
 
-func (w *randomRun) changeTargets() {
-	t := &w.targets[w.intn(len(w.targets))]
-	t.State = fleet.State(max(w.intn(4)-1, 0))
-	t.Slots = 1 + w.intn(4)
-	if w.intn(4) == 0 {
+func (run *randomRun) changeTargets() {
+	t := &run.targets[run.intn(len(run.targets))]
+	t.State = fleet.State(max(run.intn(4)-1, 0))
+	t.Slots = 1 + run.intn(4)
+	if run.intn(4) == 0 {
 		// One target is missing from the list, and may return later.
-		w.targets[0], w.targets[len(w.targets)-1] = w.targets[len(w.targets)-1], w.targets[0]
-		w.unlisted = w.targets[0].ID
-		w.step(&Targets{List: w.targets[1:]})
+		run.targets[0], run.targets[len(run.targets)-1] = run.targets[len(run.targets)-1], run.targets[0]
+		run.unlisted = run.targets[0].ID
+		run.step(&Targets{List: run.targets[1:]})
 		return
 	}
-	w.unlisted = ""
-	w.step(&Targets{List: w.targets})
+	run.unlisted = ""
+	run.step(&Targets{List: run.targets})
 }
 
-func (w *randomRun) setRemotes() {
+func (run *randomRun) setRemotes() {
 	e := &Remotes{}
-	for i := 0; i < w.intn(4); i++ {
+	for i := 0; i < run.intn(4); i++ {
 		e.List = append(e.List, Remote{
-			VM: fleet.VMID(fmt.Sprint("vm", w.intn(4))), Service: []fleet.ServiceName{"look", "post", "bulk"}[w.intn(3)],
-			Headroom: w.intn(6), Age: time.Duration(w.intn(2000)) * time.Millisecond, RTT: time.Duration(1+w.intn(110)) * time.Millisecond,
+			VM: fleet.VMID(fmt.Sprint("vm", run.intn(4))), Service: []fleet.ServiceName{"look", "post", "bulk"}[run.intn(3)],
+			Headroom: run.intn(6), Age: time.Duration(run.intn(2000)) * time.Millisecond, RTT: time.Duration(1+run.intn(110)) * time.Millisecond,
 		})
 	}
-	w.step(e)
+	run.step(e)
 }
 
 func TestRandomEvents(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		intn := func(n int) int { return rapid.IntRange(0, n-1).Draw(rt, "n") }
-		w := newRandomRun(1, intn, rt.Fatalf)
+		run := newRandomRun(1, intn, rt.Fatalf)
 		for i := 0; i < 60; i++ {
-			w.randomEvent()
+			run.randomEvent()
 		}
 	})
 }
@@ -374,13 +374,13 @@
 	const each = 20_000
 	for seed, n := *randomSeed, 0; n < *randomEvents; seed++ {
 		rng := rand.New(rand.NewPCG(seed, 7))
-		w := newRandomRun(seed, rng.IntN, func(f string, args ...any) {
+		run := newRandomRun(seed, rng.IntN, func(f string, args ...any) {
 			t.Helper()
 			t.Fatalf("seed %d: "+f, append([]any{seed}, args...)...)
 		})
-		for w.events < each {
-			w.randomEvent()
+		for run.events < each {
+			run.randomEvent()
 		}
-		n += w.events
+		n += run.events
 	}
 }
--- a/decide/dispatch/remote.go
+++ b/decide/dispatch/remote.go
@@ -43,6 +43,7 @@
 	}
 }
 
+// clearReported marks all remote services and entry VMs as not reported.
 func (s *State) clearReported() {
 	for _, vm := range s.vms {
 		vm.reported = false
@@ -120,19 +121,19 @@
 
 // drawRemote draws among the entry VMs up to the given cost, weighted by their
 // headroom.
-func (s *State) drawRemote(r *request, most float64) *remoteService {
+func (s *State) drawRemote(r *request, maxCost float64) *remoteService {
 	var chosen *remoteService
 	total := 0.0
 	for _, rs := range r.svc.remotes {
-		if s.forwardCost(rs) > most {
+		if s.forwardCost(rs) > maxCost {
 			continue
 		}
-		room := s.headroomFor(r, rs)
-		if room < minHeadroom {
+		headroom := s.headroomFor(r, rs)
+		if headroom < minHeadroom {
 			continue
 		}
-		total += room
-		if s.rng.Float64()*total < room {
+		total += headroom
+		if s.rng.Float64()*total < headroom {
 			chosen = rs
 		}
 	}
@@ -271,6 +272,8 @@
 	}
 }
 
+// refusedForLoad reports whether an entry VM refused a request because it
+// lacked capacity or time for it.
 func refusedForLoad(reason verdict.Reason) bool {
 	switch reason {
 	case verdict.ReasonOverload, verdict.ReasonQueueFull, verdict.ReasonShed, verdict.ReasonNoTarget,
--- a/decide/dispatch/request.go
+++ b/decide/dispatch/request.go
@@ -76,7 +76,7 @@
 	detectID      detect.ID // in svc.silence, while watched
 	watched       bool
 	suspected     bool // found silent, and counted as a failure of the receiver
-	boundExceeded bool // was silent beyond the p99 rule, while nobody else was answered
+	boundExceeded bool // exceeded the bound of the p99 rule while no other attempt was answered
 	duplicated    bool // its request was sent once more because of it
 }
 
@@ -142,32 +142,32 @@
 	releaseAt clock.Time
 }
 
-func (l *cancelledQueue) push(e cancelledAttempt) {
-	if l.n == len(l.ring) {
-		l.grow()
+func (q *cancelledQueue) push(e cancelledAttempt) {
+	if q.n == len(q.ring) {
+		q.grow()
 	}
-	l.ring[(l.first+l.n)%len(l.ring)] = e
-	l.n++
+	q.ring[(q.first+q.n)%len(q.ring)] = e
+	q.n++
 }
 
-func (l *cancelledQueue) grow() {
-	bigger := make([]cancelledAttempt, max(2*len(l.ring), 16))
-	for i := 0; i < l.n; i++ {
-		bigger[i] = l.ring[(l.first+i)%len(l.ring)]
+func (q *cancelledQueue) grow() {
+	bigger := make([]cancelledAttempt, max(2*len(q.ring), 16))
+	for i := 0; i < q.n; i++ {
+		bigger[i] = q.ring[(q.first+i)%len(q.ring)]
 	}
-	l.ring, l.first = bigger, 0
+	q.ring, q.first = bigger, 0
 }
 
-func (l *cancelledQueue) earliest() clock.Time {
-	if l.n == 0 {
+func (q *cancelledQueue) earliest() clock.Time {
+	if q.n == 0 {
 		return clock.Never
 	}
-	return l.ring[l.first].releaseAt
+	return q.ring[q.first].releaseAt
 }
 
-func (l *cancelledQueue) pop() cancelledAttempt {
-	e := l.ring[l.first]
-	l.first = (l.first + 1) % len(l.ring)
-	l.n--
+func (q *cancelledQueue) pop() cancelledAttempt {
+	e := q.ring[q.first]
+	q.first = (q.first + 1) % len(q.ring)
+	q.n--
 	return e
 }
--- a/decide/dispatch/send.go
+++ b/decide/dispatch/send.go
@@ -64,7 +64,7 @@
 
 // acceptableWait returns how long a request may wait at rs and still be served
 // sooner than here, where it would wait for the given time. It is bounded,
-// because a lost receiver is detected later by that time.
+// because it delays the detection of a lost receiver by as much.
 func (s *State) acceptableWait(rs *remoteService, wait time.Duration) time.Duration {
 	return min(max(wait-rs.vm.rtt, 0), s.interactiveWait(rs.svc))
 }
--- a/decide/dispatch/service.go
+++ b/decide/dispatch/service.go
@@ -20,7 +20,7 @@
 type service struct {
 	name       fleet.ServiceName
 	listed     bool // in the catalogue
-	hadTargets bool // some list of targets has contained one of it
+	hadTargets bool // a Targets event has listed one of its targets
 	idempotent bool
 	deferrable bool
 	timeout    time.Duration
@@ -91,7 +91,7 @@
 }
 
 // computeCapacity returns the value for capacity.
-func (t *targetState) computeCapacity(now clock.Time, ungated bool) int {
+func (t *targetState) computeCapacity(now clock.Time, plainBalancer bool) int {
 	if t.leaving || !t.listed || now < t.pausedUntil {
 		return 0
 	}
@@ -99,7 +99,7 @@
 	switch {
 	case standing == target.Ejected:
 		return 0
-	case ungated:
+	case plainBalancer:
 		return max(t.connectionShare, 1)
 	case standing == target.Testing:
 		return min(t.share, 1)
@@ -121,7 +121,7 @@
 	rtt      time.Duration
 	inFlight int
 	outlier  target.Outlier
-	reported bool // in the Remotes event being applied
+	reported bool // in the last Remotes event
 }
 
 // remoteService is the state of one service at one other entry VM.
@@ -132,5 +132,5 @@
 	mean          target.Mean // latency of forwards, including the round trip
 	recentAnswers recentAnswers
 	inFlight      int
-	reported      bool // in the Remotes event being applied
+	reported      bool // in the last Remotes event
 }
--- a/decide/dispatch/silence.go
+++ b/decide/dispatch/silence.go
@@ -139,11 +139,11 @@
 type recentAnswers [minLaterAnswers]clock.Time
 
 // record adds an answered attempt.
-func (o *recentAnswers) record(sentAt clock.Time) {
-	for i, at := range o {
+func (ra *recentAnswers) record(sentAt clock.Time) {
+	for i, at := range ra {
 		if sentAt > at {
-			copy(o[i+1:], o[i:])
-			o[i] = sentAt
+			copy(ra[i+1:], ra[i:])
+			ra[i] = sentAt
 			return
 		}
 	}
@@ -151,7 +151,7 @@
 
 // allSentAfter reports whether minLaterAnswers attempts sent after the given
 // time have been answered.
-func (o *recentAnswers) allSentAfter(sentAt clock.Time) bool { return o[minLaterAnswers-1] > sentAt }
+func (ra *recentAnswers) allSentAfter(sentAt clock.Time) bool { return ra[minLaterAnswers-1] > sentAt }
 
 // watch starts watching a, which has just been sent or forwarded.
 func (s *State) watch(a *attempt) {
--- a/decide/dispatch/state.go
+++ b/decide/dispatch/state.go
@@ -36,7 +36,7 @@
 	attempts    attempts
 	cancelled   cancelledQueue
 	timers      timers
-	gate        queue.Gate
+	queueBounds queue.Gate
 
 	violations uint64
 }
@@ -63,7 +63,7 @@
 		peers:       Peers{Count: 1},
 		nextRecheck: clock.Never,
 		requests:    make(map[RequestID]*request),
-		gate: queue.Gate{
+		queueBounds: queue.Gate{
 			MaxItems:        lim.QueueItems,
 			MaxBytes:        lim.QueueBytes,
 			DeferrableShare: lim.DeferrableShare,
@@ -88,13 +88,13 @@
 func (s *State) apply(ev Event) {
 	switch e := ev.(type) {
 	case *Arrive:
-		s.arrive(e)
+		s.handleArrive(e)
 	case *Answered:
-		s.answered(e)
+		s.handleAnswered(e)
 	case *Failed:
-		s.failed(e)
+		s.handleFailed(e)
 	case *CallerGone:
-		s.callerGone(e.Req)
+		s.handleCallerGone(e.Req)
 	case *Tick:
 	case *Stop:
 		s.stopping = true
@@ -107,9 +107,9 @@
 	case *Remotes:
 		s.setRemotes(e.List)
 	case *Health:
-		s.health(e)
+		s.handleHealth(e)
 	case *Connection:
-		s.connection(e)
+		s.handleConnection(e)
 	}
 }
 
