--- a/decide/dispatch/invariant.go
+++ b/decide/dispatch/invariant.go
@@ -75,7 +75,7 @@
 // checkInFlight checks that counts of requests in flight are not negative.
 func (s *State) checkInFlight(t *targetState) {
 	if t.inFlight < 0 || t.svc.inFlight < 0 {
-		s.reportViolation(invSlots, "negative count in flight; target (service)", uint64(-t.inFlight), uint64(-t.svc.inFlight))
+		s.reportViolation(invSlots, "count in flight below zero; by how much at target (at service)", uint64(-t.inFlight), uint64(-t.svc.inFlight))
 	}
 }
 
--- a/decide/dispatch/options.go
+++ b/decide/dispatch/options.go
@@ -61,7 +61,7 @@
 	// CancelGrace is how long a cancelled attempt counts as in flight when the
 	// transport doesn't report its end; default 500 ms.
 	CancelGrace time.Duration
-	// MaxLoadAge is the age from which on a target's load report is ignored;
+	// MaxLoadAge is the age at which a target's load report no longer counts;
 	// default 500 ms.
 	MaxLoadAge time.Duration
 	// MaxRemoteLoadAge is the same for the load reports of other entry VMs;
--- a/decide/dispatch/service.go
+++ b/decide/dispatch/service.go
@@ -121,7 +121,7 @@
 	rtt      time.Duration
 	inFlight int
 	outlier  target.Outlier
-	reported bool // in the last Remotes event
+	reported bool // in the last load reports
 }
 
 // remoteService is the state of one service at one other entry VM.
@@ -132,5 +132,5 @@
 	mean          target.Mean // latency of forwards, including the round trip
 	recentAnswers recentAnswers
 	inFlight      int
-	reported      bool // in the last Remotes event
+	reported      bool // in the last load reports
 }
--- a/decide/dispatch/state.go
+++ b/decide/dispatch/state.go
@@ -24,7 +24,7 @@
 	byName          map[fleet.ServiceName]*service
 	targets         map[fleet.TargetID]*targetState
 	vms             map[fleet.VMID]*remoteVM
-	vmCount         int // other entry VMs in the last Remotes event
+	vmCount         int // other entry VMs in the last load reports
 	peers           Peers
 	targetsReceived bool           // whether a Targets event has been received
 	suspended       []*targetState // ejected or paused targets
