--- a/decide/dispatch/outcome.go
+++ b/decide/dispatch/outcome.go
@@ -9,69 +9,71 @@
 )
 
 const (
-	serverError = 500 // lowest HTTP status that counts against a target
-	slowAnswer  = 3   // times the usual latency that lower a target's limit
-	// leavingPause is how long a target that said it is leaving gets nothing,
-	// though the lagging list still calls it live.
+	serverError      = 500 // lowest HTTP status that counts as a failure of a target
+	slowAnswerFactor = 3   // multiple of the mean latency above which an answer lowers a target's limit
+	// leavingPause is how long a target or entry VM that has stated that it is
+	// leaving gets no requests, because the lagging list may still contain it
+	// as live.
 	leavingPause = 30 * time.Second
 	minShedPause = 10 * time.Millisecond
 	maxShedPause = time.Second
 )
 
-// answered handles a whole answer. One whose attempt is no longer current goes
-// nowhere: its request has been answered or given up, and its id may not be
-// mixed up with another's.
-func (s *State) answered(e *Answered) {
+// handleAnswered handles a complete answer. If its attempt is no longer current
+// the answer is dropped: its request has been answered or given up, and the
+// answer must not be delivered to another request.
+func (s *State) handleAnswered(e *Answered) {
 	a := s.attempts.find(e.Attempt, e.Req)
 	if a == nil {
 		return
 	}
-	r, v, t, l := a.req, a.svc, a.target, a.link
+	r, svc, t, rs := a.req, a.svc, a.target, a.remote
 	sentAt := a.sentAt
 	took := s.now.Sub(sentAt)
 	borrowed := a.borrowed
 	wanted := r != nil
 	if a.watched && e.Status < serverError {
-		v.silence.answered(s.now, a.connection)
+		svc.silence.answered(s.now, a.detectID)
 	}
 	s.release(a)
-	v.lastAnswer = s.now
+	svc.lastAnswer = s.now
 	if t != nil {
-		t.overtaken.answered(sentAt)
+		t.recentAnswers.record(sentAt)
 		t.answeredAt = s.now
 		s.targetAnswered(t, e, took, borrowed, wanted)
 	} else {
-		l.overtaken.answered(sentAt)
-		v.silence.observeForward(took)
-		s.linkAnswered(l, e.Load, took)
-		s.spill(v)
+		rs.recentAnswers.record(sentAt)
+		svc.silence.observeForward(took)
+		s.remoteAnswered(rs, e.Load, took)
+		s.forwardQueued(svc)
 	}
 	if wanted {
-		r.joined = verdict.Join(r.joined, verdict.Ran)
+		r.joinedVerdict = verdict.Join(r.joinedVerdict, verdict.Ran)
 		s.deliver(r, e.Attempt)
 	}
-	s.drain(v)
+	s.drain(svc)
 }
 
-// targetAnswered learns from an answer of t.
+// targetAnswered records an answer of t.
 func (s *State) targetAnswered(t *targetState, e *Answered, took time.Duration, borrowed, wanted bool) {
-	v := t.svc
+	svc := t.svc
 	if e.Load != nil {
-		s.loadReport(t, e.Load.InFlight, e.Load.Slots, 0)
+		s.recordLoad(t, e.Load.InFlight, e.Load.Slots, 0)
 	}
 	if e.Status >= serverError {
-		s.targetFailed(t)
+		s.recordTargetFailure(t)
 		return
 	}
 	if t.outlier.Answered(s.now) {
-		// Back after an ejection, so perhaps restarted, with cold caches.
+		// It is back in use after an ejection, so it may have restarted with
+		// cold caches.
 		t.limit = limit.Cold(t.share)
 	}
 	if !wanted {
-		s.refresh(t)
+		s.updateCapacity(t)
 		return
 	}
-	if float64(took) > slowAnswer*v.usual() && float64(took) > slowAnswer*t.mean.Value(v.usual()) {
+	if float64(took) > slowAnswerFactor*svc.meanLatency() && float64(took) > slowAnswerFactor*t.mean.Value(svc.meanLatency()) {
 		t.limit.Slow()
 	} else {
 		t.limit.Answered()
@@ -80,56 +82,55 @@
 		t.borrow.Answered()
 	}
 	t.mean.Observe(s.now, took)
-	v.mean.Observe(s.now, took)
-	v.tail.Observe(took)
-	v.silence.observe(took)
-	s.refresh(t)
+	svc.mean.Observe(s.now, took)
+	svc.tail.Observe(took)
+	svc.silence.observe(took)
+	s.updateCapacity(t)
 }
 
-// loadReport records what a target said about its load age ago. Of two
-// statements about its slots the lower one is believed: too few cost
-// throughput, too many overload it.
-func (s *State) loadReport(t *targetState, inFlight, slots int, age time.Duration) {
+// recordLoad records the load that a target reported age ago. Of the declared
+// and the reported number of slots the lower one is used: too few slots cost
+// throughput, too many overload the target.
+func (s *State) recordLoad(t *targetState, inFlight, slots int, age time.Duration) {
 	t.borrow.Observe(limit.Report{Others: max(inFlight-t.inFlight, 0), At: s.now.Add(-age)})
 	if slots <= 0 {
 		return
 	}
-	believed := min(max(t.declared, defaultSlots), slots)
-	if believed != t.slots {
-		t.slots = believed
-		s.partitionService(t.svc)
+	usable := min(max(t.declaredSlots, defaultSlots), slots)
+	if usable != t.slots {
+		t.slots = usable
+		s.assignServiceShares(t.svc)
 	}
 }
 
-// failed handles the end of an attempt without a whole answer.
-func (s *State) failed(e *Failed) {
+// handleFailed handles the end of an attempt without a complete answer.
+func (s *State) handleFailed(e *Failed) {
 	a := s.attempts.find(e.Attempt, e.Req)
 	if a == nil {
 		return
 	}
-	r, v, t, l := a.req, a.svc, a.target, a.link
+	r, svc, t, rs := a.req, a.svc, a.target, a.remote
 	wanted := r != nil
 	sentAt := a.sentAt
 	s.release(a)
 	if wanted {
-		// The end of an attempt that was cancelled says nothing about the
-		// other side.
+		// The end of a cancelled attempt says nothing about the receiver.
 		switch {
 		case t != nil:
-			r.avoid = t
-			s.targetEnded(t, e, sentAt)
+			r.avoidTarget = t
+			s.targetAttemptFailed(t, e, sentAt)
 		default:
-			r.avoidVM = l.vm
-			s.linkEnded(l, e, sentAt)
+			r.avoidVM = rs.vm
+			s.remoteAttemptFailed(rs, e, sentAt)
 		}
-		r.joined = verdict.Join(r.joined, e.Verdict)
-		s.afterFailure(r, l, e)
+		r.joinedVerdict = verdict.Join(r.joinedVerdict, e.Verdict)
+		s.afterFailure(r, rs, e)
 	}
-	s.drain(v)
+	s.drain(svc)
 }
 
-// targetEnded learns from a failed attempt at t.
-func (s *State) targetEnded(t *targetState, e *Failed, sentAt clock.Time) {
+// targetAttemptFailed records a failed attempt at t.
+func (s *State) targetAttemptFailed(t *targetState, e *Failed, sentAt clock.Time) {
 	switch e.Reason {
 	case verdict.ReasonShed, verdict.ReasonOverload, verdict.ReasonQueueFull, verdict.ReasonNotReady:
 		t.limit.Shed()
@@ -139,52 +140,55 @@
 		s.pause(t, leavingPause)
 	case verdict.ReasonSilent:
 		if t.outlier.LastAnswer() < sentAt {
-			s.targetFailed(t)
+			s.recordTargetFailure(t)
 		}
 	case verdict.ReasonBodyTooLarge, verdict.ReasonBadRequest, verdict.ReasonCallerGone, verdict.ReasonDeadline:
-		// Nothing is wrong with the target.
+		// These are not failures of the target.
 	default:
-		s.targetFailed(t)
+		s.recordTargetFailure(t)
 	}
 }
 
-// afterFailure decides what becomes of r after one of its attempts ended
+// afterFailure decides what to do with r after one of its attempts ended
 // without an answer.
-func (s *State) afterFailure(r *request, l *link, e *Failed) {
-	if r.n > 0 {
-		s.schedule(r) // the other attempt may still be answered
+func (s *State) afterFailure(r *request, rs *remoteService, e *Failed) {
+	if r.numCurrent > 0 {
+		s.schedule(r) // another attempt may still be answered
 		return
 	}
-	if !r.joined.MayRepeat(r.idempotent) || final(e.Reason) {
-		s.giveUp(r, e.Reason, e.RetryAfter)
+	if !r.joinedVerdict.MayRepeat(r.idempotent) || isRequestError(e.Reason) {
+		s.replyWithError(r, e.Reason, e.RetryAfter)
 		return
 	}
-	if l != nil && e.Verdict == verdict.NotRun && refusedForLoad(e.Reason) {
-		// It cost a round trip and no work, so it needs no budget.
+	if rs != nil && e.Verdict == verdict.NotRun && refusedForLoad(e.Reason) {
+		// The refusal cost a round trip but ran nothing, so the repeat needs no
+		// budget.
 		r.attempts--
-		r.countRefusal(l)
-		s.place(r)
+		r.countRefusal(rs)
+		s.forwardOrQueue(r)
 		return
 	}
-	// A refusal by a machine that is leaving happens once for each of its
-	// slots, so it needs no budget, and a planned drain can't use it up.
-	if e.Reason != verdict.ReasonStopping && !s.mayRepeat(r) {
-		s.giveUp(r, verdict.ReasonRetriesExhausted, retryAfter(max(e.RetryAfter, s.expectedWait(r.svc, 0))))
+	// A target or entry VM that is leaving refuses once for each of its slots.
+	// Its refusals need no budget, so that a planned drain can't use it up.
+	if e.Reason != verdict.ReasonStopping && !s.spendRepeat(r) {
+		s.replyWithError(r, verdict.ReasonRetriesExhausted, retryAfter(max(e.RetryAfter, s.expectedWait(r.svc, 0))))
 		return
 	}
-	s.again(r)
+	s.resend(r)
 }
 
-// mayRepeat takes a repeat of r from the budget, if it has attempts left.
-func (s *State) mayRepeat(r *request) bool {
+// spendRepeat takes a repeat of r from the budget. It reports whether there was
+// one and r has attempts left.
+func (s *State) spendRepeat(r *request) bool {
 	r.svc.budget.Pass(s.now)
 	return r.attempts < s.lim.MaxAttempts && r.svc.budget.Spend()
 }
 
-// again sends r once more, before those that wait for their first attempt.
-func (s *State) again(r *request) {
+// resend sends r once more, ahead of requests that wait for their first
+// attempt.
+func (s *State) resend(r *request) {
 	if s.now >= s.latestStart(r) {
-		s.giveUp(r, verdict.ReasonDeadline, 0)
+		s.replyWithError(r, verdict.ReasonDeadline, 0)
 		return
 	}
 	if s.trySend(r) {
@@ -192,20 +196,20 @@
 	}
 	wait := s.expectedWait(r.svc, 0)
 	if r.hops == 0 {
-		if l := s.pickLink(r, wait); l != nil && s.forward(r, l, wait) {
+		if rs := s.chooseRemote(r, wait); rs != nil && s.forward(r, rs, wait) {
 			return
 		}
 	}
 	if s.now.Add(wait) > s.latestStart(r) {
-		s.giveUp(r, verdict.ReasonOverload, retryAfter(wait))
+		s.replyWithError(r, verdict.ReasonOverload, retryAfter(wait))
 		return
 	}
 	s.enqueue(r)
 }
 
-// final reports whether the reason lies in the request, so that no target
-// would answer otherwise.
-func final(reason verdict.Reason) bool {
+// isRequestError reports whether the reason lies in the request, so that every
+// target would refuse it.
+func isRequestError(reason verdict.Reason) bool {
 	switch reason {
 	case verdict.ReasonBodyTooLarge, verdict.ReasonBadRequest, verdict.ReasonCallerGone,
 		verdict.ReasonUnknownService, verdict.ReasonTokenRequired, verdict.ReasonTokenInvalid,
@@ -215,13 +219,13 @@
 	return false
 }
 
-// callerGone drops a request that nobody waits for.
-func (s *State) callerGone(id RequestID) {
+// handleCallerGone ends a request whose caller no longer waits.
+func (s *State) handleCallerGone(id RequestID) {
 	r := s.requests[id]
 	if r == nil {
 		return
 	}
-	v := r.svc
+	svc := r.svc
 	s.finish(r)
-	s.drain(v)
+	s.drain(svc)
 }
--- a/decide/dispatch/request.go
+++ b/decide/dispatch/request.go
@@ -9,79 +9,80 @@
 	"github.com/azurethread/azurethread/decide/verdict"
 )
 
-// maxCurrent is how many attempts of a request can be current at once: the
-// first one, a hedge and a second one on a new connection.
+// maxCurrent is the number of attempts of a request that can be current at
+// once: the first one, a hedge and a duplicate on a new connection.
 const maxCurrent = 3
 
-// request is one accepted request until its final effect.
+// request is an accepted request without a final effect.
 type request struct {
-	id         RequestID
-	svc        *service
-	node       queue.Node[*request]
-	block      uint64
-	bytes      int64
-	arrived    clock.Time
-	deadline   clock.Time
-	hops       uint8
-	worthWait  time.Duration // of a forwarded request: the wait that its sender thinks worth while
-	idempotent bool          // as the catalogue said on arrival
-	hedged     bool
-	seconded   bool       // sent once more on a new connection, without a cancel
-	secondFrom clock.Time // when to try that again after it wasn't possible
-
-	attempts     int             // sends and forwards so far, without refused forwards
-	nearRefusals int             // by entry VMs of the region, for lack of capacity
-	farRefusals  int             // by others
-	joined       verdict.Verdict // of all ended attempts; NotRun before any
-	current      [maxCurrent]*attempt
-	n            int          // used part of current
-	avoid        *targetState // target of the last failed attempt
-	avoidVM      *remoteVM    // entry VM of the last failed forward
-
-	wake  clock.Time
-	timer int // index in timers, or notTimed
+	id                 RequestID
+	svc                *service
+	node               queue.Node[*request]
+	block              uint64
+	bytes              int64
+	arrived            clock.Time
+	deadline           clock.Time
+	hops               uint8
+	acceptableWait     time.Duration // of a forwarded request: how long it may wait here and still be served sooner than at the sender
+	idempotent         bool          // according to the catalogue on arrival
+	hedged             bool
+	duplicated         bool       // sent once more on a new connection while the first attempt continues
+	duplicateNotBefore clock.Time // earliest next try after no slot or budget was available
+
+	attempts       int             // sends and forwards so far, except refused forwards
+	regionRefusals int             // for lack of capacity, by entry VMs within the region
+	otherRefusals  int             // for lack of capacity, by entry VMs of other regions
+	joinedVerdict  verdict.Verdict // of all ended attempts; NotRun before the first end
+	current        [maxCurrent]*attempt
+	numCurrent     int          // number of entries used in current
+	avoidTarget    *targetState // target of the last failed attempt
+	avoidVM        *remoteVM    // entry VM of the last failed forward
+
+	due        clock.Time // when its timer fires
+	timerIndex int        // in State.timers, or noTimer
 }
 
-// drop takes a out of the current attempts and reports whether it was one.
-func (r *request) drop(a *attempt) bool {
-	for i := 0; i < r.n; i++ {
+// removeCurrent removes a from the current attempts and reports whether it was
+// one of them.
+func (r *request) removeCurrent(a *attempt) bool {
+	for i := 0; i < r.numCurrent; i++ {
 		if r.current[i] != a {
 			continue
 		}
-		r.n--
-		r.current[i] = r.current[r.n]
-		r.current[r.n] = nil
+		r.numCurrent--
+		r.current[i] = r.current[r.numCurrent]
+		r.current[r.numCurrent] = nil
 		return true
 	}
 	return false
 }
 
-// attempt is one send or forward from its start until its connection is free
-// again. It may outlive its request: the slot it takes is used until then.
+// attempt is one send or forward, from its start until its connection is free
+// again. It may outlive its request, and occupies its slot until then.
 type attempt struct {
-	id       AttemptID
-	reqID    RequestID
-	req      *request // nil once its answer is no longer wanted
-	svc      *service
-	target   *targetState  // nil for a forward
-	link     *link         // nil for a send
-	mayWait  time.Duration // of a forward: the wait that the receiver was told is worth while
-	borrowed bool
-	sentAt   clock.Time
-	silentAt clock.Time // when to look next whether the connection is silent
-	tailFrom clock.Time // from when the tail rule counts
-	expires  clock.Time // of a cancelled attempt: when it counts as ended
-
-	connection detect.ID // its number in svc.silence, while watched
-	watched    bool
-	doubted    bool // suspected, and counted against the receiver
-	outlasted  bool // was over the bound of the tail rule, with nobody answered
-	seconded   bool // its request was sent once more because of it
+	id             AttemptID
+	reqID          RequestID
+	req            *request // nil once the answer is no longer needed
+	svc            *service
+	target         *targetState   // nil for a forward
+	remote         *remoteService // nil for a send
+	acceptableWait time.Duration  // of a forward: how long the receiver may let it wait
+	borrowed       bool
+	sentAt         clock.Time
+	nextCheck      clock.Time // when to check again whether the connection is silent
+	tailStart      clock.Time // from when the p99 rule measures the silence
+	releaseAt      clock.Time // of a cancelled attempt: when it counts as ended
+
+	detectID      detect.ID // in svc.silence, while watched
+	watched       bool
+	suspected     bool // found silent, and counted as a failure of the receiver
+	boundExceeded bool // exceeded the bound of the p99 rule while no other attempt was answered
+	duplicated    bool // its request was sent once more because of it
 }
 
-// attempts gives out attempt ids and finds attempts by them. An id is an index
-// into the table with a generation above it, so that finding one needs no map
-// and an id is never given out twice.
+// attempts allocates attempts and finds them by id. An id combines an index
+// into the table with a generation number, so that a look-up needs no map and
+// an id is never reused.
 type attempts struct {
 	slots []*attempt
 	free  []uint32
@@ -89,7 +90,7 @@
 
 const indexBits = 32
 
-// start returns a new attempt.
+// start allocates an attempt.
 func (t *attempts) start() *attempt {
 	if len(t.free) == 0 {
 		i := uint32(len(t.slots))
@@ -103,7 +104,7 @@
 	return a
 }
 
-// find returns the attempt of the given id if it belongs to the request and
+// find returns the attempt with the given id if it belongs to the request and
 // hasn't ended, else nil.
 func (t *attempts) find(id AttemptID, req RequestID) *attempt {
 	i := id & (1<<indexBits - 1)
@@ -117,55 +118,56 @@
 	return a
 }
 
-// end frees a; its id is never found again.
+// end frees a. Its id is not found any more.
 func (t *attempts) end(a *attempt) {
 	*a = attempt{id: a.id}
 	t.free = append(t.free, uint32(a.id&(1<<indexBits-1)))
 }
 
-// running returns how many attempts have not ended.
+// running returns the number of attempts that have not ended.
 func (t *attempts) running() int { return len(t.slots) - len(t.free) }
 
-// lingering is the queue of cancelled attempts by the instant they count as
-// ended. All wait for the same time, so it is in order by itself.
-type lingering struct {
-	ring  []lingerer
+// cancelledQueue is a FIFO of cancelled attempts, ordered by the time at which
+// they count as ended. That time is the same after each cancel, so appending
+// keeps the order.
+type cancelledQueue struct {
+	ring  []cancelledAttempt
 	first int
 	n     int
 }
 
-type lingerer struct {
-	attempt AttemptID
-	req     RequestID
-	expires clock.Time
+type cancelledAttempt struct {
+	attempt   AttemptID
+	req       RequestID
+	releaseAt clock.Time
 }
 
-func (l *lingering) push(e lingerer) {
-	if l.n == len(l.ring) {
-		l.grow()
+func (q *cancelledQueue) push(e cancelledAttempt) {
+	if q.n == len(q.ring) {
+		q.grow()
 	}
-	l.ring[(l.first+l.n)%len(l.ring)] = e
-	l.n++
+	q.ring[(q.first+q.n)%len(q.ring)] = e
+	q.n++
 }
 
-func (l *lingering) grow() {
-	bigger := make([]lingerer, max(2*len(l.ring), 16))
-	for i := 0; i < l.n; i++ {
-		bigger[i] = l.ring[(l.first+i)%len(l.ring)]
+func (q *cancelledQueue) grow() {
+	bigger := make([]cancelledAttempt, max(2*len(q.ring), 16))
+	for i := 0; i < q.n; i++ {
+		bigger[i] = q.ring[(q.first+i)%len(q.ring)]
 	}
-	l.ring, l.first = bigger, 0
+	q.ring, q.first = bigger, 0
 }
 
-func (l *lingering) earliest() clock.Time {
-	if l.n == 0 {
+func (q *cancelledQueue) earliest() clock.Time {
+	if q.n == 0 {
 		return clock.Never
 	}
-	return l.ring[l.first].expires
+	return q.ring[q.first].releaseAt
 }
 
-func (l *lingering) pop() lingerer {
-	e := l.ring[l.first]
-	l.first = (l.first + 1) % len(l.ring)
-	l.n--
+func (q *cancelledQueue) pop() cancelledAttempt {
+	e := q.ring[q.first]
+	q.first = (q.first + 1) % len(q.ring)
+	q.n--
 	return e
 }
--- a/decide/dispatch/state.go
+++ b/decide/dispatch/state.go
@@ -17,35 +17,35 @@
 	policy target.Policy
 	rng    *rand.Rand
 
-	now clock.Time // of the step at hand
-	out *Ready     // of the step at hand
+	now clock.Time // time of the current step
+	out *Ready     // effects of the current step
 
-	services  []*service // sorted by name
-	byName    map[fleet.ServiceName]*service
-	targets   map[fleet.TargetID]*targetState
-	vms       map[fleet.VMID]*remoteVM
-	vmCount   int // other entry VMs in the last Remotes event
-	peers     Peers
-	settled   bool // a Targets event has been seen
-	suspended []*targetState
-	nextTest  clock.Time // when a suspended target or entry VM is due
-	stopping  bool
+	services        []*service // sorted by name
+	byName          map[fleet.ServiceName]*service
+	targets         map[fleet.TargetID]*targetState
+	vms             map[fleet.VMID]*remoteVM
+	vmCount         int // other entry VMs in the last load reports
+	peers           Peers
+	targetsReceived bool           // whether a Targets event has been received
+	suspended       []*targetState // ejected or paused targets
+	nextRecheck     clock.Time     // when to check the suspended targets
+	stopping        bool
 
-	requests  map[RequestID]*request
-	pool      []*request
-	attempts  attempts
-	lingering lingering
-	timers    timers
-	gate      queue.Gate
+	requests    map[RequestID]*request
+	requestPool []*request
+	attempts    attempts
+	cancelled   cancelledQueue
+	timers      timers
+	queueBounds queue.Gate
 
 	violations uint64
 }
 
-// seedStream tells this generator's stream from others with the same seed.
+// seedStream separates this generator's stream from others with the same seed.
 const seedStream = 0x646973_7061746368
 
-// New returns a State that knows no services, targets or other entry VMs yet.
-// It panics when o.Validate reports an error.
+// New returns a State without services, targets and other entry VMs. It panics
+// when o.Validate reports an error.
 func New(o Options) *State {
 	policy, err := target.ParsePolicy(o.Policy)
 	if err != nil {
@@ -53,17 +53,17 @@
 	}
 	lim := o.Limits.WithDefaults()
 	return &State{
-		opts:     o,
-		lim:      lim,
-		policy:   policy,
-		rng:      rand.New(rand.NewPCG(o.Seed, seedStream)),
-		byName:   make(map[fleet.ServiceName]*service),
-		targets:  make(map[fleet.TargetID]*targetState),
-		vms:      make(map[fleet.VMID]*remoteVM),
-		peers:    Peers{Count: 1},
-		nextTest: clock.Never,
-		requests: make(map[RequestID]*request),
-		gate: queue.Gate{
+		opts:        o,
+		lim:         lim,
+		policy:      policy,
+		rng:         rand.New(rand.NewPCG(o.Seed, seedStream)),
+		byName:      make(map[fleet.ServiceName]*service),
+		targets:     make(map[fleet.TargetID]*targetState),
+		vms:         make(map[fleet.VMID]*remoteVM),
+		peers:       Peers{Count: 1},
+		nextRecheck: clock.Never,
+		requests:    make(map[RequestID]*request),
+		queueBounds: queue.Gate{
 			MaxItems:        lim.QueueItems,
 			MaxBytes:        lim.QueueBytes,
 			DeferrableShare: lim.DeferrableShare,
@@ -71,15 +71,14 @@
 	}
 }
 
-// Step applies one event at the instant now and appends its effects to out,
-// which the caller has Reset. An instant before the last step's counts as
-// that one.
+// Step applies one event at the time now and appends its effects to out, which
+// the caller has Reset. A time before that of the last step counts as that one.
 func (s *State) Step(now clock.Time, ev Event, out *Ready) {
 	s.now = max(now, s.now)
 	s.out = out
 	s.apply(ev)
-	s.expire()
-	out.Wake = s.wake()
+	s.runTimers()
+	out.Wake = s.nextWake()
 	if s.opts.Audit {
 		s.audit()
 	}
@@ -89,13 +88,13 @@
 func (s *State) apply(ev Event) {
 	switch e := ev.(type) {
 	case *Arrive:
-		s.arrive(e)
+		s.handleArrive(e)
 	case *Answered:
-		s.answered(e)
+		s.handleAnswered(e)
 	case *Failed:
-		s.failed(e)
+		s.handleFailed(e)
 	case *CallerGone:
-		s.callerGone(e.Req)
+		s.handleCallerGone(e.Req)
 	case *Tick:
 	case *Stop:
 		s.stopping = true
@@ -108,21 +107,21 @@
 	case *Remotes:
 		s.setRemotes(e.List)
 	case *Health:
-		s.health(e)
+		s.handleHealth(e)
 	case *Connection:
-		s.connection(e)
+		s.handleConnection(e)
 	}
 }
 
-// wake returns when the next Tick is due.
-func (s *State) wake() clock.Time {
-	return min(s.timers.earliest(), s.lingering.earliest(), s.nextTest)
+// nextWake returns when the next Tick is due.
+func (s *State) nextWake() clock.Time {
+	return min(s.timers.earliest(), s.cancelled.earliest(), s.nextRecheck)
 }
 
-// Pending returns how many requests have no final effect yet. A leaving entry
-// VM may exit when it is 0.
+// Pending returns the number of requests without a final effect. An entry VM
+// that is leaving may exit when it is 0.
 func (s *State) Pending() int { return len(s.requests) }
 
-// InFlight returns how many attempts have not ended, the cancelled ones
-// included.
+// InFlight returns the number of attempts that have not ended, including
+// cancelled ones.
 func (s *State) InFlight() int { return s.attempts.running() }
