--- a/decide/ingress/bench_test.go
+++ b/decide/ingress/bench_test.go
@@ -11,13 +11,14 @@
 	"github.com/azurethread/azurethread/decide/route"
 )
 
-// fleetSize is a fleet of three regions with three failure domains each.
+// fleetSize is the size of a fleet of three regions with three failure domains
+// each.
 type fleetSize struct{ vms, targets, objects int }
 
 var fleetSizes = []fleetSize{{10, 160, 200}, {100, 500, 700}, {300, 1600, 2000}}
 
-// loaded is one entry VM that knows a whole fleet.
-type loaded struct {
+// fleetMember is one entry VM that knows a whole fleet.
+type fleetMember struct {
 	size fleetSize
 	r    *ingress.Reducer
 	out  ingress.Ready
@@ -25,7 +26,7 @@
 	next ingress.RequestID
 }
 
-func newLoaded(size fleetSize, self string) *loaded {
+func newFleetMember(size fleetSize, self string) *fleetMember {
 	regions := make(map[fleet.Domain]fleet.Region)
 	var domains []fleet.Domain
 	for i := range 9 {
@@ -33,7 +34,7 @@
 		regions[d] = fleet.Region(fmt.Sprint("r", i%3))
 		domains = append(domains, d)
 	}
-	l := &loaded{size: size, now: clock.Time(time.Hour)}
+	l := &fleetMember{size: size, now: clock.Time(time.Hour)}
 	l.r = ingress.New(ingress.Options{Self: fleet.VMID(self), Domain: "d0", Regions: regions, Seed: 1,
 		Bounds: ingress.Bounds{RegionShift: 0.15, ColdFactor: 1.5, ColdSlack: 10}})
 	cfg := &route.Config{Version: 1, Services: map[fleet.ServiceName]route.Service{"svc": {Name: "svc", ColdRate: 2.6, ColdTime: 3 * time.Second}},
@@ -60,43 +61,43 @@
 	return l
 }
 
-func (l *loaded) step(ev ingress.Event) {
+func (l *fleetMember) step(ev ingress.Event) {
 	l.out.Reset()
 	l.r.Step(l.now, ev, &l.out)
 }
 
-// ask has another entry VM ask for a target, and returns the grant's number; 0
-// if the request waits.
-func (l *loaded) ask(object string, wait time.Duration) ingress.AskID {
+// requestPlacement passes in a placement request of another entry VM and returns
+// its number if it was granted, 0 if it waits.
+func (l *fleetMember) requestPlacement(object string, wait time.Duration) ingress.PlacementID {
 	l.next++
-	id := ingress.AskID(l.next)
-	l.step(&ingress.Heard{From: "vm0", Message: &ingress.Ask{ID: id, Service: "svc", Route: "a", Object: object, Domain: "d3", Wait: wait, Left: 4 * time.Second}})
+	id := ingress.PlacementID(l.next)
+	l.step(&ingress.Heard{From: "vm0", Message: &ingress.PlacementRequest{ID: id, Service: "svc", Route: "a", Object: object, Domain: "d3", MaxWait: wait, TimeLeft: 4 * time.Second}})
 	if len(l.out.Tells) == 0 {
 		return 0
 	}
 	return id
 }
 
-func (l *loaded) report(id ingress.AskID) {
+func (l *fleetMember) report(id ingress.PlacementID) {
 	l.step(&ingress.Heard{From: "vm0", Message: &ingress.Report{ID: id, Result: ingress.ResultServed, Took: 250 * time.Millisecond,
 		Load: ingress.Load{Known: true, Running: 1, Slots: 3}}})
 }
 
-// BenchmarkCoordinator measures a request at the coordinator, from the ask of
-// another entry VM to the report of its end, with a tenth of the region's slots
-// taken.
+// BenchmarkCoordinator measures one request at the coordinator, from the placement
+// request of another entry VM to the report of its result, with a tenth of the
+// region's slots in use.
 func BenchmarkCoordinator(b *testing.B) {
 	for _, size := range fleetSizes {
 		for _, cold := range []bool{false, true} {
 			b.Run(fmt.Sprintf("vms=%d/targets=%d/cold=%v", size.vms, size.targets, cold), func(b *testing.B) {
-				l := newLoaded(size, "self")
+				l := newFleetMember(size, "self")
 				names := objectNames(size.objects)
-				var open []ingress.AskID
+				var open []ingress.PlacementID
 				l.serve(names, &open, size.targets/10, 3*size.objects)
 				b.ReportAllocs()
 				b.ResetTimer()
 				for i := range b.N {
-					if cold && i%size.objects == 0 { // what is warm is forgotten
+					if cold && i%size.objects == 0 { // all objects become cold
 						l.now = l.now.Add(31 * time.Second)
 					}
 					l.serve(names, &open, size.targets/10, 1)
@@ -114,12 +115,12 @@
 	return names
 }
 
-// serve has n requests come while held ones are under way, the oldest of which
-// end.
-func (l *loaded) serve(names []string, open *[]ingress.AskID, held, n int) {
+// serve places n requests, and ends the oldest ones while more than held are under
+// way.
+func (l *fleetMember) serve(names []string, open *[]ingress.PlacementID, held, n int) {
 	for range n {
 		l.now = l.now.Add(100 * time.Microsecond)
-		if id := l.ask(names[int(l.next)%len(names)], 0); id != 0 {
+		if id := l.requestPlacement(names[int(l.next)%len(names)], 0); id != 0 {
 			*open = append(*open, id)
 		}
 		if len(*open) > held {
@@ -129,17 +130,18 @@
 	}
 }
 
-// BenchmarkCrowdedCoordinator measures the same while every target is full and a
-// thousand requests wait: one ends, one that waits gets its place, one comes.
+// BenchmarkCrowdedCoordinator measures the same while all targets are full and a
+// thousand requests wait: one request ends, a waiting one takes its place, and a
+// new one arrives.
 func BenchmarkCrowdedCoordinator(b *testing.B) {
 	for _, size := range fleetSizes {
 		b.Run(fmt.Sprintf("vms=%d/targets=%d", size.vms, size.targets), func(b *testing.B) {
-			l := newLoaded(size, "self")
+			l := newFleetMember(size, "self")
 			names := objectNames(size.objects)
-			var open []ingress.AskID
+			var open []ingress.PlacementID
 			waiting := 0
 			for n := 0; waiting < 1000; n++ {
-				if id := l.ask(names[n%len(names)], time.Hour); id != 0 {
+				if id := l.requestPlacement(names[n%len(names)], time.Hour); id != 0 {
 					open = append(open, id)
 				} else {
 					waiting++
@@ -156,22 +158,22 @@
 						open = append(open, g.ID)
 					}
 				}
-				if id := l.ask(names[i%len(names)], time.Hour); id != 0 {
+				if id := l.requestPlacement(names[i%len(names)], time.Hour); id != 0 {
 					open = append(open, id)
 				}
 				if len(open) == 0 {
-					b.Fatal("nothing is under way")
+					b.Fatal("no request is under way")
 				}
 			}
 		})
 	}
 }
 
-// BenchmarkAsker measures a request at an entry VM that asks a coordinator.
+// BenchmarkAsker measures one request at an entry VM that asks a coordinator.
 func BenchmarkAsker(b *testing.B) {
 	for _, size := range fleetSizes {
 		b.Run(fmt.Sprintf("vms=%d/targets=%d", size.vms, size.targets), func(b *testing.B) {
-			l := newLoaded(size, "vm3")
+			l := newFleetMember(size, "vm3")
 			names := objectNames(size.objects)
 			b.ReportAllocs()
 			b.ResetTimer()
@@ -180,31 +182,31 @@
 				l.next++
 				l.step(&ingress.Arrive{Request: l.next, Host: "h", Path: "/a/x", Object: names[i%len(names)], Patience: 4 * time.Second})
 				if len(l.out.Tells) != 1 {
-					b.Fatal("asks nobody")
+					b.Fatal("no placement request is sent")
 				}
 				tell := l.out.Tells[0]
-				l.step(&ingress.Heard{From: tell.To, Message: &ingress.Grant{ID: tell.Message.(*ingress.Ask).ID, Target: fleet.TargetID(fmt.Sprint("t", i%size.targets))}})
+				l.step(&ingress.Heard{From: tell.To, Message: &ingress.Grant{ID: tell.Message.(*ingress.PlacementRequest).ID, Target: fleet.TargetID(fmt.Sprint("t", i%size.targets))}})
 				l.step(&ingress.Answered{Attempt: l.out.Sends[0].Attempt, Outcome: ingress.Served})
 			}
 		})
 	}
 }
 
-// BenchmarkJoin measures the change of a target's registration at a coordinator
-// that knows all objects, and the next request after it.
+// BenchmarkJoin measures a change of a target's registration at a coordinator that
+// knows all objects, and the next request after it.
 func BenchmarkJoin(b *testing.B) {
 	for _, size := range fleetSizes {
 		b.Run(fmt.Sprintf("vms=%d/targets=%d", size.vms, size.targets), func(b *testing.B) {
-			l := newLoaded(size, "self")
+			l := newFleetMember(size, "self")
 			names := objectNames(size.objects)
-			var open []ingress.AskID
+			var open []ingress.PlacementID
 			l.serve(names, &open, size.targets/10, 3*size.objects)
 			b.ReportAllocs()
 			b.ResetTimer()
 			for i := range b.N {
 				id := fleet.TargetID(fmt.Sprint("t", i/2%size.targets))
 				if i%2 == 0 {
-					l.step(&ingress.TargetsChanged{Gone: []fleet.TargetID{id}})
+					l.step(&ingress.TargetsChanged{Removed: []fleet.TargetID{id}})
 				} else {
 					l.step(&ingress.TargetsChanged{Set: []ingress.Target{{ID: id, Service: "svc", Domain: fleet.Domain(fmt.Sprint("d", i/2%9)), Slots: 3}}})
 				}
--- a/decide/ingress/coordinate.go
+++ b/decide/ingress/coordinate.go
@@ -10,69 +10,72 @@
 )
 
 const (
-	// askTimeout is how long a coordinator may take beyond the wait that it was
-	// allowed. Inside a region its answer takes a few milliseconds.
-	askTimeout = 60 * time.Millisecond
-	// avoidFor is how long a coordinator that did not answer is not asked.
-	avoidFor = time.Second
+	// placementTimeout is how long a coordinator may take to answer beyond the
+	// wait that it was allowed. Within a region its answer takes a few
+	// milliseconds.
+	placementTimeout = 60 * time.Millisecond
+	// avoidPeriod is how long a VM that did not answer is not asked again.
+	avoidPeriod = time.Second
 )
 
 // coordinator returns the entry VM that places requests for a service at the
-// targets of a region: the first of the region's strong VMs by rendezvous
-// hashing. It counts every request at a target, so targets are neither overrun
-// nor left idle. It returns "" when the region has no entry VM.
+// targets of a region: the first of the region's strong VMs by rendezvous hashing.
+// It counts every request at a target, so that targets are neither overloaded nor
+// left idle. It returns "" if the region has no entry VM.
 //
-// A VM with a sixth of a core does not keep up with the asks of a region that
-// has a thousand requests a second: askers time out and place by what they know
-// themselves, and all of them at the same targets.
+// Weak VMs are excluded: a VM with a sixth of a core cannot handle the placement
+// requests of a region with a thousand requests per second. Its peers would time
+// out and place requests with their own knowledge, all of them at the same
+// targets.
 func (r *Reducer) coordinator(region fleet.Region, s fleet.ServiceName) fleet.VMID {
-	line := r.line(region, s)
+	line := r.coordinatorOrder(region, s)
 	if len(line) == 0 {
 		return ""
 	}
 	return line[0]
 }
 
-// line returns the strong VMs of a region in the order in which they are to
-// place requests for a service.
-func (r *Reducer) line(region fleet.Region, s fleet.ServiceName) []fleet.VMID {
-	key := coordination{region, s}
-	line, kept := r.lines[key]
+// coordinatorOrder returns the strong VMs of a region in the order in which they
+// place requests for a service: the coordinator, then its standbys.
+func (r *Reducer) coordinatorOrder(region fleet.Region, s fleet.ServiceName) []fleet.VMID {
+	key := coordinatorKey{region, s}
+	line, kept := r.coordinatorOrders[key]
 	if !kept {
-		line = r.strongInOrder(region, string(s))
-		r.lines[key] = line
+		line = r.strongOrder(region, string(s))
+		r.coordinatorOrders[key] = line
 	}
 	return line
 }
 
-// coordination is what a coordinator is for.
-type coordination struct {
+// coordinatorKey identifies the scope of a coordinator.
+type coordinatorKey struct {
 	region  fleet.Region
 	service fleet.ServiceName
 }
 
-// setMembers takes the list of entry VMs.
+// setMembers applies a new list of entry VMs.
 func (r *Reducer) setMembers(vms []fleet.VM) {
 	r.members = vms
-	clear(r.lines)
-	clear(r.strong)
+	clear(r.coordinatorOrders)
+	clear(r.strongVMs)
 	clear(r.gateways)
-	r.forgetUnlisted()
+	r.forgetRemovedVMs()
 }
 
-// strongInOrder returns the strong VMs of a region by rendezvous hashing of a
-// name: the same order at all VMs that know the same members.
-func (r *Reducer) strongInOrder(region fleet.Region, name string) []fleet.VMID {
-	strong, kept := r.strong[region]
+// strongOrder returns the strong VMs of a region, ordered by rendezvous hashing of
+// a name. The order is the same at all VMs that know the same members.
+func (r *Reducer) strongOrder(region fleet.Region, name string) []fleet.VMID {
+	strong, kept := r.strongVMs[region]
 	if !kept {
-		strong = r.strongAmong(func(m *fleet.VM) bool { return m.Region == region || region == anyRegion })
-		r.strong[region] = strong
+		strong = r.strongMatching(func(m *fleet.VM) bool { return m.Region == region || region == anyRegion })
+		r.strongVMs[region] = strong
 	}
 	return rank.Order(name, strong)
 }
 
-// strongAmong returns the strong ones of the live VMs that fit.
-func (r *Reducer) strongAmong(fits func(*fleet.VM) bool) []fleet.VMID {
+// strongMatching returns the strong ones among the live VMs for which fits returns
+// true.
+func (r *Reducer) strongMatching(fits func(*fleet.VM) bool) []fleet.VMID {
 	var all []fleet.VM
 	for i := range r.members {
 		if m := &r.members[i]; m.State == fleet.Live && fits(m) {
@@ -87,96 +90,96 @@
 	return ids
 }
 
-// obtain seeks a target for the next send of q.
-func (r *Reducer) obtain(now clock.Time, q *request) {
-	r.nextAsk++
-	a := Ask{
-		ID: r.nextAsk, Service: q.svc.name, Route: q.route.Name, Object: q.object,
-		Domain: r.opts.Domain, Priority: q.route.Priority, Large: r.large(q), Homes: q.route.Homes,
-		Alone: r.mayBeDeadly(now, q), Tried: q.tried, Recalled: r.recalledAt(now, q.svc, q.object),
-		Limited: r.limitsOf(now, q.svc),
-		Wait:    max(r.queueEnd(q).Sub(now), 0), Left: q.due.Sub(now),
+// findTarget starts the search for a target for the next send of q.
+func (r *Reducer) findTarget(now clock.Time, q *request) {
+	r.nextPlacement++
+	a := PlacementRequest{
+		ID: r.nextPlacement, Service: q.svc.name, Route: q.route.Name, Object: q.object,
+		Domain: r.opts.Domain, Priority: q.route.Priority, Large: r.isLarge(q), AllowedRegions: q.route.Homes,
+		MayCrashTarget: r.mayCrashTarget(now, q), Tried: q.tried, LastTarget: r.lastTargetFor(now, q.svc, q.object),
+		Limits:  r.limitsFor(now, q.svc),
+		MaxWait: max(r.waitDeadline(q).Sub(now), 0), TimeLeft: q.deadline.Sub(now),
 	}
-	to := r.placer(now, q.svc.name)
+	to := r.activeCoordinator(now, q.svc.name)
 	if to == "" || to == r.opts.Self || !r.on(Coordinators) {
-		r.placeHere(now, q, a)
+		r.placeLocally(now, q, a)
 		return
 	}
-	q.asking = &asking{ask: a, to: to}
-	r.asks[a.ID] = q
-	r.noteAsk(to, askNumber(a.ID))
-	r.tell(to, &a)
-	r.timers.add(timer{at: now.Add(a.Wait + askTimeout), purpose: dueAsk, request: q.id, ask: a.ID})
+	q.pending = &pendingPlacement{request: a, coordinator: to}
+	r.placements[a.ID] = q
+	r.startProbe(to, probeID(a.ID))
+	r.sendMessage(to, &a)
+	r.timers.add(timer{at: now.Add(a.MaxWait + placementTimeout), purpose: duePlacement, request: q.id, placement: a.ID})
 }
 
-// placeHere seeks a target with what this entry VM knows itself.
-func (r *Reducer) placeHere(now clock.Time, q *request, a Ask) {
+// placeLocally searches for a target with the knowledge of this entry VM.
+func (r *Reducer) placeLocally(now clock.Time, q *request, a PlacementRequest) {
 	j := r.newJob(now, jobKey{vm: r.opts.Self, id: a.ID}, a)
 	j.req = q
 	q.job = j
 	r.place(now, j)
 }
 
-// askDue goes on without a coordinator that has not answered.
-func (r *Reducer) askDue(now clock.Time, q *request, id AskID) {
-	if q.asking == nil || q.asking.ask.ID != id {
+// placementTimedOut continues without a coordinator that has not answered.
+func (r *Reducer) placementTimedOut(now clock.Time, q *request, id PlacementID) {
+	if q.pending == nil || q.pending.request.ID != id {
 		return
 	}
-	a, to := q.asking.ask, q.asking.to
-	r.stopAsking(q)
-	r.noteSilent(now, to)
-	if !now.Before(q.due) {
-		return // the process has stood still; the request is about to end
+	a, to := q.pending.request, q.pending.coordinator
+	r.cancelPlacement(q)
+	r.markSilent(now, to)
+	if !now.Before(q.deadline) {
+		return // the process was stalled; the request is about to end
 	}
-	a.Wait = 0
-	a.Left = q.due.Sub(now)
-	r.placeHere(now, q, a)
+	a.MaxWait = 0
+	a.TimeLeft = q.deadline.Sub(now)
+	r.placeLocally(now, q, a)
 }
 
-// stopAsking withdraws the ask of q, if there is one.
-func (r *Reducer) stopAsking(q *request) {
-	if q.asking == nil {
+// cancelPlacement withdraws q's pending placement request, if there is one.
+func (r *Reducer) cancelPlacement(q *request) {
+	if q.pending == nil {
 		return
 	}
-	delete(r.asks, q.asking.ask.ID)
-	r.noteWithdrawn(q.asking.to, askNumber(q.asking.ask.ID))
-	r.tell(q.asking.to, &Withdraw{ID: q.asking.ask.ID})
-	q.asking = nil
+	delete(r.placements, q.pending.request.ID)
+	r.endProbe(q.pending.coordinator, probeID(q.pending.request.ID))
+	r.sendMessage(q.pending.coordinator, &Withdraw{ID: q.pending.request.ID})
+	q.pending = nil
 }
 
-// asking is an ask that a coordinator has not answered.
-type asking struct {
-	ask Ask
-	to  fleet.VMID
+// pendingPlacement is a placement request that a coordinator has not answered.
+type pendingPlacement struct {
+	request     PlacementRequest
+	coordinator fleet.VMID
 }
 
-func (r *Reducer) tell(to fleet.VMID, m Message) {
+func (r *Reducer) sendMessage(to fleet.VMID, m Message) {
 	r.out.Tells = append(r.out.Tells, Tell{To: to, Message: m})
 }
 
-// heard takes a message of another entry VM.
-func (r *Reducer) heard(now clock.Time, ev *Heard) {
+// handleMessage handles a message of another entry VM.
+func (r *Reducer) handleMessage(now clock.Time, ev *Heard) {
 	switch m := ev.Message.(type) {
-	case *Ask:
-		r.hearLimits(now, m.Limited)
+	case *PlacementRequest:
+		r.mergeLimits(now, m.Limits)
 		r.place(now, r.newJob(now, jobKey{vm: ev.From, id: m.ID}, *m))
 	case *Grant:
-		r.noteHeard(ev.From)
-		r.heardGrant(now, ev.From, m)
+		r.markResponsive(ev.From)
+		r.handleGrant(now, ev.From, m)
 	case *Deny:
-		r.noteHeard(ev.From)
-		if q, ok := r.asks[m.ID]; ok {
-			delete(r.asks, m.ID)
-			q.asking = nil
-			q.svc.share.hear(now, m.Share)
-			r.denied(now, q, m.Reason, m.Room)
+		r.markResponsive(ev.From)
+		if q, ok := r.placements[m.ID]; ok {
+			delete(r.placements, m.ID)
+			q.pending = nil
+			q.svc.share.adopt(now, m.Share)
+			r.placementDenied(now, q, m.Reason, m.FreeAfter)
 		}
 	case *Withdraw:
 		if j, ok := r.jobs[jobKey{vm: ev.From, id: m.ID}]; ok {
 			r.withdraw(now, j)
 		}
 	case *quarantine.Record:
-		r.heardQuarantine(now, m)
+		r.mergeQuarantine(now, m)
 	case *Report:
 		if j, ok := r.jobs[jobKey{vm: ev.From, id: m.ID}]; ok && j.state == jobPlaced {
 			r.release(now, j, m)
@@ -184,27 +187,27 @@
 	}
 }
 
-// heardGrant sends a request to the target that the coordinator names. A grant
-// for a request that has ended, or for a target that this VM doesn't know or
-// knows to be leaving, is given back.
-func (r *Reducer) heardGrant(now clock.Time, from fleet.VMID, m *Grant) {
-	q, ok := r.asks[m.ID]
+// handleGrant sends a request to the target that the coordinator granted. A grant
+// is returned if its request has ended, or if this VM does not know the target or
+// knows that it is leaving.
+func (r *Reducer) handleGrant(now clock.Time, from fleet.VMID, m *Grant) {
+	q, ok := r.placements[m.ID]
 	if !ok {
-		r.tell(from, &Withdraw{ID: m.ID})
+		r.sendMessage(from, &Withdraw{ID: m.ID})
 		return
 	}
-	q.svc.share.hear(now, m.Share)
-	a := q.asking.ask
+	q.svc.share.adopt(now, m.Share)
+	a := q.pending.request
 	t, known := r.targets[m.Target]
 	if !known || t.Draining || r.evacuated[t.Domain] {
-		r.stopAsking(q)
-		a.Wait = 0
-		r.placeHere(now, q, a)
+		r.cancelPlacement(q)
+		a.MaxWait = 0
+		r.placeLocally(now, q, a)
 		return
 	}
-	delete(r.asks, m.ID)
-	q.asking = nil
-	r.granted(now, q, nil, t)
+	delete(r.placements, m.ID)
+	q.pending = nil
+	r.sendTo(now, q, nil, t)
 	last := q.running[len(q.running)-1]
-	last.lender, last.ask = from, m.ID
+	last.coordinator, last.placement = from, m.ID
 }
--- a/decide/ingress/crowd.go
+++ b/decide/ingress/crowd.go
@@ -4,50 +4,51 @@
 	"github.com/azurethread/azurethread/decide/clock"
 )
 
-// crowd counts how much of the own region's slots of a service is taken. It is
-// kept up to date with each change, as it is asked for with each request.
-type crowd struct {
+// occupancy counts the used slots of a service in the own region. It is updated
+// with each change, because every request reads it.
+type occupancy struct {
 	load, slots int
-	// reports are targets' words about requests of others, which count for
-	// reportFor, by their time.
-	reports []report
-	next    int // the first of reports that still counts
+	// reports are targets' reports about requests of other entry VMs, ordered by
+	// time. They count for loadReportTTL.
+	reports []loadReport
+	next    int // index of the first report that still counts
 }
 
-type report struct {
+// loadReport records when a target reported its load.
+type loadReport struct {
 	target *targetState
 	at     clock.Time
 }
 
-// recount takes what has changed at t.
-func (r *Reducer) recount(now clock.Time, t *targetState) {
-	if !r.here(t) || t.svc == nil {
+// updateOccupancy updates the occupancy after a change of t.
+func (r *Reducer) updateOccupancy(now clock.Time, t *targetState) {
+	if !r.isLocal(t) || t.svc == nil {
 		return
 	}
 	load, slots := 0, 0
 	if t.listed {
-		slots = t.rateSlots()
+		slots = t.effectiveSlots()
 		load = min(t.load(now), slots)
 	}
-	c := &t.svc.here
+	c := &t.svc.occupancy
 	c.load += load - t.countedLoad
 	c.slots += slots - t.countedSlots
 	t.countedLoad, t.countedSlots = load, slots
 }
 
-// reportedBy notes that t has just stated its load.
-func (r *Reducer) reportedBy(now clock.Time, t *targetState) {
-	if r.here(t) && t.others > 0 {
-		r.expireReports(now, &t.svc.here)
-		t.svc.here.reports = append(t.svc.here.reports, report{target: t, at: now})
+// recordLoadReport records that t has just reported its load.
+func (r *Reducer) recordLoadReport(now clock.Time, t *targetState) {
+	if r.isLocal(t) && t.otherLoad > 0 {
+		r.expireReports(now, &t.svc.occupancy)
+		t.svc.occupancy.reports = append(t.svc.occupancy.reports, loadReport{target: t, at: now})
 	}
-	r.recount(now, t)
+	r.updateOccupancy(now, t)
 }
 
-// expireReports recounts the targets whose words no longer count.
-func (r *Reducer) expireReports(now clock.Time, c *crowd) {
-	for c.next < len(c.reports) && now.Sub(c.reports[c.next].at) >= reportFor {
-		r.recount(now, c.reports[c.next].target)
+// expireReports updates the occupancy for targets whose reports have expired.
+func (r *Reducer) expireReports(now clock.Time, c *occupancy) {
+	for c.next < len(c.reports) && now.Sub(c.reports[c.next].at) >= loadReportTTL {
+		r.updateOccupancy(now, c.reports[c.next].target)
 		c.next++
 	}
 	if c.next > len(c.reports)/2 {
@@ -56,12 +57,12 @@
 	}
 }
 
-// crowded reports whether the targets of the own region have less than headroom
-// left. A request that finds a free slot here is answered sooner here, so cost
-// alone would fill the region to the last slot before the share moves, and the
-// share moves too slowly for the crowd that comes next.
-func (r *Reducer) crowded(now clock.Time, s *service) bool {
-	c := &s.here
+// lacksHeadroom reports whether less than minHeadroom of the own region's slots is
+// free. A request that finds a free slot here is answered sooner here. Without
+// headroom, cost alone would fill the region to the last slot before the share
+// moves, and the share moves too slowly for a sudden rise in load.
+func (r *Reducer) lacksHeadroom(now clock.Time, s *service) bool {
+	c := &s.occupancy
 	r.expireReports(now, c)
-	return float64(c.slots-c.load) < headroom*float64(c.slots)
+	return float64(c.slots-c.load) < minHeadroom*float64(c.slots)
 }
--- a/decide/ingress/deadly_test.go
+++ b/decide/ingress/deadly_test.go
@@ -15,34 +15,34 @@
 	"github.com/azurethread/azurethread/decide/verdict"
 )
 
-// deadlyContents are the contents of requests in a simulated fleet, and the
-// books on those that end targets.
-type deadlyContents struct {
-	last   uint64 // number of the latest content
-	deadly quarantine.Fingerprint
-	// deadlyOf of a thousand requests are the query of death, and knownOf are
-	// one of known contents that come again and again.
-	deadlyOf, knownOf, known int
-
-	ends  int
-	third clock.Time // when the third target ended under it; 0: not yet
-	late  int        // sends of it that came too late
-	// keptSince is when an innocent content was first refused for its quarantine
+// crashContents draws the contents of requests in a simulated fleet, and records
+// the effects of the one that crashes targets, the query of death.
+type crashContents struct {
+	last     uint64 // number of the latest content
+	crashing quarantine.Fingerprint
+	// Of a thousand requests, crashingPerMille are the query of death, and
+	// knownPerMille have one of the known contents, which repeat.
+	crashingPerMille, knownPerMille, known int
+
+	terminations     int
+	thirdTermination clock.Time // when the third target crashed; 0: not yet
+	lateSends        int        // sends of the query of death after the grace period
+	// refusedSince is when a harmless content was first refused for quarantine
 	// since its latest answer.
-	keptSince map[quarantine.Fingerprint]clock.Time
-	longest   time.Duration // that an innocent one was kept away
-	refused   int           // innocent requests
+	refusedSince   map[quarantine.Fingerprint]clock.Time
+	longestRefusal time.Duration // of a harmless content
+	refused        int           // harmless requests
 }
 
-// graceOfDeadly is how long after the third end of a target the fleet may take
-// to keep a query of death away, and sendsOfDeadly how often it may reach
+// quarantineGrace is how long after the third crash of a target the fleet may take
+// to quarantine a query of death, and maxSendsAfterGrace how often it may reach
 // targets after that.
 const (
-	graceOfDeadly = 4 * time.Second
-	sendsOfDeadly = 3
+	quarantineGrace    = 4 * time.Second
+	maxSendsAfterGrace = 3
 )
 
-// numberedContent is the content with a number.
+// numberedContent returns the fingerprint of a numbered content.
 func numberedContent(n uint64) quarantine.Fingerprint {
 	var f quarantine.Fingerprint
 	binary.BigEndian.PutUint64(f[:], n)
@@ -53,9 +53,9 @@
 func (s *fleetSim) drawContent() quarantine.Fingerprint {
 	c := &s.contents
 	switch n := s.rng.IntN(1000); {
-	case n < c.deadlyOf:
-		return c.deadly
-	case n < c.deadlyOf+c.knownOf:
+	case n < c.crashingPerMille:
+		return c.crashing
+	case n < c.crashingPerMille+c.knownPerMille:
 		return numberedContent(uint64(1 + s.rng.IntN(c.known)))
 	default:
 		c.last++
@@ -63,64 +63,66 @@
 	}
 }
 
-func (c *deadlyContents) answered(f quarantine.Fingerprint) { delete(c.keptSince, f) }
+func (c *crashContents) answered(f quarantine.Fingerprint) { delete(c.refusedSince, f) }
 
-// keptAway counts a refusal for a quarantine.
-func (s *fleetSim) keptAway(q *simRequest, f Refusal) {
+// countRefusal records a refusal of a harmless content for quarantine.
+func (s *fleetSim) countRefusal(q *simRequest, f Refusal) {
 	c := &s.contents
-	if f.Reason != verdict.ReasonQuarantined || q.content == c.deadly {
+	if f.Reason != verdict.ReasonQuarantined || q.content == c.crashing {
 		return
 	}
 	c.refused++
-	since, ok := c.keptSince[q.content]
+	since, ok := c.refusedSince[q.content]
 	if !ok {
-		if c.keptSince == nil {
-			c.keptSince = make(map[quarantine.Fingerprint]clock.Time)
+		if c.refusedSince == nil {
+			c.refusedSince = make(map[quarantine.Fingerprint]clock.Time)
 		}
-		c.keptSince[q.content], since = s.now, s.now
+		c.refusedSince[q.content], since = s.now, s.now
 	}
-	c.longest = max(c.longest, s.now.Sub(since))
+	c.longestRefusal = max(c.longestRefusal, s.now.Sub(since))
 }
 
-// reached counts a request that reaches a target.
-func (s *fleetSim) reached(q *simRequest, t *simTarget) {
+// countReached counts sends of the query of death that reach a target too late.
+func (s *fleetSim) countReached(q *simRequest, t *simTarget) {
 	c := &s.contents
-	if q.content == c.deadly && c.third != 0 && s.now.After(c.third.Add(graceOfDeadly)) {
-		c.late++
+	if q.content == c.crashing && c.thirdTermination != 0 && s.now.After(c.thirdTermination.Add(quarantineGrace)) {
+		c.lateSends++
 	}
 }
 
-// endTarget ends a start of t with all that it has. It starts again later.
+// endTarget terminates an instance of t with all requests there, and restarts it
+// later.
 func (s *fleetSim) endTarget(t *simTarget, born int64, deadly bool) {
 	if t.Born != born || t.down {
 		return
 	}
 	c := &s.contents
 	if deadly {
-		if c.ends++; c.ends == quarantine.MaxEnds {
-			c.third = s.now
+		if c.terminations++; c.terminations == quarantine.MaxEnds {
+			c.thirdTermination = s.now
 		}
 	}
 	t.down, t.running = true, 0
 	var lost []simAttempt
-	for a := range t.under {
+	for a := range t.inFlight {
 		lost = append(lost, a)
 	}
 	slices.SortFunc(lost, func(a, b simAttempt) int {
 		return cmp.Or(cmp.Compare(a.vm.id, b.vm.id), cmp.Compare(a.id, b.id))
 	})
 	for _, a := range lost {
-		s.after(time.Millisecond, t.under[a])
+		s.after(time.Millisecond, t.inFlight[a])
 	}
-	clear(t.under)
+	clear(t.inFlight)
 	s.after(time.Duration(1000+s.rng.IntN(2000))*time.Millisecond, func() {
 		t.down = false
 		t.Born++
-		s.all(&TargetsChanged{Set: []Target{t.Target}})
+		s.stepAll(&TargetsChanged{Set: []Target{t.Target}})
 	})
 }
 
-// probe tells an entry VM whether a target listens; one in ten has no answer.
+// probe reports to an entry VM whether a target listens; one probe in ten gets no
+// answer.
 func (s *fleetSim) probe(vm *simVM, p Probe) {
 	t := s.targets[p.Target]
 	s.after(time.Duration(1+s.rng.IntN(5))*time.Millisecond, func() {
@@ -135,8 +137,9 @@
 	})
 }
 
-// keep carries a change of a quarantine through the store to all entry VMs.
-func (s *fleetSim) keep(q *Quarantine) {
+// storeQuarantine delivers a change of a quarantine through the store to all entry
+// VMs.
+func (s *fleetSim) storeQuarantine(q *Quarantine) {
 	if !q.Keep && !q.Remove {
 		return
 	}
@@ -151,21 +154,21 @@
 	}
 }
 
-// checkDeadly holds the query of death to the bound on its sends.
-func (s *fleetSim) checkDeadly() {
-	if c := &s.contents; c.late > sendsOfDeadly {
-		s.t.Fatalf("the query of death came to targets %d times after the third end and %v; %d targets ended under it", c.late, graceOfDeadly, c.ends)
+// checkQuarantine checks the limit on late sends of the query of death.
+func (s *fleetSim) checkQuarantine() {
+	if c := &s.contents; c.lateSends > maxSendsAfterGrace {
+		s.t.Fatalf("the query of death reached targets %d times later than %[2]v after the third crash; it crashed %[3]d targets", c.lateSends, quarantineGrace, c.terminations)
 	}
 }
 
-// A query of death ends targets for as long as its callers come, at any entry VM
-// and beside any other trouble.
-func TestRandomFleetKeepsQueriesOfDeathAway(t *testing.T) {
+// A query of death arrives at any entry VM, repeatedly and together with other
+// failures.
+func TestRandomFleetQuarantinesQueriesOfDeath(t *testing.T) {
 	ended, refused := 0, 0
 	for seed := range uint64(40) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			s := newFleetSim(t, seed)
-			s.contents = deadlyContents{deadly: numberedContent(1 << 48), deadlyOf: 10 << (seed % 3), knownOf: 300, known: 20}
+			s.contents = crashContents{crashing: numberedContent(1 << 48), crashingPerMille: 10 << (seed % 3), knownPerMille: 300, known: 20}
 			s.loss = float64(seed%4) / 20
 			for n := range 8 {
 				s.startTarget(n)
@@ -180,37 +183,37 @@
 				s.run(s.now.Add(time.Duration(s.rng.IntN(15)) * time.Millisecond))
 			}
 			s.run(s.now.Add(20 * time.Second))
-			s.checkDeadly()
-			ended += s.contents.ends
+			s.checkQuarantine()
+			ended += s.contents.terminations
 			refused += s.contents.refused
-			if s.contents.ends == 0 {
-				t.Fatal("nothing has ended under the query of death")
+			if s.contents.terminations == 0 {
+				t.Fatal("the query of death has crashed no target")
 			}
 		})
 	}
-	t.Logf("%d targets ended under queries of death, %d innocent requests were refused", ended, refused)
+	t.Logf("queries of death crashed %d targets, %d harmless requests were refused", ended, refused)
 }
 
-// boundOfInnocent is how long an innocent content that comes all the time may be
-// kept away: until its first trial, and until it comes to the VM that lets
-// trials through.
-const boundOfInnocent = 20 * time.Second
+// maxInnocentRefusal is how long a harmless content that arrives continuously may
+// be refused: until its first trial is due, and until it arrives at the VM that
+// admits trials.
+const maxInnocentRefusal = 20 * time.Second
 
-// Targets that end for reasons of their own put requests into quarantine that
-// have done nothing, as the same content is at each end by chance.
+// Targets that crash for other reasons put harmless requests into quarantine,
+// because the same content is under way at each crash by chance.
 func TestInnocentRequestsLeaveQuarantine(t *testing.T) {
 	refused := 0
 	for seed := range uint64(30) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			s := newFleetSim(t, seed)
-			s.contents = deadlyContents{deadly: numberedContent(1 << 48), knownOf: 900, known: 5}
+			s.contents = crashContents{crashing: numberedContent(1 << 48), knownPerMille: 900, known: 5}
 			s.loss = float64(seed%4) / 20
 			for n := range 8 {
 				s.startTarget(n)
 			}
 			for range 4000 {
 				s.arrive()
-				if s.rng.IntN(100) == 0 { // all at once, with what runs there
+				if s.rng.IntN(100) == 0 { // half of them at once, with their requests
 					for _, id := range s.targetIDs() {
 						if t := s.targets[id]; s.rng.IntN(2) == 0 {
 							s.endTarget(t, t.Born, false)
@@ -219,23 +222,23 @@
 				}
 				s.run(s.now.Add(time.Duration(s.rng.IntN(30)) * time.Millisecond))
 			}
-			if s.contents.longest > boundOfInnocent {
-				t.Fatalf("an innocent content was kept away for %v", s.contents.longest)
+			if s.contents.longestRefusal > maxInnocentRefusal {
+				t.Fatalf("a harmless content was refused for %v", s.contents.longestRefusal)
 			}
 			refused += s.contents.refused
 		})
 	}
-	t.Logf("%d innocent requests were refused", refused)
+	t.Logf("%d harmless requests were refused", refused)
 }
 
-// startTarget starts a target of either service.
+// startTarget starts a target of one of the two services.
 func (s *fleetSim) startTarget(n int) *simTarget {
 	d := simDomains[n%len(simDomains)]
-	t := &simTarget{region: simRegions[d], under: make(map[simAttempt]func()), Target: Target{
+	t := &simTarget{region: simRegions[d], inFlight: make(map[simAttempt]func()), Target: Target{
 		ID: fleet.TargetID(fmt.Sprintf("t-%d", n)), Domain: d, Slots: 4, Born: 1,
 		Service: fleet.ServiceName(fmt.Sprintf("s%d", 1+n/len(simDomains)%2)), Addr: "10.0.0.1:1",
 	}}
 	s.targets[t.ID] = t
-	s.all(&TargetsChanged{Set: []Target{t.Target}})
+	s.stepAll(&TargetsChanged{Set: []Target{t.Target}})
 	return t
 }
--- a/decide/ingress/doc.go
+++ b/decide/ingress/doc.go
@@ -1,69 +1,74 @@
-// Package ingress decides what becomes of the requests that one entry VM takes
-// on operators' routes: which target gets a request, when it is sent again,
-// when it is given up, and what its caller is told.
+// Package ingress decides how the requests received by one entry VM are handled:
+// which target gets a request, when it is sent again, when it is given up, and
+// which answer its caller gets.
 //
-// The package is one reducer. Step takes an event and the instant at which it
-// was seen, and writes the effects to a Ready: requests to send, sends to
-// cancel, answers to deliver, refusals. Answers and bodies stay with the
-// caller of Step; the reducer sees only what decides, such as the status.
+// The package is a single deterministic reducer. Step takes an event and the time
+// at which it was observed, and writes the resulting effects to a Ready: requests
+// to send, sends to cancel, answers to deliver, refusals. Answers and bodies stay
+// with the caller of Step; the reducer sees only what affects a decision, such as
+// the status.
 //
 // # Choice of a target
 //
-// A target that has handled an object lately handles it several times faster
-// but remembers few objects, and works on few requests at once. So one entry VM
-// of a region, the coordinator of a service, places all requests for it: it
+// A target that handled an object recently handles it several times faster, but
+// remembers few objects and runs few requests at once. Therefore one entry VM of a
+// region, the coordinator of a service, places all requests for that service: it
 // knows every request in flight at the region's targets and where objects are
-// warm. Other entry VMs ask it for a target (Ask, Grant, Deny), send the request
-// themselves, and report its end. While a coordinator is silent the next VM in
-// line stands in for it (placer); the request that has found it silent is placed
-// by what its entry VM knows itself.
+// warm. Other entry VMs ask it for a target (PlacementRequest, Grant, Deny), send
+// the request themselves and report the result. While a coordinator is silent, the
+// next VM in the order of coordinators acts as its standby (activeCoordinator);
+// the request that found the coordinator silent is placed with the knowledge of
+// its own entry VM.
 //
-// Considered are the targets at which the object is warm, the first two of the
-// region by rendezvous hashing of the object, the first of the other regions and
-// of the caller's failure domain. Among these the one with the earliest
-// expected answer gets the request: network, what is in flight there, and the
-// work, which depends on whether the object is warm there. Latency is learned by
-// route, as routes to one service may ask for very different work. A warm
-// object is worth a wait at its target, a cold start is not (queueAt). Which
-// part of the requests runs in other regions changes slowly (regionShare), and
-// objects stay where they are warm as long as that allows it.
+// The candidates are the targets at which the object is warm, the first two of the
+// region by rendezvous hashing of the object, and the first of the other regions
+// and of the caller's failure domain. The candidate with the earliest expected
+// answer gets the request. The estimate covers the network, the requests in flight
+// at the target, and the work, which depends on whether the object is warm there.
+// Latency is measured per route, because routes to the same service may do very
+// different work. A warm object is worth waiting for at its target, a cold start
+// is not (queueLimit). The share of requests that run in other regions changes
+// slowly (regionShare), and objects stay where they are warm as long as the share
+// allows it.
 //
-// The entry VM that has the request sends it, to a target of another region by
-// way of an entry VM near that target (gatewayTo). Such a gateway decides nothing
-// but the end of what it carries (Carry).
+// The entry VM that received the request sends it, to a target of another region
+// through an entry VM near that target (gatewayTo). Such a gateway only sends the
+// request once and returns the result (Carry).
 //
-// A choice costs the same however many targets and entry VMs there are: what it
-// needs is kept for each object (object), service (crowd) and list of entry VMs,
-// and brought up to date by the event that changes it. Check holds what is kept
-// against what it is derived from.
+// The cost of a choice does not depend on the number of targets and entry VMs: the
+// required data is cached for each object (object), service (occupancy) and list
+// of entry VMs, and updated by the event that changes it. Check compares the
+// cached data with its source.
 //
-// # Bounds that sum over entry VMs
+// # Limits across entry VMs
 //
-// A cold target bears few requests a second, another one names the rate that it
-// takes, and repeats are bounded for each service, over all entry VMs together,
-// whoever is cut off. None of these bounds may rest on messages between them:
+// A cold target takes few requests per second, a target may announce a rate limit,
+// and retries are limited per service. These limits apply to all entry VMs
+// together, also while some of them are cut off, so none of them may depend on
+// messages between entry VMs:
 //
 //   - A cold target gets requests through one entry VM, the coordinator for its
-//     service in its region. Entry VMs that disagree about the members name two
-//     coordinators at most in practice, so each keeps to half of the bound.
-//   - A target that names a rate limit gets requests through the same VM, which
-//     keeps to half of what operators allow beyond it (rateLimit).
-//   - Repeats are paid out of a bucket that starts empty, earns a fixed share
-//     of a token for each request taken, and holds this VM's part of the fixed
-//     allowance at most. The parts sum below the bound for any subset of the
-//     entry VMs, also right after all of them were restarted.
+//     service in its region. Entry VMs that disagree about the members choose at
+//     most two coordinators in practice, so each uses half of the limit.
+//   - A target with a rate limit gets requests through the same VM, which uses
+//     half of what operators allow beyond the limit (rateLimit).
+//   - Retries are paid from a token bucket that starts empty, earns a fixed
+//     fraction of a token for each accepted request, and holds at most this VM's
+//     part of the fixed allowance. The parts add up to less than the limit for any
+//     subset of the entry VMs, also right after all of them were restarted.
 //
-// # Requests that end targets
+// # Requests that crash targets
 //
-// A request may end each target that runs it, and comes again at any entry VM.
-// Package quarantine counts the ends by the content of requests; here they are
-// proved (Probe, ended), told to the VMs that count them and then to all
-// (announce), and acted upon: a request whose content is in quarantine is refused
-// on arrival (keptAway), and one that may be deadly goes where the fewest others
-// run (leastBusy).
+// A request may crash every target that runs it, and may arrive again at any entry
+// VM. Package quarantine counts the crashes by the content of requests. This
+// package verifies them (Probe, markTerminated), reports them to the VMs that
+// count them and then to all VMs (announce), and acts on the result: a request
+// whose content is in quarantine is refused on arrival (quarantineDelay), and one
+// that may crash its target is sent to the target that runs the fewest others
+// (leastBusy).
 //
-// # What callers are told
+// # Refusals
 //
-// Every refusal carries the joined verdict of all sends. Not-run is said only
-// where each of them was refused explicitly or never left this VM.
+// Every refusal carries the joined verdict of all sends. The verdict is not-run
+// only if every send was refused explicitly or never left this VM.
 package ingress
--- a/decide/ingress/ended.go
+++ b/decide/ingress/ended.go
@@ -8,13 +8,14 @@
 	"github.com/azurethread/azurethread/decide/verdict"
 )
 
-// The end of one connection is not the end of a target: answers are cut,
-// connections reset, lists of them full. So a target is asked once one is lost
-// with a request under way. Only a refused connection proves that its process
-// has ended; a host without power or behind a partition refuses nothing.
+// The loss of one connection does not prove that its target has terminated:
+// answers are cut off, connections reset, backlogs full. So a target is probed
+// after a connection with a request under way is lost. Only a refused connection
+// proves that its process has terminated; a host without power or behind a network
+// partition refuses nothing.
 
-// lostRequest is a request that was under way at a target when its connection
-// was lost.
+// lostRequest is a request that was under way at a target when its connection was
+// lost.
 type lostRequest struct {
 	fingerprint quarantine.Fingerprint
 	route       string
@@ -22,80 +23,81 @@
 }
 
 const (
-	// maxLost bounds the lost requests that are kept of one target: more than
-	// run and wait at one.
-	maxLost = 128
-	// keepLost is how long a lost request waits for proof of its target's end.
-	// The registration of one that has ended goes within that time.
-	keepLost = 6 * time.Second
+	// maxLostRequests limits the lost requests kept per target: more than run and
+	// wait at one.
+	maxLostRequests = 128
+	// lostRequestTTL is how long a lost request waits for proof that its target
+	// has terminated. The registration of a terminated target disappears within
+	// that time.
+	lostRequestTTL = 6 * time.Second
 )
 
-// start names the start of t.
-func (t *targetState) start() quarantine.Start {
+// instance identifies this instance of t.
+func (t *targetState) instance() quarantine.Start {
 	return quarantine.Start{Target: t.ID, Born: t.Born}
 }
 
-// lostUnder notes that a has ended with its connection.
-func (r *Reducer) lostUnder(now clock.Time, a *attempt, why verdict.Reason) {
+// recordLostRequest records that a has ended with its connection.
+func (r *Reducer) recordLostRequest(now clock.Time, a *attempt, why verdict.Reason) {
 	q, t := a.req, a.target
 	if why != verdict.ReasonConnectionLost && why != verdict.ReasonAnswerCut {
 		return
 	}
-	q.losses++
+	q.lostConnections++
 	lost := lostRequest{fingerprint: q.fingerprint, route: q.route.Name, sent: a.sent, at: now}
 	switch {
-	case t.hasEnded:
-		r.endedUnder(now, t, lost)
+	case t.terminated:
+		r.recordTermination(now, t, lost)
 		return
-	case t.Draining || t.gone || len(t.lost) >= maxLost:
-		return // a target that leaves ends of its own accord
+	case t.Draining || t.removed || len(t.lost) >= maxLostRequests:
+		return // a leaving target terminates without a crash
 	}
 	t.lost = append(t.lost, lost)
 	if t.probing {
 		return
 	}
 	t.probing = true
-	r.out.Probes = append(r.out.Probes, Probe{Target: t.ID, Born: t.Born, Addr: t.Addr, Wait: r.connectBound(t)})
+	r.out.Probes = append(r.out.Probes, Probe{Target: t.ID, Born: t.Born, Addr: t.Addr, Timeout: r.connectTimeout(t)})
 }
 
-// probed takes the outcome of a probe.
+// probed handles the result of a probe.
 func (r *Reducer) probed(now clock.Time, ev *Probed) {
 	t, ok := r.targets[ev.Target]
 	if !ok || t.Born != ev.Born {
-		return // it has started again or left, which says as much
+		return // it has restarted or left, which proves the same
 	}
 	t.probing = false
 	switch ev.Listening {
 	case ListeningNo:
-		r.believe(t, "ended", 0)
-		r.ended(now, t)
+		r.reportChange(t, "ended", 0)
+		r.markTerminated(now, t)
 	case ListeningYes:
 		t.lost = nil
 	}
 }
 
-// ended notes that the start of t has ended.
-func (r *Reducer) ended(now clock.Time, t *targetState) {
+// markTerminated records that this instance of t has terminated.
+func (r *Reducer) markTerminated(now clock.Time, t *targetState) {
 	lost := t.lost
 	t.lost = nil
-	if t.hasEnded || t.Draining {
+	if t.terminated || t.Draining {
 		return
 	}
-	t.hasEnded = true
+	t.terminated = true
 	for _, l := range lost {
-		if now.Sub(l.at) <= keepLost {
-			r.endedUnder(now, t, l)
+		if now.Sub(l.at) <= lostRequestTTL {
+			r.recordTermination(now, t, l)
 		}
 	}
 }
 
-// endedUnderAll notes that the start of t has ended with all that is under way
+// recordTerminationForAll records the termination of t for all requests under way
 // there.
-func (r *Reducer) endedUnderAll(now clock.Time, t *targetState) {
+func (r *Reducer) recordTerminationForAll(now clock.Time, t *targetState) {
 	if t.Draining {
 		return
 	}
 	for _, a := range r.attemptsAt(t) {
-		r.endedUnder(now, t, lostRequest{fingerprint: a.req.fingerprint, route: a.req.route.Name, sent: a.sent, at: now})
+		r.recordTermination(now, t, lostRequest{fingerprint: a.req.fingerprint, route: a.req.route.Name, sent: a.sent, at: now})
 	}
 }
--- a/decide/ingress/event.go
+++ b/decide/ingress/event.go
@@ -19,10 +19,10 @@
 // Event is one of the pointer types of this file.
 type Event any
 
-// Configured says that a configuration has come into force.
+// Configured reports that a configuration has come into force.
 type Configured struct{ Table *route.Table }
 
-// Target is a target as its latest registration describes it.
+// Target is a target as described by its latest registration.
 type Target struct {
 	ID       fleet.TargetID
 	Service  fleet.ServiceName
@@ -30,111 +30,114 @@
 	Domain   fleet.Domain
 	Slots    int
 	Draining bool
-	// Cold is how long the target stays cold, seen from the registration.
+	// Cold is how long the target stays cold, counted from the registration.
 	Cold time.Duration
-	// Born is the Unix millisecond of the target's start by its own clock; 0:
-	// not stated. A target may start again under its ID, and then holds nothing
-	// of before. Only whether it differs counts: clocks may jump.
+	// Born is the target's start time in Unix milliseconds by its own clock; 0:
+	// not stated. A target may restart under its ID, and then has lost its state.
+	// Values are compared for equality only, because clocks may jump.
 	Born int64
 }
 
-// TargetsChanged lists targets that were registered or changed, and those that
-// are gone.
+// TargetsChanged lists targets that were registered or updated, and those whose
+// registrations are gone.
 type TargetsChanged struct {
-	Set  []Target
-	Gone []fleet.TargetID
-	// Unsure says that the store was in trouble: those that are gone may be
-	// alive without having been able to renew their registration.
-	Unsure bool
+	Set     []Target
+	Removed []fleet.TargetID
+	// StoreDegraded means that the store was in trouble: removed targets may be
+	// alive but unable to renew their registrations.
+	StoreDegraded bool
 }
 
-// Evacuated says that a failure domain is to get no requests, or is taken back.
+// Evacuated reports that a failure domain is to get no requests, or is back in
+// use.
 type Evacuated struct {
 	Domain fleet.Domain
 	Begin  bool
 }
 
-// MembersChanged lists all live entry VMs, this one included.
+// MembersChanged lists all live entry VMs, including this one.
 type MembersChanged struct{ VMs []fleet.VM }
 
-// Arrive is a whole request of a caller.
+// Arrive is a complete request of a caller.
 type Arrive struct {
 	Request RequestID
 	Host    string
 	Path    string // with or without a query
-	Object  string // value that requests for the same object share; may be empty
+	Object  string // shared by requests for the same object; may be empty
 	// Patience is how long the caller waits; 0: not stated.
 	Patience time.Duration
 	Bytes    int // of the body
-	// Fingerprint is that of its content.
+	// Fingerprint identifies the request's content.
 	Fingerprint quarantine.Fingerprint
 }
 
-// CallerGone says that the caller of a request has closed its connection.
+// CallerGone reports that the caller of a request has closed its connection.
 type CallerGone struct{ Request RequestID }
 
 // Carry is a request that an entry VM of another region has placed at a target
-// near this one. Its answer or refusal is for that VM.
+// near this VM, which acts as its gateway. The answer or refusal goes back to that
+// VM.
 type Carry struct {
 	Request RequestID
 	Target  fleet.TargetID
-	Left    time.Duration // what the target may still take
+	Left    time.Duration // time left for the target
 }
 
-// Received says that the gateway of an attempt has the request.
+// Received reports that the gateway of an attempt has accepted the request.
 type Received struct{ Attempt AttemptID }
 
-// Answered is a whole answer of a target. Of an answer that is no answer to
-// the request, such as one of another request, the transport reports Failed.
+// Answered is a complete answer of a target. For an answer that does not belong to
+// the request, the transport reports Failed instead.
 type Answered struct {
 	Attempt AttemptID
 	Outcome Outcome
 	Load    Load
 	Limit   RateLimit
 	Bytes   int // of the body
-	// Connect is how long the connection took to open, if this is its first
-	// answer; 0 otherwise.
+	// Connect is the time that opening the connection took if this is its first
+	// answer, 0 otherwise.
 	Connect time.Duration
-	// Waited is how long the request waited for a connection: less than Connect
-	// if another one was freed meanwhile.
+	// Waited is how long the request waited for a connection: less than Connect if
+	// another connection became free meanwhile.
 	Waited time.Duration
 }
 
-// Outcome says what an answer means.
+// Outcome classifies an answer.
 type Outcome uint8
 
 const (
-	// Served is a target's own answer, a success or the caller's mistake.
+	// Served is the target's own answer, either a success or an error of the
+	// caller.
 	Served Outcome = iota
-	// ServerError is a target's own failure; the request has run.
+	// ServerError is a failure of the target; the request has run.
 	ServerError
-	// Refused states that the target did not run the request.
+	// Refused means that the target did not run the request.
 	Refused
-	// Misdirected states that another target has the address now.
+	// Misdirected means that another target now has the address.
 	Misdirected
-	// Unfit is an answer that must not be passed on: it lacks the mark of a
-	// target's own answer, or its status promises what the target doesn't state.
-	Unfit
+	// InvalidAnswer must not be passed on: it lacks the mark of a target's own
+	// answer, or its status contradicts what the target states.
+	InvalidAnswer
 )
 
-// String returns the name of the outcome in logs.
+// String returns the outcome's name in logs.
 func (o Outcome) String() string {
 	return [...]string{"served", "server-error", "refused", "misdirected", "unfit"}[o]
 }
 
-// Verdict returns what the answer says of the request's execution.
+// Verdict returns what the answer implies about the request's execution.
 func (o Outcome) Verdict() verdict.Verdict {
 	switch o {
 	case Refused, Misdirected:
 		return verdict.NotRun
-	case Unfit:
+	case InvalidAnswer:
 		return verdict.MayHaveRun
 	default:
 		return verdict.Ran
 	}
 }
 
-// Load is what a target says about itself in an answer.
+// Load is the load that a target reports in an answer.
 type Load struct {
 	Known   bool
 	Running int
@@ -142,108 +145,107 @@
 	Slots   int
 }
 
-// RateLimit is what an answer says of the requests that its target takes from all
-// entry VMs together.
+// RateLimit is what an answer states about the rate of requests that its target
+// accepts from all entry VMs together.
 type RateLimit struct {
-	// Heard says that there was an answer, and that what it says could be read.
+	// Heard means that there was an answer and its statement could be parsed.
 	Heard bool
-	// Named says that the answer names a limit. Without one there is none.
+	// Named means that the answer states a limit. Without one there is no limit.
 	Named     bool
 	PerSecond float64
 }
 
-// Failed says that an attempt has ended without an answer. With
-// verdict.ReasonGateway it has ended on the way to its gateway or back.
+// Failed reports that an attempt ended without an answer. With
+// verdict.ReasonGateway it failed between this VM and its gateway.
 type Failed struct {
 	Attempt AttemptID
 	Verdict verdict.Verdict
 	Reason  verdict.Reason
 }
 
-// Probed is the outcome of a Probe.
+// Probed is the result of a Probe.
 type Probed struct {
 	Target    fleet.TargetID
 	Born      int64
 	Listening Listening
 }
 
-// Listening says whether a process listens at a target's address.
+// Listening tells whether a process listens at a target's address.
 type Listening uint8
 
 const (
-	// ListeningUnknown means that there was no word from the target's host.
+	// ListeningUnknown means that the target's host did not respond.
 	ListeningUnknown Listening = iota
-	// ListeningNo means that the host has refused a connection: nobody listens.
+	// ListeningNo means that the host refused a connection: no process listens.
 	ListeningNo
 	// ListeningYes means that a connection was opened.
 	ListeningYes
 )
 
-// QuarantineRead is what the store says of a fingerprint.
+// QuarantineRead is the store's current entry for a fingerprint.
 type QuarantineRead struct {
 	Fingerprint quarantine.Fingerprint
-	// Record is what stands there; nil: it was taken out, and the quarantine is
-	// lifted.
+	// Record is the entry; nil: it was removed and the quarantine is lifted.
 	Record *quarantine.Record
 }
 
-// Bounded changes the operators' limits, and for how long a target serves after
-// its registration has gone.
-type Bounded struct {
-	Bounds Bounds
-	Drain  time.Duration // 0: not known
+// BoundsChanged updates the operators' limits and the time that a target still
+// serves after its registration was removed.
+type BoundsChanged struct {
+	Bounds    Bounds
+	DrainTime time.Duration // 0: unknown
 }
 
-// Tick lets time pass.
+// Tick only advances the time.
 type Tick struct{}
 
-// Send asks for a request to be sent to a target.
+// Send requests that a request be sent to a target.
 type Send struct {
 	Attempt AttemptID
 	Request RequestID
 	Target  fleet.TargetID
 	Domain  fleet.Domain // of the target
 	Addr    string
-	// Gateway is the entry VM that carries the request to the target; "": it is
-	// sent from here.
-	Gateway fleet.VMID
-	Left    time.Duration // what the target may still take
-	Connect time.Duration // bound on opening a connection
-	// Spare asks that a connection to the gateway or target stay free beside those
-	// in use.
+	// Gateway is the entry VM that forwards the request to the target; "": it is
+	// sent directly.
+	Gateway        fleet.VMID
+	TimeLeft       time.Duration // time left for the target
+	ConnectTimeout time.Duration // for opening a connection
+	// Spare requests that one more connection to the gateway or target be kept
+	// free beside those in use.
 	Spare bool
 }
 
-// Probe asks whether a target listens: a connection is to be opened and closed.
+// Probe requests a check whether a target listens, by opening and closing a
+// connection.
 type Probe struct {
-	Target fleet.TargetID
-	Born   int64 // tells the starts of a target apart
-	Addr   string
-	Wait   time.Duration // for the connection
+	Target  fleet.TargetID
+	Born    int64 // distinguishes restarts of a target
+	Addr    string
+	Timeout time.Duration // for opening the connection
 }
 
-// Quarantine is a change of what is kept away from targets, for the log and the
-// store.
+// Quarantine is a change of a quarantine, for the log and the store.
 type Quarantine struct {
 	Record quarantine.Record
-	// Keep asks for the record to be kept in the store, and Remove for what
-	// stands there to be taken out.
+	// Keep requests that the record be saved in the store, Remove that the stored
+	// entry be deleted.
 	Keep, Remove bool
 }
 
-// Cancel asks for an attempt to be given up.
+// Cancel requests that an attempt be abandoned.
 type Cancel struct {
 	Request RequestID
 	Attempt AttemptID
 }
 
-// Deliver asks for the answer of an attempt to be given to the caller.
+// Deliver requests that the answer of an attempt be given to the caller.
 type Deliver struct {
 	Request RequestID
 	Attempt AttemptID
 }
 
-// Refusal is an answer of this entry VM's own.
+// Refusal is an answer generated by this entry VM itself.
 type Refusal struct {
 	Request    RequestID
 	Verdict    verdict.Verdict
@@ -251,35 +253,36 @@
 	RetryAfter time.Duration // 0: not stated
 }
 
-// Belief is a change of what the reducer holds of a target, for the log.
-type Belief struct {
+// TargetStateChange is a change of a target's state as seen by the reducer, for
+// the log.
+type TargetStateChange struct {
 	Target fleet.TargetID
 	Change string
-	Until  clock.Time // 0: for good
+	Until  clock.Time // 0: no end
 }
 
-// Ready holds the effects of one Step. The slices belong to the caller, who
-// resets and reuses them.
+// Ready holds the effects of one Step. The slices belong to the caller, who resets
+// and reuses them.
 type Ready struct {
 	Sends    []Send
 	Cancels  []Cancel
 	Delivers []Deliver
 	Refusals []Refusal
-	// Dropped are requests that need no answer: their callers have gone. They
-	// come after the cancels of their attempts.
-	Dropped []RequestID
-	Tells   []Tell
-	Beliefs []Belief
-	// Restarted are addresses of targets that have started again: connections
-	// kept to them lead to processes that have ended.
-	Restarted []string
-	// Silent are gateways that have not said that they have a request: connections
-	// kept to them may have gone silent.
-	Silent []fleet.VMID
-	// Probes are asked of targets that may have ended.
+	// Abandoned are requests that need no answer because their callers have gone.
+	// They follow the cancels of their attempts.
+	Abandoned    []RequestID
+	Tells        []Tell
+	StateChanges []TargetStateChange
+	// RestartedAddrs are the addresses of targets that have restarted: pooled
+	// connections to them lead to terminated processes.
+	RestartedAddrs []string
+	// SilentGateways are gateways that did not acknowledge a request in time:
+	// pooled connections to them may be dead.
+	SilentGateways []fleet.VMID
+	// Probes check targets that may have terminated.
 	Probes      []Probe
 	Quarantines []Quarantine
-	// Wake is when Tick is due at the latest.
+	// Wake is the latest time at which Tick is due.
 	Wake clock.Time
 }
 
@@ -289,11 +292,11 @@
 	r.Cancels = r.Cancels[:0]
 	r.Delivers = r.Delivers[:0]
 	r.Refusals = r.Refusals[:0]
-	r.Dropped = r.Dropped[:0]
+	r.Abandoned = r.Abandoned[:0]
 	r.Tells = r.Tells[:0]
-	r.Beliefs = r.Beliefs[:0]
-	r.Restarted = r.Restarted[:0]
-	r.Silent = r.Silent[:0]
+	r.StateChanges = r.StateChanges[:0]
+	r.RestartedAddrs = r.RestartedAddrs[:0]
+	r.SilentGateways = r.SilentGateways[:0]
 	r.Probes = r.Probes[:0]
 	r.Quarantines = r.Quarantines[:0]
 	r.Wake = clock.Never
--- a/decide/ingress/fleet_test.go
+++ b/decide/ingress/fleet_test.go
@@ -16,9 +16,9 @@
 	"github.com/azurethread/azurethread/decide/verdict"
 )
 
-// fleetSim runs several entry VMs against simulated targets on a simulated
-// clock, loses messages between them, and keeps books of its own of what the
-// targets and callers see.
+// fleetSim runs several entry VMs with simulated targets on a simulated clock,
+// drops some of the messages between them, and independently records what targets
+// and callers observe.
 type fleetSim struct {
 	t       *testing.T
 	rng     *rand.Rand
@@ -27,13 +27,13 @@
 	vms     []*simVM
 	targets map[fleet.TargetID]*simTarget
 	bounds  Bounds
-	loss    float64 // share of messages between entry VMs that are lost
+	loss    float64 // share of the messages between entry VMs that is lost
 	finals  int
 
 	repeats  []clock.Time // sends beyond the first of a request
 	requests []clock.Time
 
-	contents deadlyContents
+	contents crashContents
 }
 
 type simVM struct {
@@ -42,10 +42,10 @@
 	out  Ready
 	wake clock.Time
 	open map[RequestID]*simRequest
-	// owner finds the request of an attempt that is under way.
+	// owner maps the attempts under way to their requests.
 	owner map[AttemptID]*simRequest
 	last  RequestID
-	// answer is the latest of a target.
+	// answer is the latest answer of a target.
 	answer *Answered
 }
 
@@ -55,12 +55,12 @@
 	homes      []fleet.Region
 	due        clock.Time
 	sends      int
-	// mayRun says that a send may have run or still may.
-	mayRun  bool
-	running map[AttemptID]bool
-	content quarantine.Fingerprint
-	carried *simCarried // nil: a caller's own
-	gates   []simGate   // that have it
+	// mayRun means that a send has run or may still run.
+	mayRun    bool
+	running   map[AttemptID]bool
+	content   quarantine.Fingerprint
+	forwarded *simForwarded       // nil: a caller's own request
+	gateways  []simGatewayRequest // that have received it
 }
 
 type simTarget struct {
@@ -69,13 +69,14 @@
 	cold      clock.Time
 	coldSends []clock.Time
 	running   int
-	// under are the requests that it has, by what ends them with it.
-	under map[simAttempt]func()
-	down  bool
-	limit RateLimit // that it names
+	// inFlight are the requests at the target, with a function that fails each of
+	// them.
+	inFlight map[simAttempt]func()
+	down     bool
+	limit    RateLimit // that it currently states
 }
 
-// limitOf is what t says of its limit, which it may change at any moment.
+// limitOf returns the limit that t states, which may change at any time.
 func (s *fleetSim) limitOf(t *simTarget) RateLimit {
 	switch s.rng.IntN(60) {
 	case 0:
@@ -86,7 +87,7 @@
 	return t.limit
 }
 
-// simAttempt names an attempt of one of the entry VMs.
+// simAttempt identifies an attempt of one of the entry VMs.
 type simAttempt struct {
 	vm *simVM
 	id AttemptID
@@ -110,7 +111,7 @@
 		targets: make(map[fleet.TargetID]*simTarget), bounds: simBounds,
 	}
 	if seed%2 == 1 {
-		s.bounds.RepeatSlack *= 10 // so that repeats are seldom refused
+		s.bounds.RepeatSlack *= 10 // so that retries are seldom refused
 	}
 	cfg := &route.Config{Version: 1, Routes: simRoutes, Services: map[fleet.ServiceName]route.Service{
 		"s1": {Name: "s1", ColdRate: 2.6, ColdTime: 3 * time.Second},
@@ -131,7 +132,7 @@
 	return s
 }
 
-// step has one entry VM take an event and carries out the effects.
+// step passes an event to one entry VM and carries out the effects.
 func (s *fleetSim) step(vm *simVM, ev Event) {
 	vm.out.Reset()
 	if a, ok := ev.(*Answered); ok {
@@ -149,18 +150,18 @@
 			delete(vm.owner, c.Attempt)
 			delete(q.running, c.Attempt)
 			q.mayRun = true
-			s.leaveGateways(q, c.Attempt)
+			s.cancelAtGateways(q, c.Attempt)
 		}
 	}
-	for _, id := range out.Dropped {
-		s.final(vm, id)
+	for _, id := range out.Abandoned {
+		s.recordFinal(vm, id)
 	}
 	for _, d := range out.Delivers {
-		q := s.final(vm, d.Request)
-		if c := q.carried; c != nil {
+		q := s.recordFinal(vm, d.Request)
+		if c := q.forwarded; c != nil {
 			passed := *answer
 			passed.Attempt = c.attempt
-			s.after(time.Millisecond, func() { s.endCarried(c.sender, c.q, &passed) })
+			s.after(time.Millisecond, func() { s.endForwarded(c.sender, c.q, &passed) })
 			continue
 		}
 		s.contents.answered(q.content)
@@ -175,10 +176,10 @@
 		s.probe(vm, p)
 	}
 	for i := range out.Quarantines {
-		s.keep(&out.Quarantines[i])
+		s.storeQuarantine(&out.Quarantines[i])
 	}
 	for _, tell := range out.Tells {
-		s.tell(vm, tell)
+		s.deliverMessage(vm, tell)
 	}
 	vm.wake = out.Wake
 	if out.Wake != clock.Never {
@@ -195,34 +196,35 @@
 
 func (s *fleetSim) after(d time.Duration, run func()) { s.at(s.now.Add(d), run) }
 
-// final counts the only final effect that a request may have.
-func (s *fleetSim) final(vm *simVM, id RequestID) *simRequest {
+// recordFinal records the final result of a request, of which there must be only
+// one.
+func (s *fleetSim) recordFinal(vm *simVM, id RequestID) *simRequest {
 	q := vm.open[id]
 	if q == nil {
-		s.t.Fatalf("%s: request %d has a second end", vm.id, id)
+		s.t.Fatalf("%s: request %d has a second final result", vm.id, id)
 	}
 	delete(vm.open, id)
-	if q.carried == nil {
+	if q.forwarded == nil {
 		s.finals++
 	}
 	if late := s.now.Sub(q.due); late > answerMargin {
-		s.t.Fatalf("%s: request %d ends %v too late", vm.id, id, late)
+		s.t.Fatalf("%s: request %d ends %v after its deadline", vm.id, id, late)
 	}
 	return q
 }
 
 func (s *fleetSim) refused(vm *simVM, f Refusal) {
-	q := s.final(vm, f.Request)
+	q := s.recordFinal(vm, f.Request)
 	if f.Verdict == verdict.NotRun && (q.mayRun || len(q.running) > 0) {
 		s.t.Fatalf("%s: request %d is said not to have run, but may have", vm.id, f.Request)
 	}
-	if c := q.carried; c != nil {
+	if c := q.forwarded; c != nil {
 		s.after(time.Millisecond, func() {
-			s.endCarried(c.sender, c.q, &Failed{Attempt: c.attempt, Verdict: f.Verdict, Reason: f.Reason})
+			s.endForwarded(c.sender, c.q, &Failed{Attempt: c.attempt, Verdict: f.Verdict, Reason: f.Reason})
 		})
 		return
 	}
-	s.keptAway(q, f)
+	s.countRefusal(q, f)
 }
 
 func (s *fleetSim) send(vm *simVM, e Send) {
@@ -230,29 +232,30 @@
 	switch {
 	case q == nil:
 		s.t.Fatalf("%s: send for an ended request", vm.id)
-	case q.carried != nil && q.sends > 0:
-		s.t.Fatalf("%s: carried request %d is sent again", vm.id, e.Request)
+	case q.forwarded != nil && q.sends > 0:
+		s.t.Fatalf("%s: forwarded request %d is sent again", vm.id, e.Request)
 	case !q.idempotent && (q.mayRun || len(q.running) > 0):
 		s.t.Fatalf("%s: request %d is sent again although it may have run", vm.id, e.Request)
 	case len(q.homes) > 0 && !slices.Contains(q.homes, t.region):
-		s.t.Fatalf("%s: request %d leaves its homes", vm.id, e.Request)
-	case e.Left <= 0 || s.now.Add(e.Left) > q.due:
-		s.t.Fatalf("%s: request %d is given %v, more than is left", vm.id, e.Request, e.Left)
+		s.t.Fatalf("%s: request %d is sent outside of its allowed regions", vm.id, e.Request)
+	case e.TimeLeft <= 0 || s.now.Add(e.TimeLeft) > q.due:
+		s.t.Fatalf("%s: request %d is sent with %v left, beyond its deadline", vm.id, e.Request, e.TimeLeft)
 	}
 	q.running[e.Attempt] = true
 	vm.owner[e.Attempt] = q
 	if e.Gateway != "" {
-		s.throughGateway(vm, q, e)
+		s.sendThroughGateway(vm, q, e)
 		return
 	}
-	if q.sends++; q.sends > 1 || (q.carried != nil && q.carried.q.passed()) {
+	if q.sends++; q.sends > 1 || (q.forwarded != nil && q.forwarded.q.countForwardedSend()) {
 		s.repeats = append(s.repeats, s.now)
 	}
 	s.countCold(t)
 	s.answer(vm, q, t, e.Attempt)
 }
 
-// countCold holds every second of a cold target to the bound on all entry VMs.
+// countCold checks the limit on requests to a cold target within a second, for all
+// entry VMs together.
 func (s *fleetSim) countCold(t *simTarget) {
 	if !s.now.Before(t.cold) {
 		return
@@ -265,11 +268,11 @@
 		}
 	}
 	if most := 2.6*s.bounds.ColdFactor + s.bounds.ColdSlack; float64(n) > most {
-		s.t.Fatalf("cold target %s gets %d requests in a second", t.ID, n)
+		s.t.Fatalf("cold target %s: %d requests within a second", t.ID, n)
 	}
 }
 
-// answer draws what becomes of a send.
+// answer simulates a random result of a send.
 func (s *fleetSim) answer(vm *simVM, q *simRequest, t *simTarget, id AttemptID) {
 	if t.down {
 		s.after(time.Millisecond, func() {
@@ -281,12 +284,12 @@
 		})
 		return
 	}
-	s.reached(q, t)
+	s.countReached(q, t)
 	t.running++
 	load := Load{Known: true, Running: min(t.running, t.Slots), Waiting: max(0, t.running-t.Slots), Slots: t.Slots}
 	took := time.Duration(20+s.rng.IntN(100)) * time.Millisecond
 	key, born := simAttempt{vm, id}, t.Born
-	t.under[key] = func() {
+	t.inFlight[key] = func() {
 		if q.running[id] {
 			delete(q.running, id)
 			delete(vm.owner, id)
@@ -294,16 +297,16 @@
 			s.step(vm, &Failed{Attempt: id, Verdict: verdict.MayHaveRun, Reason: verdict.ReasonConnectionLost})
 		}
 	}
-	if q.content == s.contents.deadly {
+	if q.content == s.contents.crashing {
 		s.after(took, func() { s.endTarget(t, born, true) })
 		return
 	}
 	end := func(d time.Duration, mayRun bool, ev func() Event) {
 		s.after(d, func() {
 			if t.Born != born || t.down {
-				return // it has ended meanwhile
+				return // it has terminated meanwhile
 			}
-			delete(t.under, key)
+			delete(t.inFlight, key)
 			t.running--
 			if !q.running[id] {
 				return // cancelled
@@ -330,17 +333,17 @@
 	case n < 83:
 		end(2*time.Millisecond, false, answered(Misdirected))
 	case n < 85:
-		end(took, true, answered(Unfit))
+		end(took, true, answered(InvalidAnswer))
 	case n < 90:
 		end(took, true, failed(verdict.MayHaveRun, verdict.ReasonConnectionLost))
 	case n < 97:
 		end(5*time.Millisecond, false, failed(verdict.NotRun, verdict.ReasonConnect))
-	default: // silence, for longer than any request has
+	default: // no answer within the lifetime of any request
 		end(time.Minute, true, failed(verdict.MayHaveRun, verdict.ReasonConnectionLost))
 	}
 }
 
-func (s *fleetSim) tell(from *simVM, tell Tell) {
+func (s *fleetSim) deliverMessage(from *simVM, tell Tell) {
 	if s.rng.Float64() < s.loss {
 		return
 	}
@@ -353,7 +356,7 @@
 	})
 }
 
-// arrive has a caller send a request to an entry VM.
+// arrive sends a random request to a random entry VM.
 func (s *fleetSim) arrive() {
 	vm := s.vms[s.rng.IntN(len(s.vms))]
 	rt := &simRoutes[s.rng.IntN(len(simRoutes))]
@@ -361,7 +364,7 @@
 	vm.last++
 	q := &simRequest{
 		id: vm.last, idempotent: rt.Idempotent, homes: rt.Homes,
-		due: s.now.Add(patience(rt, wait)), running: make(map[AttemptID]bool), content: s.drawContent(),
+		due: s.now.Add(requestTimeout(rt, wait)), running: make(map[AttemptID]bool), content: s.drawContent(),
 	}
 	vm.open[q.id] = q
 	s.requests = append(s.requests, s.now)
@@ -378,8 +381,9 @@
 	}
 }
 
-// change starts, drains or removes a target, or evacuates a failure domain.
-func (s *fleetSim) change(n int) {
+// randomChange starts, drains, removes or crashes a target, or evacuates a failure
+// domain.
+func (s *fleetSim) randomChange(n int) {
 	switch s.rng.IntN(6) {
 	case 5:
 		if t := s.anyTarget(); t != nil {
@@ -390,24 +394,24 @@
 		t := &simTarget{region: simRegions[d], Target: Target{
 			ID: fleet.TargetID(fmt.Sprintf("t-%d", n)), Domain: d, Slots: 1 + s.rng.IntN(4),
 			Service: fleet.ServiceName(fmt.Sprintf("s%d", 1+s.rng.IntN(2))), Addr: "10.0.0.1:1", Born: 1,
-		}, under: make(map[simAttempt]func())}
+		}, inFlight: make(map[simAttempt]func())}
 		if s.rng.IntN(2) == 0 {
 			t.Cold = 3 * time.Second
 			t.cold = s.now.Add(t.Cold)
 		}
 		s.targets[t.ID] = t
-		s.all(&TargetsChanged{Set: []Target{t.Target}})
+		s.stepAll(&TargetsChanged{Set: []Target{t.Target}})
 	case 2:
 		if t := s.anyTarget(); t != nil {
 			t.Draining = true
-			s.all(&TargetsChanged{Set: []Target{t.Target}})
+			s.stepAll(&TargetsChanged{Set: []Target{t.Target}})
 		}
 	case 3:
 		if t := s.anyTarget(); t != nil {
-			s.all(&TargetsChanged{Gone: []fleet.TargetID{t.ID}, Unsure: s.rng.IntN(2) == 0})
+			s.stepAll(&TargetsChanged{Removed: []fleet.TargetID{t.ID}, StoreDegraded: s.rng.IntN(2) == 0})
 		}
 	case 4:
-		s.all(&Evacuated{Domain: simDomains[s.rng.IntN(len(simDomains))], Begin: s.rng.IntN(3) == 0})
+		s.stepAll(&Evacuated{Domain: simDomains[s.rng.IntN(len(simDomains))], Begin: s.rng.IntN(3) == 0})
 	}
 }
 
@@ -419,12 +423,12 @@
 	return s.targets[ids[s.rng.IntN(len(ids))]]
 }
 
-// targetIDs returns the ids of all targets in order.
+// targetIDs returns the IDs of all targets in order.
 func (s *fleetSim) targetIDs() []fleet.TargetID {
 	return slices.Sorted(maps.Keys(s.targets))
 }
 
-func (s *fleetSim) all(ev Event) {
+func (s *fleetSim) stepAll(ev Event) {
 	for _, vm := range s.vms {
 		s.step(vm, ev)
 	}
@@ -438,7 +442,7 @@
 	s.now = until
 }
 
-// checkRepeats holds every window to the bound on repeats.
+// checkRepeats checks the limit on retries in every window.
 func (s *fleetSim) checkRepeats() {
 	for _, from := range s.repeats {
 		in := func(list []clock.Time) (n int) {
@@ -451,42 +455,41 @@
 		}
 		most := s.bounds.RepeatRatio*float64(in(s.requests)) + s.bounds.RepeatSlack
 		if n := in(s.repeats); float64(n) > most {
-			s.t.Fatalf("%d repeats in a window, %.1f allowed", n, most)
+			s.t.Fatalf("%d retries in a window, %.1f allowed", n, most)
 		}
 	}
 }
 
-// Symptom: any of the invariants above does not hold.
-// Sequence: random requests, outcomes, losses of messages between entry VMs,
-// targets that come, drain, vanish or are cold, evacuations.
-// Cause: named by the message; the seed repeats it.
+// Checks the invariants of the simulated fleet under random requests, results,
+// message losses, changes of targets and evacuations. The seed reproduces a
+// failure.
 func TestRandomFleet(t *testing.T) {
 	for seed := range uint64(40) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			s := newFleetSim(t, seed)
 			s.loss = float64(seed%4) / 20
 			for n := range 6 {
-				s.change(n)
+				s.randomChange(n)
 			}
 			for n := range 1500 {
 				s.arrive()
 				if s.rng.IntN(40) == 0 {
-					s.change(100 + n)
+					s.randomChange(100 + n)
 				}
 				s.run(s.now.Add(time.Duration(s.rng.IntN(15)) * time.Millisecond))
 			}
 			s.run(s.now.Add(20 * time.Second))
 			for _, vm := range s.vms {
-				if len(vm.open) > 0 || len(vm.r.requests) > 0 || len(vm.r.asks) > 0 || len(vm.r.jobs) > 0 {
-					t.Fatalf("%s: %d open, %d kept, %d asks, %d jobs at the end", vm.id,
-						len(vm.open), len(vm.r.requests), len(vm.r.asks), len(vm.r.jobs))
+				if len(vm.open) > 0 || len(vm.r.requests) > 0 || len(vm.r.placements) > 0 || len(vm.r.jobs) > 0 {
+					t.Fatalf("%s: at the end %d requests without a result, %d requests, %d placement requests and %d jobs in the reducer", vm.id,
+						len(vm.open), len(vm.r.requests), len(vm.r.placements), len(vm.r.jobs))
 				}
 			}
 			if s.finals != 1500 {
 				t.Fatalf("%d of 1500 requests have ended", s.finals)
 			}
 			s.checkRepeats()
-			s.checkDeadly()
+			s.checkQuarantine()
 		})
 	}
 }
--- a/decide/ingress/gateway.go
+++ b/decide/ingress/gateway.go
@@ -9,123 +9,127 @@
 	"github.com/azurethread/azurethread/decide/verdict"
 )
 
-// Opening a connection to a target of another region takes two crossings, and
-// with a thousand targets there an entry VM seldom has one open to the target
-// that it needs. So a request for another region is carried by an entry VM of
+// Opening a connection to a target of another region takes two round trips, and
+// with a thousand targets there an entry VM seldom has an open one to the right
+// target. Therefore a request for another region is forwarded by an entry VM of
 // the target's failure domain, its gateway: connections between entry VMs stay
-// open, and from the gateway a connection takes a millisecond.
+// open, and from the gateway a new connection takes a millisecond.
 //
-// A gateway chooses nothing. The request's own entry VM has its target, its
-// deadline and its repeats; the gateway sends it there once and passes on the
+// A gateway makes no decisions. The request's own entry VM chooses the target and
+// handles deadline and retries; the gateway sends the request once and returns the
 // answer, or the verdict of the failure.
 
 const (
-	// gatewayTrips and gatewayMargin are how long a gateway may take to say that
-	// it has a request: a connection to it may have to be opened first.
-	gatewayTrips  = 2
+	// gatewayRTTs and gatewayMargin determine how long a gateway may take to
+	// acknowledge a request: a connection to it may have to be opened first.
+	gatewayRTTs   = 2
 	gatewayMargin = 100 * time.Millisecond
 )
 
-// gatewayTo returns the entry VM that is to carry a request to t, "" if it is
-// sent from here.
+// gatewayTo returns the entry VM that is to forward a request to t, "" if it is
+// sent directly.
 func (r *Reducer) gatewayTo(now clock.Time, t *targetState) fleet.VMID {
-	if r.here(t) || !r.on(Gateways) {
+	if r.isLocal(t) || !r.on(Gateways) {
 		return ""
 	}
 	line := r.gatewaysOf(t.Domain)
-	for _, id := range line[:min(len(line), mostAsked)] {
-		if r.askable(now, id) {
+	for _, id := range line[:min(len(line), maxStandby)] {
+		if r.isAvailable(now, id) {
 			return id
 		}
 	}
 	return ""
 }
 
-// gatewaysOf returns the strong VMs of a failure domain that carry requests, in
-// the order in which this VM uses them. Each VM has its own order: it keeps few
-// connections to one gateway, and the gateways share the requests.
+// gatewaysOf returns the strong VMs of a failure domain that forward requests, in
+// the order in which this VM uses them. The order differs between VMs: each keeps
+// few connections to one gateway, and the gateways share the requests.
 func (r *Reducer) gatewaysOf(d fleet.Domain) []fleet.VMID {
 	line, kept := r.gateways[d]
 	if kept {
 		return line
 	}
-	carry := r.strongAmong(func(m *fleet.VM) bool { return m.Domain == d && m.GatewayAddr != "" })
+	carry := r.strongMatching(func(m *fleet.VM) bool { return m.Domain == d && m.GatewayAddr != "" })
 	line = rank.Order(string(r.opts.Self), carry)
 	r.gateways[d] = line
 	return line
 }
 
-// sendOut asks for a to be sent.
-func (r *Reducer) sendOut(now clock.Time, a *attempt) {
+// emitSend adds a's Send to the effects.
+func (r *Reducer) emitSend(now clock.Time, a *attempt) {
 	q, t := a.req, a.target
 	r.out.Sends = append(r.out.Sends, Send{
 		Attempt: a.id, Request: q.id, Target: t.ID, Domain: t.Domain, Addr: t.Addr, Gateway: a.gateway,
-		Left:    q.due.Sub(now),
-		Connect: r.connectBound(t),
-		Spare:   !r.here(t) && r.on(SpareConnections),
+		TimeLeft:       q.deadline.Sub(now),
+		ConnectTimeout: r.connectTimeout(t),
+		Spare:          !r.isLocal(t) && r.on(SpareConnections),
 	})
 	if a.gateway == "" {
 		return
 	}
-	r.noteAsk(a.gateway, askNumber(a.id))
-	wait := gatewayMargin + time.Duration(gatewayTrips*r.trip(t.region))
+	r.startProbe(a.gateway, probeID(a.id))
+	wait := gatewayMargin + time.Duration(gatewayRTTs*r.rtt(t.region))
 	r.timers.add(timer{at: now.Add(wait), purpose: dueGateway, request: q.id, attempt: a.id})
 }
 
-// received notes that the gateway of an attempt has the request.
-func (r *Reducer) received(id AttemptID) {
+// gatewayAccepted records that the gateway of an attempt has acknowledged the
+// request.
+func (r *Reducer) gatewayAccepted(id AttemptID) {
 	if a, ok := r.attempts[id]; ok && a.gateway != "" {
-		a.received = true
-		r.noteHeard(a.gateway)
+		a.accepted = true
+		r.markResponsive(a.gateway)
 	}
 }
 
-// gatewayDue goes on after a gateway that has not said that it has a request. An
-// idempotent one is sent a second time; another one may be on its way.
-func (r *Reducer) gatewayDue(now clock.Time, q *request, id AttemptID) {
+// gatewayTimedOut handles a gateway that has not acknowledged a request in time.
+// An idempotent request is sent a second time; any other may already be on its
+// way.
+func (r *Reducer) gatewayTimedOut(now clock.Time, q *request, id AttemptID) {
 	a, ok := r.attempts[id]
-	if !ok || a.gateway == "" || a.received {
+	if !ok || a.gateway == "" || a.accepted {
 		return
 	}
-	if s, known := r.silent[a.gateway]; !known || s.probe == askNumber(a.id) {
-		r.out.Silent = append(r.out.Silent, a.gateway) // once for all that wait for it
+	if s, known := r.silent[a.gateway]; !known || s.probe == probeID(a.id) {
+		r.out.SilentGateways = append(r.out.SilentGateways, a.gateway) // once for all requests that wait for it
 	}
-	r.noteSilent(now, a.gateway)
-	if r.mayHedge(now, q) && q.svc.repeats.spendSpare(r.repeatLimit()) {
-		r.obtain(now, q)
+	r.markSilent(now, a.gateway)
+	if r.mayHedge(now, q) && q.svc.retryBudget.spendForHedge(r.retryLimit()) {
+		r.findTarget(now, q)
 	}
 }
 
-// gatewayFailed goes on after a failure between here and the gateway of a, which
-// says nothing of the target. A request that never got as far as the gateway is
-// sent to the same target from here.
+// gatewayFailed handles a failure between this VM and the gateway of a, which says
+// nothing about the target. A request that did not reach the gateway is sent to
+// the same target directly.
 func (r *Reducer) gatewayFailed(now clock.Time, a *attempt, v verdict.Verdict) {
-	r.noteSilent(now, a.gateway)
-	if v == verdict.NotRun && now.Before(a.req.due) {
+	r.markSilent(now, a.gateway)
+	if v == verdict.NotRun && now.Before(a.req.deadline) {
 		delete(r.attempts, a.id)
 		r.nextAttempt++
 		a.id, a.gateway = r.nextAttempt, ""
 		r.attempts[a.id] = a
-		r.sendOut(now, a)
+		r.emitSend(now, a)
 		return
 	}
 	r.endAttempt(now, a, &Report{Result: ResultUnknown})
 	if v == verdict.NotRun {
-		r.notRun(now, a.req, verdict.ReasonGateway)
+		r.attemptNotRun(now, a.req, verdict.ReasonGateway)
 	} else {
-		r.ran(now, a.req, verdict.ReasonGateway)
+		r.attemptMayHaveRun(now, a.req, verdict.ReasonGateway)
 	}
 }
 
-// carried is a request that this VM carries to a target of its failure domain.
-type carried struct {
+// forwarded is a request that this VM forwards as a gateway to a target of its
+// failure domain.
+type forwarded struct {
 	request RequestID
 	attempt AttemptID
 }
 
-// carry sends a request of another entry VM to the target that it was placed at.
-// One for a target that is not known here goes back: its own VM may know more.
-func (r *Reducer) carry(now clock.Time, ev *Carry) {
+// forward sends a request of another entry VM to the target at which it was
+// placed. If the target is unknown here, the request is returned: its own VM may
+// know another target.
+func (r *Reducer) forward(now clock.Time, ev *Carry) {
 	t, ok := r.targets[ev.Target]
 	if !ok || ev.Left <= 0 {
 		r.out.Refusals = append(r.out.Refusals, Refusal{
@@ -134,57 +138,57 @@
 		return
 	}
 	r.nextAttempt++
-	c := &carried{request: ev.Request, attempt: r.nextAttempt}
-	r.carries[c.request] = c
-	r.carriesBy[c.attempt] = c
+	c := &forwarded{request: ev.Request, attempt: r.nextAttempt}
+	r.forwards[c.request] = c
+	r.forwardsByAttempt[c.attempt] = c
 	r.out.Sends = append(r.out.Sends, Send{
 		Attempt: c.attempt, Request: c.request, Target: t.ID, Domain: t.Domain, Addr: t.Addr,
-		Left: ev.Left, Connect: r.connectBound(t),
+		TimeLeft: ev.Left, ConnectTimeout: r.connectTimeout(t),
 	})
-	r.timers.add(timer{at: now.Add(ev.Left + answerMargin), purpose: dueCarried, request: c.request})
+	r.timers.add(timer{at: now.Add(ev.Left + answerMargin), purpose: dueForward, request: c.request})
 }
 
-// carriedAnswered passes on the answer to a carried request, whatever it says:
-// its own entry VM judges it.
-func (r *Reducer) carriedAnswered(ev *Answered) {
-	if c, ok := r.carriesBy[ev.Attempt]; ok {
-		r.dropCarried(c)
+// forwardAnswered returns the answer to a forwarded request. Its own entry VM
+// evaluates it.
+func (r *Reducer) forwardAnswered(ev *Answered) {
+	if c, ok := r.forwardsByAttempt[ev.Attempt]; ok {
+		r.removeForward(c)
 		r.out.Delivers = append(r.out.Delivers, Deliver{Request: c.request, Attempt: c.attempt})
 	}
 }
 
-// carriedFailed passes on the failure of a carried request.
-func (r *Reducer) carriedFailed(ev *Failed) {
-	if c, ok := r.carriesBy[ev.Attempt]; ok {
-		r.dropCarried(c)
+// forwardFailed returns the failure of a forwarded request.
+func (r *Reducer) forwardFailed(ev *Failed) {
+	if c, ok := r.forwardsByAttempt[ev.Attempt]; ok {
+		r.removeForward(c)
 		r.out.Refusals = append(r.out.Refusals, Refusal{Request: c.request, Verdict: ev.Verdict, Reason: ev.Reason})
 	}
 }
 
-// carriedDue gives up a carried request whose time is over.
-func (r *Reducer) carriedDue(id RequestID) {
-	if c, ok := r.carries[id]; ok {
-		r.cancelCarried(c)
+// forwardTimedOut gives up a forwarded request whose time is over.
+func (r *Reducer) forwardTimedOut(id RequestID) {
+	if c, ok := r.forwards[id]; ok {
+		r.cancelForward(c)
 		r.out.Refusals = append(r.out.Refusals, Refusal{
 			Request: c.request, Verdict: verdict.MayHaveRun, Reason: verdict.ReasonDeadline,
 		})
 	}
 }
 
-// carriedGone ends a carried request that its entry VM has given up.
-func (r *Reducer) carriedGone(id RequestID) {
-	if c, ok := r.carries[id]; ok {
-		r.cancelCarried(c)
-		r.out.Dropped = append(r.out.Dropped, c.request)
+// forwardAbandoned ends a forwarded request that its entry VM has given up.
+func (r *Reducer) forwardAbandoned(id RequestID) {
+	if c, ok := r.forwards[id]; ok {
+		r.cancelForward(c)
+		r.out.Abandoned = append(r.out.Abandoned, c.request)
 	}
 }
 
-func (r *Reducer) cancelCarried(c *carried) {
-	r.dropCarried(c)
+func (r *Reducer) cancelForward(c *forwarded) {
+	r.removeForward(c)
 	r.out.Cancels = append(r.out.Cancels, Cancel{Request: c.request, Attempt: c.attempt})
 }
 
-func (r *Reducer) dropCarried(c *carried) {
-	delete(r.carries, c.request)
-	delete(r.carriesBy, c.attempt)
+func (r *Reducer) removeForward(c *forwarded) {
+	delete(r.forwards, c.request)
+	delete(r.forwardsByAttempt, c.attempt)
 }
--- a/decide/ingress/gateway_test.go
+++ b/decide/ingress/gateway_test.go
@@ -15,13 +15,13 @@
 	secondGateway = fleet.VMID("gate-2")
 )
 
-// gatewayBench has one target in each failure domain of the other region, and
-// VMs there that carry requests.
-func gatewayBench(t *testing.T, idempotent bool) *bench {
+// gatewayHarness has two targets in the other region, and VMs there that forward
+// requests.
+func gatewayHarness(t *testing.T, idempotent bool) *harness {
 	t.Helper()
-	s := newBench(t, Bounds{RepeatRatio: 1, RepeatSlack: 20}, selfVM)
+	s := newHarness(t, Bounds{RepeatRatio: 1, RepeatSlack: 20}, selfVM)
 	s.step(&MembersChanged{VMs: gatewayMembers()})
-	rt := one("a")
+	rt := idempotentRoute("a")
 	rt.Idempotent = idempotent
 	rt.Timeout = 5 * time.Second
 	s.configure(1, rt)
@@ -36,12 +36,12 @@
 		{ID: selfVM, Domain: "d1", Region: "r1", GatewayAddr: "a"},
 		{ID: firstGateway, Domain: "far", Region: "r2", GatewayAddr: "a"},
 		{ID: secondGateway, Domain: "far", Region: "r2", GatewayAddr: "a"},
-		{ID: "old", Domain: "far", Region: "r2"}, // takes no requests of others
+		{ID: "old", Domain: "far", Region: "r2"}, // forwards no requests
 	}
 }
 
-// sendOf has a request come and returns its first send.
-func (s *bench) sendOf(id RequestID) Send {
+// arriveAndSend passes in a request and returns its first send.
+func (s *harness) arriveAndSend(id RequestID) Send {
 	s.t.Helper()
 	for _, e := range s.step(&Arrive{Request: id, Host: "h", Path: "/a/x"}).Sends {
 		if e.Request == id {
@@ -52,115 +52,116 @@
 	return Send{}
 }
 
-// Guards against two crossings to open a connection before each request to
+// Guards against two round trips for opening a connection before each request to
 // another region.
 func TestRequestsToOtherRegionsGoThroughAGateway(t *testing.T) {
 	is := is.New(t)
-	s := gatewayBench(t, true)
-	first := s.sendOf(100).Gateway
+	s := gatewayHarness(t, true)
+	first := s.arriveAndSend(100).Gateway
 	is.True(first == firstGateway || first == secondGateway)
-	is.Equal(s.sendOf(101).Gateway, first) // the same one, to which connections are open
-	s.step(&TargetsChanged{Gone: []fleet.TargetID{"t1", "t2"}})
+	is.Equal(s.arriveAndSend(101).Gateway, first) // the same one, to which connections are open
+	s.step(&TargetsChanged{Removed: []fleet.TargetID{"t1", "t2"}})
 	s.target("near", "d1", 3)
-	is.Equal(s.sendOf(102).Gateway, fleet.VMID(""))
+	is.Equal(s.arriveAndSend(102).Gateway, fleet.VMID(""))
 }
 
-// Guards against requests that fail, or are paid for as repeats, because the
-// gateway could not be reached: nothing of them has left this VM.
+// Guards against requests that fail, or count as retries, because the gateway
+// could not be reached: nothing has left this VM.
 func TestARequestThatDidNotReachItsGatewayIsSentDirectly(t *testing.T) {
 	for _, idempotent := range []bool{true, false} {
 		is := is.New(t)
-		s := gatewayBench(t, idempotent)
-		e := s.sendOf(100)
-		repeats := s.r.services["svc"].repeats.tokens
+		s := gatewayHarness(t, idempotent)
+		e := s.arriveAndSend(100)
+		repeats := s.r.services["svc"].retryBudget.tokens
 		out := s.step(&Failed{Attempt: e.Attempt, Verdict: verdict.NotRun, Reason: verdict.ReasonGateway})
 		is.Equal(len(out.Sends), 1)
 		is.Equal(out.Sends[0].Target, e.Target)
 		is.Equal(out.Sends[0].Gateway, fleet.VMID(""))
-		is.Equal(s.r.services["svc"].repeats.tokens, repeats)
-		is.True(s.sendOf(101).Gateway != e.Gateway) // the other one, for a while
+		is.Equal(s.r.services["svc"].retryBudget.tokens, repeats)
+		is.True(s.arriveAndSend(101).Gateway != e.Gateway) // the other one, for a while
 		out = s.step(&Answered{Attempt: out.Sends[0].Attempt, Outcome: Served})
 		is.Equal(len(out.Delivers), 1)
 	}
 }
 
-// Guards against a second run of a request whose gateway was lost with it, and
-// against targets that are taken out of use for their gateway's failure.
+// Guards against a second run of a request whose gateway was lost, and against
+// ejecting targets for failures of their gateway.
 func TestALostGatewayMayHaveSentTheRequest(t *testing.T) {
 	is := is.New(t)
-	s := gatewayBench(t, false)
-	e := s.sendOf(100)
+	s := gatewayHarness(t, false)
+	e := s.arriveAndSend(100)
 	out := s.step(&Failed{Attempt: e.Attempt, Verdict: verdict.MayHaveRun, Reason: verdict.ReasonGateway})
 	is.Equal(len(out.Sends), 0)
 	is.Equal(len(out.Probes), 0)
 	is.Equal(out.Refusals[0].Verdict, verdict.MayHaveRun)
 	is.Equal(out.Refusals[0].Reason, verdict.ReasonGateway)
-	is.Equal(len(out.Beliefs), 0)
+	is.Equal(len(out.StateChanges), 0)
 }
 
-// Guards against requests that wait for a gateway that stands still or is cut
-// off: one that may run twice is sent a second time, and the next ones go
-// another way.
+// Guards against requests that wait for a stalled or cut-off gateway: an
+// idempotent one is sent a second time, and the following ones use another
+// gateway.
 func TestASilentGatewayIsAvoided(t *testing.T) {
 	is := is.New(t)
-	s := gatewayBench(t, true)
-	e := s.sendOf(100)
-	wait := gatewayMargin + time.Duration(gatewayTrips)*initialFar
+	s := gatewayHarness(t, true)
+	e := s.arriveAndSend(100)
+	wait := gatewayMargin + time.Duration(gatewayRTTs)*initialRemoteRTT
 	s.now = s.now.Add(wait)
 	out := s.step(&Tick{})
-	is.Equal(out.Silent, []fleet.VMID{e.Gateway})
+	is.Equal(out.SilentGateways, []fleet.VMID{e.Gateway})
 	is.Equal(len(out.Sends), 1)
 	is.True(out.Sends[0].Target != e.Target)
 	is.True(out.Sends[0].Gateway != e.Gateway)
-	is.True(s.sendOf(101).Gateway != e.Gateway)
+	is.True(s.arriveAndSend(101).Gateway != e.Gateway)
 
-	// After a while one request tries it, and once it speaks all go there again.
-	s.now = s.now.Add(avoidFor)
-	probe := s.sendOf(102)
+	// After a while one request probes it, and once it responds all go there
+	// again.
+	s.now = s.now.Add(avoidPeriod)
+	probe := s.arriveAndSend(102)
 	is.Equal(probe.Gateway, e.Gateway)
-	is.True(s.sendOf(103).Gateway != e.Gateway)
+	is.True(s.arriveAndSend(103).Gateway != e.Gateway)
 	s.step(&Received{Attempt: probe.Attempt})
-	is.Equal(s.sendOf(104).Gateway, e.Gateway)
+	is.Equal(s.arriveAndSend(104).Gateway, e.Gateway)
 }
 
-// Guards against a second send of every request that takes its time at a target,
-// although its gateway has said that it has it.
+// Guards against a second send of every request that takes long at a target
+// although its gateway has acknowledged it.
 func TestAGatewayThatHasARequestIsNotSilent(t *testing.T) {
 	is := is.New(t)
-	s := gatewayBench(t, true)
-	e := s.sendOf(100)
+	s := gatewayHarness(t, true)
+	e := s.arriveAndSend(100)
 	s.step(&Received{Attempt: e.Attempt})
-	s.now = s.now.Add(gatewayMargin + time.Duration(gatewayTrips)*initialFar)
+	s.now = s.now.Add(gatewayMargin + time.Duration(gatewayRTTs)*initialRemoteRTT)
 	is.Equal(len(s.step(&Tick{}).Sends), 0)
-	is.Equal(s.sendOf(101).Gateway, e.Gateway)
+	is.Equal(s.arriveAndSend(101).Gateway, e.Gateway)
 }
 
-// A request that must not run twice waits for its gateway, whatever that says.
+// A request that is not idempotent waits for its gateway.
 func TestARequestIsNotSentTwiceForASilentGateway(t *testing.T) {
 	is := is.New(t)
-	s := gatewayBench(t, false)
-	s.sendOf(100)
-	s.now = s.now.Add(gatewayMargin + time.Duration(gatewayTrips)*initialFar)
+	s := gatewayHarness(t, false)
+	s.arriveAndSend(100)
+	s.now = s.now.Add(gatewayMargin + time.Duration(gatewayRTTs)*initialRemoteRTT)
 	is.Equal(len(s.step(&Tick{}).Sends), 0)
 }
 
-// A gateway sends once what it is given, and passes on what comes of it.
-func TestAGatewayPassesOnWhatComes(t *testing.T) {
+// A gateway sends a request once and returns the result.
+func TestAGatewayReturnsEveryResult(t *testing.T) {
 	const id = RequestID(7)
-	carry := func(is *is.I, s *bench) Send {
+	carry := func(is *is.I, s *harness) Send {
 		out := s.step(&Carry{Request: id, Target: "t1", Left: time.Second})
 		is.Equal(len(out.Sends), 1)
 		is.Equal(out.Sends[0].Gateway, fleet.VMID(""))
-		is.Equal(out.Sends[0].Left, time.Second)
+		is.Equal(out.Sends[0].TimeLeft, time.Second)
 		return out.Sends[0]
 	}
-	over := func(is *is.I, s *bench) {
-		is.Equal(len(s.r.carries), 0)
-		is.Equal(len(s.r.carriesBy), 0)
+	over := func(is *is.I, s *harness) {
+		is.Equal(len(s.r.forwards), 0)
+		is.Equal(len(s.r.forwardsByAttempt), 0)
 	}
 	t.Run("answer", func(t *testing.T) {
-		for _, o := range []Outcome{Served, ServerError, Refused, Misdirected, Unfit} {
-			is, s := is.New(t), gatewayBench(t, true)
+		for _, o := range []Outcome{Served, ServerError, Refused, Misdirected, InvalidAnswer} {
+			is, s := is.New(t), gatewayHarness(t, true)
 			e := carry(is, s)
 			out := s.step(&Answered{Attempt: e.Attempt, Outcome: o})
 			is.Equal(out.Delivers, []Deliver{{Request: id, Attempt: e.Attempt}})
@@ -168,14 +169,14 @@
 		}
 	})
 	t.Run("failure", func(t *testing.T) {
-		is, s := is.New(t), gatewayBench(t, true)
+		is, s := is.New(t), gatewayHarness(t, true)
 		e := carry(is, s)
 		out := s.step(&Failed{Attempt: e.Attempt, Verdict: verdict.NotRun, Reason: verdict.ReasonConnect})
 		is.Equal(out.Refusals, []Refusal{{Request: id, Verdict: verdict.NotRun, Reason: verdict.ReasonConnect}})
 		over(is, s)
 	})
 	t.Run("no time left", func(t *testing.T) {
-		is, s := is.New(t), gatewayBench(t, true)
+		is, s := is.New(t), gatewayHarness(t, true)
 		e := carry(is, s)
 		s.now = s.now.Add(time.Second + answerMargin)
 		out := s.step(&Tick{})
@@ -184,46 +185,47 @@
 		over(is, s)
 	})
 	t.Run("given up by its entry VM", func(t *testing.T) {
-		is, s := is.New(t), gatewayBench(t, true)
+		is, s := is.New(t), gatewayHarness(t, true)
 		e := carry(is, s)
 		out := s.step(&CallerGone{Request: id})
 		is.Equal(out.Cancels, []Cancel{{Request: id, Attempt: e.Attempt}})
-		is.Equal(out.Dropped, []RequestID{id})
+		is.Equal(out.Abandoned, []RequestID{id})
 		over(is, s)
 	})
 	t.Run("unknown target", func(t *testing.T) {
-		is, s := is.New(t), gatewayBench(t, true)
+		is, s := is.New(t), gatewayHarness(t, true)
 		out := s.step(&Carry{Request: id, Target: "none", Left: time.Second})
 		is.Equal(out.Refusals, []Refusal{{Request: id, Verdict: verdict.NotRun, Reason: verdict.ReasonGateway}})
 		over(is, s)
 	})
 }
 
-// simCarried is a request that an entry VM of a simulated fleet carries.
-type simCarried struct {
+// simForwarded is a request that an entry VM of a simulated fleet forwards.
+type simForwarded struct {
 	sender  *simVM
 	attempt AttemptID // of the sender
 	q       *simRequest
 }
 
-// throughGateway draws what becomes of a send on its way to its gateway.
-func (s *fleetSim) throughGateway(vm *simVM, q *simRequest, e Send) {
+// sendThroughGateway simulates a random result of a send on its way to its
+// gateway.
+func (s *fleetSim) sendThroughGateway(vm *simVM, q *simRequest, e Send) {
 	lost := func(after time.Duration, v verdict.Verdict) {
-		s.after(after, func() { s.endCarried(vm, q, &Failed{Attempt: e.Attempt, Verdict: v, Reason: verdict.ReasonGateway}) })
+		s.after(after, func() { s.endForwarded(vm, q, &Failed{Attempt: e.Attempt, Verdict: v, Reason: verdict.ReasonGateway}) })
 	}
 	switch n := s.rng.IntN(100); {
 	case n < 5:
 		lost(time.Millisecond, verdict.NotRun)
 	case n < 8:
 		lost(100*time.Millisecond, verdict.MayHaveRun)
-	case n < 10: // silence, for longer than any request has
+	case n < 10: // no answer within the lifetime of any request
 		lost(time.Minute, verdict.MayHaveRun)
 	default:
 		s.after(time.Duration(1+s.rng.IntN(3))*time.Millisecond, func() { s.atGateway(vm, q, e) })
 	}
 }
 
-// atGateway has the gateway of a send take the request.
+// atGateway passes the request to the gateway.
 func (s *fleetSim) atGateway(vm *simVM, q *simRequest, e Send) {
 	if !q.running[e.Attempt] {
 		return // cancelled on the way
@@ -237,26 +239,26 @@
 	gate.last++
 	id := gate.last
 	gate.open[id] = &simRequest{
-		id: id, due: s.now.Add(e.Left), running: make(map[AttemptID]bool), content: q.content,
-		carried: &simCarried{sender: vm, attempt: e.Attempt, q: q},
+		id: id, due: s.now.Add(e.TimeLeft), running: make(map[AttemptID]bool), content: q.content,
+		forwarded: &simForwarded{sender: vm, attempt: e.Attempt, q: q},
 	}
-	q.gates = append(q.gates, simGate{gate, id, e.Attempt})
-	s.step(gate, &Carry{Request: id, Target: e.Target, Left: e.Left})
+	q.gateways = append(q.gateways, simGatewayRequest{gate, id, e.Attempt})
+	s.step(gate, &Carry{Request: id, Target: e.Target, Left: e.TimeLeft})
 	if s.rng.IntN(20) > 0 && q.running[e.Attempt] {
 		s.step(vm, &Received{Attempt: e.Attempt})
 	}
 }
 
-// simGate names a request at its gateway.
-type simGate struct {
+// simGatewayRequest identifies a request at its gateway.
+type simGatewayRequest struct {
 	vm      *simVM
 	id      RequestID
 	attempt AttemptID // of the sender
 }
 
-// leaveGateways tells gateways that a send has been given up.
-func (s *fleetSim) leaveGateways(q *simRequest, id AttemptID) {
-	for _, g := range q.gates {
+// cancelAtGateways notifies gateways that a send has been cancelled.
+func (s *fleetSim) cancelAtGateways(q *simRequest, id AttemptID) {
+	for _, g := range q.gateways {
 		if g.attempt == id && g.vm.open[g.id] != nil {
 			s.after(time.Millisecond, func() {
 				if g.vm.open[g.id] != nil {
@@ -267,8 +269,8 @@
 	}
 }
 
-// endCarried takes the end of a carried request to its entry VM.
-func (s *fleetSim) endCarried(vm *simVM, q *simRequest, ev Event) {
+// endForwarded returns the result of a forwarded request to its entry VM.
+func (s *fleetSim) endForwarded(vm *simVM, q *simRequest, ev Event) {
 	var id AttemptID
 	ran := verdict.NotRun
 	switch ev := ev.(type) {
@@ -286,9 +288,9 @@
 	s.step(vm, ev)
 }
 
-// passed counts a send that a gateway makes, and reports whether it is not the
+// countForwardedSend counts a send by a gateway, and reports whether it is not the
 // request's first one.
-func (q *simRequest) passed() bool {
+func (q *simRequest) countForwardedSend() bool {
 	q.sends++
 	return q.sends > 1
 }
--- a/decide/ingress/history.go
+++ b/decide/ingress/history.go
@@ -6,30 +6,30 @@
 	"github.com/azurethread/azurethread/decide/clock"
 )
 
-// shiftHistory counts the requests of the latest shiftWindow by where they ran,
-// in steps. It is what holds the operators' bound: the target share and the
-// bands around it say where requests should go, but where objects are warm moves
-// what runs from one edge of the bands to the other, which with the target's own
-// movement came to a third of a region's requests within two seconds.
+// shiftHistory counts the requests of the latest shiftWindow by the side where
+// they ran, in steps. It enforces the operators' limit. The setpoint and its bands
+// only say where requests should go: warm objects can move the actual share from
+// one edge of the bands to the other, which together with the movement of the
+// setpoint changed a third of a region's requests within two seconds.
 type shiftHistory struct {
 	steps [historySteps]shiftCount
-	last  int64 // number of the latest step, in units of historyStep since 0
+	last  int64 // number of the latest step since time 0
 	sum   shiftCount
 }
 
 const (
-	// historySteps is the number of steps of the window. One that begins within a
-	// step is seen as the one that begins with it.
+	// historySteps is the number of steps of the window. A window that begins
+	// within a step is counted from the beginning of that step.
 	historySteps = 16
 	historyStep  = shiftWindow / historySteps
-	// historyUse is the part of the operators' bound by which the share may
-	// change from one window to the next before requests are forced to a side.
-	// The rest is for windows that begin within a step, and for requests that
-	// were placed in one window and run in the next.
-	historyUse = 0.7
+	// historyBoundShare is the part of the operators' limit by which the share may
+	// change from one window to the next before requests are forced to a side. The
+	// rest is for windows that begin within a step, and for requests that are
+	// placed in one window and run in the next.
+	historyBoundShare = 0.7
 )
 
-// count counts requests that were placed.
+// count records placed requests.
 func (h *shiftHistory) count(now clock.Time, c shiftCount) {
 	h.advance(now)
 	h.steps[h.index(h.last)].add(c)
@@ -53,60 +53,61 @@
 	}
 }
 
-// limits returns the least and the greatest share that may run elsewhere at this
-// moment, 0 and 1 if there is too little to compare with.
+// limits returns the lowest and the highest share that may run in other regions
+// now; 0 and 1 if there are too few requests to compare.
 //
-// They lie around the share of the window by half of what may change from one
-// window to the next: the middle of the window is half a window ago, so a share
-// that keeps to one of the limits changes by twice as much in a whole window.
-// Had whole windows been compared, a change would be noticed late and made up
-// for until long after, with all requests of half a second on one side and then
-// all on the other.
+// The limits are the share of the window plus and minus half of the allowed change
+// from one window to the next. The middle of the window is half a window ago, so a
+// share that stays at one of the limits changes by twice as much in a whole
+// window. A comparison of whole windows would detect a change late and compensate
+// it long after, with all requests of half a second on one side and then all on
+// the other.
 //
-// With few requests two windows differ by chance, which is allowed for: keeping
-// to the limits would start objects cold for no change at all.
+// With few requests, two windows differ by chance. The limits allow for this,
+// because enforcing them would start objects cold although the share has not
+// changed.
 func (h *shiftHistory) limits(now clock.Time, bound float64) (low, high float64) {
 	h.advance(now)
-	if h.sum.all < shiftFew {
+	if h.sum.all < minShareSamples {
 		return 0, 1
 	}
 	share := h.sum.share()
 	chance := math.Sqrt(share * (1 - share) * 2 / float64(h.sum.all))
-	most := (historyUse*bound + chance) / 2
+	most := (historyBoundShare*bound + chance) / 2
 	return share - most, share + most
 }
 
-// debts are the requests that each side is owed: those by which what it got lies
-// below its limit. Few at a time are forced to a side, as many as it is owed.
-type debts struct{ own, others float64 }
+// debts are the requests that each side lacks to reach its lower limit. That many
+// requests are forced to the side, a few at a time.
+type debts struct{ local, remote float64 }
 
 const (
-	// debtMost bounds what a side is owed, and what it has got beyond its limit
-	// and may be spared.
-	debtMost = 16.0
+	// maxDebt limits both the debt to a side and its credit for requests above its
+	// limit.
+	maxDebt = 16.0
 	// debtStep is the part of the objects that is forced to a side for each
-	// request that it is owed beyond its limit: the same ones again, so that few
-	// objects start cold.
-	debtStep = 1.0 / debtMost
+	// request that the side lacks. These are always the same objects, so that few
+	// of them start cold.
+	debtStep = 1.0 / maxDebt
 )
 
-// count takes a request that was placed while the share had these limits.
+// count records placed requests under the given limits of the share.
 func (d *debts) count(low, high float64, c shiftCount) {
 	remote, own := float64(c.remote), float64(c.all-c.remote)
 	all := float64(c.all)
-	d.others = min(max(d.others+low*all-remote, -debtMost), debtMost)
-	d.own = min(max(d.own+(1-high)*all-own, -debtMost), debtMost)
+	d.remote = min(max(d.remote+low*all-remote, -maxDebt), maxDebt)
+	d.local = min(max(d.local+(1-high)*all-own, -maxDebt), maxDebt)
 }
 
-// forced returns the side to which a request of an object at hash must go, which
-// belongs to the other regions the sooner the lower it is; sideAny if it need
-// not.
+// forced returns the side to which a request of an object at hash must go, sideAny
+// if it may go to either. The lower the hash, the sooner the object is forced to
+// other regions.
 func (d *debts) forced(low, high, hash float64) side {
 	switch {
-	case d.others >= 1 && hash < low+debtStep*d.others:
-		return sideOthers
-	case d.own >= 1 && hash >= high-debtStep*d.own:
-		return sideOwn
+	case d.remote >= 1 && hash < low+debtStep*d.remote:
+		return sideRemote
+	case d.local >= 1 && hash >= high-debtStep*d.local:
+		return sideLocal
 	default:
 		return sideAny
 	}
--- a/decide/ingress/history_test.go
+++ b/decide/ingress/history_test.go
@@ -12,10 +12,10 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// returning is a region whose requests ran elsewhere for the most part and are
-// now answered sooner at home, with a disturbance: for a third of a second all
-// of them run here.
-type returning struct {
+// shareReturn is a region most of whose requests ran in other regions and would
+// now be answered sooner locally, with a disturbance: for a third of a second all
+// of them run locally.
+type shareReturn struct {
 	s         regionShare
 	now       clock.Time
 	rng       *rand.Rand
@@ -23,10 +23,10 @@
 	remote    []bool
 }
 
-func newReturning(seed uint64, perSecond int) *returning {
-	w := &returning{s: regionShare{bound: 0.15}, now: clock.Time(time.Hour), rng: rand.New(rand.NewPCG(seed, 9)), perSecond: perSecond}
+func newShareReturn(seed uint64, perSecond int) *shareReturn {
+	w := &shareReturn{s: regionShare{maxChange: 0.15}, now: clock.Time(time.Hour), rng: rand.New(rand.NewPCG(seed, 9)), perSecond: perSecond}
 	const before = 0.75
-	w.s.begin(w.now, before)
+	w.s.start(w.now, before)
 	for range 6 * perSecond {
 		w.place(w.rng.Float64() < before)
 	}
@@ -36,31 +36,31 @@
 	return w
 }
 
-func (w *returning) place(remote bool) {
+func (w *shareReturn) place(remote bool) {
 	w.s.count(w.now, remote)
 	w.remote = append(w.remote, remote)
 	w.now = w.now.Add(time.Second / time.Duration(w.perSecond))
 }
 
-// decide places a request that would be answered sooner here.
-func (w *returning) decide() {
-	w.s.follow(w.now, false)
-	w.place(sideOnly(&w.s, w.now, w.rng.Float64(), sideAny) == sideOthers)
+// decide places a request that would be answered sooner in the own region.
+func (w *shareReturn) decide() {
+	w.s.adjust(w.now, false)
+	w.place(sideWithoutReason(&w.s, w.now, w.rng.Float64(), sideAny) == sideRemote)
 }
 
-// Guards against a bound on change that holds the share up where nobody wants
-// it, by forcing requests to other regions whose return it should only slow.
-func TestTheBoundOnChangeDoesNotHoldTheShareUp(t *testing.T) {
+// Guards against a shift limit that forces requests to other regions although none
+// are wanted there: it should only slow their return.
+func TestTheShiftLimitDoesNotKeepTheShareHigh(t *testing.T) {
 	for _, perSecond := range []int{200, 500, 1500} {
 		for seed := range uint64(4) {
 			is := is.New(t)
-			w := newReturning(seed, perSecond)
-			// At historyUse of the bound the return takes 14.3 s; the rest is for
-			// the two windows that are compared.
+			w := newShareReturn(seed, perSecond)
+			// At historyBoundShare of the limit the return takes 14.3 s; the rest
+			// is for the two windows that are compared.
 			for range 18 * perSecond {
-				kept := w.s.target
+				kept := w.s.setpoint
 				w.decide()
-				is.True(w.s.target <= max(kept, w.s.wanted)) // rises for what is wanted only
+				is.True(w.s.setpoint <= max(kept, w.s.wanted)) // rises towards the wanted share only
 			}
 			last := w.remote[len(w.remote)-2*perSecond:]
 			is.True(shareOf(last) < 0.05)
@@ -68,14 +68,14 @@
 	}
 }
 
-// Guards against a bound on change that sends nearly all requests to one side
-// for half a second and then nearly none: the mean over two seconds is bounded,
-// but targets meet crowds.
-func TestTheBoundOnChangeDoesNotSwing(t *testing.T) {
+// Guards against a shift limit that sends nearly all requests to one side for half
+// a second and then nearly none. The mean over two seconds is within the limit,
+// but targets get bursts.
+func TestTheShiftLimitDoesNotOscillate(t *testing.T) {
 	for seed := range uint64(4) {
 		is := is.New(t)
 		const perSecond = 1500
-		w := newReturning(seed, perSecond)
+		w := newShareReturn(seed, perSecond)
 		for range 14 * perSecond {
 			w.decide()
 			if len(w.remote)%(perSecond/10) > 0 {
@@ -83,23 +83,23 @@
 			}
 			moment := shareOf(w.remote[len(w.remote)-perSecond/4:])
 			mean := shareOf(w.remote[len(w.remote)-2*perSecond:])
-			// What a quarter of a second may lie off by chance is 0.08 at most: three
-			// standard deviations. The bound itself is the rest.
+			// A quarter of a second deviates by 0.08 at most by chance: three
+			// standard deviations. The rest is the limit itself.
 			is.True(moment < mean+0.15+0.08)
-			if len(w.remote) > 9*perSecond { // the disturbance has left the two seconds
+			if len(w.remote) > 9*perSecond { // the disturbance has left the two-second window
 				is.True(moment > mean-0.15-0.08)
 			}
 		}
 	}
 }
 
-// Guards against a region that returns from a loss and goes on sending its
-// requests elsewhere: those of the time in which it had no target count as its
-// share.
-func TestRequestsBeforeTheFirstChoiceDoNotHoldTheShareUp(t *testing.T) {
+// Guards against a region that recovers from a loss of its targets but keeps
+// sending its requests to other regions, because requests from the time without
+// local targets were counted in its share.
+func TestRequestsBeforeTheFirstChoiceDoNotKeepTheShareHigh(t *testing.T) {
 	is := is.New(t)
-	s := newBench(t, Bounds{RegionShift: 0.15}, selfVM)
-	s.configure(1, one("a"))
+	s := newHarness(t, Bounds{RegionShift: 0.15}, selfVM)
+	s.configure(1, idempotentRoute("a"))
 	for i := range 20 {
 		s.target(fleet.TargetID(fmt.Sprint("far", i)), "far", 3)
 	}
@@ -126,7 +126,7 @@
 			away++
 		}
 	}
-	// Both regions have as many targets: nothing is wanted elsewhere. What may
-	// run there nonetheless is a change that operators allow.
+	// Both regions have the same number of targets, so no share in the other
+	// region is wanted. The rest is a change that operators allow.
 	is.True(float64(away)/asked < 0.15)
 }
--- a/decide/ingress/invariant.go
+++ b/decide/ingress/invariant.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// Check reports the first inconsistency of the books. Randomised runs call it
-// after every step.
+// Check returns the first inconsistency of the reducer's state. Randomised tests
+// call it after every step.
 func (r *Reducer) Check() error {
 	inFlight := make(map[*targetState]int)
 	awaited := make(map[*targetState]int)
@@ -17,27 +17,27 @@
 			inFlight[j.target]++
 		case jobWaiting:
 			if !j.node.Queued() {
-				return fmt.Errorf("job %v waits outside of the queue", key)
+				return fmt.Errorf("job %v: waiting, but not in the queue", key)
 			}
-			if j.awaited != nil {
-				awaited[j.awaited]++
+			if j.preferred != nil {
+				awaited[j.preferred]++
 			}
 		default:
-			return fmt.Errorf("job %v is kept in state %d", key, j.state)
+			return fmt.Errorf("job %v: unexpected state %d", key, j.state)
 		}
 		if j.req != nil && j.state == jobWaiting && j.req.job != j {
-			return fmt.Errorf("job %v waits beside another search of its request", key)
+			return fmt.Errorf("job %v: waiting although its request has another search", key)
 		}
 		if j.req != nil && r.requests[j.req.id] == nil {
-			return fmt.Errorf("job %v has outlived its request", key)
+			return fmt.Errorf("job %v: its request has ended", key)
 		}
 	}
 	for id, t := range r.targets {
 		if t.inFlight != inFlight[t] {
-			return fmt.Errorf("target %s: %d counted in flight, %d placed", id, t.inFlight, inFlight[t])
+			return fmt.Errorf("target %s: %d requests counted in flight, %d jobs placed there", id, t.inFlight, inFlight[t])
 		}
-		if t.awaited != awaited[t] {
-			return fmt.Errorf("target %s: %d counted as awaited, %d wait", id, t.awaited, awaited[t])
+		if t.preferredBy != awaited[t] {
+			return fmt.Errorf("target %s: counted as preferred by %d jobs, preferred by %d", id, t.preferredBy, awaited[t])
 		}
 	}
 	return errors.Join(r.checkRequests(), r.checkQueues(), r.checkKept())
@@ -47,25 +47,25 @@
 	attempts := 0
 	for id, q := range r.requests {
 		attempts += len(q.running)
-		if len(q.running) == 0 && q.job == nil && q.asking == nil {
-			return fmt.Errorf("request %d: nothing is under way for it", id)
+		if len(q.running) == 0 && q.job == nil && q.pending == nil {
+			return fmt.Errorf("request %d: neither an attempt nor a search is under way", id)
 		}
 		if q.sends > q.route.Attempts {
-			return fmt.Errorf("request %d: %d sends of %d", id, q.sends, q.route.Attempts)
+			return fmt.Errorf("request %d: %d sends, at most %d allowed", id, q.sends, q.route.Attempts)
 		}
 		if !q.route.Idempotent && len(q.running) > 1 {
-			return fmt.Errorf("request %d: not idempotent, sent twice", id)
+			return fmt.Errorf("request %d: not idempotent, but two attempts are under way", id)
 		}
 	}
 	if attempts != len(r.attempts) {
-		return fmt.Errorf("%d attempts kept, %d under way", len(r.attempts), attempts)
+		return fmt.Errorf("%d attempts stored, %d belong to requests", len(r.attempts), attempts)
 	}
-	if len(r.carries) != len(r.carriesBy) {
-		return fmt.Errorf("%d requests carried, %d by their attempts", len(r.carries), len(r.carriesBy))
+	if len(r.forwards) != len(r.forwardsByAttempt) {
+		return fmt.Errorf("%d forwarded requests, %d indexed by attempt", len(r.forwards), len(r.forwardsByAttempt))
 	}
-	for id, q := range r.asks {
-		if q.asking == nil || q.asking.ask.ID != id {
-			return fmt.Errorf("ask %d is kept and not asked", id)
+	for id, q := range r.placements {
+		if q.pending == nil || q.pending.request.ID != id {
+			return fmt.Errorf("placement request %d is stored, but its request does not wait for it", id)
 		}
 	}
 	return nil
@@ -82,22 +82,22 @@
 		}
 	}
 	if waiting != 0 {
-		return fmt.Errorf("%d more jobs queued than waiting", waiting)
+		return fmt.Errorf("%d more jobs in the queues than in state waiting", waiting)
 	}
 	return nil
 }
 
-// checkKept holds what is kept up to date against what it is derived from.
+// checkKept compares cached data with its source.
 func (r *Reducer) checkKept() error {
 	waiting := make(map[*targetState]int)
 	for key, j := range r.jobs {
 		if j.state != jobWaiting {
 			continue
 		}
-		for _, x := range j.considered {
+		for _, x := range j.candidates {
 			waiting[x.t]++
 			if !slices.Contains(x.t.waiters, j) {
-				return fmt.Errorf("job %v considers %s and is not woken by it", key, x.t.ID)
+				return fmt.Errorf("job %v: target %s is a candidate without the job among its waiters", key, x.t.ID)
 			}
 		}
 	}
@@ -109,31 +109,31 @@
 	return nil
 }
 
-// checkService holds the counts and groups of s against its targets; waiting is
-// how many jobs consider each.
+// checkService compares the counts and groups of s with its targets; waiting is
+// the number of jobs that have each target as a candidate.
 func (r *Reducer) checkService(s *service, waiting map[*targetState]int) error {
 	load, slots, listed, limited := 0, 0, 0, 0
 	for _, t := range s.targets {
 		load += t.countedLoad
 		slots += t.countedSlots
 		listed += count(t.listed)
-		limited += count(t.limit.named)
+		limited += count(t.limit.active)
 		if len(t.waiters) != waiting[t] {
-			return fmt.Errorf("target %s: %d waiters kept, %d wait", t.ID, len(t.waiters), waiting[t])
+			return fmt.Errorf("target %s: %d waiters, but %d waiting jobs with it as a candidate", t.ID, len(t.waiters), waiting[t])
 		}
 		if may := !t.Draining && !r.evacuated[t.Domain]; may != t.listed {
-			return fmt.Errorf("target %s: listed %v, may get requests %v", t.ID, t.listed, may)
+			return fmt.Errorf("target %s: listed is %v, but may get requests is %v", t.ID, t.listed, may)
 		}
 	}
 	if limited != len(s.limited) {
-		return fmt.Errorf("service %s: %d targets name a limit, %d are kept", s.name, limited, len(s.limited))
+		return fmt.Errorf("service %s: %d targets with a rate limit, but %d listed", s.name, limited, len(s.limited))
 	}
 	for _, g := range s.groups {
 		listed -= len(g)
 	}
-	if load != s.here.load || slots != s.here.slots || listed != 0 {
-		return fmt.Errorf("service %s: crowd %d of %d, its targets %d of %d; %d more listed than grouped",
-			s.name, s.here.load, s.here.slots, load, slots, listed)
+	if load != s.occupancy.load || slots != s.occupancy.slots || listed != 0 {
+		return fmt.Errorf("service %s: occupancy %d of %d slots, but %d of %d by its targets; %d more targets listed than grouped",
+			s.name, s.occupancy.load, s.occupancy.slots, load, slots, listed)
 	}
 	return nil
 }
--- a/decide/ingress/job.go
+++ b/decide/ingress/job.go
@@ -11,41 +11,43 @@
 	"github.com/azurethread/azurethread/decide/verdict"
 )
 
-// jobKey names a job: the entry VM whose request it is, and that VM's number.
+// jobKey identifies a job by the entry VM whose request it is and that VM's number
+// for it.
 type jobKey struct {
 	vm fleet.VMID
-	id AskID
+	id PlacementID
 }
 
 // job is the search for a target for one send of a request, and then the place
-// that it takes there. It may be the request of another entry VM.
+// that it takes there. The request may belong to another entry VM.
 type job struct {
 	key jobKey
-	Ask
-	req     *request // of this entry VM; nil: the job of another one
-	svc     *service
-	obj     *object // that it is about; nil: none
-	arrived clock.Time
-	until   clock.Time // when it stops waiting for a target
-	expires clock.Time // when its place is free again whatever is heard
-	node    queue.Node[*job]
-	state   jobState
+	PlacementRequest
+	req       *request // of this entry VM; nil: of another entry VM
+	svc       *service
+	obj       *object // nil: the request names none
+	arrived   clock.Time
+	waitUntil clock.Time // when it stops waiting for a target
+	expiresAt clock.Time // when its place is freed even without a report
+	node      queue.Node[*job]
+	state     jobState
 
-	// considered are the targets that the latest choice compared.
-	considered []scored
-	// awaited is the target that a waiting job would go to.
-	awaited *targetState
-	turn    uint64 // its place among the waiting jobs of its priority
-	// why is what decided for the region of the latest choice, and slower says
-	// that the own region's best target was expected to answer sooner.
-	why    Why
-	slower bool
-	// chose says that the latest choice had a target on both sides.
-	chose bool
+	// candidates are the targets that the latest choice compared.
+	candidates []scored
+	// preferred is the target that a waiting job would go to.
+	preferred *targetState
+	seq       uint64 // its place among the waiting jobs of its priority
+	// regionReason is what determined the region of the latest choice; localFaster
+	// means that the own region's best target was expected to answer sooner.
+	regionReason RegionReason
+	localFaster  bool
+	// hadChoice means that the latest choice had a target in the own region and in
+	// another one.
+	hadChoice bool
 
-	target  *targetState
-	class   workClass
-	waiting int // requests ahead of it at the target, beyond the slots
+	target      *targetState
+	class       workClass
+	queuedAhead int // requests ahead of it at the target, beyond the slots
 }
 
 type jobState uint8
@@ -54,33 +56,33 @@
 	jobNew jobState = iota
 	jobWaiting
 	jobPlaced
-	jobOver
+	jobDone
 )
 
-// expiryMargin is how long after the deadline of a request its place at a
-// target counts as taken when its entry VM reports nothing: it may have died.
+// expiryMargin is how long after a request's deadline its place at a target still
+// counts as taken if its entry VM reports nothing, for example because it crashed.
 const expiryMargin = 500 * time.Millisecond
 
-func (r *Reducer) newJob(now clock.Time, key jobKey, a Ask) *job {
-	j := &job{key: key, Ask: a, svc: r.serviceOf(a.Service), arrived: now}
+func (r *Reducer) newJob(now clock.Time, key jobKey, a PlacementRequest) *job {
+	j := &job{key: key, PlacementRequest: a, svc: r.serviceOf(a.Service), arrived: now}
 	if j.Object != "" {
 		j.obj = j.svc.objects.get(j.Object)
 	}
 	j.node.Item = j
-	j.until = now.Add(min(a.Wait, a.Left))
-	j.expires = now.Add(a.Left + expiryMargin)
+	j.waitUntil = now.Add(min(a.MaxWait, a.TimeLeft))
+	j.expiresAt = now.Add(a.TimeLeft + expiryMargin)
 	r.jobs[key] = j
-	r.believeRecalled(now, j)
+	r.useLastTarget(now, j)
 	return j
 }
 
-// place finds a target for j, has it wait for one, or refuses it.
+// place finds a target for j, queues j, or denies it.
 func (r *Reducer) place(now clock.Time, j *job) {
 	if t := r.choose(now, j); t != nil {
 		r.grant(now, j, t)
 		return
 	}
-	if !j.until.After(now) {
+	if !j.waitUntil.After(now) {
 		r.deny(now, j)
 		return
 	}
@@ -90,133 +92,133 @@
 		at = at.Prev()
 	}
 	j.svc.waiting.InsertAfter(at, &j.node)
-	j.svc.turns++
-	j.turn = j.svc.turns
+	j.svc.lastSeq++
+	j.seq = j.svc.lastSeq
 	j.startWaiting()
-	r.timers.add(timer{at: j.until, purpose: dueJob, job: j})
+	r.timers.add(timer{at: j.waitUntil, purpose: dueJob, job: j})
 }
 
-// startWaiting counts j at the target that it would go to, and has a free place
-// at any that it considers wake it.
+// startWaiting counts j at its preferred target, and registers it to be retried
+// when one of its candidates has a free slot.
 func (j *job) startWaiting() {
-	if j.awaited != nil {
-		j.awaited.awaited++
+	if j.preferred != nil {
+		j.preferred.preferredBy++
 	}
-	for _, x := range j.considered {
+	for _, x := range j.candidates {
 		x.t.waiters = append(x.t.waiters, j)
 	}
 }
 
 // stopWaiting undoes startWaiting.
 func (j *job) stopWaiting() {
-	if j.awaited != nil {
-		j.awaited.awaited--
+	if j.preferred != nil {
+		j.preferred.preferredBy--
 	}
-	for _, x := range j.considered {
+	for _, x := range j.candidates {
 		if at := slices.Index(x.t.waiters, j); at >= 0 {
 			x.t.waiters = slices.Delete(x.t.waiters, at, at+1)
 		}
 	}
 }
 
-// grant gives j its place at t.
+// grant gives j a place at t.
 func (r *Reducer) grant(now clock.Time, j *job, t *targetState) {
 	j.state = jobPlaced
 	j.target = t
 	j.class = classOf(now, j, t)
-	j.waiting = max(0, t.load(now)+1-t.Slots)
+	j.queuedAhead = max(0, t.load(now)+1-t.Slots)
 	t.inFlight++
-	r.recount(now, t)
-	t.tried()
-	j.obj.remember(now, t)
-	if t.cold(now) || t.limit.named {
-		t.sends.add(now, keepSends)
+	r.updateOccupancy(now, t)
+	t.markTried()
+	j.obj.markWarm(now, t)
+	if t.cold(now) || t.limit.active {
+		t.sends.add(now, sendRetention)
 	}
-	if j.chose {
-		// What has one side only is none of the share, whose change the bound
-		// slows: counted, it would hold the share up after a lack of targets here.
-		j.svc.share.count(now, !r.here(t))
+	if j.hadChoice {
+		// Only requests with a choice count for the share. The limit on its change
+		// would otherwise keep the share high after a time without local targets.
+		j.svc.share.count(now, !r.isLocal(t))
 	}
-	r.notePlaced(j)
+	r.countPlacement(j)
 	if j.req != nil {
-		r.granted(now, j.req, j, t)
+		r.sendTo(now, j.req, j, t)
 		return
 	}
-	r.timers.add(timer{at: j.expires, purpose: dueJob, job: j})
-	r.tell(j.key.vm, &Grant{ID: j.key.id, Target: t.ID, Share: j.svc.share.stated()})
+	r.timers.add(timer{at: j.expiresAt, purpose: dueJob, job: j})
+	r.sendMessage(j.key.vm, &Grant{ID: j.key.id, Target: t.ID, Share: j.svc.share.advertised()})
 }
 
-// deny tells j's entry VM that there is no target for it.
+// deny reports to j's entry VM that there is no target for it.
 func (r *Reducer) deny(now clock.Time, j *job) {
-	reason, room := r.whyWaiting(now, j), r.roomAfter(now, j)
-	r.drop(j)
+	reason, room := r.denyReason(now, j), r.freeAfter(now, j)
+	r.removeJob(j)
 	if j.req != nil {
-		r.denied(now, j.req, reason, room)
+		r.placementDenied(now, j.req, reason, room)
 		return
 	}
-	r.tell(j.key.vm, &Deny{ID: j.key.id, Reason: reason, Room: room, Share: j.svc.share.stated()})
+	r.sendMessage(j.key.vm, &Deny{ID: j.key.id, Reason: reason, FreeAfter: room, Share: j.svc.share.advertised()})
 }
 
-// roomAfter is the time after which the target that j waited for has room for
-// it; 0 if there is none.
-func (r *Reducer) roomAfter(now clock.Time, j *job) time.Duration {
-	if j.awaited == nil {
+// freeAfter returns the expected time until j's preferred target has room for it;
+// 0 if there is none.
+func (r *Reducer) freeAfter(now clock.Time, j *job) time.Duration {
+	if j.preferred == nil {
 		return 0
 	}
-	return time.Duration(r.expectedWait(now, j, j.awaited))
+	return time.Duration(r.expectedWait(now, j, j.preferred))
 }
 
-// drop forgets j.
-func (r *Reducer) drop(j *job) {
+// removeJob removes j from the queue and the jobs.
+func (r *Reducer) removeJob(j *job) {
 	if j.node.Queued() {
 		j.stopWaiting()
 		j.svc.waiting.Remove(&j.node)
 	}
-	j.state = jobOver
+	j.state = jobDone
 	delete(r.jobs, j.key)
 }
 
-// jobDue ends j's wait, or its place when nothing was heard.
+// jobDue ends j's wait, or frees its place if no report came.
 func (r *Reducer) jobDue(now clock.Time, j *job) {
 	switch {
-	case j.state == jobWaiting && !j.until.After(now):
+	case j.state == jobWaiting && !j.waitUntil.After(now):
 		r.deny(now, j)
-	case j.state == jobPlaced && j.req == nil && !j.expires.After(now):
+	case j.state == jobPlaced && j.req == nil && !j.expiresAt.After(now):
 		r.release(now, j, &Report{Result: ResultUnknown})
 	}
 }
 
-// release takes the end of j's send.
+// release frees j's place after its send has ended and records the result.
 func (r *Reducer) release(now clock.Time, j *job, rep *Report) {
 	t := j.target
 	load := t.load(now)
-	r.drop(j)
+	r.removeJob(j)
 	t.inFlight--
-	r.learnResult(now, t, rep)
-	r.recount(now, t)
+	r.applyResult(now, t, rep)
+	r.updateOccupancy(now, t)
 	switch rep.Result {
 	case ResultServed:
-		r.learnWork(now, j, rep)
+		r.observeWork(now, j, rep)
 	case ResultRefused, ResultUnreachable, ResultMisdirected:
-		if j.class == objectCold { // j was the first to bring it, and has not run
-			j.obj.forget(t)
+		if j.class == objectCold { // j was the first request for the object and has not run
+			j.obj.unmarkWarm(t)
 		}
 	}
-	r.pumpAfter(now, t, load)
+	r.dispatchAfter(now, t, load)
 }
 
-// withdraw ends j whose request needs no target any more.
+// withdraw ends j, whose request no longer needs a target.
 func (r *Reducer) withdraw(now clock.Time, j *job) {
 	switch j.state {
 	case jobPlaced:
 		r.release(now, j, &Report{Result: ResultUnknown})
 	default:
-		r.drop(j)
+		r.removeJob(j)
 	}
 }
 
-// whyWaiting says why no target took j.
-func (r *Reducer) whyWaiting(now clock.Time, j *job) verdict.Reason {
+// denyReason returns why no target took j.
+func (r *Reducer) denyReason(now clock.Time, j *job) verdict.Reason {
 	for _, t := range j.svc.targets {
 		if r.usable(j, t) {
 			return verdict.ReasonOverload
@@ -226,51 +228,51 @@
 }
 
 const (
-	// pumpAll is the number of waiting jobs of a service up to which each end of
-	// a request has all of them tried.
-	pumpAll = 32
-	// pumpEvery is the time between two tries of more waiting jobs than that. It
-	// is short beside the aims of callers, and has a coordinator with a thousand
-	// waiting jobs spend a twentieth of a core on them.
-	pumpEvery = 50 * time.Millisecond
+	// dispatchAllLimit is the number of waiting jobs of a service up to which
+	// every end of a request retries all of them.
+	dispatchAllLimit = 32
+	// dispatchInterval is the time between retries of all waiting jobs above
+	// dispatchAllLimit. It is short compared with callers' aims, and costs a
+	// coordinator with a thousand waiting jobs a twentieth of a core.
+	dispatchInterval = 50 * time.Millisecond
 )
 
-// pumpAfter places waiting jobs after the end of a request at t. load is what
-// was at t before.
+// dispatchAfter places waiting jobs after a request at t has ended. load is the
+// load of t before.
 //
-// Jobs that considered t may go there now. Others have become able to go
-// somewhere only because time has passed: the share may have moved, or an
-// ejection have ended.
-func (r *Reducer) pumpAfter(now clock.Time, t *targetState, load int) {
+// Jobs with t among their candidates may now go there. Others can be placed only
+// because time has passed: the share may have moved, or an ejection may have
+// ended.
+func (r *Reducer) dispatchAfter(now clock.Time, t *targetState, load int) {
 	s := t.svc
-	if s.waiting.Len() <= pumpAll || now.Sub(s.pumped) >= pumpEvery {
-		r.pumpService(now, s)
+	if s.waiting.Len() <= dispatchAllLimit || now.Sub(s.dispatchedAt) >= dispatchInterval {
+		r.dispatchWaiting(now, s)
 		return
 	}
 	waiters := slices.Clone(t.waiters)
 	slices.SortFunc(waiters, func(a, b *job) int {
-		return cmp.Or(cmp.Compare(a.Priority, b.Priority), cmp.Compare(a.turn, b.turn))
+		return cmp.Or(cmp.Compare(a.Priority, b.Priority), cmp.Compare(a.seq, b.seq))
 	})
 	for _, j := range waiters {
 		if t.load(now) >= load {
 			return
 		}
-		r.retry(now, j)
+		r.retryPlacement(now, j)
 	}
 }
 
-// pumpService places the jobs that wait, where there is room now.
-func (r *Reducer) pumpService(now clock.Time, s *service) {
-	s.pumped = now
+// dispatchWaiting places the waiting jobs of s for which there is room.
+func (r *Reducer) dispatchWaiting(now clock.Time, s *service) {
+	s.dispatchedAt = now
 	for n := s.waiting.Front(); n != nil; {
 		next := n.Next()
-		r.retry(now, n.Item)
+		r.retryPlacement(now, n.Item)
 		n = next
 	}
 }
 
-// retry places a waiting job if there is room for it now.
-func (r *Reducer) retry(now clock.Time, j *job) {
+// retryPlacement places a waiting job if there is room for it.
+func (r *Reducer) retryPlacement(now clock.Time, j *job) {
 	j.stopWaiting()
 	t := r.choose(now, j)
 	if t == nil {
@@ -281,13 +283,14 @@
 	r.grant(now, j, t)
 }
 
-// dropJobsOfLost releases what entry VMs held that are gone.
-func (r *Reducer) dropJobsOfLost(now clock.Time) {
+// releaseJobsOfLostVMs releases the places held by entry VMs that are no longer
+// members.
+func (r *Reducer) releaseJobsOfLostVMs(now clock.Time) {
 	live := make(map[fleet.VMID]bool, len(r.members))
 	for i := range r.members {
 		live[r.members[i].ID] = true
 	}
-	for _, j := range r.jobList() {
+	for _, j := range r.sortedJobs() {
 		if j.req == nil && !live[j.key.vm] {
 			r.withdraw(now, j)
 		}
--- a/decide/ingress/mechanism.go
+++ b/decide/ingress/mechanism.go
@@ -7,43 +7,45 @@
 	"strings"
 )
 
-// Mechanisms is a set of parts of the decisions that can be switched off, so
-// that experiments can tell what each is worth. In service none is.
+// Mechanisms is a set of parts of the decision logic that can be switched off, so
+// that experiments can measure the effect of each. In production none is switched
+// off.
 type Mechanisms uint16
 
 // The mechanisms.
 const (
-	// Recall tells the coordinator where a VM's own requests ran.
+	// Recall reports to the coordinator where a VM's own requests last ran.
 	Recall Mechanisms = 1 << iota
-	// Coordinators have one VM of a region place all requests for a service;
-	// without, each places by what it knows itself.
+	// Coordinators let one VM of a region place all requests for a service;
+	// without it, each VM places its own requests with its own knowledge.
 	Coordinators
-	// SecondSend sends an idempotent request again whose target is silent.
-	SecondSend
-	// Headroom moves the share of other regions before the own one is full.
+	// Hedging sends an idempotent request again if its target is silent.
+	Hedging
+	// Headroom raises the share of other regions before the own region is full.
 	Headroom
 	// Elsewhere runs a share of the requests in other regions.
 	Elsewhere
 	// LargeBodies keeps requests with large bodies in their region.
 	LargeBodies
-	// Carriage counts what bytes cost between failure domains and regions.
-	Carriage
+	// TransferCosts includes the cost of bytes between failure domains and regions
+	// in a choice.
+	TransferCosts
 	// WaitAtTarget lets requests whose object is warm queue at its target.
 	WaitAtTarget
-	// FirstChoice takes an object of unknown place for half warm at the first
-	// target of its order.
+	// FirstChoice assumes that an object with no known place is half warm at the
+	// first target of its order.
 	FirstChoice
-	// Joined tries targets that have joined.
-	Joined
-	// Ejection takes targets that fail out of use.
+	// NewTargets sends a first request to targets that have joined.
+	NewTargets
+	// Ejection stops using targets that fail.
 	Ejection
-	// SpareConnections keep one connection free to targets of other regions.
+	// SpareConnections keep one connection to targets of other regions free.
 	SpareConnections
-	// Quarantining keeps requests away that end the targets that run them.
+	// Quarantining keeps requests that crash targets away from them.
 	Quarantining
-	// RateLimits keep to the rates that targets name.
+	// RateLimits keep within the rates that targets state.
 	RateLimits
-	// Gateways carry requests for targets of other regions.
+	// Gateways forward requests to targets of other regions.
 	Gateways
 )
 
@@ -56,8 +58,8 @@
 // MechanismNames returns the names of all mechanisms.
 func MechanismNames() []string { return slices.Clone(mechanismNames) }
 
-// ErrMechanism means a name that is none of MechanismNames.
-var ErrMechanism = errors.New("ingress: no such mechanism")
+// ErrMechanism reports a name that is not among MechanismNames.
+var ErrMechanism = errors.New("ingress: unknown mechanism")
 
 // ParseMechanisms returns the set of the named mechanisms.
 func ParseMechanisms(names ...string) (Mechanisms, error) {
@@ -65,12 +67,12 @@
 	for _, name := range names {
 		i := slices.Index(mechanismNames, name)
 		if i < 0 {
-			return 0, fmt.Errorf("%w: %q; there are %s", ErrMechanism, name, strings.Join(mechanismNames, ", "))
+			return 0, fmt.Errorf("%w %q; known: %s", ErrMechanism, name, strings.Join(mechanismNames, ", "))
 		}
 		set |= 1 << i
 	}
 	return set, nil
 }
 
-// on reports whether a mechanism is in use.
+// on reports whether a mechanism is switched on.
 func (r *Reducer) on(m Mechanisms) bool { return r.opts.Without&m == 0 }
--- a/decide/ingress/message.go
+++ b/decide/ingress/message.go
@@ -7,74 +7,76 @@
 	"github.com/azurethread/azurethread/decide/verdict"
 )
 
-// AskID numbers the asks of one process. Numbers of an earlier process of the
-// same VM don't come again: they begin at the time of its start.
-type AskID uint64
+// PlacementID numbers the placement requests of one process. Numbering begins at
+// the start time of the process, so that numbers of an earlier process of the same
+// VM are not reused.
+type PlacementID uint64
 
-// Message goes from one entry VM to another: one of the pointer types below.
+// Message is sent from one entry VM to another: one of the pointer types below.
 type Message any
 
-// Ask asks the coordinator of a service for a target.
-type Ask struct {
-	ID       AskID
-	Service  fleet.ServiceName
-	Route    string // for the size of answers
-	Object   string
-	Domain   fleet.Domain // of the asking VM
-	Priority int
-	Large    bool // its body or its answer is large
-	Homes    []fleet.Region
-	Tried    []fleet.TargetID // targets it has been sent to
-	Recalled fleet.TargetID   // where the asking VM's last request for the object ran; "": not known
-	Alone    bool             // it may end its target: where fewest others run
-	Limited  []NamedLimit     // some of the targets that the asking VM knows to name a rate limit
-	Wait     time.Duration    // that it may wait for a target
-	Left     time.Duration    // until its final answer is due
+// PlacementRequest asks the coordinator of a service for a target.
+type PlacementRequest struct {
+	ID             PlacementID
+	Service        fleet.ServiceName
+	Route          string // selects the measured size of answers
+	Object         string
+	Domain         fleet.Domain // of the requesting VM
+	Priority       int
+	Large          bool // the body or the answer is large
+	AllowedRegions []fleet.Region
+	Tried          []fleet.TargetID // targets that already got the request
+	LastTarget     fleet.TargetID   // where the requesting VM's last request for the object ran; "": unknown
+	MayCrashTarget bool             // place it where the fewest other requests run
+	Limits         []TargetLimit    // some of the rate limits that the requesting VM knows
+	MaxWait        time.Duration    // how long it may wait for a target
+	TimeLeft       time.Duration    // until the request's final answer is due
 }
 
-// NamedLimit is what one entry VM knows of a target's rate limit. A coordinator
-// that has just begun learns of it by the first asks: until an answer came to it,
-// it would have the target overrun by VMs that know better.
-type NamedLimit struct {
+// TargetLimit is what one entry VM knows of a target's rate limit. A new
+// coordinator learns the limit from the first placement requests; otherwise VMs
+// that already know it would overload the target until the coordinator gets an
+// answer itself.
+type TargetLimit struct {
 	Target    fleet.TargetID
 	PerSecond float64
-	Age       time.Duration // since an answer has named it
+	Age       time.Duration // since an answer stated the limit
 }
 
-// Grant names the target for an Ask.
+// Grant names the target for a PlacementRequest.
 type Grant struct {
-	ID     AskID
+	ID     PlacementID
 	Target fleet.TargetID
-	Share  HeardShare
+	Share  RemoteShare
 }
 
-// HeardShare is what a coordinator says of the part of its service's requests
-// that run in other regions. Whoever places requests after it, or beside it for
-// want of its answer, begins with that part: one that began with a guess moved a
-// third of a region's requests at once.
-type HeardShare struct {
-	Known     bool
-	Elsewhere float64 // 0 to 1
+// RemoteShare is a coordinator's current share of its service's requests that run
+// in other regions. A successor, or a VM that gets no answer from the coordinator,
+// starts from this share: one that started from a guess moved a third of a
+// region's requests at once.
+type RemoteShare struct {
+	Known bool
+	Share float64 // 0 to 1
 }
 
-// Deny says that there is no target for an Ask.
+// Deny reports that there is no target for a PlacementRequest.
 type Deny struct {
-	ID     AskID
+	ID     PlacementID
 	Reason verdict.Reason
-	// Room is the time after which the target that it would go to has room for
-	// it, as expected; 0: not known.
-	Room  time.Duration
-	Share HeardShare
+	// FreeAfter is the expected time until the preferred target has room for the
+	// request; 0: unknown.
+	FreeAfter time.Duration
+	Share     RemoteShare
 }
 
-// Withdraw says that an Ask is void, granted or not.
+// Withdraw cancels a PlacementRequest, whether or not it was granted.
 type Withdraw struct {
-	ID AskID
+	ID PlacementID
 }
 
-// Report says how the send that followed a Grant has ended.
+// Report is the result of the send that followed a Grant.
 type Report struct {
-	ID      AskID
+	ID      PlacementID
 	Result  Result
 	Load    Load
 	Limit   RateLimit
@@ -83,7 +85,7 @@
 	Connect time.Duration // of it, the wait for a connection
 }
 
-// Result is how a send has ended, as far as it concerns the target.
+// Result is the result of a send as far as it concerns the target.
 type Result uint8
 
 const (
@@ -91,9 +93,9 @@
 	ResultUnknown Result = iota
 	// ResultServed is an answer that was delivered.
 	ResultServed
-	// ResultRefused is the target's word that it did not run the request.
+	// ResultRefused means that the target stated that it did not run the request.
 	ResultRefused
-	// ResultMisdirected means that another target has the address.
+	// ResultMisdirected means that another target now has the address.
 	ResultMisdirected
 	// ResultFailed is a failure after the request was sent.
 	ResultFailed
@@ -101,13 +103,13 @@
 	ResultUnreachable
 )
 
-// Tell asks for a message to be sent to another entry VM.
+// Tell requests that a message be sent to another entry VM.
 type Tell struct {
 	To      fleet.VMID
 	Message Message
 }
 
-// Heard is a message of another entry VM.
+// Heard is a message received from another entry VM.
 type Heard struct {
 	From    fleet.VMID
 	Message Message
--- a/decide/ingress/object.go
+++ b/decide/ingress/object.go
@@ -8,25 +8,26 @@
 	"github.com/azurethread/azurethread/decide/rank"
 )
 
-// object is what a service knows of one object: where it was handled lately,
+// object is the state of one object of a service: where it was recently handled,
 // and the targets that come first for it by rendezvous hashing.
 //
-// Both are kept for each object, so that a choice looks at a handful of targets
-// however many the service has. Walking all of them for each request, and
-// ranking them anew after each change, took a coordinator of a thousand targets
-// half of a core at a thousand requests a second.
+// Both are cached per object, so that a choice compares few targets regardless of
+// the size of the service. Iterating over all targets for each request, and
+// ranking them after each change, took a coordinator of a thousand targets half a
+// core at a thousand requests per second.
 type object struct {
 	name string
-	warm []warmAt
-	// first holds the targets of each group that come first, by falling score;
-	// nil: not computed.
-	first [][]scored
+	warm []warmEntry
+	// ranked holds the first targets of each group by descending score; nil: not
+	// computed.
+	ranked [][]scored
 }
 
-// warmAt says when a target last handled an object.
-type warmAt struct {
+// warmEntry records when a target last handled an object.
+type warmEntry struct {
 	target *targetState
-	// start tells apart what the target held before it became cold again.
+	// start is the target's coldStarts at that time: an entry from before a later
+	// cold start is void.
 	start uint32
 	at    clock.Time
 }
@@ -43,25 +44,26 @@
 }
 
 const (
-	// firstKept is how many targets of a group are kept in the order for an
-	// object. A choice needs two; the others stand in for those that are out of
-	// use, cold or tried.
-	firstKept = 6
-	// warmKept is how many places of an object are kept. A region brings an
-	// object to one or two targets, its repeats and crowds to some more.
-	warmKept = 12
-	// objectsKept bounds the objects of one generation of objects: twice as
-	// many are known of a service at most, at about 600 bytes each.
-	objectsKept = 4096
+	// maxRanked is how many targets of a group are kept in the order for an
+	// object. A choice needs two; the others replace targets that are ejected,
+	// cold or tried.
+	maxRanked = 6
+	// maxWarm is how many warm targets of an object are kept. A region places an
+	// object at one or two targets; retries and load peaks add some more.
+	maxWarm = 12
+	// objectsPerGeneration limits the objects of one generation: at most twice as
+	// many are known of a service, at about 600 bytes each.
+	objectsPerGeneration = 4096
 )
 
-// objects holds the objects of one service in two generations. Those of the
-// older one that were not asked for while the younger one filled are dropped.
+// objects holds the objects of one service in two generations. Objects of the old
+// generation that were not used while the young one filled up are dropped.
 type objects struct {
 	young, old map[string]*object
 }
 
-// get returns the object of a name, which must not be empty, and keeps it.
+// get returns the object of a name, which must not be empty, and keeps it in the
+// young generation.
 func (os *objects) get(name string) *object {
 	if o, ok := os.young[name]; ok {
 		return o
@@ -70,7 +72,7 @@
 	if !ok {
 		o = &object{name: name}
 	}
-	if len(os.young) >= objectsKept {
+	if len(os.young) >= objectsPerGeneration {
 		os.old, os.young = os.young, nil
 	}
 	if os.young == nil {
@@ -92,17 +94,17 @@
 	}
 }
 
-// holds reports whether w still says something of its target.
-func (w *warmAt) holds(now clock.Time) bool {
-	return w.start == w.target.coldStarts && !w.target.gone && now.Sub(w.at) < warmFor
+// isValid reports whether the target is still assumed to remember the object.
+func (w *warmEntry) isValid(now clock.Time) bool {
+	return w.start == w.target.coldStarts && !w.target.removed && now.Sub(w.at) < warmTTL
 }
 
-// remember notes that t handles the object.
-func (o *object) remember(now clock.Time, t *targetState) {
+// markWarm records that t handles the object.
+func (o *object) markWarm(now clock.Time, t *targetState) {
 	if o == nil {
 		return
 	}
-	w := warmAt{target: t, start: t.coldStarts, at: now}
+	w := warmEntry{target: t, start: t.coldStarts, at: now}
 	oldest := 0
 	for i := range o.warm {
 		if o.warm[i].target == t {
@@ -113,53 +115,53 @@
 			oldest = i
 		}
 	}
-	if len(o.warm) < warmKept {
+	if len(o.warm) < maxWarm {
 		o.warm = append(o.warm, w)
 		return
 	}
 	o.warm[oldest] = w
 }
 
-// forget undoes remember.
-func (o *object) forget(t *targetState) {
+// unmarkWarm undoes markWarm.
+func (o *object) unmarkWarm(t *targetState) {
 	if o != nil {
-		o.warm = slices.DeleteFunc(o.warm, func(w warmAt) bool { return w.target == t })
+		o.warm = slices.DeleteFunc(o.warm, func(w warmEntry) bool { return w.target == t })
 	}
 }
 
-// warmAt reports whether t is taken to remember the object.
-func (o *object) warmAt(now clock.Time, t *targetState) bool {
+// isWarmAt reports whether t is assumed to remember the object.
+func (o *object) isWarmAt(now clock.Time, t *targetState) bool {
 	if o == nil {
 		return false
 	}
 	for i := range o.warm {
 		if o.warm[i].target == t {
-			return o.warm[i].holds(now)
+			return o.warm[i].isValid(now)
 		}
 	}
 	return false
 }
 
-// warmSomewhere reports whether a target is known to remember the object.
-func (o *object) warmSomewhere(now clock.Time) bool {
+// isWarmAnywhere reports whether any target is assumed to remember the object.
+func (o *object) isWarmAnywhere(now clock.Time) bool {
 	if o == nil {
 		return false
 	}
 	for i := range o.warm {
-		if o.warm[i].holds(now) {
+		if o.warm[i].isValid(now) {
 			return true
 		}
 	}
 	return false
 }
 
-// group is a set of targets of a service whose order for an object is kept
-// apart: each failure domain of the own region, and all other regions together.
+// group is a set of targets of a service that has its own order for an object:
+// each failure domain of the own region, and all other regions together.
 type group int
 
-// groupElsewhere holds the targets of other regions; those of the own region's
-// failure domains follow.
-const groupElsewhere group = 0
+// groupRemote holds the targets of other regions; the failure domains of the own
+// region follow.
+const groupRemote group = 0
 
 // groupsOf numbers the failure domains of a region.
 func groupsOf(regions map[fleet.Domain]fleet.Region, own fleet.Region) map[fleet.Domain]group {
@@ -172,28 +174,28 @@
 	slices.Sort(domains)
 	groups := make(map[fleet.Domain]group, len(domains))
 	for i, d := range domains {
-		groups[d] = groupElsewhere + 1 + group(i)
+		groups[d] = groupRemote + 1 + group(i)
 	}
 	return groups
 }
 
-// score is the score of t for the object.
+// score returns t with its score for the object.
 func (o *object) score(t *targetState) scored {
 	return scored{t: t, score: rank.Score(o.name, string(t.ID))}
 }
 
 // order computes the targets that come first for the object.
 func (o *object) order(s *service) {
-	o.first = make([][]scored, len(s.groups))
+	o.ranked = make([][]scored, len(s.groups))
 	for g, members := range s.groups {
 		for _, t := range members {
-			o.first[g] = insertBest(o.first[g], o.score(t), firstKept)
+			o.ranked[g] = insertBest(o.ranked[g], o.score(t), maxRanked)
 		}
 	}
 }
 
-// insertBest puts x at its place among the most best ones in list, if it is one
-// of them.
+// insertBest inserts x into list, which holds the best targets in order, at most
+// most of them.
 func insertBest(list []scored, x scored, most int) []scored {
 	at := len(list)
 	for at > 0 && x.before(list[at-1]) {
@@ -210,31 +212,31 @@
 	return list
 }
 
-// joined takes a target that has come into use.
-func (o *object) joined(s *service, t *targetState) {
-	if o.first == nil {
+// targetListed updates the order for a target that was added to its group.
+func (o *object) targetListed(s *service, t *targetState) {
+	if o.ranked == nil {
 		return
 	}
-	first := o.first[t.group]
+	first := o.ranked[t.group]
 	x := o.score(t)
-	// Beyond the last one kept stand others that are not known, unless these
-	// are all: s counts t already.
+	// Targets after the last ranked one are unknown, unless all are ranked; s
+	// already counts t.
 	all := len(first) >= len(s.groups[t.group])-1
 	if !all && len(first) > 0 && first[len(first)-1].before(x) {
 		return
 	}
-	o.first[t.group] = insertBest(first, x, firstKept)
+	o.ranked[t.group] = insertBest(first, x, maxRanked)
 }
 
-// left takes a target that has gone out of use. Once the last of those kept has
-// left, the order is computed anew when it is asked for.
-func (o *object) left(s *service, t *targetState) {
-	if o.first == nil {
+// targetUnlisted updates the order for a target that was removed from its group.
+// When the last ranked target is removed, the order is recomputed on its next use.
+func (o *object) targetUnlisted(s *service, t *targetState) {
+	if o.ranked == nil {
 		return
 	}
-	first := slices.DeleteFunc(o.first[t.group], func(x scored) bool { return x.t == t })
-	o.first[t.group] = first
+	first := slices.DeleteFunc(o.ranked[t.group], func(x scored) bool { return x.t == t })
+	o.ranked[t.group] = first
 	if len(first) == 0 && len(s.groups[t.group]) > 0 {
-		o.first = nil
+		o.ranked = nil
 	}
 }
--- a/decide/ingress/options.go
+++ b/decide/ingress/options.go
@@ -14,106 +14,109 @@
 	// Regions holds the region of every failure domain.
 	Regions map[fleet.Domain]fleet.Region
 	Bounds  Bounds
-	// Drain is for how long a target serves after its registration has gone;
-	// 0: not known.
-	Drain time.Duration
-	Seed  uint64
-	// Start is when this process began.
+	// DrainTime is how long a target still serves after its registration was
+	// removed; 0: unknown.
+	DrainTime time.Duration
+	Seed      uint64
+	// Start is the time at which this process started.
 	Start clock.Time
-	// Without are the mechanisms that are switched off, for experiments.
+	// Without is the set of mechanisms that are switched off in experiments.
 	Without Mechanisms
 }
 
-// Bounds are the operators' limits on all entry VMs together.
+// Bounds are the operators' limits for all entry VMs together.
 type Bounds struct {
-	// ColdFactor times a service's rate of cold requests, plus ColdSlack, may
-	// reach a cold target within a second.
+	// A cold target may get at most ColdFactor times its service's cold rate plus
+	// ColdSlack requests within a second.
 	ColdFactor float64
 	ColdSlack  float64
-	// RepeatRatio of the requests for a service, plus RepeatSlack, may reach
-	// its targets as repeats within RepeatWindow.
+	// The targets of a service may get at most RepeatRatio of its requests plus
+	// RepeatSlack as retries within RepeatWindow.
 	RepeatRatio  float64
 	RepeatSlack  float64
 	RepeatWindow time.Duration
-	// RegionShift is the largest part of a region's requests that may change
-	// the region in which they run from one shiftWindow to the next. 0: any.
+	// RegionShift is the largest share of a region's requests that may change the
+	// region in which they run from one shiftWindow to the next. 0: unlimited.
 	RegionShift float64
 }
 
 // Timing and weights of the decisions.
 const (
-	// defaultPatience bounds a request whose caller states no deadline and
-	// whose route has no timeout.
-	defaultPatience = 30 * time.Second
-	// answerMargin is how long after the deadline that was passed on a target's
-	// own answer is still awaited: it is on its way then.
+	// defaultTimeout limits a request whose caller states no deadline and whose
+	// route has no timeout.
+	defaultTimeout = 30 * time.Second
+	// answerMargin is how long an answer is still awaited after the deadline that
+	// was passed to the target: the target's own timeout answer may be on its way.
 	answerMargin = 100 * time.Millisecond
-	// queueShare is the part of a route's aim that a request may wait for a free
-	// target. A caller that is told early can still be served in time on its
+	// maxWaitShare is the part of a route's aim that a request may wait for a free
+	// target. A caller that is refused early can still be served in time on its
 	// second try; with waits of half an aim, fewer of them were.
-	queueShare = 0.25
-	// defaultAim stands for the aim of a route that has none.
+	maxWaitShare = 0.25
+	// defaultAim is the aim of a route that states none.
 	defaultAim = time.Second
-	// returnMin and returnMax bound the time after which room is expected for a
-	// refused caller, as parts of the aim. Sooner, it would meet the same crowd;
-	// later, its answer is late whenever it comes.
-	returnMin = 0.1
-	returnMax = 0.75
-	// noConfigReturn is the time to come back while no configuration is known:
-	// about what reading it from the store takes.
-	noConfigReturn = 500 * time.Millisecond
-	// localChoices, remoteChoices and domainChoices are how many targets of the
-	// own region, of all other regions together and of the request's own failure
-	// domain are considered for an object that is not warm there. More of them
-	// find a free slot more often and keep fewer objects warm: with three nearby
-	// or one in each other region more requests missed their aim, since an
-	// object's place then hung on the load of the moment and was not found again
-	// by a coordinator that had just started.
-	localChoices  = 2
-	remoteChoices = 1
-	domainChoices = 1
-	// queueWithoutObject is how many requests beyond its slots may be at a target
-	// when one comes that names no object: the target starts the next one
-	// without a round trip.
-	queueWithoutObject = 1
-	// headroom is the part of a region's slots that is kept free, as far as other
-	// regions have room: the share that runs there rises while less is free.
-	// More requests of the worst-served failure domain and of the worst-served kind
-	// were in time with it.
-	headroom = 0.2
-	// largeBody is the size of a body, in bytes, beyond which a request stays in
-	// its region: more than the ten segments that TCP sends at first, so it
-	// takes a second round trip to another region, besides what bytes cost
-	// there. With bodies of 60 KB it saved more in bytes than it cost in time.
+	// minRetryAfter and maxRetryAfter limit the retry delay given to a refused
+	// caller, as parts of the aim. Earlier retries would meet the same overload;
+	// the answer to a later one would always be late.
+	minRetryAfter = 0.1
+	maxRetryAfter = 0.75
+	// noConfigRetryAfter is the retry delay while no configuration is known: about
+	// the time that reading it from the store takes.
+	noConfigRetryAfter = 500 * time.Millisecond
+	// localCandidates, remoteCandidates and domainCandidates are the numbers of
+	// targets of the own region, of all other regions together and of the
+	// request's own failure domain that are considered for an object that is not
+	// warm there. More candidates find a free slot more often but keep fewer
+	// objects warm. With three in the own region, or one in each other region,
+	// more requests missed their aim: the place of an object then depended on the
+	// current load, and a newly started coordinator did not find it again.
+	localCandidates  = 2
+	remoteCandidates = 1
+	domainCandidates = 1
+	// queueLimitNoObject is how many requests beyond its slots may be at a target
+	// when a request without an object is sent there. The target then starts the
+	// next request without waiting a round trip.
+	queueLimitNoObject = 1
+	// minHeadroom is the part of a region's slots that is kept free as long as
+	// other regions have room: the share that runs there rises while less is free.
+	// It increased the requests in time in the worst-served failure domain and of
+	// the worst-served kind.
+	minHeadroom = 0.2
+	// largeBody is the body size in bytes above which a request stays in its
+	// region. A larger body exceeds the ten segments that TCP sends initially and
+	// so needs a second round trip to another region, besides the cost of its
+	// bytes there. For bodies of 60 KB, keeping them local saved more in bytes
+	// than it cost in time.
 	largeBody = 16 << 10
-	// warmFor is how long an object is taken to be remembered by a target.
-	warmFor = 30 * time.Second
-	// initialNear and initialFar are round trips inside a region and between
-	// regions, before a connection was opened.
-	initialNear = 2 * time.Millisecond
-	initialFar  = 100 * time.Millisecond
-	// reportFor is how long a target's word about requests of others counts.
-	reportFor = time.Second
-	// connectFloor and connectTrips bound the opening of a connection: a target
-	// that does not answer by then is tried elsewhere, with proof that nothing
-	// ran.
-	connectFloor = 250 * time.Millisecond
-	connectTrips = 3
-	// repeatShare is the part of the allowed ratio and slack of repeats that is
-	// used; the rest covers what is counted differently at the targets.
-	repeatShare = 0.85
-	// coldOwners is how many entry VMs may take themselves for the owner of a
+	// warmTTL is how long a target is assumed to remember an object.
+	warmTTL = 30 * time.Second
+	// initialLocalRTT and initialRemoteRTT are the round-trip times assumed within
+	// a region and between regions until a connection was opened.
+	initialLocalRTT  = 2 * time.Millisecond
+	initialRemoteRTT = 100 * time.Millisecond
+	// loadReportTTL is how long a target's report about requests of other entry
+	// VMs is used.
+	loadReportTTL = time.Second
+	// minConnectTimeout and connectTimeoutRTTs determine the timeout for opening a
+	// connection. After it the request is sent to another target; it is certain
+	// that it has not run.
+	minConnectTimeout  = 250 * time.Millisecond
+	connectTimeoutRTTs = 3
+	// retryBudgetShare is the part of the allowed retry ratio and slack that is
+	// used. The rest covers differences between this count and that of the
+	// targets.
+	retryBudgetShare = 0.85
+	// maxColdOwners is how many entry VMs may consider themselves the owner of a
 	// cold target at the same time.
-	coldOwners = 2
-	// hedgeFloor is the least time before a second send of an idempotent
-	// request that is unanswered.
-	hedgeFloor = 500 * time.Millisecond
-	// ejectShare is the largest part of a service's targets in a region that
-	// is out of use because of failures.
-	ejectShare = 0.5
-	// nearBytes and farBytes are the delay that a kilobyte of answer counts as
-	// when it crosses failure domains or regions: traffic between them is
-	// dear, and a large answer is better waited for nearby.
-	nearBytes = 10 * time.Millisecond
-	farBytes  = 8 * time.Millisecond
+	maxColdOwners = 2
+	// minHedgeDelay is the minimum delay before an unanswered idempotent request
+	// is sent a second time.
+	minHedgeDelay = 500 * time.Millisecond
+	// maxEjectedShare is the largest part of a service's targets in a region that
+	// may be ejected because of failures.
+	maxEjectedShare = 0.5
+	// localKilobyteCost and remoteKilobyteCost are the delays charged per kilobyte
+	// of answer that crosses failure domains or regions. Traffic between them is
+	// expensive, so a large answer is better waited for nearby.
+	localKilobyteCost  = 10 * time.Millisecond
+	remoteKilobyteCost = 8 * time.Millisecond
 )
--- a/decide/ingress/place.go
+++ b/decide/ingress/place.go
@@ -8,14 +8,14 @@
 	"github.com/azurethread/azurethread/decide/target"
 )
 
-// usable reports whether t may get requests at all.
+// usable reports whether t may get j at all.
 func (r *Reducer) usable(j *job, t *targetState) bool {
-	home := len(j.Homes) == 0 || slices.Contains(j.Homes, t.region)
+	home := len(j.AllowedRegions) == 0 || slices.Contains(j.AllowedRegions, t.region)
 	return home && !t.Draining && !r.evacuated[t.Domain]
 }
 
-// choose returns the target with the earliest expected answer to j among those
-// considered for its object, nil when all are full or unusable.
+// choose returns the candidate with the earliest expected answer to j, nil if all
+// are full or unusable.
 func (r *Reducer) choose(now clock.Time, j *job) *targetState {
 	if t := r.chooseAmong(now, j, false); t != nil {
 		return t
@@ -23,12 +23,12 @@
 	if r.anyInUse(now, j) {
 		return nil
 	}
-	// Every target is out of use because of failures: trying one is better
-	// than refusing everything until the ejections end.
+	// Every target is ejected: trying one is better than refusing all requests
+	// until the ejections end.
 	return r.chooseAmong(now, j, true)
 }
 
-// anyInUse reports whether a target that j may go to is in use.
+// anyInUse reports whether a target that may get j is in use.
 func (r *Reducer) anyInUse(now clock.Time, j *job) bool {
 	for _, t := range j.svc.targets {
 		if r.usable(j, t) && t.standing.Standing() == target.InUse {
@@ -38,168 +38,168 @@
 	return false
 }
 
-// chooseAmong compares the targets considered for j. Full ones are among them:
-// where waiting for one is quicker than the cold start of the object elsewhere,
-// j waits, and nil is returned.
-func (r *Reducer) chooseAmong(now clock.Time, j *job, ejectedToo bool) *targetState {
-	if t := r.untried(now, j); t != nil {
-		j.chose = false
+// chooseAmong compares the candidates for j, including full ones: if waiting for a
+// full target is quicker than a cold start of the object at another one, j waits
+// and nil is returned.
+func (r *Reducer) chooseAmong(now clock.Time, j *job, includeEjected bool) *targetState {
+	if t := r.untriedTarget(now, j); t != nil {
+		j.hadChoice = false
 		return t
 	}
-	if j.Alone {
-		return r.leastBusy(now, j, ejectedToo)
+	if j.MayCrashTarget {
+		return r.leastBusy(now, j, includeEjected)
 	}
-	local, remote := r.options(now, j, ejectedToo)
-	j.chose = local.t != nil && remote.t != nil
-	chosen, why := r.sideOf(now, j, local, remote)
+	local, remote := r.bestOptions(now, j, includeEjected)
+	j.hadChoice = local.t != nil && remote.t != nil
+	chosen, why := r.chooseSide(now, j, local, remote)
 	best := chosen.t
-	j.why = why
-	j.slower = local.t != nil && local.cost < chosen.cost
-	j.awaited = best
-	if best == nil || r.full(now, j, best) {
+	j.regionReason = why
+	j.localFaster = local.t != nil && local.cost < chosen.cost
+	j.preferred = best
+	if best == nil || r.isFull(now, j, best) {
 		return nil
 	}
 	return best
 }
 
-// leastBusy returns the target with the fewest requests, for one that may end
-// it: they would be lost with it.
-func (r *Reducer) leastBusy(now clock.Time, j *job, ejectedToo bool) *targetState {
+// leastBusy returns the target with the fewest requests, for a request that may
+// crash it and with it the others that run there.
+func (r *Reducer) leastBusy(now clock.Time, j *job, includeEjected bool) *targetState {
 	var best *targetState
 	for _, t := range j.svc.targets {
-		if r.eligible(now, j, t, ejectedToo) && (best == nil || r.lessBusy(now, t, best)) {
+		if r.eligible(now, j, t, includeEjected) && (best == nil || r.lessBusy(now, t, best)) {
 			best = t
 		}
 	}
-	j.chose, j.why, j.slower = false, WhyAlone, false
-	j.awaited, j.considered = best, j.considered[:0]
+	j.hadChoice, j.regionReason, j.localFaster = false, ReasonMayCrashTarget, false
+	j.preferred, j.candidates = best, j.candidates[:0]
 	if best == nil {
 		return nil
 	}
-	j.considered = append(j.considered, scored{t: best})
-	if r.full(now, j, best) {
+	j.candidates = append(j.candidates, scored{t: best})
+	if r.isFull(now, j, best) {
 		return nil
 	}
 	return best
 }
 
-// lessBusy compares two targets: those of the own region come first, then the
-// ones with fewer requests.
+// lessBusy compares two targets: those of the own region come first, then those
+// with fewer requests.
 func (r *Reducer) lessBusy(now clock.Time, a, b *targetState) bool {
-	if r.here(a) != r.here(b) {
-		return r.here(a)
+	if r.isLocal(a) != r.isLocal(b) {
+		return r.isLocal(a)
 	}
 	return a.load(now) < b.load(now)
 }
 
-// untried returns a target of the own region that has joined and was never
-// used. Objects keep to their places, so without a first request to learn from
-// a new target would stay idle beside full ones.
-func (r *Reducer) untried(now clock.Time, j *job) *targetState {
-	if !r.on(Joined) {
+// untriedTarget returns a target of the own region that has joined and was never
+// used. Objects keep their places, so a new target needs a first request to be
+// considered; otherwise it would stay idle beside full ones.
+func (r *Reducer) untriedTarget(now clock.Time, j *job) *targetState {
+	if !r.on(NewTargets) {
 		return nil
 	}
 	for _, t := range j.svc.untried {
-		if r.eligible(now, j, t, false) && !r.full(now, j, t) {
+		if r.eligible(now, j, t, false) && !r.isFull(now, j, t) {
 			return t
 		}
 	}
 	return nil
 }
 
-// sideOf decides between the own region and the others, and says why. Large
-// answers stay unless there is no target here; what is bound to regions has no
-// choice.
-func (r *Reducer) sideOf(now clock.Time, j *job, local, remote option) (option, Why) {
+// chooseSide decides between the own region and the others, and returns the
+// reason. Large answers stay local unless there is no local target; requests of
+// routes bound to regions have no choice.
+func (r *Reducer) chooseSide(now clock.Time, j *job, local, remote option) (option, RegionReason) {
 	s := &j.svc.share
 	switch {
 	case local.t == nil:
-		return remote, r.whyNoneHere(now, j)
+		return remote, r.noLocalReason(now, j)
 	case remote.t == nil || !r.on(Elsewhere):
-		return local, WhyOnly
-	case j.Large || len(j.Homes) > 0:
-		if len(j.Homes) > 0 && remote.cost < local.cost {
-			return remote, WhyHomes
+		return local, ReasonOnlyLocal
+	case j.Large || len(j.AllowedRegions) > 0:
+		if len(j.AllowedRegions) > 0 && remote.cost < local.cost {
+			return remote, ReasonAllowedRegions
 		}
-		return local, WhyOnly
+		return local, ReasonOnlyLocal
 	}
-	s.bound = r.shiftBound()
+	s.maxChange = r.shiftBound()
 	if !s.known {
-		s.begin(now, r.firstShare(j.svc))
+		s.start(now, r.initialShare(j.svc))
 	}
 	if j.state == jobNew {
-		s.follow(now, remote.cost < local.cost || (r.on(Headroom) && r.crowded(now, j.svc)))
+		s.adjust(now, remote.cost < local.cost || (r.on(Headroom) && r.lacksHeadroom(now, j.svc)))
 	}
 	first, second, toRemote := local, remote, true
-	belongs, why := s.sideOf(now, r.sideHash(j.Object), warmSide(now, j, local.t, remote.t))
-	if belongs == sideOthers {
+	belongs, why := s.sideFor(now, r.objectHash(j.Object), warmSide(now, j, local.t, remote.t))
+	if belongs == sideRemote {
 		first, second, toRemote = remote, local, false
 	}
-	// A wait for a target where the object is warm is often shorter than the
-	// cold start elsewhere, which would also take a slot for three times as long.
+	// Waiting for a target where the object is warm often takes less time than a
+	// cold start at another one, which would also occupy a slot three times as
+	// long.
 	sooner := second.cost < first.cost
-	if sooner && r.full(now, j, first.t) && !r.full(now, j, second.t) && s.mayCross(now, toRemote) {
-		return second, WhyFull
+	if sooner && r.isFull(now, j, first.t) && !r.isFull(now, j, second.t) && s.mayCross(now, toRemote) {
+		return second, ReasonLocalFull
 	}
 	return first, why
 }
 
 // warmSide returns the side on which alone the object of j is warm.
 func warmSide(now clock.Time, j *job, local, remote *targetState) side {
-	switch here, there := j.obj.warmAt(now, local), j.obj.warmAt(now, remote); {
+	switch here, there := j.obj.isWarmAt(now, local), j.obj.isWarmAt(now, remote); {
 	case here == there:
 		return sideAny
 	case here:
-		return sideOwn
+		return sideLocal
 	default:
-		return sideOthers
+		return sideRemote
 	}
 }
 
-// full reports whether t has as many requests as it may for one more of j's
-// class.
-func (r *Reducer) full(now clock.Time, j *job, t *targetState) bool {
-	return t.load(now) >= t.Slots+r.queueAt(classOf(now, j, t), t.Slots)
+// isFull reports whether t has no room for another request of j's class.
+func (r *Reducer) isFull(now clock.Time, j *job, t *targetState) bool {
+	return t.load(now) >= t.Slots+r.queueLimit(classOf(now, j, t), t.Slots)
 }
 
-// queueAt is how many requests beyond its slots may be at a target before one
-// of a class is sent there.
+// queueLimit returns how many requests beyond its slots may be at a target before
+// a request of this class is sent there.
 //
-// A warm object is worth a wait at its target: everywhere else its
-// request would start cold, miss its aim and take another's slot meanwhile. As
-// many as there are slots wait there, which is one round. A cold request gains
-// nothing by queueing and keeps those behind it waiting.
+// A warm object is worth waiting for at its target: everywhere else its request
+// would start cold, miss its aim and occupy a slot meanwhile. As many requests as
+// there are slots may wait there, which is one round. A cold request gains nothing
+// by queueing at a target and delays those behind it.
 //
-// With one request beyond the slots for all classes, or with two and one, more
-// requests missed their aim.
-func (r *Reducer) queueAt(class workClass, slots int) int {
+// With one request beyond the slots for all classes, or with two for warm and one
+// for others, more requests missed their aim.
+func (r *Reducer) queueLimit(class workClass, slots int) int {
 	switch class {
 	case objectWarm:
 		if !r.on(WaitAtTarget) {
-			return queueWithoutObject
+			return queueLimitNoObject
 		}
 		return slots
 	case objectNone:
-		return queueWithoutObject
+		return queueLimitNoObject
 	default:
 		return 0
 	}
 }
 
-// eligible reports whether j may be sent to t at all now, its load aside.
-func (r *Reducer) eligible(now clock.Time, j *job, t *targetState, ejectedToo bool) bool {
+// eligible reports whether j may be sent to t now, regardless of its load.
+func (r *Reducer) eligible(now clock.Time, j *job, t *targetState, includeEjected bool) bool {
 	switch {
 	case !r.usable(j, t) || slices.Contains(j.Tried, t.ID):
 		return false
-	case !ejectedToo && !r.admits(now, t):
+	case !includeEjected && !r.admits(now, t):
 		return false
-	case t.cold(now) && (!r.owns(t) || !t.coldRoom(now, r.coldQuota(t))):
+	case t.cold(now) && (!r.owns(t) || !t.withinColdLimit(now, r.coldLimit(t))):
 		return false
 	}
-	return r.limitRoom(now, t)
+	return r.withinLimit(now, t)
 }
 
-// admits reports whether t's standing lets it take a request now.
+// admits reports whether t's ejection state lets it take a request now.
 func (r *Reducer) admits(now clock.Time, t *targetState) bool {
 	if t.standing.Standing() == target.Ejected && !t.standing.Until().After(now) {
 		t.standing.Test()
@@ -214,44 +214,44 @@
 	}
 }
 
-// cost is the time in ns after which t's answer to j is expected, and what its
-// bytes cost on the way, as a time.
+// cost returns the expected time in ns until t's answer to j, plus the transfer
+// cost of the answer expressed as a time.
 func (r *Reducer) cost(now clock.Time, j *job, t *targetState) float64 {
-	return r.trip(t.region) + r.expectedWork(now, j, t) + r.expectedWait(now, j, t) + r.carriage(j, t)
+	return r.rtt(t.region) + r.expectedWork(now, j, t) + r.expectedWait(now, j, t) + r.transferCost(j, t)
 }
 
-// expectedWait is how long j would wait at t for a slot, in ns.
+// expectedWait returns how long j would wait at t for a slot, in ns.
 func (r *Reducer) expectedWait(now clock.Time, j *job, t *targetState) float64 {
-	ahead := t.load(now) + t.awaited
+	ahead := t.load(now) + t.preferredBy
 	return float64(max(0, ahead+1-t.Slots)) / float64(max(t.Slots, 1)) * r.expectedWork(now, j, t)
 }
 
-// carriage is what carrying the answer costs, as a time.
-func (r *Reducer) carriage(j *job, t *targetState) float64 {
-	kilobytes := r.routeOf(j.Route).size.or(0) / 1000
+// transferCost returns the cost of transferring t's answer, expressed as a time.
+func (r *Reducer) transferCost(j *job, t *targetState) float64 {
+	kilobytes := r.routeOf(j.Route).size.valueOr(0) / 1000
 	switch {
-	case t.Domain == j.Domain || !r.on(Carriage):
+	case t.Domain == j.Domain || !r.on(TransferCosts):
 		return 0
-	case r.here(t):
-		return kilobytes * float64(nearBytes)
+	case r.isLocal(t):
+		return kilobytes * float64(localKilobyteCost)
 	default:
-		return kilobytes * float64(farBytes)
+		return kilobytes * float64(remoteKilobyteCost)
 	}
 }
 
-// coldQuota is how many requests a second this entry VM may send to a cold
+// coldLimit is how many requests per second this entry VM may send to a cold
 // target that it owns.
-func (r *Reducer) coldQuota(t *targetState) int {
+func (r *Reducer) coldLimit(t *targetState) int {
 	b := r.opts.Bounds
 	rate := 0.0
 	if r.table != nil {
 		rate = r.table.Config.Services[t.Service].ColdRate
 	}
-	return int((rate*b.ColdFactor + b.ColdSlack) / coldOwners)
+	return int((rate*b.ColdFactor + b.ColdSlack) / maxColdOwners)
 }
 
-// owns reports whether this entry VM is the one that sends to t while t is
-// cold, or has others send to it: the coordinator for t's service and region.
+// owns reports whether this entry VM places the requests for t while t is cold: it
+// is the coordinator for t's service and region.
 func (r *Reducer) owns(t *targetState) bool {
 	return r.coordinator(t.region, t.Service) == r.opts.Self
 }
--- a/decide/ingress/placed.go
+++ b/decide/ingress/placed.go
@@ -8,125 +8,125 @@
 	"github.com/azurethread/azurethread/decide/target"
 )
 
-// Placed says where the requests of one service went that this entry VM placed
-// within some time, its own and those of VMs that asked it.
-type Placed struct {
+// PlacementStats counts the requests of one service that this entry VM placed
+// within some time, both its own and those of VMs that asked it.
+type PlacementStats struct {
 	Service  fleet.ServiceName
 	ByRegion map[fleet.Region]int // requests, by the region of their target
-	// Crossed are the requests that went to other regions, by what decided for
-	// them, and Slower is how many of these the own region's best target was
-	// expected to answer sooner.
-	Crossed map[Why]int
-	Slower  int
-	// Kept and Wanted are the share of other regions that is kept to, and the
-	// one with which requests would be answered soonest.
-	Kept, Wanted float64
+	// RemoteByReason counts the requests placed in other regions by reason, and
+	// RemoteSlower those of them that the own region's best target was expected to
+	// answer sooner.
+	RemoteByReason map[RegionReason]int
+	RemoteSlower   int
+	// Share is the share of other regions in force, and WantedShare the one with
+	// which requests would be answered soonest.
+	Share, WantedShare float64
 }
 
-// Why is what decided for the region in which a request was placed.
-type Why string
+// RegionReason is what determined the region in which a request was placed.
+type RegionReason string
 
-// What decides for a region. The first group holds for requests that have a
-// target on both sides.
+// Reasons for a region. The first group applies to requests with a target on both
+// sides.
 const (
-	WhyHash    Why = "hash"      // the object belongs to that side of the share
-	WhyWarm    Why = "warm"      // the object is warm on that side alone
-	WhyBand    Why = "band"      // the share that ran lies beside the one kept to
-	WhyFarOff  Why = "far-off"   // it lies far beside it
-	WhyHistory Why = "history"   // the share would change by more than the bound
-	WhyFull    Why = "full-here" // the side to which it belongs has no free slot and is slower
+	ReasonHash      RegionReason = "hash"      // the object's hash belongs to that side of the share
+	ReasonWarm      RegionReason = "warm"      // the object is warm on that side alone
+	ReasonBand      RegionReason = "band"      // the recent share deviates from the one in force
+	ReasonFarBand   RegionReason = "far-off"   // the recent share deviates far from the one in force
+	ReasonHistory   RegionReason = "history"   // the share would change by more than the limit
+	ReasonLocalFull RegionReason = "full-here" // the side to which it belongs has no free slot and is slower
 
-	WhyOnly  Why = "only"  // no target elsewhere may take it
-	WhyAlone Why = "alone" // it may end its target
-	WhyHomes Why = "homes" // its route is bound to regions
+	ReasonOnlyLocal      RegionReason = "only"  // no target of another region may take it
+	ReasonMayCrashTarget RegionReason = "alone" // it may crash its target
+	ReasonAllowedRegions RegionReason = "homes" // its route is bound to regions
 
-	// No target of the own region may take it; the rest of the name says what
-	// holds for the first one in its order.
-	WhyNoTarget    Why = "none-here: no target"
-	WhyUnusable    Why = "none-here: leaving or evacuated"
-	WhyTried       Why = "none-here: tried"
-	WhyEjected     Why = "none-here: ejected"
-	WhyNotOwner    Why = "none-here: cold, of another coordinator"
-	WhyNoLimitRoom Why = "none-here: no room in its rate limit"
-	WhyNoColdRoom  Why = "none-here: cold, no room this second"
-	WhyUnspecified Why = "none-here"
+	// No target of the own region may take it; the rest of the name says why the
+	// first one in the object's order may not.
+	ReasonNoTarget    RegionReason = "none-here: no target"
+	ReasonUnusable    RegionReason = "none-here: leaving or evacuated"
+	ReasonTried       RegionReason = "none-here: tried"
+	ReasonEjected     RegionReason = "none-here: ejected"
+	ReasonNotOwner    RegionReason = "none-here: cold, of another coordinator"
+	ReasonRateLimit   RegionReason = "none-here: no room in its rate limit"
+	ReasonColdLimit   RegionReason = "none-here: cold, no room this second"
+	ReasonUnspecified RegionReason = "none-here"
 )
 
-// whyNoneHere says why no target of the own region may take j.
-func (r *Reducer) whyNoneHere(now clock.Time, j *job) Why {
-	if len(j.Homes) > 0 && !slices.Contains(j.Homes, r.region) {
-		return WhyHomes
+// noLocalReason returns why no target of the own region may take j.
+func (r *Reducer) noLocalReason(now clock.Time, j *job) RegionReason {
+	if len(j.AllowedRegions) > 0 && !slices.Contains(j.AllowedRegions, r.region) {
+		return ReasonAllowedRegions
 	}
 	var t *targetState
 	if j.obj != nil {
-		t = r.firstHere(j)
-	} else if at := slices.IndexFunc(j.svc.unnamedOrder(), r.here); at >= 0 {
-		t = j.svc.unnamed[at]
+		t = r.firstLocal(j)
+	} else if at := slices.IndexFunc(j.svc.orderWithoutObject(), r.isLocal); at >= 0 {
+		t = j.svc.withoutObject[at]
 	}
 	switch {
 	case t == nil:
-		return WhyNoTarget
+		return ReasonNoTarget
 	case !r.usable(j, t):
-		return WhyUnusable
+		return ReasonUnusable
 	case slices.Contains(j.Tried, t.ID):
-		return WhyTried
+		return ReasonTried
 	case t.standing.Standing() != target.InUse:
-		return WhyEjected
+		return ReasonEjected
 	case t.cold(now) && !r.owns(t):
-		return WhyNotOwner
+		return ReasonNotOwner
 	case t.cold(now):
-		return WhyNoColdRoom
-	case !r.limitRoom(now, t):
-		return WhyNoLimitRoom
+		return ReasonColdLimit
+	case !r.withinLimit(now, t):
+		return ReasonRateLimit
 	default:
-		return WhyUnspecified
+		return ReasonUnspecified
 	}
 }
 
-// here reports whether t is in the own region.
-func (r *Reducer) here(t *targetState) bool { return t.region == r.region }
+// isLocal reports whether t is in the own region.
+func (r *Reducer) isLocal(t *targetState) bool { return t.region == r.region }
 
-// placements counts the requests of one service since TakePlaced.
-type placements struct {
-	byRegion map[fleet.Region]int
-	crossed  map[Why]int
-	slower   int
+// placementCounts counts the requests of one service since TakePlacementStats.
+type placementCounts struct {
+	byRegion       map[fleet.Region]int
+	remoteByReason map[RegionReason]int
+	remoteSlower   int
 }
 
-// TakePlaced returns what was placed since its last call, a record for each
+// TakePlacementStats returns the counts since its last call, one record for each
 // service with requests.
-func (r *Reducer) TakePlaced() []Placed {
+func (r *Reducer) TakePlacementStats() []PlacementStats {
 	var list []*service
 	for _, s := range r.services {
-		if s.placed != nil {
+		if s.counts != nil {
 			list = append(list, s)
 		}
 	}
 	sortServices(list)
-	out := make([]Placed, 0, len(list))
+	out := make([]PlacementStats, 0, len(list))
 	for _, s := range list {
-		out = append(out, Placed{
-			Service: s.name, ByRegion: s.placed.byRegion,
-			Crossed: s.placed.crossed, Slower: s.placed.slower,
-			Kept: s.share.target, Wanted: s.share.wanted,
+		out = append(out, PlacementStats{
+			Service: s.name, ByRegion: s.counts.byRegion,
+			RemoteByReason: s.counts.remoteByReason, RemoteSlower: s.counts.remoteSlower,
+			Share: s.share.setpoint, WantedShare: s.share.wanted,
 		})
-		s.placed = nil
+		s.counts = nil
 	}
 	return out
 }
 
-// notePlaced counts a request that was placed.
-func (r *Reducer) notePlaced(j *job) {
+// countPlacement counts a request that was placed.
+func (r *Reducer) countPlacement(j *job) {
 	s := j.svc
-	if s.placed == nil {
-		s.placed = &placements{byRegion: make(map[fleet.Region]int), crossed: make(map[Why]int)}
+	if s.counts == nil {
+		s.counts = &placementCounts{byRegion: make(map[fleet.Region]int), remoteByReason: make(map[RegionReason]int)}
 	}
-	s.placed.byRegion[j.target.region]++
-	if r.here(j.target) {
+	s.counts.byRegion[j.target.region]++
+	if r.isLocal(j.target) {
 		return
 	}
-	s.placed.crossed[j.why]++
-	if j.slower {
-		s.placed.slower++
+	s.counts.remoteByReason[j.regionReason]++
+	if j.localFaster {
+		s.counts.remoteSlower++
 	}
 }
