--- a/decide/ingress/quarantine.go
+++ b/decide/ingress/quarantine.go
@@ -11,50 +11,52 @@
 	"github.com/azurethread/azurethread/decide/verdict"
 )
 
-// A request that ends the targets that run it comes again at any entry VM. One
-// end is told to the fingerprint's arbiters, which are the same for all VMs and
-// count what each has seen; from the second on all VMs are told. With each end
-// told to all, a crash of two hundred targets would have 300 VMs exchange a
-// hundred thousand messages.
+// A request that crashes the targets that run it may arrive again at any entry VM.
+// The first crash is reported to the arbiters of the request's fingerprint, which
+// are the same for all VMs and combine the crashes that each VM has observed; from
+// the second crash on, all VMs are notified. If every crash were reported to all,
+// a crash of two hundred targets would make 300 VMs exchange a hundred thousand
+// messages.
 
 const (
-	// arbiters is how many VMs count the ends of a fingerprint: one may be cut
-	// off, or end, and forget.
-	arbiters = 2
-	// suspectReturn is when the caller of a request comes back that may not run
-	// beside another one like it: when that one has been answered.
-	suspectReturn = 500 * time.Millisecond
-	// trialSends is how often a trial is sent that targets refuse to run.
-	trialSends = 2
-	// expireEvery is how often quarantines that are over are looked for. They
-	// last a day.
-	expireEvery = time.Hour
+	// arbiterCount is how many VMs count the crashes of a fingerprint: one may be
+	// cut off, or terminate and lose its state.
+	arbiterCount = 2
+	// suspectRetryAfter is the retry delay for a request that may not run at the
+	// same time as another one with its content: about the time until that one is
+	// answered.
+	suspectRetryAfter = 500 * time.Millisecond
+	// maxTrialSends is how often a trial is sent if targets refuse to run it.
+	maxTrialSends = 2
+	// expiryInterval is the time between checks for expired quarantines. A
+	// quarantine lasts a day.
+	expiryInterval = time.Hour
 )
 
-// arbitersOf returns the VMs that count the ends of a fingerprint: this one alone
-// while it knows of none.
+// arbitersOf returns the VMs that count the crashes of a fingerprint: only this
+// one while it knows no members.
 func (r *Reducer) arbitersOf(f quarantine.Fingerprint) []fleet.VMID {
-	line := r.strongInOrder(anyRegion, string(f[:]))
+	line := r.strongOrder(anyRegion, string(f[:]))
 	if len(line) == 0 {
 		return []fleet.VMID{r.opts.Self}
 	}
-	return line[:min(len(line), arbiters)]
+	return line[:min(len(line), arbiterCount)]
 }
 
-// isArbiter reports whether this VM counts the ends of a fingerprint.
+// isArbiter reports whether this VM counts the crashes of a fingerprint.
 func (r *Reducer) isArbiter(f quarantine.Fingerprint) bool {
 	return slices.Contains(r.arbitersOf(f), r.opts.Self)
 }
 
-// leads reports whether this VM is the one that lets trials through.
-func (r *Reducer) leads(f quarantine.Fingerprint) bool {
+// admitsTrials reports whether this VM is the one that admits trials.
+func (r *Reducer) admitsTrials(f quarantine.Fingerprint) bool {
 	line := r.arbitersOf(f)
 	return len(line) > 0 && line[0] == r.opts.Self
 }
 
-// keptAway reports whether q must not be sent to a target, and when its caller
-// may come back.
-func (r *Reducer) keptAway(now clock.Time, q *request) (time.Duration, bool) {
+// quarantineDelay reports whether q must not be sent to a target, and after which
+// time its caller may retry.
+func (r *Reducer) quarantineDelay(now clock.Time, q *request) (time.Duration, bool) {
 	if !r.on(Quarantining) {
 		return 0, false
 	}
@@ -63,89 +65,90 @@
 	case rec == nil || rec.Ends() < quarantine.Suspected:
 		return 0, false
 	case len(r.requestsWith(q.fingerprint)) > 0:
-		return max(suspectReturn, rec.TrialAt().Sub(now)), true
+		return max(suspectRetryAfter, rec.TrialAt().Sub(now)), true
 	case !rec.Quarantined():
 		return 0, false
 	case now.Before(rec.TrialAt()):
 		return rec.TrialAt().Sub(now), true
-	case !r.leads(q.fingerprint):
-		return suspectReturn, true
+	case !r.admitsTrials(q.fingerprint):
+		return suspectRetryAfter, true
 	}
 	q.trial = true
 	return 0, false
 }
 
-// noteTrial counts a request that was sent although its fingerprint is in
-// quarantine, once it may have run. What no target has begun to run puts none at
-// risk, and says nothing.
-func (r *Reducer) noteTrial(now clock.Time, q *request) {
-	if !q.trial || q.counted {
+// countTrial records a request that was sent although its fingerprint is in
+// quarantine, once it may have run. A request that no target has started to run
+// puts none at risk and is no evidence.
+func (r *Reducer) countTrial(now clock.Time, q *request) {
+	if !q.trial || q.trialCounted {
 		return
 	}
-	q.counted = true
+	q.trialCounted = true
 	c := r.quarantine.Tried(now, q.fingerprint)
 	if c.Changed {
-		r.tellAll(&c.Record)
-		r.report(&c.Record)
+		r.broadcast(&c.Record)
+		r.reportQuarantine(&c.Record)
 	}
 }
 
-// mayBeDeadly reports whether q was at the end of a target, or may have been.
-func (r *Reducer) mayBeDeadly(now clock.Time, q *request) bool {
-	return r.on(Quarantining) && (q.losses > 0 || r.quarantine.Ends(now, q.fingerprint) > 0)
+// mayCrashTarget reports whether q was under way at a target that crashed, or may
+// have been.
+func (r *Reducer) mayCrashTarget(now clock.Time, q *request) bool {
+	return r.on(Quarantining) && (q.lostConnections > 0 || r.quarantine.Ends(now, q.fingerprint) > 0)
 }
 
-// mayTryAnother reports whether one more target may be put at risk for q after
-// a send has ended. Its caller may come again, to whichever VM; by then all know
-// what the earlier sends have shown.
-func (r *Reducer) mayTryAnother(now clock.Time, q *request) bool {
+// mayRiskTarget reports whether another target may be put at risk for q after a
+// send has ended. Its caller may retry at any VM; by then all VMs know what the
+// earlier sends have shown.
+func (r *Reducer) mayRiskTarget(now clock.Time, q *request) bool {
 	switch {
 	case !r.on(Quarantining):
 		return true
 	case q.verdict == verdict.NotRun:
-		return !q.trial || q.sends < trialSends // no target was put at risk yet
+		return !q.trial || q.sends < maxTrialSends // no target was put at risk yet
 	}
 	ends := r.quarantine.Ends(now, q.fingerprint)
-	return ends < quarantine.Suspected && (ends == 0 || q.losses < quarantine.Suspected)
+	return ends < quarantine.Suspected && (ends == 0 || q.lostConnections < quarantine.Suspected)
 }
 
-// endedUnder notes that the start of t has ended while a request was under way
-// there.
-func (r *Reducer) endedUnder(now clock.Time, t *targetState, l lostRequest) {
+// recordTermination records that this instance of t has terminated while a request
+// was under way there.
+func (r *Reducer) recordTermination(now clock.Time, t *targetState, l lostRequest) {
 	if l.fingerprint == (quarantine.Fingerprint{}) || !r.on(Quarantining) {
 		return
 	}
-	c := r.quarantine.Ended(now, l.fingerprint, l.route, quarantine.End{Start: t.start(), Sent: l.sent, At: l.at})
+	c := r.quarantine.Ended(now, l.fingerprint, l.route, quarantine.End{Start: t.instance(), Sent: l.sent, At: l.at})
 	if c.Changed {
 		r.announce(&c.Record)
-		r.changed(now, &c)
+		r.quarantineChanged(now, &c)
 	}
 }
 
-// announce tells those who need it what this VM has seen.
+// announce sends a record to the VMs that need it.
 func (r *Reducer) announce(rec *quarantine.Record) {
 	if len(rec.Ended) >= quarantine.Suspected {
-		r.tellAll(rec)
+		r.broadcast(rec)
 		return
 	}
 	for _, id := range r.arbitersOf(rec.Fingerprint) {
 		if id != r.opts.Self {
-			r.tell(id, rec)
+			r.sendMessage(id, rec)
 		}
 	}
 }
 
-func (r *Reducer) tellAll(rec *quarantine.Record) {
+func (r *Reducer) broadcast(rec *quarantine.Record) {
 	for i := range r.members {
 		if m := &r.members[i]; m.ID != r.opts.Self {
-			r.tell(m.ID, rec)
+			r.sendMessage(m.ID, rec)
 		}
 	}
 }
 
-// heardQuarantine takes a record of another entry VM. An arbiter passes on what
-// it has put together.
-func (r *Reducer) heardQuarantine(now clock.Time, m *quarantine.Record) {
+// mergeQuarantine merges a record of another entry VM. An arbiter forwards the
+// record if the merge has added crashes.
+func (r *Reducer) mergeQuarantine(now clock.Time, m *quarantine.Record) {
 	c := r.quarantine.Merge(now, m)
 	if !c.Changed {
 		return
@@ -153,12 +156,13 @@
 	if len(c.Record.Ended) > len(m.Ended) && r.isArbiter(c.Record.Fingerprint) {
 		r.announce(&c.Record)
 	}
-	r.changed(now, &c)
+	r.quarantineChanged(now, &c)
 }
 
-// quarantineRead takes what the store says. An entry that is taken out lifts
-// the quarantine: operators have done so, or an arbiter after an answer.
-func (r *Reducer) quarantineRead(now clock.Time, ev *QuarantineRead) {
+// applyStoredQuarantine applies the store's entry for a fingerprint. A removed
+// entry lifts the quarantine: it was removed by operators, or by an arbiter after
+// an answer.
+func (r *Reducer) applyStoredQuarantine(now clock.Time, ev *QuarantineRead) {
 	var c quarantine.Change
 	if ev.Record == nil {
 		c = r.quarantine.Answered(now, ev.Fingerprint)
@@ -166,22 +170,22 @@
 		c = r.quarantine.Merge(now, ev.Record)
 	}
 	if c.Changed {
-		r.enforceLater(now, &c.Record)
+		r.scheduleEnforcement(now, &c.Record)
 	}
-	if ev.Record != nil && !r.isKept(now, ev.Fingerprint) {
-		// Two arbiters may write in an order that leaves what is over: entry VMs
-		// that start would believe it.
-		r.report(&quarantine.Record{Fingerprint: ev.Fingerprint})
+	if ev.Record != nil && !r.isQuarantined(now, ev.Fingerprint) {
+		// Two arbiters may write in an order that leaves an expired entry, which
+		// newly started entry VMs would apply.
+		r.reportQuarantine(&quarantine.Record{Fingerprint: ev.Fingerprint})
 	}
 }
 
-// isKept reports whether a fingerprint is in quarantine.
-func (r *Reducer) isKept(now clock.Time, f quarantine.Fingerprint) bool {
+// isQuarantined reports whether a fingerprint is in quarantine.
+func (r *Reducer) isQuarantined(now clock.Time, f quarantine.Fingerprint) bool {
 	rec := r.quarantine.Find(now, f)
 	return rec != nil && rec.Quarantined()
 }
 
-// clearQuarantine notes that a request with the fingerprint was answered.
+// clearQuarantine records that a request with the fingerprint was answered.
 func (r *Reducer) clearQuarantine(now clock.Time, f quarantine.Fingerprint) {
 	if r.quarantine.Len() == 0 {
 		return
@@ -189,41 +193,43 @@
 	c := r.quarantine.Answered(now, f)
 	if c.Changed {
 		r.announce(&c.Record)
-		r.changed(now, &c)
+		r.quarantineChanged(now, &c)
 	}
 }
 
-// changed reports a change that concerns a quarantine, and has it enforced.
-func (r *Reducer) changed(now clock.Time, c *quarantine.Change) {
+// quarantineChanged reports a change that concerns a quarantine, and schedules its
+// enforcement.
+func (r *Reducer) quarantineChanged(now clock.Time, c *quarantine.Change) {
 	if c.Record.Quarantined() || c.Lifted() {
-		r.report(&c.Record)
+		r.reportQuarantine(&c.Record)
 	}
-	r.enforceLater(now, &c.Record)
+	r.scheduleEnforcement(now, &c.Record)
 }
 
-// enforceLater has a quarantine enforced at the end of the step, as the step may
-// be about one of the requests.
-func (r *Reducer) enforceLater(now clock.Time, rec *quarantine.Record) {
+// scheduleEnforcement enforces a quarantine at the end of the step, because the
+// current event may concern one of the requests.
+func (r *Reducer) scheduleEnforcement(now clock.Time, rec *quarantine.Record) {
 	if !rec.Quarantined() {
 		return
 	}
-	r.enforcing = append(r.enforcing, rec.Fingerprint)
-	r.expireLater(now)
+	r.toEnforce = append(r.toEnforce, rec.Fingerprint)
+	r.scheduleExpiry(now)
 }
 
-// expireLater has quarantines looked through for those that are over.
-func (r *Reducer) expireLater(now clock.Time) {
-	if !r.expiring {
-		r.expiring = true
-		r.timers.add(timer{at: now.Add(expireEvery), purpose: dueQuarantine})
+// scheduleExpiry sets the timer that checks for expired quarantines.
+func (r *Reducer) scheduleExpiry(now clock.Time) {
+	if !r.expiryScheduled {
+		r.expiryScheduled = true
+		r.timers.add(timer{at: now.Add(expiryInterval), purpose: dueQuarantine})
 	}
 }
 
 // enforce ends the searches of requests whose fingerprints have come into
-// quarantine. What runs already may still show that it is innocent.
+// quarantine. Running requests continue: their answers may still prove them
+// harmless.
 func (r *Reducer) enforce(now clock.Time) {
-	for _, f := range r.enforcing {
-		if !r.isKept(now, f) {
+	for _, f := range r.toEnforce {
+		if !r.isQuarantined(now, f) {
 			continue
 		}
 		room := r.quarantine.Find(now, f).TrialAt().Sub(now)
@@ -231,14 +237,14 @@
 			if q.trial {
 				continue
 			}
-			r.stopSearch(now, q)
+			r.cancelSearch(now, q)
 			if len(q.running) == 0 {
-				q.reason, q.room = verdict.ReasonQuarantined, room
-				r.giveUp(now, q)
+				q.reason, q.freeAfter = verdict.ReasonQuarantined, room
+				r.refuse(now, q)
 			}
 		}
 	}
-	r.enforcing = r.enforcing[:0]
+	r.toEnforce = r.toEnforce[:0]
 }
 
 // requestsWith returns the requests with a fingerprint, in their order.
@@ -253,9 +259,9 @@
 	return list
 }
 
-// report writes a change for the log, and for the store if that is this VM's
-// part.
-func (r *Reducer) report(rec *quarantine.Record) {
+// reportQuarantine emits a change for the log, and for the store if this VM is an
+// arbiter.
+func (r *Reducer) reportQuarantine(rec *quarantine.Record) {
 	arbiter := r.isArbiter(rec.Fingerprint)
 	kept := rec.Quarantined()
 	r.out.Quarantines = append(r.out.Quarantines, Quarantine{
@@ -263,13 +269,13 @@
 	})
 }
 
-// expireQuarantine forgets what is over, and takes it out of the store.
+// expireQuarantine drops expired quarantines and removes them from the store.
 func (r *Reducer) expireQuarantine(now clock.Time) {
 	for _, f := range r.quarantine.Expire(now) {
-		r.report(&quarantine.Record{Fingerprint: f})
+		r.reportQuarantine(&quarantine.Record{Fingerprint: f})
 	}
-	r.expiring = false
+	r.expiryScheduled = false
 	if r.quarantine.Quarantined() > 0 {
-		r.expireLater(now)
+		r.scheduleExpiry(now)
 	}
 }
--- a/decide/ingress/quarantine_test.go
+++ b/decide/ingress/quarantine_test.go
@@ -11,10 +11,10 @@
 	"github.com/azurethread/azurethread/decide/verdict"
 )
 
-// quarantineBench has targets t0 to t9 and knows no other entry VM.
-func quarantineBench(t *testing.T) *bench {
-	s := newBench(t, Bounds{RepeatRatio: 1, RepeatSlack: 100}, selfVM)
-	rt := one("a")
+// quarantineHarness has targets t0 to t9 and no other entry VM.
+func quarantineHarness(t *testing.T) *harness {
+	s := newHarness(t, Bounds{RepeatRatio: 1, RepeatSlack: 100}, selfVM)
+	rt := idempotentRoute("a")
 	rt.Timeout = 0
 	s.configure(1, rt)
 	for n := range 10 {
@@ -27,14 +27,15 @@
 
 var oneContent = numberedContent(1)
 
-// arrives has a request of oneContent come.
-func (s *bench) arrives() *Ready {
+// arriveContent passes in a request with oneContent.
+func (s *harness) arriveContent() *Ready {
 	s.last++
 	return s.step(&Arrive{Request: s.last, Host: "h", Path: "/a/x", Patience: time.Minute, Fingerprint: oneContent})
 }
 
-// loses ends a send with its connection, and tells whether its target listens.
-func (s *bench) loses(e Send, found Listening) *Ready {
+// loseConnection fails a send with its connection, and answers the probe of its
+// target.
+func (s *harness) loseConnection(e Send, found Listening) *Ready {
 	s.now = s.now.Add(10 * time.Millisecond)
 	out := s.step(&Failed{Attempt: e.Attempt, Verdict: verdict.MayHaveRun, Reason: verdict.ReasonConnectionLost})
 	for _, p := range append([]Probe(nil), out.Probes...) {
@@ -45,15 +46,15 @@
 	return out
 }
 
-// A reset of connections is taken for the end of their targets.
-func TestLostConnectionsAreNoEnds(t *testing.T) {
-	for name, found := range map[string]Listening{"it listens": ListeningYes, "no word": ListeningUnknown} {
+// Guards against counting reset connections as crashes of their targets.
+func TestLostConnectionsAreNotCrashes(t *testing.T) {
+	for name, found := range map[string]Listening{"it listens": ListeningYes, "no response": ListeningUnknown} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			s := quarantineBench(t)
+			s := quarantineHarness(t)
 			for range 5 {
-				for out := s.arrives(); len(out.Sends) > 0; {
-					out = s.loses(out.Sends[0], found)
+				for out := s.arriveContent(); len(out.Sends) > 0; {
+					out = s.loseConnection(out.Sends[0], found)
 				}
 			}
 			is.Equal(s.r.quarantine.Ends(s.now, oneContent), 0)
@@ -61,48 +62,50 @@
 	}
 }
 
-// A target that ends without closing its connections is known by its
-// registration alone.
-func TestARegistrationThatGoesProvesAnEnd(t *testing.T) {
+// A target that crashes without closing its connections is detected by its removed
+// registration only.
+func TestARemovedRegistrationProvesACrash(t *testing.T) {
 	is := is.New(t)
-	s := quarantineBench(t)
-	first := s.arrives().Sends[0]
-	s.loses(first, ListeningUnknown)
-	s.now = s.now.Add(keepLost / 2)
-	s.step(&TargetsChanged{Gone: []fleet.TargetID{first.Target}})
+	s := quarantineHarness(t)
+	first := s.arriveContent().Sends[0]
+	s.loseConnection(first, ListeningUnknown)
+	s.now = s.now.Add(lostRequestTTL / 2)
+	s.step(&TargetsChanged{Removed: []fleet.TargetID{first.Target}})
 	is.Equal(s.r.quarantine.Ends(s.now, oneContent), 1)
 }
 
-// A target that leaves ends with what it still has, and no request is the cause.
-func TestATargetThatLeavesIsNoEnd(t *testing.T) {
+// A leaving target terminates with its remaining requests, none of which is the
+// cause.
+func TestALeavingTargetIsNotACrash(t *testing.T) {
 	is := is.New(t)
-	s := quarantineBench(t)
-	first := s.arrives().Sends[0]
+	s := quarantineHarness(t)
+	first := s.arriveContent().Sends[0]
 	s.step(&TargetsChanged{Set: []Target{{ID: first.Target, Service: "svc", Domain: "d1", Slots: 3, Draining: true}}})
-	s.loses(first, ListeningNo)
-	s.step(&TargetsChanged{Gone: []fleet.TargetID{first.Target}})
+	s.loseConnection(first, ListeningNo)
+	s.step(&TargetsChanged{Removed: []fleet.TargetID{first.Target}})
 	is.Equal(s.r.quarantine.Ends(s.now, oneContent), 0)
 }
 
-// One attempt of a caller takes as many targets as its route allows.
+// Guards against a single request of a caller that crashes as many targets as its
+// route allows attempts.
 func TestAnAttemptPutsNoThirdTargetAtRisk(t *testing.T) {
 	is := is.New(t)
-	s := quarantineBench(t)
-	out := s.arrives()
-	out = s.loses(out.Sends[0], ListeningNo)
+	s := quarantineHarness(t)
+	out := s.arriveContent()
+	out = s.loseConnection(out.Sends[0], ListeningNo)
 	is.Equal(len(out.Sends), 1)
-	out = s.loses(out.Sends[0], ListeningNo)
+	out = s.loseConnection(out.Sends[0], ListeningNo)
 	is.Equal(len(out.Sends), 0)
 	is.Equal(s.r.quarantine.Ends(s.now, oneContent), 2)
 }
 
-// Requests that wait for a target are sent to it although their content has come
-// into quarantine meanwhile.
-func TestWaitingRequestsAreKeptAwayToo(t *testing.T) {
+// Guards against sending requests that were waiting for a target when their
+// content came into quarantine.
+func TestWaitingRequestsAreQuarantined(t *testing.T) {
 	is := is.New(t)
-	s := quarantineBench(t)
+	s := quarantineHarness(t)
 	s.step(&MembersChanged{VMs: []fleet.VM{{ID: otherVM, Domain: "d1", Region: "r1"}}})
-	out := s.arrives() // the other VM is asked for a target
+	out := s.arriveContent() // the other VM is asked for a target
 	is.Equal(len(out.Sends), 0)
 	var rec quarantine.Record
 	rec.Fingerprint, rec.Since = oneContent, s.now
@@ -116,38 +119,39 @@
 	is.Equal(out.Refusals[0].Reason, verdict.ReasonQuarantined)
 }
 
-// Guards against an innocent request that is kept away for minutes because the
+// Guards against a harmless request that is refused for minutes because the
 // targets of its trials were full or down.
-func TestATrialThatHasNotRunIsNone(t *testing.T) {
+func TestATrialThatHasNotRunIsNotCounted(t *testing.T) {
 	is := is.New(t)
-	s := quarantineBench(t)
+	s := quarantineHarness(t)
 	for s.r.quarantine.Quarantined() == 0 {
-		for out := s.arrives(); len(out.Sends) > 0; {
-			out = s.loses(out.Sends[0], ListeningNo)
+		for out := s.arriveContent(); len(out.Sends) > 0; {
+			out = s.loseConnection(out.Sends[0], ListeningNo)
 		}
 	}
 	rec := s.r.quarantine.Find(s.now, oneContent)
 	s.now = rec.TrialAt()
 	for range 3 {
-		out := s.arrives()
+		out := s.arriveContent()
 		is.Equal(len(out.Sends), 1) // a trial
 		for len(out.Sends) > 0 {
 			out = s.step(&Failed{Attempt: out.Sends[0].Attempt, Verdict: verdict.NotRun, Reason: verdict.ReasonConnect})
 		}
 		is.Equal(out.Refusals[0].Verdict, verdict.NotRun)
 	}
-	out := s.arrives()
+	out := s.arriveContent()
 	s.step(&Failed{Attempt: out.Sends[0].Attempt, Verdict: verdict.MayHaveRun, Reason: verdict.ReasonConnectionLost})
-	is.Equal(len(s.arrives().Sends), 0) // that one may have run
+	is.Equal(len(s.arriveContent().Sends), 0) // that one may have run
 }
 
-// What is over stays in the store, and entry VMs that start read it for good.
-func TestQuarantinesThatAreOverLeaveTheStore(t *testing.T) {
+// Guards against expired quarantines that stay in the store and are read by every
+// newly started entry VM.
+func TestExpiredQuarantinesAreRemovedFromTheStore(t *testing.T) {
 	is := is.New(t)
-	s := quarantineBench(t)
+	s := quarantineHarness(t)
 	for s.r.quarantine.Quarantined() == 0 {
-		for out := s.arrives(); len(out.Sends) > 0; {
-			out = s.loses(out.Sends[0], ListeningNo)
+		for out := s.arriveContent(); len(out.Sends) > 0; {
+			out = s.loseConnection(out.Sends[0], ListeningNo)
 		}
 	}
 	removed := false
--- a/decide/ingress/ratelimit.go
+++ b/decide/ingress/ratelimit.go
@@ -7,136 +7,140 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// A target that names a rate limit binds all entry VMs together, so one of them
-// keeps to it for all: the coordinator for its service in its region, which
-// places the requests of the others. Those that disagree about the members take
-// two VMs for it at most in practice, and each keeps to half of what is allowed.
+// A target's rate limit applies to all entry VMs together, so one of them enforces
+// it for all: the coordinator for its service in its region, which places the
+// requests of the others. VMs that disagree about the members choose at most two
+// coordinators in practice, and each uses half of what is allowed beyond the
+// limit.
 //
-// A coordinator of another region sends such a target one request now and then,
-// to learn when the limit has ended.
+// The coordinator of another region sends such a target a request only
+// occasionally, to detect the end of the limit.
 
-// rateLimit is the rate that a target takes from all entry VMs together, as it
-// has named it in its answers.
+// rateLimit is the rate that a target accepts from all entry VMs together, as
+// stated in its answers.
 type rateLimit struct {
-	named     bool
+	active    bool
 	perSecond float64
-	at        clock.Time // when it was last named
-	ended     clock.Time // when the latest one has ended, if there is none
+	statedAt  clock.Time // when it was last stated
+	endedAt   clock.Time // when the latest limit ended, if there is none now
 }
 
 const (
-	// limitLinger is how long after a target last named its limit an answer
-	// without one ends it. Answers may overtake each other.
-	limitLinger = time.Second
-	// limitFor is how long a VM for which it is not to ask sends nothing to a
-	// target after it has heard of its limit.
-	limitFor = 30 * time.Second
-	// limitShare is the part of a limit that the VM keeps to which places its
-	// target's requests: half of what operators allow beyond the limit itself, as
-	// another VM may take itself for the same.
+	// limitEndDelay is how long after the limit was last stated an answer without
+	// one ends it. Answers may overtake each other.
+	limitEndDelay = time.Second
+	// limitBackoff is how long a VM that does not enforce a target's limit, or
+	// probe for its end, sends nothing there after the limit was last stated.
+	limitBackoff = 30 * time.Second
+	// limitShare is the part of a limit used by the VM that enforces it: half of
+	// what operators allow beyond the limit itself, because a second VM may
+	// consider itself responsible as well.
 	limitShare = 0.75
-	// limitSpan is the time over which sends to a limited target are counted.
-	limitSpan = 2 * time.Second
-	// limitTrickle is the time between two requests for a target of which the
-	// limit leaves less than that: one that gets none can't say that its limit
-	// has ended.
-	limitTrickle = 5 * time.Second
-	// limitAsk is the time between two requests of another region's coordinator.
-	limitAsk = 10 * time.Second
+	// limitWindow is the time over which sends to a target with a limit are
+	// counted.
+	limitWindow = 2 * time.Second
+	// limitMaxInterval is the time between two requests to a target whose limit
+	// allows fewer: without requests, the target could not report the end of its
+	// limit.
+	limitMaxInterval = 5 * time.Second
+	// limitProbeInterval is the time between two requests of another region's
+	// coordinator.
+	limitProbeInterval = 10 * time.Second
 )
 
-// learnLimit takes what the end of a send says of its target's limit. Only an
-// answer to a request that was sent after the limit was last named ends it.
-func (r *Reducer) learnLimit(now clock.Time, t *targetState, rep *Report) {
+// applyLimit applies what a result states about its target's limit. Only an answer
+// to a request that was sent after the limit was last stated ends it.
+func (r *Reducer) applyLimit(now clock.Time, t *targetState, rep *Report) {
 	switch l := rep.Limit; {
 	case !l.Heard:
 	case l.Named:
-		r.nameLimit(now, t, rateLimit{named: true, perSecond: l.PerSecond, at: now})
-	case rep.Result == ResultServed && t.limit.named && now.Sub(t.limit.at) >= max(limitLinger, rep.Took):
-		r.believe(t, "rate limit has ended", 0)
-		t.limit = rateLimit{ended: now}
+		r.setLimit(now, t, rateLimit{active: true, perSecond: l.PerSecond, statedAt: now})
+	case rep.Result == ResultServed && t.limit.active && now.Sub(t.limit.statedAt) >= max(limitEndDelay, rep.Took):
+		r.reportChange(t, "rate limit has ended", 0)
+		t.limit = rateLimit{endedAt: now}
 		t.svc.limited = deleteByID(t.svc.limited, t)
-		r.recount(now, t)
+		r.updateOccupancy(now, t)
 	}
 }
 
-// nameLimit notes that t names a limit.
-func (r *Reducer) nameLimit(now clock.Time, t *targetState, l rateLimit) {
-	if !t.limit.named {
-		r.believe(t, "names a rate limit", 0)
-		if !t.gone {
+// setLimit records the limit that t states.
+func (r *Reducer) setLimit(now clock.Time, t *targetState, l rateLimit) {
+	if !t.limit.active {
+		r.reportChange(t, "states a rate limit", 0)
+		if !t.removed {
 			t.svc.limited = insertByID(t.svc.limited, t)
 		}
 	}
 	t.limit = l
-	r.recount(now, t)
+	r.updateOccupancy(now, t)
 }
 
-// limitsOf returns limits of a service's targets that a coordinator may not know:
-// others with each ask where there are more than one bears. One that has ended
-// meanwhile does no harm, as coordinators ask for that themselves.
-func (r *Reducer) limitsOf(now clock.Time, s *service) []NamedLimit {
-	n := min(len(s.limited), maxNamedLimits)
+// limitsFor returns limits of a service's targets that a coordinator may not know.
+// If there are more than fit into one placement request, each request gets a
+// different part. A limit that has ended meanwhile does no harm, because
+// coordinators detect the end themselves.
+func (r *Reducer) limitsFor(now clock.Time, s *service) []TargetLimit {
+	n := min(len(s.limited), maxTargetLimits)
 	if n == 0 {
 		return nil
 	}
-	list := make([]NamedLimit, n)
+	list := make([]TargetLimit, n)
 	for i := range list {
-		t := s.limited[(int(r.nextAsk%maxAskTurn)*n+i)%len(s.limited)]
-		list[i] = NamedLimit{Target: t.ID, PerSecond: t.limit.perSecond, Age: now.Sub(t.limit.at)}
+		t := s.limited[(int(r.nextPlacement%limitRotation)*n+i)%len(s.limited)]
+		list[i] = TargetLimit{Target: t.ID, PerSecond: t.limit.perSecond, Age: now.Sub(t.limit.statedAt)}
 	}
 	return list
 }
 
-// maxNamedLimits bounds the limits that an ask bears.
-const maxNamedLimits = 8
+// maxTargetLimits is the maximum number of limits in a placement request.
+const maxTargetLimits = 8
 
-// maxAskTurn keeps the turn of an ask, whose number begins at a time in ns, within
-// the range of an index.
-const maxAskTurn = 1 << 20
+// limitRotation keeps the position derived from a placement number, which starts
+// at a time in ns, within the range of an index.
+const limitRotation = 1 << 20
 
-// hearLimits takes what another entry VM knows. What was named before this VM
-// has seen the limit end is over.
-func (r *Reducer) hearLimits(now clock.Time, list []NamedLimit) {
-	for _, l := range list[:min(len(list), maxNamedLimits)] {
+// mergeLimits merges the limits known to another entry VM. A limit that was stated
+// before this VM detected its end is ignored.
+func (r *Reducer) mergeLimits(now clock.Time, list []TargetLimit) {
+	for _, l := range list[:min(len(list), maxTargetLimits)] {
 		t, ok := r.targets[l.Target]
 		at := now.Add(-max(l.Age, 0))
-		if ok && at.After(t.limit.at) && at.After(t.limit.ended) {
-			r.nameLimit(now, t, rateLimit{named: true, perSecond: l.PerSecond, at: at})
+		if ok && at.After(t.limit.statedAt) && at.After(t.limit.endedAt) {
+			r.setLimit(now, t, rateLimit{active: true, perSecond: l.PerSecond, statedAt: at})
 		}
 	}
 }
 
-// limitRoom reports whether t's limit lets this VM place one more request there.
-func (r *Reducer) limitRoom(now clock.Time, t *targetState) bool {
-	if !t.limit.named || !r.on(RateLimits) {
+// withinLimit reports whether t's limit lets this VM place another request there.
+func (r *Reducer) withinLimit(now clock.Time, t *targetState) bool {
+	if !t.limit.active || !r.on(RateLimits) {
 		return true
 	}
 	switch r.opts.Self {
-	case r.limitKeeper(t):
+	case r.limitOwner(t):
 		span, most := t.limit.allows()
-		return t.sends.within(now, span) < most
+		return t.sends.countWithin(now, span) < most
 	case r.coordinator(r.region, t.Service):
-		return t.sends.within(now, limitAsk) == 0
+		return t.sends.countWithin(now, limitProbeInterval) == 0
 	default:
-		return now.Sub(t.limit.at) >= limitFor && t.sends.within(now, limitAsk) == 0
+		return now.Sub(t.limit.statedAt) >= limitBackoff && t.sends.countWithin(now, limitProbeInterval) == 0
 	}
 }
 
 // allows returns how many requests may be placed within a span.
 func (l *rateLimit) allows() (span time.Duration, most int) {
 	rate := limitShare * l.perSecond
-	if most := rate * limitSpan.Seconds(); most >= 1 {
-		return limitSpan, int(min(most, maxSends))
+	if most := rate * limitWindow.Seconds(); most >= 1 {
+		return limitWindow, int(min(most, maxSends))
 	}
-	if rate*limitTrickle.Seconds() < 1 {
-		return limitTrickle, 1
+	if rate*limitMaxInterval.Seconds() < 1 {
+		return limitMaxInterval, 1
 	}
 	return time.Duration(float64(time.Second) / rate), 1
 }
 
-// limitKeeper returns the VM that keeps to t's limit for all.
-func (r *Reducer) limitKeeper(t *targetState) fleet.VMID {
+// limitOwner returns the VM that enforces t's limit for all.
+func (r *Reducer) limitOwner(t *targetState) fleet.VMID {
 	if id := r.coordinator(t.region, t.Service); id != "" {
 		return id
 	}
@@ -146,27 +150,28 @@
 // anyRegion stands for all regions together.
 const anyRegion fleet.Region = ""
 
-// rateSlots is the number of t's slots that requests can take at once: at its
-// limit fewer may be in work than there are slots.
-func (t *targetState) rateSlots() int {
+// effectiveSlots returns how many of t's slots can be in use at once. A rate limit
+// may keep some of them idle.
+func (t *targetState) effectiveSlots() int {
 	work := t.svc.latency.P95().Seconds()
-	if !t.limit.named || work == 0 {
+	if !t.limit.active || work == 0 {
 		return t.Slots
 	}
 	return int(min(float64(t.Slots), max(1, limitShare*t.limit.perSecond*work)))
 }
 
-// sends are the instants at which requests were placed at a target, the latest
+// sends are the times at which requests were placed at a target, the latest
 // maxSends of them.
 type sends []clock.Time
 
-// maxSends bounds them: a limit beyond that within limitSpan binds nobody.
+// maxSends is the maximum length of sends: a limit above that number within
+// limitWindow has no effect.
 const maxSends = 4096
 
-// keepSends is the longest span over which sends are counted.
-const keepSends = limitAsk
+// sendRetention is the longest span over which sends are counted.
+const sendRetention = limitProbeInterval
 
-// add notes a request, and forgets what was placed longer than keep ago.
+// add records a request, and drops those placed longer than keep ago.
 func (s *sends) add(now clock.Time, keep time.Duration) {
 	first := 0
 	for first < len(*s) && (now.Sub((*s)[first]) > keep || len(*s)-first >= maxSends) {
@@ -175,8 +180,8 @@
 	*s = append((*s)[first:], now)
 }
 
-// within returns the number of requests that were placed within a span.
-func (s sends) within(now clock.Time, span time.Duration) int {
+// countWithin returns the number of requests placed within a span.
+func (s sends) countWithin(now clock.Time, span time.Duration) int {
 	n := 0
 	for i := len(s) - 1; i >= 0 && now.Sub(s[i]) < span; i-- {
 		n++
--- a/decide/ingress/ratelimit_test.go
+++ b/decide/ingress/ratelimit_test.go
@@ -12,10 +12,11 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// limitBench has one target t1 of the own region, and of the other region if far.
-func limitBench(t *testing.T, far bool, members ...fleet.VMID) *bench {
-	s := newBench(t, Bounds{}, members...)
-	rt := one("a")
+// limitHarness has one target t1, in the other region if far is set and in the own
+// region otherwise.
+func limitHarness(t *testing.T, far bool, members ...fleet.VMID) *harness {
+	s := newHarness(t, Bounds{}, members...)
+	rt := idempotentRoute("a")
 	rt.Timeout = 0
 	s.configure(1, rt)
 	d := fleet.Domain("d1")
@@ -26,9 +27,9 @@
 	return s
 }
 
-// gets sends n requests a second for a while, answers each at once with what
-// limit says, and returns how many the target got.
-func (s *bench) gets(d time.Duration, n int, limit RateLimit) int {
+// sendAtRate sends n requests per second for a duration, answers each at once with
+// the given limit, and returns how many the target got.
+func (s *harness) sendAtRate(d time.Duration, n int, limit RateLimit) int {
 	got := 0
 	for end := s.now.Add(d); s.now.Before(end); s.now = s.now.Add(time.Second / time.Duration(n)) {
 		s.last++
@@ -52,52 +53,55 @@
 
 func limitOf(rate float64) RateLimit { return RateLimit{Heard: true, Named: true, PerSecond: rate} }
 
-// A target that has named a limit once is never used in full again.
-func TestLimitEndsWhenAnswersNoLongerNameIt(t *testing.T) {
+// Guards against a target that is never fully used again after it stated a limit
+// once.
+func TestLimitEndsWhenAnswersNoLongerStateIt(t *testing.T) {
 	for _, rate := range []float64{0, 0.1, 4.8} {
 		t.Run(fmt.Sprint(rate), func(t *testing.T) {
 			is := is.New(t)
-			s := limitBench(t, false, selfVM)
-			s.gets(time.Second, 50, limitOf(rate))
-			inLimit := s.gets(20*time.Second, 50, limitOf(rate))
+			s := limitHarness(t, false, selfVM)
+			s.sendAtRate(time.Second, 50, limitOf(rate))
+			inLimit := s.sendAtRate(20*time.Second, 50, limitOf(rate))
 			is.True(inLimit > 0)
-			is.True(float64(inLimit) <= max(rate*20, 20/limitTrickle.Seconds()))
-			s.gets(limitTrickle+limitLinger, 50, noLimit)
-			is.Equal(s.gets(time.Second, 50, noLimit), 50)
+			is.True(float64(inLimit) <= max(rate*20, 20/limitMaxInterval.Seconds()))
+			s.sendAtRate(limitMaxInterval+limitEndDelay, 50, noLimit)
+			is.Equal(s.sendAtRate(time.Second, 50, noLimit), 50)
 		})
 	}
 }
 
-// Coordinators of all regions use a target's limit in full, each for itself.
-func TestOtherRegionsOnlyAskWhetherTheLimitHasEnded(t *testing.T) {
+// Guards against coordinators of several regions that each use a target's limit in
+// full.
+func TestOtherRegionsOnlyProbeForTheEndOfALimit(t *testing.T) {
 	is := is.New(t)
-	s := limitBench(t, true, selfVM)
+	s := limitHarness(t, true, selfVM)
 	s.step(&MembersChanged{VMs: []fleet.VM{
 		{ID: selfVM, Domain: "d1", Region: "r1"}, {ID: "there", Domain: "far", Region: "r2"},
 	}})
-	s.gets(time.Second, 50, limitOf(4.8))
-	is.True(s.gets(20*time.Second, 50, limitOf(4.8)) <= 3)
-	s.gets(limitAsk+limitLinger, 50, noLimit)
-	is.Equal(s.gets(time.Second, 50, noLimit), 50)
+	s.sendAtRate(time.Second, 50, limitOf(4.8))
+	is.True(s.sendAtRate(20*time.Second, 50, limitOf(4.8)) <= 3)
+	s.sendAtRate(limitProbeInterval+limitEndDelay, 50, noLimit)
+	is.Equal(s.sendAtRate(time.Second, 50, noLimit), 50)
 }
 
-// Targets of a region whose entry VMs have all gone are lost to the others as
-// soon as they name a limit.
-func TestLimitIsKeptForARegionWithoutEntryVMs(t *testing.T) {
+// Guards against losing the targets of a region without entry VMs as soon as they
+// state a limit.
+func TestLimitIsEnforcedForARegionWithoutEntryVMs(t *testing.T) {
 	is := is.New(t)
-	s := limitBench(t, true, selfVM)
-	s.gets(time.Second, 50, limitOf(4.8))
-	got := s.gets(20*time.Second, 50, limitOf(4.8))
+	s := limitHarness(t, true, selfVM)
+	s.sendAtRate(time.Second, 50, limitOf(4.8))
+	got := s.sendAtRate(20*time.Second, 50, limitOf(4.8))
 	is.True(got > 20)
 	is.True(got <= 96)
 }
 
-// A limit that no number of requests reaches takes memory and time for each.
-func TestHugeLimitsBindNobody(t *testing.T) {
+// Guards against memory and time spent per request on a limit that is never
+// reached.
+func TestHugeLimitsHaveNoEffect(t *testing.T) {
 	is := is.New(t)
-	s := limitBench(t, false, selfVM)
-	s.gets(time.Second, 50, limitOf(math.MaxFloat64))
-	is.Equal(s.gets(4*time.Second, 50, limitOf(math.MaxFloat64)), 200)
+	s := limitHarness(t, false, selfVM)
+	s.sendAtRate(time.Second, 50, limitOf(math.MaxFloat64))
+	is.Equal(s.sendAtRate(4*time.Second, 50, limitOf(math.MaxFloat64)), 200)
 	var list sends
 	for n := range 3 * maxSends {
 		list.add(clock.Time(n), time.Hour)
@@ -105,98 +109,99 @@
 	is.Equal(len(list), maxSends)
 }
 
-// What a limited target cannot take is counted as free, and no request goes to
-// another region before the own one is full.
+// Guards against counting slots as free that a rate limit keeps idle, so that no
+// request goes to another region before the own one is full.
 func TestLimitedTargetsHaveFewerSlots(t *testing.T) {
 	is := is.New(t)
-	s := limitBench(t, false, selfVM)
-	s.gets(time.Second, 50, noLimit)
+	s := limitHarness(t, false, selfVM)
+	s.sendAtRate(time.Second, 50, noLimit)
 	svc := s.r.services["svc"]
 	for range 100 {
 		svc.latency.Observe(200 * time.Millisecond)
 	}
-	is.Equal(svc.here.slots, 50)
-	s.gets(time.Second, 50, limitOf(20))
-	is.True(svc.here.slots <= 4)
-	s.gets(2*time.Second, 50, noLimit)
-	is.Equal(svc.here.slots, 50)
+	is.Equal(svc.occupancy.slots, 50)
+	s.sendAtRate(time.Second, 50, limitOf(20))
+	is.True(svc.occupancy.slots <= 4)
+	s.sendAtRate(2*time.Second, 50, noLimit)
+	is.Equal(svc.occupancy.slots, 50)
 }
 
-// A coordinator that has just begun has a target overrun by entry VMs that know
-// its limit, be it of its own region or of another one.
-func TestNewCoordinatorLearnsLimitsFromAsks(t *testing.T) {
+// Guards against a new coordinator that lets entry VMs overload a target whose
+// limit they already know, in its own or another region.
+func TestNewCoordinatorLearnsLimitsFromPlacementRequests(t *testing.T) {
 	for name, far := range map[string]bool{"own region": false, "other region": true} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			s := limitBench(t, far, selfVM, otherVM)
+			s := limitHarness(t, far, selfVM, otherVM)
 			s.step(&MembersChanged{VMs: []fleet.VM{
 				{ID: selfVM, Domain: "d1", Region: "r1"}, {ID: "there", Domain: "far", Region: "r2"},
 			}})
-			is.Equal(s.grants(time.Second), 50)
-			named := NamedLimit{Target: "t1", PerSecond: 4.8, Age: time.Minute}
+			is.Equal(s.grantsAtRate(time.Second), 50)
+			named := TargetLimit{Target: "t1", PerSecond: 4.8, Age: time.Minute}
 			s.now = s.now.Add(2 * named.Age)
-			is.True(s.grants(4*time.Second, named) <= 14)
+			is.True(s.grantsAtRate(4*time.Second, named) <= 14)
 
-			// It ends, and others who have not heard of that still name it.
-			s.gets(limitAsk+limitLinger, 50, noLimit)
-			is.Equal(s.grants(time.Second, named), 50)
+			// The limit ends, and VMs that do not know this yet still report it.
+			s.sendAtRate(limitProbeInterval+limitEndDelay, 50, noLimit)
+			is.Equal(s.grantsAtRate(time.Second, named), 50)
 		})
 	}
 }
 
-// grants returns how many of 50 asks a second are granted that tell of limits.
-func (s *bench) grants(d time.Duration, limited ...NamedLimit) int {
+// grantsAtRate returns how many placement requests are granted out of 50 per
+// second that carry the given limits.
+func (s *harness) grantsAtRate(d time.Duration, limited ...TargetLimit) int {
 	n := 0
 	for end := s.now.Add(d); s.now.Before(end); s.now = s.now.Add(20 * time.Millisecond) {
 		s.last++
-		out := s.step(&Heard{From: otherVM, Message: &Ask{
-			ID: AskID(s.last), Service: "svc", Route: "a", Domain: "d1", Left: time.Minute, Limited: limited,
+		out := s.step(&Heard{From: otherVM, Message: &PlacementRequest{
+			ID: PlacementID(s.last), Service: "svc", Route: "a", Domain: "d1", TimeLeft: time.Minute, Limits: limited,
 		}})
 		for _, tell := range out.Tells {
 			if _, ok := tell.Message.(*Grant); ok {
 				n++
 			}
 		}
-		s.step(&Heard{From: otherVM, Message: &Withdraw{ID: AskID(s.last)}})
+		s.step(&Heard{From: otherVM, Message: &Withdraw{ID: PlacementID(s.last)}})
 	}
 	return n
 }
 
-// Entry VMs that tell only of the first limits, or of those of their region, leave
-// the others to be learned from overruns.
-func TestAsksTellOfAllLimitsInTurn(t *testing.T) {
+// Guards against entry VMs that report only the first limits, or only those of
+// their region, so that the coordinator has to learn the others from overloads.
+func TestPlacementRequestsRotateLimits(t *testing.T) {
 	is := is.New(t)
-	s := newBench(t, Bounds{}, selfVM, otherVM)
-	s.configure(1, one("a"))
+	s := newHarness(t, Bounds{}, selfVM, otherVM)
+	s.configure(1, idempotentRoute("a"))
 	svc := s.r.serviceOf("svc")
-	const targets = 3 * maxNamedLimits
+	const targets = 3 * maxTargetLimits
 	for n := range targets {
 		id := fleet.TargetID(fmt.Sprint("t", n))
 		s.target(id, []fleet.Domain{"d1", "far"}[n%2], 3)
 		s.r.out = &s.out
-		s.r.nameLimit(s.now, s.r.targets[id], rateLimit{named: true, perSecond: 1, at: s.now})
+		s.r.setLimit(s.now, s.r.targets[id], rateLimit{active: true, perSecond: 1, statedAt: s.now})
 	}
 	told := make(map[fleet.TargetID]bool)
-	for range 2 * targets / maxNamedLimits {
-		list := s.r.limitsOf(s.now, svc)
-		is.Equal(len(list), maxNamedLimits)
+	for range 2 * targets / maxTargetLimits {
+		list := s.r.limitsFor(s.now, svc)
+		is.Equal(len(list), maxTargetLimits)
 		for _, l := range list {
 			told[l.Target] = true
 		}
-		s.r.nextAsk++
+		s.r.nextPlacement++
 	}
 	is.Equal(len(told), targets)
 }
 
-// An answer that was long on its way ends a limit that its target has named
-// meanwhile.
+// Guards against a delayed answer that ends a limit stated after its request was
+// sent.
 func TestLateAnswersDoNotEndALimit(t *testing.T) {
 	is := is.New(t)
-	s := limitBench(t, false, selfVM)
+	s := limitHarness(t, false, selfVM)
 	s.last = 1000
 	late := s.step(&Arrive{Request: 1000, Host: "h", Path: "/a/x", Patience: time.Minute}).Sends[0]
-	s.gets(time.Second, 50, limitOf(4.8))
-	s.now = s.now.Add(2 * limitLinger)
+	s.sendAtRate(time.Second, 50, limitOf(4.8))
+	s.now = s.now.Add(2 * limitEndDelay)
 	s.step(&Answered{Attempt: late.Attempt, Limit: noLimit})
-	is.True(s.gets(4*time.Second, 50, limitOf(4.8)) <= 20)
+	is.True(s.sendAtRate(4*time.Second, 50, limitOf(4.8)) <= 20)
 }
--- a/decide/ingress/recall.go
+++ b/decide/ingress/recall.go
@@ -5,52 +5,53 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// A coordinator alone knows where objects are warm, and loses that with its
-// process. Its successor would start every object cold at a place of its own
-// choice: with four VMs restarted in turn, a region's targets were full of cold
-// work for two seconds after each. So every entry VM recalls where its own
-// requests were answered, and says so when it asks for a target.
+// Only the coordinator knows where objects are warm, and that knowledge is lost
+// with its process. Its successor would start every object cold at another target:
+// when four VMs were restarted in turn, a region's targets were full of cold work
+// for two seconds after each restart. Therefore every entry VM remembers where its
+// own requests were answered, and includes it in its placement requests.
 
-// recall holds where the objects of one service were last handled.
-type recall map[string]recalled
+// lastTargets maps the objects of one service to the targets that last handled
+// them.
+type lastTargets map[string]lastTarget
 
-type recalled struct {
+type lastTarget struct {
 	target *targetState
 	at     clock.Time
 }
 
-// recallObjects bounds the objects that are recalled of one service; then all
-// are forgotten, as they come back within seconds.
-const recallObjects = 8192
+// maxLastTargets limits the objects remembered per service; above it all are
+// dropped, because they are learned again within seconds.
+const maxLastTargets = 8192
 
-// noteServed recalls that t has handled an object.
-func (s *service) noteServed(now clock.Time, object string, t *targetState) {
+// recordLastTarget records that t has handled an object.
+func (s *service) recordLastTarget(now clock.Time, object string, t *targetState) {
 	if object == "" {
 		return
 	}
-	if s.recall == nil || len(s.recall) >= recallObjects {
-		s.recall = make(recall)
+	if s.lastTargets == nil || len(s.lastTargets) >= maxLastTargets {
+		s.lastTargets = make(lastTargets)
 	}
-	s.recall[object] = recalled{target: t, at: now}
+	s.lastTargets[object] = lastTarget{target: t, at: now}
 }
 
-// recalledAt returns the target where an object is recalled to be warm, "" if
+// lastTargetFor returns the target at which an object is assumed to be warm, "" if
 // there is none.
-func (r *Reducer) recalledAt(now clock.Time, s *service, object string) fleet.TargetID {
-	p, ok := s.recall[object]
-	if !ok || now.Sub(p.at) >= warmFor || r.targets[p.target.ID] != p.target {
-		return "" // unknown, too old, or the target has ended
+func (r *Reducer) lastTargetFor(now clock.Time, s *service, object string) fleet.TargetID {
+	p, ok := s.lastTargets[object]
+	if !ok || now.Sub(p.at) >= warmTTL || r.targets[p.target.ID] != p.target {
+		return "" // unknown, too old, or the target has restarted or left
 	}
 	return p.target.ID
 }
 
-// believeRecalled takes another entry VM's word for where the object of j is
-// warm, if nothing is known here.
-func (r *Reducer) believeRecalled(now clock.Time, j *job) {
-	if j.Recalled == "" || j.Object == "" || !r.on(Recall) || j.obj.warmSomewhere(now) {
+// useLastTarget marks the object of j as warm at the target named by another entry
+// VM, if no warm target is known here.
+func (r *Reducer) useLastTarget(now clock.Time, j *job) {
+	if j.LastTarget == "" || j.Object == "" || !r.on(Recall) || j.obj.isWarmAnywhere(now) {
 		return
 	}
-	if t, ok := r.targets[j.Recalled]; ok && t.svc == j.svc {
-		j.obj.remember(now, t)
+	if t, ok := r.targets[j.LastTarget]; ok && t.svc == j.svc {
+		j.obj.markWarm(now, t)
 	}
 }
--- a/decide/ingress/reducer.go
+++ b/decide/ingress/reducer.go
@@ -12,14 +12,14 @@
 	"github.com/azurethread/azurethread/decide/route"
 )
 
-// Reducer holds the state. It is not safe for concurrent use.
+// Reducer holds the state of the decisions. It is not safe for concurrent use.
 type Reducer struct {
-	opts   Options
-	region fleet.Region
-	groups map[fleet.Domain]group // of the own region's failure domains
-	found  [localChoices]scored   // memory of firstEligible
-	rng    *rand.Rand
-	out    *Ready
+	opts    Options
+	region  fleet.Region
+	groups  map[fleet.Domain]group  // of the own region's failure domains
+	scratch [localCandidates]scored // buffer of firstEligible
+	rng     *rand.Rand
+	out     *Ready
 
 	table     *route.Table
 	splits    map[string]*route.Split // by route name
@@ -27,116 +27,117 @@
 	services  map[fleet.ServiceName]*service
 	targets   map[fleet.TargetID]*targetState
 	evacuated map[fleet.Domain]bool
-	lapses    clock.Time // the earliest of the targets'
-	began     clock.Time // when the first event was seen; 0: not yet
+	nextLapse clock.Time // the earliest lapsesAt of the targets
+	startedAt clock.Time // when the first event was handled; 0: not yet
 	members   []fleet.VM
-	// lines are the VMs that place requests by what members names, and strong the
-	// strong ones of each region, as far as they were asked for.
-	lines  map[coordination][]fleet.VMID
-	strong map[fleet.Region][]fleet.VMID
-	trips  map[fleet.Region]*mean // round trip in ns
+	// coordinatorOrders and strongVMs are caches derived from members: the
+	// coordinators of a service in order, and the strong VMs of a region
+	// (fleet.Strong).
+	coordinatorOrders map[coordinatorKey][]fleet.VMID
+	strongVMs         map[fleet.Region][]fleet.VMID
+	rtts              map[fleet.Region]*movingAverage // in ns
 
-	jobs    map[jobKey]*job         // places taken or waited for
-	asks    map[AskID]*request      // asks that are unanswered
-	silent  map[fleet.VMID]*silence // coordinators that did not answer
-	nextAsk AskID
+	jobs          map[jobKey]*job          // places taken or waited for
+	placements    map[PlacementID]*request // unanswered placement requests
+	silent        map[fleet.VMID]*silentVM // coordinators and gateways that did not answer
+	nextPlacement PlacementID
 
 	requests    map[RequestID]*request
 	attempts    map[AttemptID]*attempt
 	nextAttempt AttemptID
-	// gateways are the VMs of a failure domain that carry requests there, as far
-	// as they were asked for. carries are the requests of others that this VM
-	// carries, and carriesBy the same by their attempts.
-	gateways  map[fleet.Domain][]fleet.VMID
-	carries   map[RequestID]*carried
-	carriesBy map[AttemptID]*carried
-	timers    timers
+	// gateways caches the VMs of a failure domain that forward requests there.
+	// forwards are the requests that this VM forwards for others, and
+	// forwardsByAttempt the same by attempt.
+	gateways          map[fleet.Domain][]fleet.VMID
+	forwards          map[RequestID]*forwarded
+	forwardsByAttempt map[AttemptID]*forwarded
+	timers            timers
 
-	quarantine quarantine.List
-	enforcing  []quarantine.Fingerprint // came into quarantine in this step
-	expiring   bool                     // a timer looks for quarantines that are over
+	quarantine      quarantine.List
+	toEnforce       []quarantine.Fingerprint // quarantined in this step
+	expiryScheduled bool                     // a timer for expired quarantines is set
 }
 
-// New returns a Reducer that knows no configuration.
+// New returns a Reducer without a configuration.
 func New(o Options) *Reducer {
 	return &Reducer{
-		opts:      o,
-		region:    o.Regions[o.Domain],
-		groups:    groupsOf(o.Regions, o.Regions[o.Domain]),
-		rng:       rand.New(rand.NewPCG(o.Seed, o.Seed)),
-		splits:    make(map[string]*route.Split),
-		routes:    make(map[string]*routeState),
-		services:  make(map[fleet.ServiceName]*service),
-		targets:   make(map[fleet.TargetID]*targetState),
-		evacuated: make(map[fleet.Domain]bool),
-		trips:     make(map[fleet.Region]*mean),
-		lines:     make(map[coordination][]fleet.VMID),
-		strong:    make(map[fleet.Region][]fleet.VMID),
-		jobs:      make(map[jobKey]*job),
-		asks:      make(map[AskID]*request),
-		silent:    make(map[fleet.VMID]*silence),
-		nextAsk:   AskID(o.Start),
-		requests:  make(map[RequestID]*request),
-		attempts:  make(map[AttemptID]*attempt),
-		gateways:  make(map[fleet.Domain][]fleet.VMID),
-		carries:   make(map[RequestID]*carried),
-		carriesBy: make(map[AttemptID]*carried),
-		lapses:    clock.Never,
+		opts:              o,
+		region:            o.Regions[o.Domain],
+		groups:            groupsOf(o.Regions, o.Regions[o.Domain]),
+		rng:               rand.New(rand.NewPCG(o.Seed, o.Seed)),
+		splits:            make(map[string]*route.Split),
+		routes:            make(map[string]*routeState),
+		services:          make(map[fleet.ServiceName]*service),
+		targets:           make(map[fleet.TargetID]*targetState),
+		evacuated:         make(map[fleet.Domain]bool),
+		rtts:              make(map[fleet.Region]*movingAverage),
+		coordinatorOrders: make(map[coordinatorKey][]fleet.VMID),
+		strongVMs:         make(map[fleet.Region][]fleet.VMID),
+		jobs:              make(map[jobKey]*job),
+		placements:        make(map[PlacementID]*request),
+		silent:            make(map[fleet.VMID]*silentVM),
+		nextPlacement:     PlacementID(o.Start),
+		requests:          make(map[RequestID]*request),
+		attempts:          make(map[AttemptID]*attempt),
+		gateways:          make(map[fleet.Domain][]fleet.VMID),
+		forwards:          make(map[RequestID]*forwarded),
+		forwardsByAttempt: make(map[AttemptID]*forwarded),
+		nextLapse:         clock.Never,
 	}
 }
 
-// Step takes an event seen at now and writes its effects to out.
+// Step handles an event observed at now and writes its effects to out.
 func (r *Reducer) Step(now clock.Time, ev Event, out *Ready) {
 	r.out = out
-	if r.began == 0 {
-		r.began = now
+	if r.startedAt == 0 {
+		r.startedAt = now
 	}
 	switch ev := ev.(type) {
 	case *Arrive:
 		r.arrive(now, ev)
 	case *Carry:
-		r.carry(now, ev)
+		r.forward(now, ev)
 	case *CallerGone:
 		r.callerGone(now, ev)
 	case *Received:
-		r.received(ev.Attempt)
+		r.gatewayAccepted(ev.Attempt)
 	case *Answered:
 		r.answered(now, ev)
 	case *Failed:
 		r.failed(now, ev)
 	case *Configured:
-		r.configured(now, ev)
+		r.applyConfig(now, ev)
 	case *TargetsChanged:
 		r.applyTargets(now, ev)
 	case *Evacuated:
-		r.evacuate(now, ev)
+		r.applyEvacuation(now, ev)
 	case *MembersChanged:
 		r.setMembers(ev.VMs)
-		r.dropJobsOfLost(now)
-		r.pump(now)
+		r.releaseJobsOfLostVMs(now)
+		r.dispatchAll(now)
 	case *Heard:
-		r.heard(now, ev)
+		r.handleMessage(now, ev)
 	case *Probed:
 		r.probed(now, ev)
 	case *QuarantineRead:
-		r.quarantineRead(now, ev)
-	case *Bounded:
-		r.opts.Bounds, r.opts.Drain = ev.Bounds, ev.Drain
+		r.applyStoredQuarantine(now, ev)
+	case *BoundsChanged:
+		r.opts.Bounds, r.opts.DrainTime = ev.Bounds, ev.DrainTime
 	case *Tick:
 	}
-	r.expireLapsed(now)
-	r.expire(now)
+	r.removeLapsed(now)
+	r.fireTimers(now)
 	r.enforce(now)
-	out.Wake = clock.Min(r.timers.next(), r.lapses)
+	out.Wake = clock.Min(r.timers.next(), r.nextLapse)
 	r.out = nil
 }
 
 // Ready reports whether a configuration is in force.
 func (r *Reducer) Ready() bool { return r.table != nil }
 
-// configured takes a new configuration; an older one is refused, as a version
-// that was seen in force must not be undone.
-func (r *Reducer) configured(now clock.Time, ev *Configured) {
+// applyConfig applies a new configuration. An older one is ignored, because a
+// version that was in force must not be undone.
+func (r *Reducer) applyConfig(now clock.Time, ev *Configured) {
 	if r.table != nil && ev.Table.Config.Version < r.table.Config.Version {
 		return
 	}
@@ -144,22 +145,22 @@
 	for name := range r.splits {
 		delete(r.splits, name) // weights may have changed
 	}
-	r.forgetRoutes(ev.Table.Config)
-	r.pump(now)
+	r.dropRemovedRoutes(ev.Table.Config)
+	r.dispatchAll(now)
 }
 
-// expire handles what is due.
-func (r *Reducer) expire(now clock.Time) {
+// fireTimers handles all timers that are due.
+func (r *Reducer) fireTimers(now clock.Time) {
 	for {
 		t, ok := r.timers.due(now)
 		if !ok {
 			return
 		}
-		r.fire(now, t)
+		r.handleTimer(now, t)
 	}
 }
 
-func (r *Reducer) fire(now clock.Time, t timer) {
+func (r *Reducer) handleTimer(now clock.Time, t timer) {
 	switch t.purpose {
 	case dueJob:
 		r.jobDue(now, t.job)
@@ -167,8 +168,8 @@
 	case dueQuarantine:
 		r.expireQuarantine(now)
 		return
-	case dueCarried:
-		r.carriedDue(t.request)
+	case dueForward:
+		r.forwardTimedOut(t.request)
 		return
 	}
 	q, ok := r.requests[t.request]
@@ -177,25 +178,25 @@
 	}
 	switch t.purpose {
 	case dueAnswer:
-		r.timedOut(now, q)
+		r.deadlinePassed(now, q)
 	case dueHedge:
 		r.hedge(now, q)
-	case dueAsk:
-		r.askDue(now, q, t.ask)
+	case duePlacement:
+		r.placementTimedOut(now, q, t.placement)
 	case dueGateway:
-		r.gatewayDue(now, q, t.attempt)
+		r.gatewayTimedOut(now, q, t.attempt)
 	}
 }
 
-// pump places the jobs that wait, where there is room now.
-func (r *Reducer) pump(now clock.Time) {
-	for _, s := range r.serviceList() {
-		r.pumpService(now, s)
+// dispatchAll places the waiting jobs of all services for which there is room.
+func (r *Reducer) dispatchAll(now clock.Time) {
+	for _, s := range r.waitingServices() {
+		r.dispatchWaiting(now, s)
 	}
 }
 
-// serviceList returns the services with waiting jobs, in a fixed order.
-func (r *Reducer) serviceList() []*service {
+// waitingServices returns the services with waiting jobs, in a fixed order.
+func (r *Reducer) waitingServices() []*service {
 	var list []*service
 	for _, s := range r.services {
 		if s.waiting.Len() > 0 {
@@ -206,8 +207,8 @@
 	return list
 }
 
-// jobList returns the jobs in a fixed order.
-func (r *Reducer) jobList() []*job {
+// sortedJobs returns the jobs in a fixed order.
+func (r *Reducer) sortedJobs() []*job {
 	list := make([]*job, 0, len(r.jobs))
 	for _, j := range r.jobs {
 		list = append(list, j)
@@ -218,47 +219,48 @@
 	return list
 }
 
-// mean is a moving average of a quantity.
-type mean struct {
+// movingAverage is an exponentially weighted moving average.
+type movingAverage struct {
 	value float64
 	known bool
 }
 
-// meanWeight is the weight of a new sample in mean.
-const meanWeight = 0.1
+// movingAverageWeight is the weight of a new sample in movingAverage.
+const movingAverageWeight = 0.1
 
-func (m *mean) add(v float64) {
+func (m *movingAverage) observe(v float64) {
 	if !m.known {
 		m.value, m.known = v, true
 		return
 	}
-	m.value += meanWeight * (v - m.value)
+	m.value += movingAverageWeight * (v - m.value)
 }
 
-func (m *mean) or(otherwise float64) float64 {
+func (m *movingAverage) valueOr(otherwise float64) float64 {
 	if m == nil || !m.known {
 		return otherwise
 	}
 	return m.value
 }
 
-// trip is the round trip to a region in ns.
-func (r *Reducer) trip(region fleet.Region) float64 {
+// rtt returns the round-trip time to a region in ns.
+func (r *Reducer) rtt(region fleet.Region) float64 {
 	if region == r.region {
-		return r.trips[region].or(float64(initialNear))
+		return r.rtts[region].valueOr(float64(initialLocalRTT))
 	}
-	return r.trips[region].or(float64(initialFar))
+	return r.rtts[region].valueOr(float64(initialRemoteRTT))
 }
 
-// learnTrip takes the time that opening a connection took: one round trip.
-func (r *Reducer) learnTrip(region fleet.Region, d time.Duration) {
-	m, ok := r.trips[region]
+// observeRTT records the time that opening a connection took, which is one round
+// trip.
+func (r *Reducer) observeRTT(region fleet.Region, d time.Duration) {
+	m, ok := r.rtts[region]
 	if !ok {
-		m = new(mean)
-		r.trips[region] = m
+		m = new(movingAverage)
+		r.rtts[region] = m
 	}
-	m.add(float64(d))
+	m.observe(float64(d))
 }
 
-// Targets returns the number of known targets.
-func (r *Reducer) Targets() int { return len(r.targets) }
+// TargetCount returns the number of known targets.
+func (r *Reducer) TargetCount() int { return len(r.targets) }
--- a/decide/ingress/reducer_test.go
+++ b/decide/ingress/reducer_test.go
@@ -12,13 +12,13 @@
 	"github.com/azurethread/azurethread/decide/verdict"
 )
 
-// bench holds one reducer on a clock of its own.
-type bench struct {
+// harness runs one reducer on a simulated clock.
+type harness struct {
 	t    *testing.T
 	r    *Reducer
 	now  clock.Time
 	out  Ready
-	last RequestID // of gets
+	last RequestID // of sendAtRate and arriveContent
 }
 
 const (
@@ -26,9 +26,9 @@
 	otherVM = fleet.VMID("other")
 )
 
-func newBench(t *testing.T, b Bounds, members ...fleet.VMID) *bench {
+func newHarness(t *testing.T, b Bounds, members ...fleet.VMID) *harness {
 	regions := map[fleet.Domain]fleet.Region{"d1": "r1", "d2": "r1", "far": "r2"}
-	s := &bench{t: t, now: clock.Time(time.Hour)}
+	s := &harness{t: t, now: clock.Time(time.Hour)}
 	s.r = New(Options{Self: selfVM, Domain: "d1", Regions: regions, Bounds: b, Seed: 1})
 	var vms []fleet.VM
 	for _, id := range members {
@@ -38,7 +38,7 @@
 	return s
 }
 
-func (s *bench) step(ev Event) *Ready {
+func (s *harness) step(ev Event) *Ready {
 	s.t.Helper()
 	s.out.Reset()
 	s.r.Step(s.now, ev, &s.out)
@@ -48,8 +48,8 @@
 	return &s.out
 }
 
-// pass lets time go by, stopping at every wake.
-func (s *bench) pass(d time.Duration) {
+// advance advances the clock by d, with a Tick at every wake-up time.
+func (s *harness) advance(d time.Duration) {
 	end := s.now.Add(d)
 	for {
 		s.out.Reset()
@@ -62,7 +62,7 @@
 	s.now = end
 }
 
-func (s *bench) configure(version uint64, routes ...route.Route) {
+func (s *harness) configure(version uint64, routes ...route.Route) {
 	cfg := &route.Config{Version: version, Services: make(map[fleet.ServiceName]route.Service)}
 	for _, r := range routes {
 		r.Host, r.Attempts = "h", max(r.Attempts, 1)
@@ -74,60 +74,57 @@
 	s.step(&Configured{Table: route.NewTable(cfg)})
 }
 
-func (s *bench) target(id fleet.TargetID, d fleet.Domain, slots int) {
+func (s *harness) target(id fleet.TargetID, d fleet.Domain, slots int) {
 	s.step(&TargetsChanged{Set: []Target{{ID: id, Service: "svc", Domain: d, Slots: slots}}})
 }
 
-// earnRepeat has callers come and go until the budget pays for a repeat.
-func (s *bench) earnRepeat() {
+// earnRepeat sends and cancels requests until the budget pays for a retry.
+func (s *harness) earnRepeat() {
 	for id := RequestID(1); id <= 20; id++ {
 		s.step(&Arrive{Request: id, Host: "h", Path: "/a/x"})
 		s.step(&CallerGone{Request: id})
 	}
 }
 
-func one(name string) route.Route {
+func idempotentRoute(name string) route.Route {
 	return route.Route{
 		Name: name, Prefix: "/" + name + "/", Idempotent: true, Attempts: 3, Timeout: time.Second,
 		Parts: []route.Part{{Service: "svc", Weight: 1}},
 	}
 }
 
-// Symptom: a target is given a request with no time left, works on it for
-// nobody, and the caller has its answer already.
-// Sequence: an unanswered request is to be sent a second time; the coordinator
-// names the target when the time for the answer is over.
-// Cause: the search for a second target went on past the deadline.
+// Guards against a target that is given a request with no time left. The search
+// for a target for a second send continued after the deadline, and the coordinator
+// granted one.
 func TestNoSendAfterTheDeadline(t *testing.T) {
 	is := is.New(t)
-	s := newBench(t, Bounds{RepeatRatio: 1, RepeatSlack: 10}, otherVM)
-	rt := one("a")
-	rt.Timeout = hedgeFloor + askTimeout/2
+	s := newHarness(t, Bounds{RepeatRatio: 1, RepeatSlack: 10}, otherVM)
+	rt := idempotentRoute("a")
+	rt.Timeout = minHedgeDelay + placementTimeout/2
 	s.configure(1, rt)
 	s.target("t1", "d1", 3)
 	s.target("t2", "d1", 3)
 	s.earnRepeat()
 	out := s.step(&Arrive{Request: 100, Host: "h", Path: "/a/x"})
-	ask := out.Tells[0].Message.(*Ask)
+	ask := out.Tells[0].Message.(*PlacementRequest)
 	out = s.step(&Heard{From: otherVM, Message: &Grant{ID: ask.ID, Target: "t1"}})
 	is.Equal(len(out.Sends), 1)
-	s.now = s.now.Add(hedgeFloor)
+	s.now = s.now.Add(minHedgeDelay)
 	out = s.step(&Tick{})
-	second := out.Tells[0].Message.(*Ask)
-	s.now = s.now.Add(askTimeout / 2)
+	second := out.Tells[0].Message.(*PlacementRequest)
+	s.now = s.now.Add(placementTimeout / 2)
 	is.Equal(len(s.step(&Tick{}).Sends), 0)
 	out = s.step(&Heard{From: otherVM, Message: &Grant{ID: second.ID, Target: "t2"}})
 	is.Equal(len(out.Sends), 0)
 }
 
-// Symptom: the same, when the time for a second send comes after the deadline.
-// Sequence: the target's own answer is still awaited for a moment then.
-// Cause: the second send looked at everything but the time.
+// Guards against a second send after the deadline, while the target's own answer
+// is still awaited.
 func TestNoHedgeAfterTheDeadline(t *testing.T) {
 	is := is.New(t)
-	s := newBench(t, Bounds{RepeatRatio: 1, RepeatSlack: 10}, selfVM)
-	rt := one("a")
-	rt.Timeout = hedgeFloor - answerMargin/2
+	s := newHarness(t, Bounds{RepeatRatio: 1, RepeatSlack: 10}, selfVM)
+	rt := idempotentRoute("a")
+	rt.Timeout = minHedgeDelay - answerMargin/2
 	s.configure(1, rt)
 	s.target("t1", "d1", 3)
 	s.target("t2", "d1", 3)
@@ -139,14 +136,13 @@
 	is.Equal(len(s.step(&Tick{}).Sends), 0)
 }
 
-// Symptom: the same, after the process has stood still for a while.
-// Sequence: the coordinator's word and the answer are both overdue when it goes
-// on.
-// Cause: what was due first came first, whatever else was over.
+// Guards against a send after the process was stalled, when the timeouts of the
+// coordinator and of the request have both passed: timers were handled in order
+// without checking the deadline.
 func TestNoSearchAfterAStall(t *testing.T) {
 	is := is.New(t)
-	s := newBench(t, Bounds{}, otherVM)
-	s.configure(1, one("a"))
+	s := newHarness(t, Bounds{}, otherVM)
+	s.configure(1, idempotentRoute("a"))
 	s.target("t1", "d1", 3)
 	s.step(&Arrive{Request: 1, Host: "h", Path: "/a/x"})
 	s.now = s.now.Add(5 * time.Second)
@@ -155,102 +151,94 @@
 	is.Equal(out.Refusals[0].Verdict, verdict.NotRun)
 }
 
-// Symptom: a request waits for a coordinator that is gone until its caller
-// gives up.
-// Sequence: the coordinator is cut off; its lease has not ended yet.
-// Cause: nothing bounded the wait for its word.
+// Guards against a request that waits for a cut-off coordinator until its caller
+// gives up. The coordinator's lease has not ended yet.
 func TestSilentCoordinator(t *testing.T) {
 	is := is.New(t)
-	s := newBench(t, Bounds{}, otherVM)
-	s.configure(1, one("a"))
+	s := newHarness(t, Bounds{}, otherVM)
+	s.configure(1, idempotentRoute("a"))
 	s.target("t1", "d1", 3)
 	out := s.step(&Arrive{Request: 1, Host: "h", Path: "/a/x"})
-	ask := out.Tells[0].Message.(*Ask)
-	s.now = s.now.Add(ask.Wait + askTimeout)
+	ask := out.Tells[0].Message.(*PlacementRequest)
+	s.now = s.now.Add(ask.MaxWait + placementTimeout)
 	out = s.step(&Tick{})
 	is.Equal(len(out.Sends), 1)
 	out = s.step(&Arrive{Request: 2, Host: "h", Path: "/a/x"})
 	is.Equal(len(out.Sends), 1) // it isn't asked again for a while
 }
 
-// Symptom: a target's slots stay taken although nothing runs there.
-// Sequence: an entry VM dies with places that a coordinator has given it.
-// Cause: only its reports freed them.
+// Guards against slots that stay taken after an entry VM crashed with places
+// granted by a coordinator, which only its reports freed.
 func TestPlacesOfALostVM(t *testing.T) {
 	is := is.New(t)
-	s := newBench(t, Bounds{}, selfVM, otherVM)
-	s.configure(1, one("a"))
+	s := newHarness(t, Bounds{}, selfVM, otherVM)
+	s.configure(1, idempotentRoute("a"))
 	s.target("t1", "d1", 1)
-	for id := AskID(1); id <= 2; id++ {
-		s.step(&Heard{From: otherVM, Message: &Ask{ID: id, Service: "svc", Left: time.Minute}})
+	for id := PlacementID(1); id <= 2; id++ {
+		s.step(&Heard{From: otherVM, Message: &PlacementRequest{ID: id, Service: "svc", TimeLeft: time.Minute}})
 	}
 	is.Equal(s.r.Status(s.now).Services["svc"].InFlight, 2)
 	s.step(&MembersChanged{VMs: []fleet.VM{{ID: selfVM, Domain: "d1", Region: "r1"}}})
 	is.Equal(s.r.Status(s.now).Services["svc"].InFlight, 0)
 }
 
-// Symptom: a configuration that was replaced is in force again.
-// Sequence: an old copy of the store is read after a newer one.
-// Cause: the last one read was taken.
+// Guards against an older configuration replacing a newer one after an outdated
+// copy of the store was read.
 func TestOlderConfigurationIsRefused(t *testing.T) {
 	is := is.New(t)
-	s := newBench(t, Bounds{}, selfVM)
+	s := newHarness(t, Bounds{}, selfVM)
 	s.target("t1", "d1", 3)
-	s.configure(5, one("new"))
-	s.configure(4, one("old"))
+	s.configure(5, idempotentRoute("new"))
+	s.configure(4, idempotentRoute("old"))
 	out := s.step(&Arrive{Request: 1, Host: "h", Path: "/old/x"})
 	is.Equal(out.Refusals[0].Reason, verdict.ReasonUnknownService)
 	out = s.step(&Arrive{Request: 2, Host: "h", Path: "/new/x"})
 	is.Equal(len(out.Sends), 1)
 }
 
-// Symptom: every request is refused for seconds after the store was away.
-// Sequence: targets can't renew their registrations while the store is down;
-// they are gone when it is back, and back a second later.
-// Cause: a registration that was gone was believed at once.
+// Guards against refusing all requests for seconds after a store outage. Targets
+// cannot renew their registrations while the store is down; the registrations are
+// gone when it returns, and present again a second later.
 func TestLapsedRegistrations(t *testing.T) {
 	is := is.New(t)
-	s := newBench(t, Bounds{}, selfVM)
-	s.configure(1, one("a"))
+	s := newHarness(t, Bounds{}, selfVM)
+	s.configure(1, idempotentRoute("a"))
 	s.target("t1", "d1", 3)
-	s.step(&TargetsChanged{Gone: []fleet.TargetID{"t1"}, Unsure: true})
+	s.step(&TargetsChanged{Removed: []fleet.TargetID{"t1"}, StoreDegraded: true})
 	is.Equal(len(s.step(&Arrive{Request: 1, Host: "h", Path: "/a/x"}).Sends), 1)
-	s.pass(lapseTime / 2)
-	s.target("t1", "d1", 3) // it is back
-	s.pass(lapseTime)
+	s.advance(maxLapseTime / 2)
+	s.target("t1", "d1", 3) // the registration has returned
+	s.advance(maxLapseTime)
 	is.Equal(len(s.step(&Arrive{Request: 2, Host: "h", Path: "/a/x"}).Sends), 1)
-	s.step(&TargetsChanged{Gone: []fleet.TargetID{"t1"}, Unsure: true})
-	s.pass(lapseTime + time.Millisecond)
-	is.Equal(s.r.Targets(), 0) // it has not come back
+	s.step(&TargetsChanged{Removed: []fleet.TargetID{"t1"}, StoreDegraded: true})
+	s.advance(maxLapseTime + time.Millisecond)
+	is.Equal(s.r.TargetCount(), 0) // it has not returned
 }
 
-// Symptom: a target that leaves gets requests until its very end.
-// Sequence: its registration goes while the store is in trouble, and targets
-// serve on for a second only.
-// Cause: the time for lapsed registrations was the same for every deployment.
+// Guards against requests to a leaving target until it stops serving. Its
+// registration disappears while the store is in trouble, and targets serve for one
+// more second only.
 func TestLapseEndsBeforeTheDrain(t *testing.T) {
 	is := is.New(t)
-	s := newBench(t, Bounds{}, selfVM)
-	s.r.opts.Drain = time.Second
+	s := newHarness(t, Bounds{}, selfVM)
+	s.r.opts.DrainTime = time.Second
 	s.target("t1", "d1", 3)
-	s.step(&TargetsChanged{Gone: []fleet.TargetID{"t1"}, Unsure: true})
-	s.pass(800 * time.Millisecond)
-	is.Equal(s.r.Targets(), 0)
+	s.step(&TargetsChanged{Removed: []fleet.TargetID{"t1"}, StoreDegraded: true})
+	s.advance(800 * time.Millisecond)
+	is.Equal(s.r.TargetCount(), 0)
 }
 
-// Symptom: targets of a failure domain crash when it is taken back.
-// Sequence: its evacuation ends; its targets are cold, and their registrations
-// don't say so yet.
-// Cause: they got their full share at once.
-func TestTakenBackTargetsAreCold(t *testing.T) {
+// Guards against overloading the targets of a failure domain when its evacuation
+// ends: they are cold, and their registrations do not say so yet.
+func TestTargetsAreColdAfterAnEvacuation(t *testing.T) {
 	is := is.New(t)
-	s := newBench(t, Bounds{ColdFactor: 1, ColdSlack: 2}, selfVM)
-	s.configure(1, one("a"))
+	s := newHarness(t, Bounds{ColdFactor: 1, ColdSlack: 2}, selfVM)
+	s.configure(1, idempotentRoute("a"))
 	s.target("t1", "d1", 50)
 	s.step(&Evacuated{Domain: "d1", Begin: true})
 	out := s.step(&Arrive{Request: 1, Host: "h", Path: "/a/x"})
 	is.Equal(len(out.Sends), 0)
-	s.pass(time.Second)
+	s.advance(time.Second)
 	s.step(&Evacuated{Domain: "d1"})
 	sent := 0
 	for id := RequestID(2); id < 30; id++ {
@@ -259,32 +247,28 @@
 	is.Equal(sent, 2) // half of 2 * 1 + 2
 }
 
-// Symptom: a target of three slots has one idle while requests wait.
-// Sequence: each answer states the requests at the target, the answered one
-// among them.
-// Cause: that one was counted as a request of somebody else.
-func TestOwnRequestIsNotAnothers(t *testing.T) {
+// Guards against one idle slot of three while requests wait. The load stated in an
+// answer includes the answered request, which was counted as a request of another
+// VM.
+func TestOwnRequestIsNotCountedAsAnother(t *testing.T) {
 	is := is.New(t)
-	s := newBench(t, Bounds{}, selfVM)
-	s.configure(1, one("a"))
+	s := newHarness(t, Bounds{}, selfVM)
+	s.configure(1, idempotentRoute("a"))
 	s.target("t1", "d1", 3)
 	first := s.step(&Arrive{Request: 1, Host: "h", Path: "/a/x"}).Sends[0]
 	s.step(&Answered{Attempt: first.Attempt, Load: Load{Known: true, Running: 1, Slots: 3}})
-	for id := RequestID(2); id < 2+3+queueWithoutObject; id++ {
+	for id := RequestID(2); id < 2+3+queueLimitNoObject; id++ {
 		is.Equal(len(s.step(&Arrive{Request: id, Host: "h", Path: "/a/x"}).Sends), 1)
 	}
 	is.Equal(len(s.step(&Arrive{Request: 100, Host: "h", Path: "/a/x"}).Sends), 0)
 }
 
-// Symptom: targets that were added during a busy day get no requests, and the
-// others no relief.
-// Sequence: targets join after every object has its place.
-// Cause: an object's place changes only when it is full, and nobody's first
-// choice is a new target.
+// Guards against new targets that get no requests under high load. An object's
+// place changes only when it is full, and no object has a place at a new target.
 func TestJoinedTargetsAreTried(t *testing.T) {
 	is := is.New(t)
-	s := newBench(t, Bounds{ColdFactor: 1, ColdSlack: 4}, selfVM)
-	s.configure(1, one("a"))
+	s := newHarness(t, Bounds{ColdFactor: 1, ColdSlack: 4}, selfVM)
+	s.configure(1, idempotentRoute("a"))
 	s.target("t1", "d1", 50)
 	ask := func(id RequestID, object string) Send {
 		send := s.step(&Arrive{Request: id, Host: "h", Path: "/a/x", Object: object}).Sends[0]
@@ -297,5 +281,5 @@
 	s.now = s.now.Add(time.Minute)
 	s.step(&TargetsChanged{Set: []Target{{ID: "t2", Service: "svc", Domain: "d1", Slots: 3, Cold: 3 * time.Second}}})
 	is.Equal(ask(11, "new").Target, fleet.TargetID("t2"))
-	is.Equal(ask(12, "o").Target, fleet.TargetID("t1")) // once is enough
+	is.Equal(ask(12, "o").Target, fleet.TargetID("t1")) // one request is enough
 }
--- a/decide/ingress/service.go
+++ b/decide/ingress/service.go
@@ -10,26 +10,26 @@
 	"github.com/azurethread/azurethread/decide/target"
 )
 
-// service is what is known of one service.
+// service is the state of one service.
 type service struct {
-	name    fleet.ServiceName
-	targets []*targetState   // by id
-	groups  [][]*targetState // those that may get requests, by group, in no order
-	untried []*targetState   // of the own region, by id
-	limited []*targetState   // that name a rate limit, by id
-	unnamed []*targetState   // in the order without an object; nil: not computed
-	here    crowd
-	objects objects
-	waiting queue.FIFO[*job]
-	turns   uint64     // given to waiting jobs
-	pumped  clock.Time // when all of them were last tried
+	name          fleet.ServiceName
+	targets       []*targetState   // ordered by ID
+	groups        [][]*targetState // those that may get requests, by group, unordered
+	untried       []*targetState   // of the own region, by ID
+	limited       []*targetState   // with a rate limit, by ID
+	withoutObject []*targetState   // in the order for requests without an object; nil: not computed
+	occupancy     occupancy
+	objects       objects
+	waiting       queue.FIFO[*job]
+	lastSeq       uint64     // given to waiting jobs
+	dispatchedAt  clock.Time // when all waiting jobs were last tried
 
-	recall recall // where this VM's own requests ran
+	lastTargets lastTargets // where this VM's own requests ran
 
-	share   regionShare
-	placed  *placements // since TakePlaced; nil: none
-	repeats repeatBudget
-	latency target.Quantiles
+	share       regionShare
+	counts      *placementCounts // since TakePlacementStats; nil: none
+	retryBudget retryBudget
+	latency     target.Quantiles
 }
 
 func (r *Reducer) serviceOf(name fleet.ServiceName) *service {
@@ -41,8 +41,9 @@
 	return s
 }
 
-// insertByID and deleteByID keep a list of targets by id: the order of a map
-// must not show, as the same events must always have the same effects.
+// insertByID and deleteByID keep a list of targets ordered by ID. The list must
+// not depend on map order, because the same events must always have the same
+// effects.
 func insertByID(list []*targetState, t *targetState) []*targetState {
 	at, _ := slices.BinarySearchFunc(list, t, compareIDs)
 	return slices.Insert(list, at, t)
@@ -58,13 +59,13 @@
 
 func compareIDs(a, b *targetState) int { return cmp.Compare(a.ID, b.ID) }
 
-// repeatBudget pays for sends beyond the first of a request.
-type repeatBudget struct{ tokens float64 }
+// retryBudget is a token bucket that pays for sends beyond the first of a request.
+type retryBudget struct{ tokens float64 }
 
-// earn credits a request that was taken. limit is what may be saved up.
-func (b *repeatBudget) earn(share, limit float64) { b.tokens = min(b.tokens+share, limit) }
+// earn credits an accepted request. limit is the most that may be saved up.
+func (b *retryBudget) earn(share, limit float64) { b.tokens = min(b.tokens+share, limit) }
 
-func (b *repeatBudget) spend() bool {
+func (b *retryBudget) spend() bool {
 	if b.tokens < 1 {
 		return false
 	}
@@ -72,9 +73,9 @@
 	return true
 }
 
-// spendSpare is spend for sends that only save time; half is left to the
-// others.
-func (b *repeatBudget) spendSpare(limit float64) bool {
+// spendForHedge is spend for sends that only save time; it leaves half of the
+// budget to the others.
+func (b *retryBudget) spendForHedge(limit float64) bool {
 	if b.tokens < limit/2+1 {
 		return false
 	}
--- a/decide/ingress/shift.go
+++ b/decide/ingress/shift.go
@@ -8,26 +8,26 @@
 	"github.com/azurethread/azurethread/decide/rank"
 )
 
-// regionShare is the part of a service's requests from this region that run in
-// other regions. It moves slowly, up and down: a share that jumps hands load
-// and objects to targets that are not prepared for them, and takes them away
-// from those that are.
+// regionShare is the share of a service's requests from this region that run in
+// other regions. It changes slowly in both directions: a sudden change would move
+// load and objects to targets that are not prepared for them, and away from those
+// that are.
 //
 // Each object belongs to one side of the share by its hash, so that it has its
-// place in one region; only objects at the edge change sides when the share
-// moves.
+// place in one region; when the share changes, only objects at the boundary change
+// sides.
 type regionShare struct {
-	known  bool
-	bound  float64 // by which the share may change within shiftWindow
-	target float64 // the share that is kept to
-	wanted float64 // moving average of where requests would be answered sooner
-	at     clock.Time
+	known     bool
+	maxChange float64 // of the share within shiftWindow
+	setpoint  float64 // the share in force
+	wanted    float64 // moving average of where requests would be answered sooner
+	updatedAt clock.Time
 
-	now, before shiftCount
-	began       clock.Time // of the window that now counts
+	current, previous shiftCount
+	windowStart       clock.Time // of current
 
-	ran  shiftHistory
-	owed debts
+	history shiftHistory
+	debts   debts
 }
 
 // shiftCount counts the requests of one window.
@@ -46,156 +46,158 @@
 }
 
 const (
-	// shiftWindow is the time over which the operators bound the change of the
-	// share, and shiftUse the part of their bound that is used: the rest is for
-	// the noise of arrivals. Among the 400 requests and more of all services in a
-	// window, its deviation is 0.035 at most for shares that don't move.
-	shiftWindow = 2 * time.Second
-	shiftUse    = 0.8
-	// shiftFew is the number of requests in a window below which shares mean
-	// nothing.
-	shiftFew = 10
-	// shiftBand is how far the share of the last seconds may lie off the target,
-	// as a part of the operators' bound. Beyond it, requests go to the side that
-	// lacks them; those of an object that is warm on the other side, and
-	// would start cold, only beyond shiftFar.
-	shiftBand = 1.0 / 3
-	shiftFar  = 2.0 / 3
+	// shiftWindow is the time over which operators limit the change of the share,
+	// and shiftBoundShare the part of their limit that is used. The rest is for
+	// random variation of arrivals: its deviation is at most 0.035 for constant
+	// shares with 400 requests or more of all services in a window.
+	shiftWindow     = 2 * time.Second
+	shiftBoundShare = 0.8
+	// minShareSamples is the number of requests in a window below which its share
+	// is not meaningful.
+	minShareSamples = 10
+	// shiftBand is how far the recent share may deviate from the setpoint, as a
+	// part of the operators' limit. Beyond it, requests go to the side that has
+	// too few; requests whose object is warm on the other side, and would start
+	// cold, do so only beyond shiftFarBand.
+	shiftBand    = 1.0 / 3
+	shiftFarBand = 2.0 / 3
 	// wantedWeight is the weight of one request in the wanted share.
 	wantedWeight = 0.03
 )
 
-// begin sets the first target: what the region's slots leave over if all
-// regions had the same number of requests.
-func (s *regionShare) begin(now clock.Time, first float64) {
+// start sets the initial share: the part of the requests that exceeds the region's
+// slots if all regions have the same number of requests.
+func (s *regionShare) start(now clock.Time, first float64) {
 	s.known = true
-	s.target, s.wanted = first, first
-	s.at, s.began = now, now
+	s.setpoint, s.wanted = first, first
+	s.updatedAt, s.windowStart = now, now
 }
 
-// stated is what a coordinator says of its share.
-func (s *regionShare) stated() HeardShare { return HeardShare{Known: s.known, Elsewhere: s.target} }
+// advertised returns the share that a coordinator reports to other VMs.
+func (s *regionShare) advertised() RemoteShare { return RemoteShare{Known: s.known, Share: s.setpoint} }
 
-// hear takes a coordinator's share, to begin with if this VM has to place
-// requests itself.
-func (s *regionShare) hear(now clock.Time, h HeardShare) {
-	if !h.Known || !(h.Elsewhere >= 0 && h.Elsewhere <= 1) {
+// adopt takes over a coordinator's share, from which this VM starts if it has to
+// place requests itself.
+func (s *regionShare) adopt(now clock.Time, h RemoteShare) {
+	if !h.Known || !(h.Share >= 0 && h.Share <= 1) {
 		return
 	}
 	if !s.known {
-		s.began = now
+		s.windowStart = now
 	}
 	s.known = true
-	s.target, s.wanted = h.Elsewhere, h.Elsewhere
-	s.at = now
+	s.setpoint, s.wanted = h.Share, h.Share
+	s.updatedAt = now
 }
 
-// follow moves the target towards the wanted share, by at most the part of the
-// bound that is used, and no further than the band around the share that ran.
-// A target that had run away from it, since objects stay where they are warm,
-// forced requests back into a region that was full: at one with a tenth of the
-// slots, 3 in 100 of its requests were refused beside free targets elsewhere.
-// That alone never moves it away from the wanted share.
-func (s *regionShare) follow(now clock.Time, remote bool) {
+// adjust moves the setpoint towards the wanted share, by at most the used part of
+// the limit, and not beyond the band around the share that ran. Objects stay where
+// they are warm, so a setpoint that moved further than the actual share forced
+// requests back into a full region: in a region with a tenth of the slots, 3 in
+// 100 of its requests were refused while targets of other regions were free. The
+// band alone never moves the setpoint away from the wanted share.
+func (s *regionShare) adjust(now clock.Time, remote bool) {
 	sample := 0.0
 	if remote {
 		sample = 1
 	}
 	s.wanted += wantedWeight * (sample - s.wanted)
-	rate := s.bound * shiftUse / shiftWindow.Seconds()
-	step := rate * min(now.Sub(s.at), time.Second).Seconds()
-	s.at = now
-	band := shiftBand * s.bound
-	ran := s.target + s.off(now)
+	rate := s.maxChange * shiftBoundShare / shiftWindow.Seconds()
+	step := rate * min(now.Sub(s.updatedAt), time.Second).Seconds()
+	s.updatedAt = now
+	band := shiftBand * s.maxChange
+	ran := s.setpoint + s.deviation(now)
 	wanted := min(max(s.wanted, ran-band), ran+band)
-	if (wanted > s.target) != (s.wanted > s.target) {
+	if (wanted > s.setpoint) != (s.wanted > s.setpoint) {
 		return
 	}
-	s.target += min(max(wanted-s.target, -step), step)
+	s.setpoint += min(max(wanted-s.setpoint, -step), step)
 }
 
-// count counts a request that was placed by a choice between two sides.
+// count records a placed request that had a target on both sides.
 func (s *regionShare) count(now clock.Time, remote bool) {
-	s.turn(now)
+	s.rotate(now)
 	one := shiftCount{all: 1}
 	if remote {
 		one.remote = 1
 	}
-	s.now.add(one)
-	low, high := s.ran.limits(now, s.bound)
-	s.owed.count(low, high, one)
-	s.ran.count(now, one)
+	s.current.add(one)
+	low, high := s.history.limits(now, s.maxChange)
+	s.debts.count(low, high, one)
+	s.history.count(now, one)
 }
 
-func (s *regionShare) turn(now clock.Time) {
-	switch passed := now.Sub(s.began); {
+// rotate starts a new half window if the current one is over.
+func (s *regionShare) rotate(now clock.Time) {
+	switch passed := now.Sub(s.windowStart); {
 	case passed < shiftWindow/2:
 	case passed < shiftWindow:
-		s.before, s.now = s.now, shiftCount{}
-		s.began = s.began.Add(shiftWindow / 2)
+		s.previous, s.current = s.current, shiftCount{}
+		s.windowStart = s.windowStart.Add(shiftWindow / 2)
 	default:
-		s.before, s.now = shiftCount{}, shiftCount{}
-		s.began = now
+		s.previous, s.current = shiftCount{}, shiftCount{}
+		s.windowStart = now
 	}
 }
 
-// off is by how much the share of the last seconds lies above the target.
-func (s *regionShare) off(now clock.Time) float64 {
-	s.turn(now)
-	all := s.now.all + s.before.all
-	if all < shiftFew {
+// deviation returns by how much the recent share exceeds the setpoint.
+func (s *regionShare) deviation(now clock.Time) float64 {
+	s.rotate(now)
+	all := s.current.all + s.previous.all
+	if all < minShareSamples {
 		return 0
 	}
-	return float64(s.now.remote+s.before.remote)/float64(all) - s.target
+	return float64(s.current.remote+s.previous.remote)/float64(all) - s.setpoint
 }
 
-// side is the side of the share to which something belongs.
+// side is one side of the share: the own region or the others.
 type side uint8
 
 const (
 	sideAny side = iota
-	sideOwn
-	sideOthers
+	sideLocal
+	sideRemote
 )
 
-// sideOf returns the side to which a request for an object belongs, and why.
-// hash lies between 0 and 1; warm is the only side where the object is warm, if
-// there is one. It goes before the hash while the share is near its target: an
-// object that changes sides starts cold there.
-func (s *regionShare) sideOf(now clock.Time, hash float64, warm side) (side, Why) {
-	low, high := s.ran.limits(now, s.bound)
-	forced := s.owed.forced(low, high, hash)
-	switch off := s.off(now) / s.bound; {
+// sideFor returns the side to which a request for an object belongs, and the
+// reason. hash is between 0 and 1; warm is the only side where the object is warm,
+// if there is one. While the share is near its setpoint, warm takes precedence
+// over the hash: an object that changes sides starts cold there.
+func (s *regionShare) sideFor(now clock.Time, hash float64, warm side) (side, RegionReason) {
+	low, high := s.history.limits(now, s.maxChange)
+	forced := s.debts.forced(low, high, hash)
+	switch off := s.deviation(now) / s.maxChange; {
 	case forced != sideAny:
-		return forced, WhyHistory
-	case off > shiftFar:
-		return sideOwn, WhyFarOff
-	case off < -shiftFar:
-		return sideOthers, WhyFarOff
+		return forced, ReasonHistory
+	case off > shiftFarBand:
+		return sideLocal, ReasonFarBand
+	case off < -shiftFarBand:
+		return sideRemote, ReasonFarBand
 	case warm != sideAny:
-		return warm, WhyWarm
+		return warm, ReasonWarm
 	case off > shiftBand:
-		return sideOwn, WhyBand
+		return sideLocal, ReasonBand
 	case off < -shiftBand:
-		return sideOthers, WhyBand
-	case hash < s.target:
-		return sideOthers, WhyHash
+		return sideRemote, ReasonBand
+	case hash < s.setpoint:
+		return sideRemote, ReasonHash
 	default:
-		return sideOwn, WhyHash
+		return sideLocal, ReasonHash
 	}
 }
 
 // mayCross reports whether a request may go to the side to which it does not
-// belong: the share stays near its target.
+// belong without moving the share too far from its setpoint.
 func (s *regionShare) mayCross(now clock.Time, toRemote bool) bool {
 	if toRemote {
-		return s.owed.own < 1 && s.off(now) < shiftBand*s.bound
+		return s.debts.local < 1 && s.deviation(now) < shiftBand*s.maxChange
 	}
-	return s.owed.others < 1 && s.off(now) > -shiftBand*s.bound
+	return s.debts.remote < 1 && s.deviation(now) > -shiftBand*s.maxChange
 }
 
-// sideHash places an object on the scale of a share.
-func (r *Reducer) sideHash(object string) float64 {
+// objectHash maps an object to a number between 0 and 1; without an object it is
+// random.
+func (r *Reducer) objectHash(object string) float64 {
 	if object == "" {
 		return r.rng.Float64()
 	}
@@ -203,8 +205,8 @@
 	return float64(rank.Score("side", object)>>11) / scale
 }
 
-// firstShare is the share with which a service begins.
-func (r *Reducer) firstShare(s *service) float64 {
+// initialShare returns the share with which a service starts.
+func (r *Reducer) initialShare(s *service) float64 {
 	regions := make(map[fleet.Region]bool)
 	own, all := 0, 0
 	for _, t := range s.targets {
@@ -213,7 +215,7 @@
 		}
 		regions[t.region] = true
 		all += t.Slots
-		if r.here(t) {
+		if r.isLocal(t) {
 			own += t.Slots
 		}
 	}
@@ -224,8 +226,7 @@
 	return max(0, 1-float64(own)/fair)
 }
 
-// shiftBound is the operators' bound on the change of a share; 1 if they state
-// none.
+// shiftBound is the operators' limit on the change of a share; 1 if they set none.
 func (r *Reducer) shiftBound() float64 {
 	if b := r.opts.Bounds.RegionShift; b > 0 {
 		return b
--- a/decide/ingress/shift_test.go
+++ b/decide/ingress/shift_test.go
@@ -13,16 +13,14 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// Symptom: more than the operators' part of a region's requests change the
-// region in which they run within two seconds.
-// Sequence: a region with few slots begins with cold targets; they become warm
-// and could take everything; then half of them leave.
-// Cause: only the rise of the share elsewhere was bounded, and nothing at the
-// start.
+// Guards against a change of region for more than the allowed part of a region's
+// requests within two seconds. A region with few slots starts with cold targets;
+// they become warm and could take all requests; then half of them leave. Only the
+// rise of the remote share was limited, and nothing at the start.
 func TestRegionShareMovesSlowly(t *testing.T) {
 	is := is.New(t)
-	s := newBench(t, Bounds{RegionShift: 0.15}, selfVM)
-	s.configure(1, one("a"))
+	s := newHarness(t, Bounds{RegionShift: 0.15}, selfVM)
+	s.configure(1, idempotentRoute("a"))
 	for i := range 2 {
 		s.target(fleet.TargetID(fmt.Sprint("near", i)), "d1", 3)
 	}
@@ -54,72 +52,62 @@
 		change := shares[i] - shares[i-1]
 		is.True(change < 0.15 && change > -0.15) // from one window to the next
 	}
-	is.True(shares[0] > 0.3 && shares[0] < 0.7) // two of eight targets are here
+	is.True(shares[0] > 0.3 && shares[0] < 0.7) // two of eight targets are local
 }
 
-// Symptom: while the share of other regions moves, objects start cold on the
-// other side although their place here is free.
-// Sequence: an object is warm on one side; the share passes the object's
-// hash.
-// Cause: the hash alone decided.
+// Guards against cold starts on the other side when the share moves past the hash
+// of an object that is warm on one side: the hash alone decided.
 func TestObjectsStayOnTheirSide(t *testing.T) {
 	is := is.New(t)
-	s := regionShare{bound: 0.15}
-	s.begin(1, 0.5)
+	s := regionShare{maxChange: 0.15}
+	s.start(1, 0.5)
 	const low, high = 0.1, 0.9
-	is.Equal(sideOnly(&s, 1, low, sideAny), sideOthers)
-	is.Equal(sideOnly(&s, 1, high, sideAny), sideOwn)
-	is.Equal(sideOnly(&s, 1, low, sideOwn), sideOwn)
-	is.Equal(sideOnly(&s, 1, high, sideOthers), sideOthers)
-	for i := range 40 { // 0.425 ran elsewhere: half of the bound too few
+	is.Equal(sideWithoutReason(&s, 1, low, sideAny), sideRemote)
+	is.Equal(sideWithoutReason(&s, 1, high, sideAny), sideLocal)
+	is.Equal(sideWithoutReason(&s, 1, low, sideLocal), sideLocal)
+	is.Equal(sideWithoutReason(&s, 1, high, sideRemote), sideRemote)
+	for i := range 40 { // 0.425 ran in other regions: half of the limit too few
 		s.count(1, i*17%40 < 17) // spread evenly
 	}
-	is.Equal(sideOnly(&s, 1, high, sideAny), sideOthers)
-	is.Equal(sideOnly(&s, 1, low, sideOwn), sideOwn) // others can make up for it
-	for range 10 {                                   // 0.34
+	is.Equal(sideWithoutReason(&s, 1, high, sideAny), sideRemote)
+	is.Equal(sideWithoutReason(&s, 1, low, sideLocal), sideLocal) // others can compensate
+	for range 10 {                                                // 0.34
 		s.count(1, false)
 	}
-	is.Equal(sideOnly(&s, 1, high, sideOwn), sideOthers) // the bound goes first
+	is.Equal(sideWithoutReason(&s, 1, high, sideLocal), sideRemote) // the limit takes precedence
 }
 
-// Pattern: the region's targets are replaced by fewer; objects stay where they
-// are warm, in other regions, while those here are the quicker choice for some
-// time, and then are full.
-//
-// Symptom: requests are refused, or wait beyond their aim, for want of a slot
-// here, while targets of other regions are free.
-// Sequence: the target share falls while the share that runs stays; the gap
-// grows beyond the bound, and every request is sent to its own region.
-// Cause: the target moved by itself, whatever the requests did.
-func TestTheTargetStaysNearTheShareThatRan(t *testing.T) {
+// Guards against refusals and long waits for a local slot while targets of other
+// regions are free. The region's targets are replaced by fewer; objects stay where
+// they are warm, in other regions, while the local targets are the quicker choice
+// for some time and then are full. The setpoint fell while the actual share
+// stayed, until every request was sent to its own region.
+func TestTheSetpointStaysNearTheActualShare(t *testing.T) {
 	is := is.New(t)
-	s := regionShare{bound: 0.15}
+	s := regionShare{maxChange: 0.15}
 	now := clock.Time(1)
-	s.begin(now, 0.5)
+	s.start(now, 0.5)
 	const warmElsewhere = 0.5
 	for n := range 2000 { // 100 requests a second for 20 s
-		s.follow(now, false) // the own region would answer sooner
-		remote := sideOnly(&s, now, 0.99, []side{sideOwn, sideOthers}[n%2]) == sideOthers
+		s.adjust(now, false) // the own region would answer sooner
+		remote := sideWithoutReason(&s, now, 0.99, []side{sideLocal, sideRemote}[n%2]) == sideRemote
 		s.count(now, remote)
-		is.True(s.off(now) < shiftFar*s.bound) // nothing is ever forced
+		is.True(s.deviation(now) < shiftFarBand*s.maxChange) // nothing is ever forced
 		now = now.Add(10 * time.Millisecond)
 	}
-	is.True(s.target > warmElsewhere-0.1)
+	is.True(s.setpoint > warmElsewhere-0.1)
 }
 
-// Pattern: a crowd of three times what the region's targets bear comes within a
-// second, and stays.
-//
-// Symptom: more than the operators' part of the region's requests change the
-// region in which they run within two seconds.
-// Sequence: all targets here are full at once; those elsewhere are free.
-// Cause: the target follows the share that ran, and the share the target: each
-// request that crosses lets another one cross.
-func TestACrowdMovesTheShareSlowly(t *testing.T) {
+// Guards against a change of region for more than the allowed part of a region's
+// requests within two seconds when the load rises within a second to three times
+// the capacity of the region's targets and stays there. All local targets are full
+// at once. The setpoint follows the actual share and the share the setpoint, so
+// each request that crosses lets another one cross.
+func TestALoadPeakMovesTheShareSlowly(t *testing.T) {
 	for seed := range uint64(5) {
 		is := is.New(t)
-		s := newBench(t, Bounds{RegionShift: 0.15}, selfVM)
-		rt := one("a")
+		s := newHarness(t, Bounds{RegionShift: 0.15}, selfVM)
+		rt := idempotentRoute("a")
 		rt.Aim = 400 * time.Millisecond
 		s.configure(1, rt)
 		s.target("near", "d1", 10)
@@ -179,21 +167,18 @@
 	}
 }
 
-// Pattern: load rises over ten seconds to nine tenths of what the region's
-// targets bear, and then by half as much again within a moment.
-//
-// Symptom: requests wait here and are refused while other regions are idle.
-// Sequence: as long as a slot is free here, it is the quicker choice; when none
-// is, the share that may run elsewhere still stands at nothing and moves slowly.
-// Cause: the share followed the expected answer of each request alone.
+// Guards against waits and refusals while other regions are idle. Load rises over
+// ten seconds to nine tenths of the capacity of the region's targets, and then
+// suddenly by half. A free local slot was the quicker choice until none was left;
+// the remote share was still zero then and moves slowly.
 func TestTheShareMovesBeforeTheRegionIsFull(t *testing.T) {
 	is := is.New(t)
-	s := newBench(t, Bounds{RegionShift: 0.15}, selfVM)
-	s.configure(1, one("a"))
+	s := newHarness(t, Bounds{RegionShift: 0.15}, selfVM)
+	s.configure(1, idempotentRoute("a"))
 	s.target("near", "d1", 20)
 	s.target("far", "far", 20)
 	svc := s.r.services["svc"]
-	svc.share.begin(s.now, 0)
+	svc.share.start(s.now, 0)
 	hold := func(n int) {
 		for id := RequestID(1000); len(s.r.attempts) < n; id++ {
 			s.step(&Arrive{Request: id, Host: "h", Path: "/a/x", Object: fmt.Sprint("held", id)})
@@ -208,24 +193,21 @@
 		}
 	}
 	arrivals()
-	is.Equal(svc.share.target, 0.0) // a quarter is free
+	is.Equal(svc.share.setpoint, 0.0) // a quarter is free
 	hold(18)
 	arrivals()
-	is.True(svc.share.target > 0.02) // a tenth is free, and the answer here is sooner
+	is.True(svc.share.setpoint > 0.02) // a tenth is free, and the local answer is sooner
 }
 
-// Pattern: the coordinator of a service dies, or does not answer in time, while
-// a third of the region's requests run in other regions.
-//
-// Symptom: more than the operators' part of the region's requests change the
-// region in which they run within two seconds.
-// Sequence: VMs that asked the coordinator place by themselves; each begins with
-// the share that it works out from slots alone.
-// Cause: only the coordinator knew the share that had come about.
-func TestASuccessorBeginsWithTheShareOfItsPredecessor(t *testing.T) {
+// Guards against a change of region for more than the allowed part of a region's
+// requests within two seconds when the coordinator of a service crashes, or does
+// not answer in time, while a third of the requests run in other regions. Only the
+// coordinator knew the actual share; VMs that then placed requests themselves
+// started from a share computed from slots alone.
+func TestASuccessorStartsWithTheShareOfItsPredecessor(t *testing.T) {
 	is := is.New(t)
-	s := newBench(t, Bounds{RegionShift: 0.15}, selfVM, otherVM)
-	s.configure(1, one("a"))
+	s := newHarness(t, Bounds{RegionShift: 0.15}, selfVM, otherVM)
+	s.configure(1, idempotentRoute("a"))
 	for i := range 4 {
 		s.target(fleet.TargetID(fmt.Sprint("near", i)), "d1", 3)
 		s.target(fleet.TargetID(fmt.Sprint("far", i)), "far", 3)
@@ -236,8 +218,8 @@
 	}
 	ask := s.step(&Arrive{Request: 1, Host: "h", Path: "/a/x", Object: "o"}).Tells[0]
 	is.Equal(ask.To, otherVM)
-	s.step(&Heard{From: otherVM, Message: &Grant{ID: ask.Message.(*Ask).ID, Target: "near1", Share: HeardShare{Known: true, Elsewhere: 0.33}}})
-	is.Equal(s.r.services[svc].share.target, 0.33)
+	s.step(&Heard{From: otherVM, Message: &Grant{ID: ask.Message.(*PlacementRequest).ID, Target: "near1", Share: RemoteShare{Known: true, Share: 0.33}}})
+	is.Equal(s.r.services[svc].share.setpoint, 0.33)
 	s.step(&MembersChanged{VMs: []fleet.VM{{ID: selfVM, Domain: "d1", Region: "r1"}}})
 	remote, all := 0, 0
 	for n := range 200 {
@@ -251,43 +233,40 @@
 	}
 	share := float64(remote) / float64(all)
 	is.True(share > 0.33-0.15 && share < 0.33+0.15)
-	for _, wrong := range []float64{-1, 2, math.NaN()} { // another VM's words are not believed blindly
-		s.r.services[svc].share.hear(s.now, HeardShare{Known: true, Elsewhere: wrong})
-		is.True(s.r.services[svc].share.target <= 1 && s.r.services[svc].share.target >= 0)
+	for _, wrong := range []float64{-1, 2, math.NaN()} { // invalid values of another VM are ignored
+		s.r.services[svc].share.adopt(s.now, RemoteShare{Known: true, Share: wrong})
+		is.True(s.r.services[svc].share.setpoint <= 1 && s.r.services[svc].share.setpoint >= 0)
 	}
 }
 
-// Pattern: a failure domain is taken back, and objects are warm on both sides of
-// the region's border, or now on the one and now on the other.
-//
-// Symptom: a third of the region's requests change the region in which they run
-// within two seconds.
-// Sequence: what is warm moves the share that runs from the upper edge of the
-// band around the target to the lower one, while the target moves as well.
-// Cause: the bands were measured against the target, and nothing against what
-// had run before.
+// Guards against a change of region for a third of a region's requests within two
+// seconds when a failure domain is taken back and objects are warm in several
+// regions, or alternately in one and another. Warm objects move the actual share
+// from the upper edge of the band around the setpoint to the lower one while the
+// setpoint moves as well; the bands were relative to the setpoint, and nothing was
+// compared with what had run before.
 func TestWarmObjectsDoNotMoveTheShareBeyondTheBound(t *testing.T) {
 	const bound, perSecond = 0.15, 600
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 5))
-		s := regionShare{bound: bound}
+		s := regionShare{maxChange: bound}
 		now := clock.Time(time.Hour)
-		s.begin(now, 0.4)
+		s.start(now, 0.4)
 		var ran []bool
 		warm, wanted := 0.5, true
 		for n := range 30 * perSecond {
 			if n%(perSecond*3/2) == 0 {
 				warm, wanted = rng.Float64(), rng.IntN(2) == 0
 			}
-			s.follow(now, wanted)
+			s.adjust(now, wanted)
 			known := sideAny
 			switch x := rng.Float64(); {
 			case x < 0.9*warm:
-				known = sideOwn
+				known = sideLocal
 			case x < 0.9:
-				known = sideOthers
+				known = sideRemote
 			}
-			remote := sideOnly(&s, now, rng.Float64(), known) == sideOthers
+			remote := sideWithoutReason(&s, now, rng.Float64(), known) == sideRemote
 			if rng.IntN(4) == 0 && s.mayCross(now, !remote) {
 				remote = !remote
 			}
@@ -299,7 +278,7 @@
 		for from := 0; from+2*window <= len(ran); from += 37 {
 			change := shareOf(ran[from+window:from+2*window]) - shareOf(ran[from:from+window])
 			if math.Abs(change) > bound {
-				t.Fatalf("seed %d: %.3f of the requests change sides at %.2f s", seed, change, float64(from)/perSecond)
+				t.Fatalf("seed %d: share changes by %.3f within a window at %.2f s", seed, change, float64(from)/perSecond)
 			}
 		}
 	}
@@ -315,8 +294,8 @@
 	return float64(n) / float64(len(remote))
 }
 
-// sideOnly is sideOf without the reason.
-func sideOnly(s *regionShare, now clock.Time, hash float64, warm side) side {
-	chosen, _ := s.sideOf(now, hash, warm)
+// sideWithoutReason is sideFor without the reason.
+func sideWithoutReason(s *regionShare, now clock.Time, hash float64, warm side) side {
+	chosen, _ := s.sideFor(now, hash, warm)
 	return chosen
 }
--- a/decide/ingress/standin.go
+++ b/decide/ingress/standin.go
@@ -5,71 +5,71 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// Until the lease of a coordinator that has died ends, it is named all the same.
-// Entry VMs that find it silent turn to the next one in line, the same for all
-// of them: if each placed its own requests, as it does where nobody is left to
-// ask, none would count those of the others.
+// A coordinator that has crashed stays a member until its lease ends. Entry VMs
+// that find it silent use the next VM in the order of coordinators as standby, the
+// same one at all of them. If each placed its own requests instead, as it does
+// when no VM is left to ask, none would count the requests of the others.
 
-// silence is that of a coordinator or gateway that did not answer in time.
-type silence struct {
-	until clock.Time // it is not asked before
-	// probe is the one ask that finds out whether it answers again; 0: none is
-	// under way. With all asks put to it, those of a third of a second would
-	// wait for a dead VM once a second.
-	probe askNumber
+// silentVM is the state of a coordinator or gateway that did not answer in time.
+type silentVM struct {
+	retryAt clock.Time // it is not asked before
+	// probe is the single request that checks whether the VM answers again; 0:
+	// none is under way. If all requests were sent to it, those of a third of a
+	// second would wait for a dead VM once a second.
+	probe probeID
 }
 
-// askNumber numbers what a VM is asked for: an AskID of a coordinator, or the
-// AttemptID of a request that a gateway is to carry.
-type askNumber uint64
+// probeID is the number of what a VM was asked for: a PlacementID at a
+// coordinator, or the AttemptID of a request that a gateway is to forward.
+type probeID uint64
 
-// mostAsked is how many in line are asked at most: beyond two it is likely to be
-// this VM that is cut off.
-const mostAsked = 2
+// maxStandby is how many VMs of an order are asked at most. If two of them are
+// silent, it is probably this VM that is cut off.
+const maxStandby = 2
 
-// placer returns the entry VM that is to place a request for a service in this
-// VM's region: the first in line that is not silent. It returns "" if there is
-// none to ask.
-func (r *Reducer) placer(now clock.Time, s fleet.ServiceName) fleet.VMID {
-	line := r.line(r.region, s)
-	for _, id := range line[:min(len(line), mostAsked)] {
-		if r.askable(now, id) {
+// activeCoordinator returns the entry VM that places requests for a service in
+// this VM's region: the first of the coordinator order that is not silent. It
+// returns "" if there is none to ask.
+func (r *Reducer) activeCoordinator(now clock.Time, s fleet.ServiceName) fleet.VMID {
+	line := r.coordinatorOrder(r.region, s)
+	for _, id := range line[:min(len(line), maxStandby)] {
+		if r.isAvailable(now, id) {
 			return id
 		}
 	}
 	return ""
 }
 
-func (r *Reducer) askable(now clock.Time, id fleet.VMID) bool {
+func (r *Reducer) isAvailable(now clock.Time, id fleet.VMID) bool {
 	s, silent := r.silent[id]
-	return !silent || (s.probe == 0 && !s.until.After(now))
+	return !silent || (s.probe == 0 && !s.retryAt.After(now))
 }
 
-// noteAsk makes an ask the probe of a silent VM.
-func (r *Reducer) noteAsk(to fleet.VMID, id askNumber) {
+// startProbe makes a request to a silent VM its probe.
+func (r *Reducer) startProbe(to fleet.VMID, id probeID) {
 	if s, silent := r.silent[to]; silent {
 		s.probe = id
 	}
 }
 
-// noteWithdrawn ends a probe that will have no answer.
-func (r *Reducer) noteWithdrawn(to fleet.VMID, id askNumber) {
+// endProbe ends a probe that will get no answer.
+func (r *Reducer) endProbe(to fleet.VMID, id probeID) {
 	if s, silent := r.silent[to]; silent && s.probe == id {
 		s.probe = 0
 	}
 }
 
-// noteSilent notes that a VM has not answered in time.
-func (r *Reducer) noteSilent(now clock.Time, id fleet.VMID) {
-	r.silent[id] = &silence{until: now.Add(avoidFor)}
+// markSilent records that a VM has not answered in time.
+func (r *Reducer) markSilent(now clock.Time, id fleet.VMID) {
+	r.silent[id] = &silentVM{retryAt: now.Add(avoidPeriod)}
 }
 
-// noteHeard notes that a VM has answered an ask.
-func (r *Reducer) noteHeard(id fleet.VMID) { delete(r.silent, id) }
+// markResponsive records that a VM has answered.
+func (r *Reducer) markResponsive(id fleet.VMID) { delete(r.silent, id) }
 
-// forgetUnlisted forgets the silence of VMs that are not listed: one that is
-// listed again is another process.
-func (r *Reducer) forgetUnlisted() {
+// forgetRemovedVMs drops the silent state of VMs that are no longer members: one
+// that is listed again is a new process.
+func (r *Reducer) forgetRemovedVMs() {
 	listed := make(map[fleet.VMID]bool, len(r.members))
 	for i := range r.members {
 		listed[r.members[i].ID] = true
--- a/decide/ingress/target.go
+++ b/decide/ingress/target.go
@@ -10,87 +10,87 @@
 	"github.com/azurethread/azurethread/decide/target"
 )
 
-// targetState is what is known of one start of a target.
+// targetState is the state of one instance of a target: one run of its process.
 type targetState struct {
 	Target
-	region fleet.Region
-	svc    *service
-	group  group
-	listed bool // among its service's groups
-	gone   bool // its registration is; it is kept for what is under way there
-	// countedLoad and countedSlots are its part of its service's crowd.
+	region  fleet.Region
+	svc     *service
+	group   group
+	listed  bool // among its service's groups
+	removed bool // its registration is gone; kept for the requests under way there
+	// countedLoad and countedSlots are its part of its service's occupancy.
 	countedLoad, countedSlots int
 	inFlight                  int
-	lapses                    clock.Time // when it is taken to be gone unless it comes back
+	lapsesAt                  clock.Time // when it is removed unless its registration returns
 	coldUntil                 clock.Time
-	// coldStarts counts the times that it lost what it remembered.
+	// coldStarts counts how often it lost its warm objects.
 	coldStarts uint32
-	// sends are those of the last seconds, while it is cold or names a limit.
+	// sends are the recent sends, kept while it is cold or has a rate limit.
 	sends sends
 
 	standing target.Outlier
-	// others is how many requests of other entry VMs the target reported at
-	// reported.
-	others   int
-	reported clock.Time
-	answered clock.Time // when the last answer came
-	// untried says that the target has joined a running system and no request
-	// was placed there yet.
+	// otherLoad is the number of requests of other entry VMs that the target
+	// reported at reportedAt.
+	otherLoad  int
+	reportedAt clock.Time
+	answeredAt clock.Time // when the last answer came
+	// untried means that the target joined a running system and has got no request
+	// yet.
 	untried bool
-	// hasEnded says that this start is known to have ended. lost are the requests
-	// that were under way when their connections did, while that is not known,
-	// and probing says that the target is being asked.
-	hasEnded bool
-	lost     []lostRequest
-	probing  bool
-	speed    target.Mean
-	limit    rateLimit
-	awaited  int    // waiting jobs that would go to the target
-	waiters  []*job // those that consider it
+	// terminated means that this instance is known to have terminated. lost are
+	// the requests that were under way when their connections were lost, kept
+	// until that is known; probing means that a probe is under way.
+	terminated  bool
+	lost        []lostRequest
+	probing     bool
+	speed       target.Mean
+	limit       rateLimit
+	preferredBy int    // waiting jobs that prefer the target
+	waiters     []*job // waiting jobs with the target among their candidates
 }
 
 func (t *targetState) cold(now clock.Time) bool { return now.Before(t.coldUntil) }
 
-// load estimates the requests at the target, those of other entry VMs included.
+// load estimates the requests at the target, including those of other entry VMs.
 func (t *targetState) load(now clock.Time) int {
 	n := t.inFlight
-	if now.Sub(t.reported) < reportFor {
-		n += t.others
+	if now.Sub(t.reportedAt) < loadReportTTL {
+		n += t.otherLoad
 	}
 	return n
 }
 
-// note takes a target's word about its load in an answer. The request that was
-// answered is still counted in it: without its subtraction every target seemed
-// to have one request of somebody else, and a slot of three stayed idle.
-func (t *targetState) note(now clock.Time, l Load) {
+// recordLoad records the load reported in an answer. The report still includes the
+// answered request, which is subtracted: otherwise every target seemed to have one
+// request of another VM, and one slot of three stayed idle.
+func (t *targetState) recordLoad(now clock.Time, l Load) {
 	if !l.Known {
 		return
 	}
-	t.others = max(0, l.Running+l.Waiting-1-t.inFlight)
-	t.reported = now
+	t.otherLoad = max(0, l.Running+l.Waiting-1-t.inFlight)
+	t.reportedAt = now
 }
 
-// coldRoom reports whether one more request may be sent to the target within
-// the present second while it is cold.
-func (t *targetState) coldRoom(now clock.Time, perSecond int) bool {
-	return t.sends.within(now, time.Second+coldSpread) < perSecond
+// withinColdLimit reports whether another request may be sent to the target within
+// the current second while it is cold.
+func (t *targetState) withinColdLimit(now clock.Time, perSecond int) bool {
+	return t.sends.countWithin(now, time.Second+coldWindowSlack) < perSecond
 }
 
-// coldSpread widens the second over which sends to a cold target are counted.
-// Sends that left within more than a second may arrive within one, as the
-// first may have waited for a connection.
-const coldSpread = 500 * time.Millisecond
+// coldWindowSlack widens the second over which sends to a cold target are counted.
+// Sends spread over more than a second may arrive within one, because the first of
+// them may have waited for a connection.
+const coldWindowSlack = 500 * time.Millisecond
 
-// applyTargets takes changed registrations.
+// applyTargets applies changed registrations.
 func (r *Reducer) applyTargets(now clock.Time, ev *TargetsChanged) {
-	for _, id := range ev.Gone {
+	for _, id := range ev.Removed {
 		t, ok := r.targets[id]
 		switch {
 		case !ok:
-		case ev.Unsure && !t.Draining:
-			t.lapses = now.Add(r.lapseTime())
-			r.lapses = clock.Min(r.lapses, t.lapses)
+		case ev.StoreDegraded && !t.Draining:
+			t.lapsesAt = now.Add(r.lapseTime())
+			r.nextLapse = clock.Min(r.nextLapse, t.lapsesAt)
 		default:
 			r.removeTarget(now, t)
 		}
@@ -102,17 +102,17 @@
 		}
 	}
 	for _, old := range ended {
-		r.leaveStart(now, old)
+		r.abandonInstance(now, old)
 	}
-	r.pump(now)
+	r.dispatchAll(now)
 }
 
-// setTarget takes a registration. Where the target has started again it returns
-// what was known of the start that has ended.
+// setTarget applies a registration. If the target has restarted, it returns the
+// state of the terminated instance.
 func (r *Reducer) setTarget(now clock.Time, d Target) (ended *targetState) {
 	t, ok := r.targets[d.ID]
 	switch {
-	case ok && t.restartedAs(d):
+	case ok && t.isRestart(d):
 		r.removeTarget(now, t)
 		ended, ok = t, false
 	case ok && (t.Service != d.Service || t.Domain != d.Domain):
@@ -122,80 +122,80 @@
 	if !ok {
 		t = r.addTarget(now, d)
 	}
-	t.lapses = clock.Never
+	t.lapsesAt = clock.Never
 	t.Target = d
 	if d.Cold > 0 {
 		t.coldUntil = now.Add(d.Cold)
 		t.coldStarts++
 	}
-	r.list(now, t)
+	r.updateListing(now, t)
 	return ended
 }
 
-// addTarget begins to keep a target.
+// addTarget adds a target that was not known.
 func (r *Reducer) addTarget(now clock.Time, d Target) *targetState {
 	t := &targetState{Target: d, region: r.opts.Regions[d.Domain], group: r.groups[d.Domain], svc: r.serviceOf(d.Service)}
 	r.targets[d.ID] = t
 	t.svc.targets = insertByID(t.svc.targets, t)
-	t.svc.unnamed = nil
-	if t.untried = now.Sub(r.began) > settleTime; t.untried && r.here(t) {
+	t.svc.withoutObject = nil
+	if t.untried = now.Sub(r.startedAt) > startupPeriod; t.untried && r.isLocal(t) {
 		t.svc.untried = insertByID(t.svc.untried, t)
 	}
 	return t
 }
 
-// removeTarget forgets a target. What is under way there still counts on it.
+// removeTarget removes a target. Requests under way there keep using its state.
 func (r *Reducer) removeTarget(now clock.Time, t *targetState) {
-	r.ended(now, t)
+	r.markTerminated(now, t)
 	delete(r.targets, t.ID)
-	t.gone = true
+	t.removed = true
 	t.svc.targets = deleteByID(t.svc.targets, t)
 	t.svc.limited = deleteByID(t.svc.limited, t)
-	t.svc.unnamed = nil
-	t.tried()
-	r.list(now, t)
+	t.svc.withoutObject = nil
+	t.markTried()
+	r.updateListing(now, t)
 }
 
-// tried notes that a request was placed at t.
-func (t *targetState) tried() {
+// markTried records that a request was placed at t.
+func (t *targetState) markTried() {
 	if t.untried {
 		t.untried = false
 		t.svc.untried = deleteByID(t.svc.untried, t)
 	}
 }
 
-// list brings t's place among its service's groups, and in the orders kept for
-// objects, in line with whether it may get requests.
-func (r *Reducer) list(now clock.Time, t *targetState) {
-	may := !t.gone && !t.Draining && !r.evacuated[t.Domain]
+// updateListing adds t to its service's groups and the cached orders of objects,
+// or removes it, depending on whether it may get requests.
+func (r *Reducer) updateListing(now clock.Time, t *targetState) {
+	may := !t.removed && !t.Draining && !r.evacuated[t.Domain]
 	group := &t.svc.groups[t.group]
 	switch {
 	case may && !t.listed:
 		t.listed = true
 		*group = append(*group, t)
-		t.svc.objects.each(func(o *object) { o.joined(t.svc, t) })
+		t.svc.objects.each(func(o *object) { o.targetListed(t.svc, t) })
 	case !may && t.listed:
 		t.listed = false
 		at := slices.Index(*group, t)
 		*group = slices.Delete(*group, at, at+1)
-		t.svc.objects.each(func(o *object) { o.left(t.svc, t) })
+		t.svc.objects.each(func(o *object) { o.targetUnlisted(t.svc, t) })
 	}
-	r.recount(now, t)
+	r.updateOccupancy(now, t)
 }
 
-// restartedAs reports whether d is of a later start of t. The first one to
-// state its time is the start that was there before.
-func (t *targetState) restartedAs(d Target) bool {
+// isRestart reports whether d describes a later instance of t. The first
+// registration to state a start time describes the current instance.
+func (t *targetState) isRestart(d Target) bool {
 	return t.Born != 0 && d.Born != 0 && t.Born != d.Born
 }
 
-// leaveStart gives up what led to a start of a target that has ended: its kept
-// connections, which may never tell, and the hope of an answer. Requests that
-// may run again are sent elsewhere now; a late answer still counts.
-func (r *Reducer) leaveStart(now clock.Time, old *targetState) {
-	r.believe(old, "started again", 0)
-	r.endedUnderAll(now, old)
-	r.out.Restarted = append(r.out.Restarted, old.Addr)
+// abandonInstance closes the pooled connections to a terminated instance, whose
+// end they may never signal, and sends idempotent requests under way there to
+// another target. A late answer still counts.
+func (r *Reducer) abandonInstance(now clock.Time, old *targetState) {
+	r.reportChange(old, "restarted", 0)
+	r.recordTerminationForAll(now, old)
+	r.out.RestartedAddrs = append(r.out.RestartedAddrs, old.Addr)
 	for _, a := range r.attemptsAt(old) {
 		if q := a.req; q.route.Idempotent {
 			r.hedge(now, q)
@@ -203,7 +203,7 @@
 	}
 }
 
-// attemptsAt returns the sends under way to t, in their order.
+// attemptsAt returns the attempts under way at t, in their order.
 func (r *Reducer) attemptsAt(t *targetState) []*attempt {
 	var list []*attempt
 	for _, a := range r.attempts {
@@ -215,48 +215,48 @@
 	return list
 }
 
-// settleTime is how long after its first event the reducer takes the targets
-// that it hears of for such as were there before.
-const settleTime = 5 * time.Second
+// startupPeriod is how long after its first event the reducer assumes that newly
+// known targets were there before.
+const startupPeriod = 5 * time.Second
 
-// A target is still used for some time after its registration has gone while
-// the store was in trouble: registrations of live targets are back within about
-// two seconds of the store's return. lapseTime is that time, and lapseShare the
-// part of the time for which leaving targets serve that it may take.
+// A target is still used for some time if its registration disappeared while the
+// store was in trouble: live targets are registered again within about two seconds
+// of the store's return. maxLapseTime is that time, and maxLapseShare the largest
+// part of the drain time of targets that it may take.
 const (
-	lapseTime  = 1800 * time.Millisecond
-	lapseShare = 0.7
+	maxLapseTime  = 1800 * time.Millisecond
+	maxLapseShare = 0.7
 )
 
-// lapseTime is how long a target is used whose registration has lapsed.
+// lapseTime returns how long a target is used after its registration has lapsed.
 func (r *Reducer) lapseTime() time.Duration {
-	if r.opts.Drain == 0 {
-		return lapseTime
+	if r.opts.DrainTime == 0 {
+		return maxLapseTime
 	}
-	return min(lapseTime, time.Duration(lapseShare*float64(r.opts.Drain)))
+	return min(maxLapseTime, time.Duration(maxLapseShare*float64(r.opts.DrainTime)))
 }
 
-// expireLapsed removes the targets whose registrations have not come back.
-func (r *Reducer) expireLapsed(now clock.Time) {
-	if r.lapses.After(now) {
+// removeLapsed removes the targets whose lapsed registrations have not returned.
+func (r *Reducer) removeLapsed(now clock.Time) {
+	if r.nextLapse.After(now) {
 		return
 	}
-	r.lapses = clock.Never
+	r.nextLapse = clock.Never
 	for _, t := range r.targets {
 		switch {
-		case t.lapses == clock.Never:
-		case !t.lapses.After(now):
+		case t.lapsesAt == clock.Never:
+		case !t.lapsesAt.After(now):
 			r.removeTarget(now, t)
 		default:
-			r.lapses = clock.Min(r.lapses, t.lapses)
+			r.nextLapse = clock.Min(r.nextLapse, t.lapsesAt)
 		}
 	}
 }
 
-// evacuate opens or ends the evacuation of a failure domain. Its targets may
-// have become cold meanwhile without having been started anew, so they are
-// taken to be cold when they come back.
-func (r *Reducer) evacuate(now clock.Time, ev *Evacuated) {
+// applyEvacuation starts or ends the evacuation of a failure domain. Its targets
+// may have lost their warm objects meanwhile without a restart, so they count as
+// cold when they return.
+func (r *Reducer) applyEvacuation(now clock.Time, ev *Evacuated) {
 	if ev.Begin == r.evacuated[ev.Domain] {
 		return
 	}
@@ -272,15 +272,15 @@
 		if !ev.Begin {
 			t.coldUntil = max(t.coldUntil, now.Add(r.coldTime(t.Service)))
 		}
-		r.list(now, t)
+		r.updateListing(now, t)
 	}
 	if ev.Begin {
 		return
 	}
-	r.pump(now)
+	r.dispatchAll(now)
 }
 
-// coldTime is how long a target of the service stays cold after its start.
+// coldTime returns how long a target of the service stays cold after its start.
 func (r *Reducer) coldTime(s fleet.ServiceName) time.Duration {
 	if r.table == nil {
 		return 0
--- a/decide/ingress/timers.go
+++ b/decide/ingress/timers.go
@@ -6,29 +6,29 @@
 	"github.com/azurethread/azurethread/decide/clock"
 )
 
-// purpose says what is due for a request.
+// purpose is what a timer is for.
 type purpose uint8
 
 const (
 	dueAnswer     purpose = iota // the request must have its final answer
-	dueHedge                     // it may be sent a second time
-	dueAsk                       // its coordinator must have answered
+	dueHedge                     // the request may be sent a second time
+	duePlacement                 // its coordinator must have answered
 	dueJob                       // the job's wait or place ends
-	dueQuarantine                // a fingerprint need not be kept away any more
-	dueGateway                   // the gateway must have said that it has the request
-	dueCarried                   // the time of a carried request is over
+	dueQuarantine                // expired quarantines are removed
+	dueGateway                   // the gateway must have acknowledged the request
+	dueForward                   // the time of a forwarded request is over
 )
 
-// timer is one thing that is due for a request. Timers are not removed when
-// they lose their purpose: what is due is checked when they fire.
+// timer is an action scheduled for a time. Timers are not removed when they become
+// obsolete; their handlers check the state instead.
 type timer struct {
-	at      clock.Time
-	seq     uint64 // breaks ties, so that the order is always the same
-	request RequestID
-	purpose purpose
-	ask     AskID     // of dueAsk
-	attempt AttemptID // of dueGateway
-	job     *job      // of dueJob
+	at        clock.Time
+	seq       uint64 // breaks ties, so that the order is deterministic
+	request   RequestID
+	purpose   purpose
+	placement PlacementID // of dueAsk
+	attempt   AttemptID   // of dueGateway
+	job       *job        // of dueJob
 }
 
 type timers struct {
--- a/decide/ingress/work_test.go
+++ b/decide/ingress/work_test.go
@@ -16,8 +16,8 @@
 	workCold = 900 * time.Millisecond
 )
 
-// begin lets a request arrive and returns its send.
-func (s *bench) begin(id RequestID, path, object string) Send {
+// arriveOnce passes in a request and returns its only send.
+func (s *harness) arriveOnce(id RequestID, path, object string) Send {
 	s.t.Helper()
 	out := s.step(&Arrive{Request: id, Host: "h", Path: path, Object: object})
 	if len(out.Sends) != 1 {
@@ -26,21 +26,20 @@
 	return out.Sends[0]
 }
 
-// serve lets a request arrive and be answered after took.
-func (s *bench) serve(id RequestID, path, object string, took time.Duration) fleet.TargetID {
+// serve passes in a request that is answered after took.
+func (s *harness) serve(id RequestID, path, object string, took time.Duration) fleet.TargetID {
 	s.t.Helper()
-	send := s.begin(id, path, object)
+	send := s.arriveOnce(id, path, object)
 	s.now = s.now.Add(took)
 	s.step(&Answered{Attempt: send.Attempt, Outcome: Served})
 	return send.Target
 }
 
-// Symptom: objects are handled at three places, each time from cold, while the
-// targets where they are warm are idle.
-// Sequence: requests that name no object, or a route with little work, are
-// answered within milliseconds; then one takes its usual time.
-// Cause: all were measured together, so that the usual request seemed a hundred
-// times too long, and its target that much slower than the others.
+// Guards against cold starts of objects at three targets while those where they
+// are warm are idle. Requests without an object, or of a route with little work,
+// are answered within milliseconds. All requests were measured together, so a
+// usual one seemed a hundred times too slow and its target that much slower than
+// the others.
 func TestQuickRequestsMakeNoTargetSlow(t *testing.T) {
 	cases := map[string]struct{ path, object string }{
 		"no object":     {path: "/a/x"},
@@ -49,8 +48,8 @@
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			s := newBench(t, Bounds{}, selfVM)
-			s.configure(1, one("a"), one("b"))
+			s := newHarness(t, Bounds{}, selfVM)
+			s.configure(1, idempotentRoute("a"), idempotentRoute("b"))
 			for i := range 4 {
 				s.target(fleet.TargetID(fmt.Sprint("t", i)), "d1", 3)
 			}
@@ -65,47 +64,43 @@
 	}
 }
 
-// Symptom: an object that is asked for twice at once is handled from cold
-// twice.
-// Sequence: the second request comes while the first is in flight.
-// Cause: a target counted as having an object only once it had answered.
+// Guards against two cold starts of an object requested twice at the same time: a
+// target counted as warm only after it had answered.
 func TestObjectInFlightIsWarm(t *testing.T) {
 	is := is.New(t)
-	s := newBench(t, Bounds{}, selfVM)
-	s.configure(1, one("a"))
+	s := newHarness(t, Bounds{}, selfVM)
+	s.configure(1, idempotentRoute("a"))
 	for i := range 4 {
 		s.target(fleet.TargetID(fmt.Sprint("t", i)), "d1", 2)
 	}
-	for id := range RequestID(20) { // what warm and cold take
+	for id := range RequestID(20) { // measures warm and cold work
 		object := fmt.Sprint("o", id/2)
 		s.serve(id, "/a/x", object, []time.Duration{workCold, workWarm}[id%2])
 	}
-	first := s.begin(100, "/a/x", "hot")
-	second := s.begin(101, "/a/x", "hot")
-	third := s.begin(102, "/a/x", "hot")
+	first := s.arriveOnce(100, "/a/x", "hot")
+	second := s.arriveOnce(101, "/a/x", "hot")
+	third := s.arriveOnce(102, "/a/x", "hot")
 	is.Equal(second.Target, first.Target)
-	is.Equal(third.Target, first.Target) // a short wait there, against a cold start elsewhere
+	is.Equal(third.Target, first.Target) // a short wait there is better than a cold start
 }
 
-// Symptom: requests go to a target that does not remember their object,
-// past one that does.
-// Sequence: the first request for the object is refused there before it runs.
-// Cause: having sent it counted as the target's having the object.
-func TestRefusedRequestBringsNoObject(t *testing.T) {
+// Guards against preferring a target that does not remember an object to one that
+// does. The first request for the object was refused there before it ran, but
+// counted as having made it warm.
+func TestARefusedRequestDoesNotWarmItsObject(t *testing.T) {
 	is := is.New(t)
-	s := newBench(t, Bounds{}, selfVM)
-	s.configure(1, one("a"))
+	s := newHarness(t, Bounds{}, selfVM)
+	s.configure(1, idempotentRoute("a"))
 	s.target("t1", "d1", 3)
-	send := s.begin(1, "/a/x", "o")
+	send := s.arriveOnce(1, "/a/x", "o")
 	is.True(s.r.targets["t1"].isWarm(s.now, "o"))
 	s.step(&Failed{Attempt: send.Attempt, Verdict: verdict.NotRun, Reason: verdict.ReasonConnect})
 	is.True(!s.r.targets["t1"].isWarm(s.now, "o"))
 }
 
-// Symptom: the first requests for an object go to another region, although the
-// own one is as quick.
-// Sequence: answers were measured only here, and take longer than was assumed.
-// Cause: what was never measured kept the assumed latency.
+// Guards against sending the first requests for an object to another region
+// although the own one is as fast. Only local answers were measured, and took
+// longer than assumed; unmeasured work kept the assumed latency.
 func TestUnmeasuredWorkFollowsMeasured(t *testing.T) {
 	is := is.New(t)
 	var s routeState
@@ -114,13 +109,13 @@
 	is.Equal(s.expected(objectNone), float64(initialWork[objectNone]))
 }
 
-// placing has a region with one target of two slots, another region that is as
-// near, and an object that is warm at the first.
-func placing(t *testing.T) *bench {
-	s := newBench(t, Bounds{RegionShift: 1}, selfVM)
-	s.configure(1, one("a"))
+// newPlacementHarness has a region with one target of two slots, another region
+// that is as near, and an object that is warm at the first.
+func newPlacementHarness(t *testing.T) *harness {
+	s := newHarness(t, Bounds{RegionShift: 1}, selfVM)
+	s.configure(1, idempotentRoute("a"))
 	s.target("t1", "d1", 2)
-	for id := range RequestID(20) { // what warm and cold take
+	for id := range RequestID(20) { // measures warm and cold work
 		object := fmt.Sprint("o", id/2)
 		s.serve(id, "/a/x", object, []time.Duration{workCold, workWarm}[id%2])
 	}
@@ -128,46 +123,42 @@
 	return s
 }
 
-// Symptom: during a rush every object is handled from cold at several places,
-// and everything takes longer than it need.
-// Sequence: the target where an object is warm has its slots taken; a target
-// of another region is idle.
-// Cause: full meant that the request goes elsewhere, whatever it takes there.
-func TestFullPlaceIsWaitedFor(t *testing.T) {
+// Guards against cold starts of every object at several targets under a load peak.
+// The slots of the target where an object is warm are taken and a target of
+// another region is idle; a request was sent there regardless of the time that it
+// takes.
+func TestWarmRequestsWaitForAFullTarget(t *testing.T) {
 	is := is.New(t)
-	s := placing(t)
+	s := newPlacementHarness(t)
 	for id := RequestID(100); id < 104; id++ { // two slots and one round
-		is.Equal(s.begin(id, "/a/x", "o0").Target, fleet.TargetID("t1"))
+		is.Equal(s.arriveOnce(id, "/a/x", "o0").Target, fleet.TargetID("t1"))
 	}
 	out := s.step(&Arrive{Request: 104, Host: "h", Path: "/a/x", Object: "o0"})
-	is.Equal(len(out.Sends), 0) // waits: one more round is shorter than a cold start
+	is.Equal(len(out.Sends), 0) // waits: another round is shorter than a cold start
 }
 
-// Symptom: requests whose object is warm wait behind cold starts.
-// Sequence: requests for new objects come while the slots are taken.
-// Cause: they queued at the target, where they keep others waiting and gain
-// nothing themselves.
+// Guards against requests with warm objects that wait behind cold starts: requests
+// for new objects queued at the target, where they gain nothing and delay others.
 func TestColdRequestsDoNotQueueAtTargets(t *testing.T) {
 	is := is.New(t)
-	s := newBench(t, Bounds{}, selfVM)
-	s.configure(1, one("a"))
+	s := newHarness(t, Bounds{}, selfVM)
+	s.configure(1, idempotentRoute("a"))
 	s.target("t1", "d1", 2)
-	s.begin(1, "/a/x", "new1")
-	s.begin(2, "/a/x", "new2")
+	s.arriveOnce(1, "/a/x", "new1")
+	s.arriveOnce(2, "/a/x", "new2")
 	out := s.step(&Arrive{Request: 3, Host: "h", Path: "/a/x", Object: "new3"})
 	is.Equal(len(out.Sends), 0)
-	s.begin(4, "/a/x", "new1")
+	s.arriveOnce(4, "/a/x", "new1")
 }
 
-// Symptom: objects move to a target at which they start cold, away from a free
-// one where they are warm.
-// Sequence: the target is sent objects that this coordinator doesn't know
-// there, and has them all the same: another region has sent them before.
-// Cause: it seemed three times as quick as the others, and cold work short.
-func TestObjectsBroughtByOthersMakeNoTargetFast(t *testing.T) {
+// Guards against moving objects away from a free target where they are warm to one
+// at which they start cold. That target had answered requests for objects that
+// were unknown there to this coordinator, but warm through another region, so it
+// seemed three times as fast as the others, and cold work short.
+func TestObjectsWarmedByOthersMakeNoTargetFast(t *testing.T) {
 	is := is.New(t)
-	s := newBench(t, Bounds{}, selfVM)
-	s.configure(1, one("a"))
+	s := newHarness(t, Bounds{}, selfVM)
+	s.configure(1, idempotentRoute("a"))
 	s.target("t1", "d1", 3)
 	for id := range RequestID(20) {
 		object := fmt.Sprint("o", id/2)
@@ -178,26 +169,24 @@
 		s.serve(id, "/a/x", fmt.Sprint("brought", id), workWarm)
 	}
 	is.Equal(s.r.routes["a"].expected(objectCold), cold)
-	is.True(s.r.targets["t1"].speed.Value(0) > 0.8*float64(usualSpeed))
-	for id := RequestID(200); id < 600; id++ { // all of it has become short
+	is.True(s.r.targets["t1"].speed.Value(0) > 0.8*float64(referenceSpeed))
+	for id := RequestID(200); id < 600; id++ { // all cold work has become short
 		s.serve(id, "/a/x", fmt.Sprint("short", id), workWarm)
 	}
 	is.True(s.r.routes["a"].expected(objectCold) < cold/2)
 }
 
-// Symptom: after a restart of all entry VMs everything starts cold in the other
-// regions, although the targets there remember the objects.
-// Sequence: an object's place lay in that one of several regions which was the
-// least loaded; the new coordinator chooses by the load of another moment.
-// Cause: one target of each other region was considered.
-func TestPlaceElsewhereDoesNotHangOnLoad(t *testing.T) {
+// Guards against cold starts of all objects in other regions after a restart of
+// all entry VMs. One target of each other region was considered and an object was
+// placed at the least loaded of them, so the new coordinator chose differently.
+func TestRemotePlaceDoesNotDependOnLoad(t *testing.T) {
 	is := is.New(t)
 	choose := func(busy fleet.TargetID) fleet.TargetID {
 		regions := map[fleet.Domain]fleet.Region{"d1": "r1", "d2": "r2", "d3": "r3"}
-		s := newBench(t, Bounds{RegionShift: 1}, selfVM)
+		s := newHarness(t, Bounds{RegionShift: 1}, selfVM)
 		s.r.opts.Regions = regions
 		s.r.groups = groupsOf(regions, "r1")
-		s.configure(1, one("a"))
+		s.configure(1, idempotentRoute("a"))
 		s.target("t2", "d2", 3)
 		s.target("t3", "d3", 3)
 		if busy != "" {
@@ -205,7 +194,7 @@
 		}
 		var seen []fleet.TargetID
 		for _, t := range s.r.targets {
-			local, remote := s.r.options(s.now, &job{Ask: Ask{Service: "svc", Object: "o"}, svc: t.svc, obj: t.svc.objects.get("o")}, false)
+			local, remote := s.r.bestOptions(s.now, &job{PlacementRequest: PlacementRequest{Service: "svc", Object: "o"}, svc: t.svc, obj: t.svc.objects.get("o")}, false)
 			is.True(local.t == nil)
 			seen = append(seen, remote.t.ID)
 		}
@@ -216,34 +205,32 @@
 	is.Equal(choose(idle), idle)
 }
 
-// Symptom: a process grows for as long as its operators change routes.
-// Sequence: configurations that name other routes each time.
-// Cause: what was learned of a route was kept for good.
-func TestRoutesThatAreGoneAreForgotten(t *testing.T) {
+// Guards against unbounded memory when operators keep replacing routes: the
+// measurements of a route were never dropped.
+func TestRemovedRoutesAreDropped(t *testing.T) {
 	is := is.New(t)
-	s := newBench(t, Bounds{}, selfVM)
-	s.configure(1, one("a"))
+	s := newHarness(t, Bounds{}, selfVM)
+	s.configure(1, idempotentRoute("a"))
 	s.target("t1", "d1", 3)
 	s.serve(1, "/a/x", "o", workCold)
-	s.configure(2, one("a"), one("b"))
-	is.True(s.r.routes["a"].work[objectCold].Known()) // what stays is kept
-	s.configure(3, one("b"))
+	s.configure(2, idempotentRoute("a"), idempotentRoute("b"))
+	is.True(s.r.routes["a"].work[objectCold].Known()) // a remaining route keeps its state
+	s.configure(3, idempotentRoute("b"))
 	is.Equal(len(s.r.routes), 0)
 }
 
-// Symptom: targets of other regions seem slower than they are, most of all
-// those that are seldom used.
-// Sequence: a request waits for a connection to open, or for one that is freed
-// sooner, and is then answered after its usual time.
-// Cause: the wait was measured as work, or only the opening was taken off.
+// Guards against overestimating the work of targets in other regions, especially
+// those seldom used. A request waits for a connection to open, or for one that
+// becomes free sooner; the wait was measured as work, or only the opening was
+// subtracted.
 func TestWaitingForAConnectionIsNotWork(t *testing.T) {
 	is := is.New(t)
-	s := newBench(t, Bounds{}, selfVM)
-	s.configure(1, one("a"))
+	s := newHarness(t, Bounds{}, selfVM)
+	s.configure(1, idempotentRoute("a"))
 	s.target("t", "d1", 3)
 	const waited = 80 * time.Millisecond
 	for id := range RequestID(20) {
-		send := s.begin(id, "/a/x", "object")
+		send := s.arriveOnce(id, "/a/x", "object")
 		s.now = s.now.Add(waited + workWarm)
 		s.step(&Answered{Attempt: send.Attempt, Outcome: Served, Waited: waited})
 	}
--- a/serve/ingress/apply.go
+++ b/serve/ingress/apply.go
@@ -32,11 +32,11 @@
 		}
 		s.applyOne(c, &targets, &void)
 	}
-	if len(void.Gone) > 0 {
+	if len(void.Removed) > 0 {
 		s.core.Post(&void) // never unsure: nothing is wrong with the store
 	}
-	if len(targets.Set) > 0 || len(targets.Gone) > 0 {
-		targets.Unsure = unsure
+	if len(targets.Set) > 0 || len(targets.Removed) > 0 {
+		targets.StoreDegraded = unsure
 		s.core.Post(&targets)
 		s.logTargets(&targets)
 	}
@@ -52,7 +52,7 @@
 
 // logTargets writes what has changed among the registrations.
 func (s *Server) logTargets(ev *ingress.TargetsChanged) {
-	if len(ev.Set)+len(ev.Gone) > maxTargetLines {
+	if len(ev.Set)+len(ev.Removed) > maxTargetLines {
 		s.logManyTargets(ev)
 		return
 	}
@@ -61,7 +61,7 @@
 		s.event(eventTarget).WithField("target", t.ID).WithField("domain", t.Domain).WithField("draining", t.Draining).
 			WithField("cold_ms", t.Cold.Milliseconds()).WithField("revision", s.copy.AsOf()).Info("registered")
 	}
-	for _, id := range ev.Gone {
+	for _, id := range ev.Removed {
 		s.event(eventTarget).WithField("target", id).WithField("revision", s.copy.AsOf()).Info("registration is gone")
 	}
 }
@@ -78,10 +78,10 @@
 			draining = append(draining, ev.Set[i].ID)
 		}
 	}
-	s.event(eventTarget).WithField("registered", len(ev.Set)).WithField("draining", len(draining)).WithField("gone", len(ev.Gone)).
+	s.event(eventTarget).WithField("registered", len(ev.Set)).WithField("draining", len(draining)).WithField("gone", len(ev.Removed)).
 		WithField("draining_targets", draining[:min(len(draining), maxNamedTargets)]).
-		WithField("gone_targets", ev.Gone[:min(len(ev.Gone), maxNamedTargets)]).
-		WithField("unsure", ev.Unsure).WithField("revision", s.copy.AsOf()).Info("registrations changed")
+		WithField("gone_targets", ev.Removed[:min(len(ev.Removed), maxNamedTargets)]).
+		WithField("unsure", ev.StoreDegraded).WithField("revision", s.copy.AsOf()).Info("registrations changed")
 }
 
 // concerns reports whether a key is one that the translator decodes.
@@ -117,10 +117,10 @@
 	case d.TargetSet != nil:
 		targets.Set = append(targets.Set, *d.TargetSet)
 	case d.TargetVoid != "":
-		void.Gone = append(void.Gone, d.TargetVoid)
+		void.Removed = append(void.Removed, d.TargetVoid)
 		line(eventTarget).WithField("target", d.TargetVoid).Warn("registration names no target")
 	case d.TargetGone != "":
-		targets.Gone = append(targets.Gone, d.TargetGone)
+		targets.Removed = append(targets.Removed, d.TargetGone)
 	}
 }
 
--- a/serve/ingress/call.go
+++ b/serve/ingress/call.go
@@ -145,13 +145,13 @@
 	h := x.Header.Clone()
 	heads.EndToEnd(h)
 	h[f.Target] = []string{string(e.Target)}
-	h[f.Patience] = []string{strconv.FormatInt(max(e.Left.Milliseconds(), 1), 10)}
+	h[f.Patience] = []string{strconv.FormatInt(max(e.TimeLeft.Milliseconds(), 1), 10)}
 	id := x.Header.Get(f.RequestID)
 	return &outbound.Request{
 		Method: x.Method, URI: x.URI, Host: x.Header.Get("Host"), Header: h, Body: x.Body,
 		Own:           func(status int, h http.Header) bool { return s.ownAnswer(id, status, h) },
 		MayEndByClose: true,
-		Connect:       e.Connect,
+		Connect:       e.ConnectTimeout,
 		Spare:         e.Spare,
 	}
 }
@@ -217,11 +217,11 @@
 	case len(a.Header[f.NotRun]) > 0:
 		return ingress.Refused
 	case promises(a.Status):
-		return ingress.Unfit
+		return ingress.InvalidAnswer
 	case a.Status >= http.StatusInternalServerError:
 		return ingress.ServerError
 	case len(a.Header[f.Stamp]) == 0 || len(a.Header["Content-Encoding"]) > 0:
-		return ingress.Unfit
+		return ingress.InvalidAnswer
 	default:
 		return ingress.Served
 	}
--- a/serve/ingress/effects.go
+++ b/serve/ingress/effects.go
@@ -25,7 +25,7 @@
 			s.cancelAttempt(k, c.Attempt)
 		}
 	}
-	for _, id := range out.Dropped {
+	for _, id := range out.Abandoned {
 		k := s.calls.take(id)
 		if k == nil {
 			continue
@@ -41,10 +41,10 @@
 	for i := range out.Refusals {
 		s.refuse(&out.Refusals[i])
 	}
-	for _, addr := range out.Restarted {
+	for _, addr := range out.RestartedAddrs {
 		s.pool.Discard(addr, 0)
 	}
-	for _, id := range out.Silent {
+	for _, id := range out.SilentGateways {
 		s.silentGateway(id)
 	}
 	for i := range out.Sends {
@@ -59,7 +59,7 @@
 	for i := range out.Tells {
 		s.tell(&out.Tells[i])
 	}
-	for _, b := range out.Beliefs {
+	for _, b := range out.StateChanges {
 		s.metrics.beliefs.Add(b.Change, 1)
 		s.event(eventTarget).WithField("target", b.Target).WithField("until", b.Until).Info(b.Change)
 	}
--- a/serve/ingress/gateway.go
+++ b/serve/ingress/gateway.go
@@ -94,7 +94,7 @@
 	return s.gateways.Do(vm.GatewayAddr, &outbound.Request{
 		Method: k.x.Method, URI: k.x.URI, Host: k.x.Header.Get("Host"), Header: h, Body: k.x.Body,
 		Acknowledged: func() { s.core.Post(&ingress.Received{Attempt: id}) },
-		Connect:      e.Connect,
+		Connect:      e.ConnectTimeout,
 		Spare:        e.Spare,
 	}, func(ans *outbound.Answer, err *verdict.Error) {
 		switch {
@@ -126,7 +126,7 @@
 
 // carryLine is the value of carryHeader.
 func (s *Server) carryLine(e *ingress.Send) string {
-	left := strconv.FormatInt(max(e.Left.Milliseconds(), 1), 10)
+	left := strconv.FormatInt(max(e.TimeLeft.Milliseconds(), 1), 10)
 	return strings.Join([]string{string(e.Target), left, s.carryMark}, " ")
 }
 
--- a/serve/ingress/harness_test.go
+++ b/serve/ingress/harness_test.go
@@ -237,7 +237,7 @@
 // knows reports whether s has n targets.
 func (s *Server) knows(n int) bool {
 	known := 0
-	s.core.Ask(func(_ clock.Time, r *ingress.Reducer) { known = r.Targets() })
+	s.core.Ask(func(_ clock.Time, r *ingress.Reducer) { known = r.TargetCount() })
 	return known == n
 }
 
--- a/serve/ingress/peers.go
+++ b/serve/ingress/peers.go
@@ -69,7 +69,7 @@
 	var m ingress.Message
 	switch b.Kind {
 	case kindAsk:
-		m = new(ingress.Ask)
+		m = new(ingress.PlacementRequest)
 	case kindGrant:
 		m = new(ingress.Grant)
 	case kindDeny:
@@ -103,7 +103,7 @@
 func (s *Server) tell(t *ingress.Tell) {
 	var kind peer.Kind
 	switch t.Message.(type) {
-	case *ingress.Ask:
+	case *ingress.PlacementRequest:
 		kind = kindAsk
 	case *ingress.Grant:
 		kind = kindGrant
--- a/serve/ingress/placed.go
+++ b/serve/ingress/placed.go
@@ -29,11 +29,11 @@
 }
 
 func (s *Server) logPlaced() {
-	var placed []ingress.Placed
-	s.core.Ask(func(_ clock.Time, r *ingress.Reducer) { placed = r.TakePlaced() })
+	var placed []ingress.PlacementStats
+	s.core.Ask(func(_ clock.Time, r *ingress.Reducer) { placed = r.TakePlacementStats() })
 	for _, p := range placed {
 		s.event(eventPlaced).WithField("service", p.Service).WithField("by_region", p.ByRegion).
-			WithField("crossed", p.Crossed).WithField("slower", p.Slower).
-			WithField("kept", p.Kept).WithField("wanted", p.Wanted).Info("requests were placed")
+			WithField("crossed", p.RemoteByReason).WithField("slower", p.RemoteSlower).
+			WithField("kept", p.Share).WithField("wanted", p.WantedShare).Info("requests were placed")
 	}
 }
--- a/serve/ingress/quarantine.go
+++ b/serve/ingress/quarantine.go
@@ -156,7 +156,7 @@
 func (s *Server) probe(p ingress.Probe) {
 	s.metrics.probes.Add(1)
 	go func() {
-		s.core.Post(&ingress.Probed{Target: p.Target, Born: p.Born, Listening: listening(p.Addr, p.Wait)})
+		s.core.Post(&ingress.Probed{Target: p.Target, Born: p.Born, Listening: listening(p.Addr, p.Timeout)})
 	}()
 }
 
--- a/serve/ingress/reload.go
+++ b/serve/ingress/reload.go
@@ -82,7 +82,7 @@
 	}
 	next := set.tuning()
 	changed := next.changed(s.tuned.Swap(next))
-	s.core.Post(&ingress.Bounded{Bounds: next.bounds, Drain: next.drainTime})
+	s.core.Post(&ingress.BoundsChanged{Bounds: next.bounds, DrainTime: next.drainTime})
 	s.members.Load().forgetAnswers() // they state for how long they hold
 	s.event(eventReload).WithField("changed", strings.Join(changed, ",")).Info("settings were read again")
 	if waits := set.fixedChanged(&s.started); len(waits) > 0 {
--- a/serve/ingress/server.go
+++ b/serve/ingress/server.go
@@ -145,13 +145,13 @@
 		return err
 	}
 	r := ingress.New(ingress.Options{
-		Self:    s.set.Self.ID,
-		Domain:  s.set.Self.Domain,
-		Regions: s.set.Regions,
-		Bounds:  s.set.Bounds,
-		Drain:   s.set.DrainTime,
-		Start:   s.now(),
-		Seed:    xxhash.Sum64String(string(s.set.Self.ID)) ^ uint64(s.now()),
+		Self:      s.set.Self.ID,
+		Domain:    s.set.Self.Domain,
+		Regions:   s.set.Regions,
+		Bounds:    s.set.Bounds,
+		DrainTime: s.set.DrainTime,
+		Start:     s.now(),
+		Seed:      xxhash.Sum64String(string(s.set.Self.ID)) ^ uint64(s.now()),
 	})
 	s.core = core.New(s.now, r, s.step(r), &ingress.Tick{})
 	if err := s.provisionPeers(); err != nil {
