--- a/decide/ingress/attempt.go
+++ b/decide/ingress/attempt.go
@@ -72,8 +72,8 @@
 func (r *Reducer) serverError(now clock.Time, a *attempt) {
 	q := a.req
 	r.countTrial(now, q)
-	again := q.route.Idempotent && q.mayRetry(now) && len(q.running) == 0
-	if !again || (!q.searching() && !q.svc.retryBudget.spend()) {
+	retry := q.route.Idempotent && q.mayRetry(now) && len(q.running) == 0
+	if !retry || (!q.searching() && !q.svc.retryBudget.spend()) {
 		r.deliver(now, a)
 		return
 	}
@@ -99,16 +99,16 @@
 }
 
 // attemptNotRun continues after an attempt that has not run.
-func (r *Reducer) attemptNotRun(now clock.Time, q *request, why verdict.Reason) {
-	q.reason = why
+func (r *Reducer) attemptNotRun(now clock.Time, q *request, reason verdict.Reason) {
+	q.reason = reason
 	r.retryRequest(now, q)
 }
 
 // attemptMayHaveRun continues after an attempt that has run, or may have run,
 // without an answer that can be delivered.
-func (r *Reducer) attemptMayHaveRun(now clock.Time, q *request, why verdict.Reason) {
+func (r *Reducer) attemptMayHaveRun(now clock.Time, q *request, reason verdict.Reason) {
 	q.verdict = verdict.Join(q.verdict, verdict.MayHaveRun)
-	q.reason = why
+	q.reason = reason
 	r.countTrial(now, q)
 	r.retryRequest(now, q)
 }
@@ -143,7 +143,7 @@
 	switch rep.Result {
 	case ResultServed:
 		t.answeredAt = now
-		t.terminated = false // no process was listening for a moment only
+		t.terminated = false // it only stopped listening for a moment
 		t.recordLoad(now, rep.Load)
 		r.recordLoadReport(now, t)
 		r.recordOutcome(now, t, true)
@@ -195,17 +195,17 @@
 	if !r.on(Ejection) {
 		return
 	}
-	all, out := 0, 0
+	total, ejected := 0, 0
 	for _, o := range t.svc.targets {
 		if o.region != t.region {
 			continue
 		}
-		all++
+		total++
 		if o != t && o.standing.Standing() != target.InUse {
-			out++
+			ejected++
 		}
 	}
-	if float64(out+1) > maxEjectedShare*float64(all) {
+	if float64(ejected+1) > maxEjectedShare*float64(total) {
 		return
 	}
 	t.standing.Eject(now, r.rng)
--- a/decide/ingress/bench_test.go
+++ b/decide/ingress/bench_test.go
@@ -184,8 +184,8 @@
 				if len(l.out.Tells) != 1 {
 					b.Fatal("no placement request is sent")
 				}
-				tell := l.out.Tells[0]
-				l.step(&ingress.Heard{From: tell.To, Message: &ingress.Grant{ID: tell.Message.(*ingress.PlacementRequest).ID, Target: fleet.TargetID(fmt.Sprint("t", i%size.targets))}})
+				msg := l.out.Tells[0]
+				l.step(&ingress.Heard{From: msg.To, Message: &ingress.Grant{ID: msg.Message.(*ingress.PlacementRequest).ID, Target: fleet.TargetID(fmt.Sprint("t", i%size.targets))}})
 				l.step(&ingress.Answered{Attempt: l.out.Sends[0].Attempt, Outcome: ingress.Served})
 			}
 		})
--- a/decide/ingress/consider.go
+++ b/decide/ingress/candidates.go
@@ -46,8 +46,8 @@
 
 // addCandidatesForObject adds the candidates for j's object.
 func (r *Reducer) addCandidatesForObject(now clock.Time, j *job, includeEjected bool) {
-	var memory [localCandidates]scored
-	here := memory[:0]
+	var buffer [localCandidates]scored
+	here := buffer[:0]
 	for g := groupRemote + 1; int(g) < len(j.svc.groups); g++ {
 		own := g == r.groups[j.Domain]
 		for i, x := range r.firstEligible(now, j, g, localCandidates, includeEjected) {
@@ -88,8 +88,8 @@
 }
 
 // firstEligible returns the first eligible targets of a group in the order for j's
-// object, at most most of them. The slice is valid until the next call.
-func (r *Reducer) firstEligible(now clock.Time, j *job, g group, most int, includeEjected bool) []scored {
+// object, at most limit of them. The slice is valid until the next call.
+func (r *Reducer) firstEligible(now clock.Time, j *job, g group, limit int, includeEjected bool) []scored {
 	if j.obj.ranked == nil {
 		j.obj.order(j.svc)
 	}
@@ -98,18 +98,18 @@
 		if r.eligible(now, j, x.t, includeEjected) {
 			found = append(found, x)
 		}
-		if len(found) == most {
+		if len(found) == limit {
 			return found
 		}
 	}
 	if len(j.obj.ranked[g]) == len(j.svc.groups[g]) {
 		return found
 	}
-	// All ranked targets are ineligible: search the whole group.
+	// Too few of the ranked targets are eligible: search the whole group.
 	found = found[:0]
 	for _, t := range j.svc.groups[g] {
 		if r.eligible(now, j, t, includeEjected) {
-			found = insertBest(found, j.obj.score(t), most)
+			found = insertBest(found, j.obj.score(t), limit)
 		}
 	}
 	return found
@@ -118,16 +118,16 @@
 // addCandidatesWithoutObject adds the candidates for a request without an object.
 // It takes the same time at any target of its region, so all of them are compared.
 func (r *Reducer) addCandidatesWithoutObject(now clock.Time, j *job, includeEjected bool) {
-	elsewhere := 0
+	remote := 0
 	for i, t := range j.svc.orderWithoutObject() {
-		if !r.isLocal(t) && elsewhere == remoteCandidates {
+		if !r.isLocal(t) && remote == remoteCandidates {
 			continue
 		}
 		if !r.eligible(now, j, t, includeEjected) {
 			continue
 		}
 		if !r.isLocal(t) {
-			elsewhere++
+			remote++
 		}
 		// The position in the order replaces the score.
 		j.candidates = append(j.candidates, scored{t: t, score: ^uint64(i)})
--- a/decide/ingress/coordinate.go
+++ b/decide/ingress/coordinate.go
@@ -28,23 +28,23 @@
 // out and place requests with their own knowledge, all of them at the same
 // targets.
 func (r *Reducer) coordinator(region fleet.Region, s fleet.ServiceName) fleet.VMID {
-	line := r.coordinatorOrder(region, s)
-	if len(line) == 0 {
+	order := r.coordinatorOrder(region, s)
+	if len(order) == 0 {
 		return ""
 	}
-	return line[0]
+	return order[0]
 }
 
 // coordinatorOrder returns the strong VMs of a region in the order in which they
 // place requests for a service: the coordinator, then its standbys.
 func (r *Reducer) coordinatorOrder(region fleet.Region, s fleet.ServiceName) []fleet.VMID {
 	key := coordinatorKey{region, s}
-	line, kept := r.coordinatorOrders[key]
-	if !kept {
-		line = r.strongOrder(region, string(s))
-		r.coordinatorOrders[key] = line
+	order, cached := r.coordinatorOrders[key]
+	if !cached {
+		order = r.strongOrder(region, string(s))
+		r.coordinatorOrders[key] = order
 	}
-	return line
+	return order
 }
 
 // coordinatorKey identifies the scope of a coordinator.
@@ -65,8 +65,8 @@
 // strongOrder returns the strong VMs of a region, ordered by rendezvous hashing of
 // a name. The order is the same at all VMs that know the same members.
 func (r *Reducer) strongOrder(region fleet.Region, name string) []fleet.VMID {
-	strong, kept := r.strongVMs[region]
-	if !kept {
+	strong, cached := r.strongVMs[region]
+	if !cached {
 		strong = r.strongMatching(func(m *fleet.VM) bool { return m.Region == region || region == anyRegion })
 		r.strongVMs[region] = strong
 	}
--- a/decide/ingress/deadly_test.go
+++ b/decide/ingress/crash_test.go
@@ -92,12 +92,12 @@
 
 // endTarget terminates an instance of t with all requests there, and restarts it
 // later.
-func (s *fleetSim) endTarget(t *simTarget, born int64, deadly bool) {
+func (s *fleetSim) endTarget(t *simTarget, born int64, crashed bool) {
 	if t.Born != born || t.down {
 		return
 	}
 	c := &s.contents
-	if deadly {
+	if crashed {
 		if c.terminations++; c.terminations == quarantine.MaxEnds {
 			c.thirdTermination = s.now
 		}
@@ -164,7 +164,7 @@
 // A query of death arrives at any entry VM, repeatedly and together with other
 // failures.
 func TestRandomFleetQuarantinesQueriesOfDeath(t *testing.T) {
-	ended, refused := 0, 0
+	crashed, refused := 0, 0
 	for seed := range uint64(40) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			s := newFleetSim(t, seed)
@@ -184,14 +184,14 @@
 			}
 			s.run(s.now.Add(20 * time.Second))
 			s.checkQuarantine()
-			ended += s.contents.terminations
+			crashed += s.contents.terminations
 			refused += s.contents.refused
 			if s.contents.terminations == 0 {
 				t.Fatal("the query of death has crashed no target")
 			}
 		})
 	}
-	t.Logf("queries of death crashed %d targets, %d harmless requests were refused", ended, refused)
+	t.Logf("queries of death crashed %d targets, %d harmless requests were refused", crashed, refused)
 }
 
 // maxInnocentRefusal is how long a harmless content that arrives continuously may
--- a/decide/ingress/doc.go
+++ b/decide/ingress/doc.go
@@ -51,7 +51,7 @@
 //     service in its region. Entry VMs that disagree about the members choose at
 //     most two coordinators in practice, so each uses half of the limit.
 //   - A target with a rate limit gets requests through the same VM, which uses
-//     half of what operators allow beyond the limit (rateLimit).
+//     half of the operators' allowance, which exceeds the limit (rateLimit).
 //   - Retries are paid from a token bucket that starts empty, earns a fixed
 //     fraction of a token for each accepted request, and holds at most this VM's
 //     part of the fixed allowance. The parts add up to less than the limit for any
--- a/decide/ingress/fleet_test.go
+++ b/decide/ingress/fleet_test.go
@@ -30,7 +30,7 @@
 	loss    float64 // share of the messages between entry VMs that is lost
 	finals  int
 
-	repeats  []clock.Time // sends beyond the first of a request
+	retries  []clock.Time // sends beyond the first of a request
 	requests []clock.Time
 
 	contents crashContents
@@ -50,11 +50,11 @@
 }
 
 type simRequest struct {
-	id         RequestID
-	idempotent bool
-	homes      []fleet.Region
-	due        clock.Time
-	sends      int
+	id             RequestID
+	idempotent     bool
+	allowedRegions []fleet.Region
+	deadline       clock.Time
+	sends          int
 	// mayRun means that a send has run or may still run.
 	mayRun    bool
 	running   map[AttemptID]bool
@@ -66,7 +66,7 @@
 type simTarget struct {
 	Target
 	region    fleet.Region
-	cold      clock.Time
+	coldUntil clock.Time
 	coldSends []clock.Time
 	running   int
 	// inFlight are the requests at the target, with a function that fails each of
@@ -178,8 +178,8 @@
 	for i := range out.Quarantines {
 		s.storeQuarantine(&out.Quarantines[i])
 	}
-	for _, tell := range out.Tells {
-		s.deliverMessage(vm, tell)
+	for _, msg := range out.Tells {
+		s.deliverMessage(vm, msg)
 	}
 	vm.wake = out.Wake
 	if out.Wake != clock.Never {
@@ -207,7 +207,7 @@
 	if q.forwarded == nil {
 		s.finals++
 	}
-	if late := s.now.Sub(q.due); late > answerMargin {
+	if late := s.now.Sub(q.deadline); late > answerMargin {
 		s.t.Fatalf("%s: request %d ends %v after its deadline", vm.id, id, late)
 	}
 	return q
@@ -236,9 +236,9 @@
 		s.t.Fatalf("%s: forwarded request %d is sent again", vm.id, e.Request)
 	case !q.idempotent && (q.mayRun || len(q.running) > 0):
 		s.t.Fatalf("%s: request %d is sent again although it may have run", vm.id, e.Request)
-	case len(q.homes) > 0 && !slices.Contains(q.homes, t.region):
+	case len(q.allowedRegions) > 0 && !slices.Contains(q.allowedRegions, t.region):
 		s.t.Fatalf("%s: request %d is sent outside of its allowed regions", vm.id, e.Request)
-	case e.TimeLeft <= 0 || s.now.Add(e.TimeLeft) > q.due:
+	case e.TimeLeft <= 0 || s.now.Add(e.TimeLeft) > q.deadline:
 		s.t.Fatalf("%s: request %d is sent with %v left, beyond its deadline", vm.id, e.Request, e.TimeLeft)
 	}
 	q.running[e.Attempt] = true
@@ -248,7 +248,7 @@
 		return
 	}
 	if q.sends++; q.sends > 1 || (q.forwarded != nil && q.forwarded.q.countForwardedSend()) {
-		s.repeats = append(s.repeats, s.now)
+		s.retries = append(s.retries, s.now)
 	}
 	s.countCold(t)
 	s.answer(vm, q, t, e.Attempt)
@@ -257,7 +257,7 @@
 // countCold checks the limit on requests to a cold target within a second, for all
 // entry VMs together.
 func (s *fleetSim) countCold(t *simTarget) {
-	if !s.now.Before(t.cold) {
+	if !s.now.Before(t.coldUntil) {
 		return
 	}
 	t.coldSends = append(t.coldSends, s.now)
@@ -343,14 +343,14 @@
 	}
 }
 
-func (s *fleetSim) deliverMessage(from *simVM, tell Tell) {
+func (s *fleetSim) deliverMessage(from *simVM, msg Tell) {
 	if s.rng.Float64() < s.loss {
 		return
 	}
 	s.after(time.Duration(1+s.rng.IntN(3))*time.Millisecond, func() {
 		for _, vm := range s.vms {
-			if vm.id == tell.To {
-				s.step(vm, &Heard{From: from.id, Message: tell.Message})
+			if vm.id == msg.To {
+				s.step(vm, &Heard{From: from.id, Message: msg.Message})
 			}
 		}
 	})
@@ -363,8 +363,8 @@
 	wait := time.Duration(300+s.rng.IntN(3000)) * time.Millisecond
 	vm.last++
 	q := &simRequest{
-		id: vm.last, idempotent: rt.Idempotent, homes: rt.Homes,
-		due: s.now.Add(requestTimeout(rt, wait)), running: make(map[AttemptID]bool), content: s.drawContent(),
+		id: vm.last, idempotent: rt.Idempotent, allowedRegions: rt.Homes,
+		deadline: s.now.Add(requestTimeout(rt, wait)), running: make(map[AttemptID]bool), content: s.drawContent(),
 	}
 	vm.open[q.id] = q
 	s.requests = append(s.requests, s.now)
@@ -397,7 +397,7 @@
 		}, inFlight: make(map[simAttempt]func())}
 		if s.rng.IntN(2) == 0 {
 			t.Cold = 3 * time.Second
-			t.cold = s.now.Add(t.Cold)
+			t.coldUntil = s.now.Add(t.Cold)
 		}
 		s.targets[t.ID] = t
 		s.stepAll(&TargetsChanged{Set: []Target{t.Target}})
@@ -442,9 +442,9 @@
 	s.now = until
 }
 
-// checkRepeats checks the limit on retries in every window.
-func (s *fleetSim) checkRepeats() {
-	for _, from := range s.repeats {
+// checkRetries checks the limit on retries in every window.
+func (s *fleetSim) checkRetries() {
+	for _, from := range s.retries {
 		in := func(list []clock.Time) (n int) {
 			for _, at := range list {
 				if at >= from && at < from.Add(s.bounds.RepeatWindow) {
@@ -454,7 +454,7 @@
 			return n
 		}
 		most := s.bounds.RepeatRatio*float64(in(s.requests)) + s.bounds.RepeatSlack
-		if n := in(s.repeats); float64(n) > most {
+		if n := in(s.retries); float64(n) > most {
 			s.t.Fatalf("%d retries in a window, %.1f allowed", n, most)
 		}
 	}
@@ -488,7 +488,7 @@
 			if s.finals != 1500 {
 				t.Fatalf("%d of 1500 requests have ended", s.finals)
 			}
-			s.checkRepeats()
+			s.checkRetries()
 			s.checkQuarantine()
 		})
 	}
--- a/decide/ingress/gateway.go
+++ b/decide/ingress/gateway.go
@@ -32,8 +32,8 @@
 	if r.isLocal(t) || !r.on(Gateways) {
 		return ""
 	}
-	line := r.gatewaysOf(t.Domain)
-	for _, id := range line[:min(len(line), maxStandby)] {
+	order := r.gatewaysOf(t.Domain)
+	for _, id := range order[:min(len(order), maxStandby)] {
 		if r.isAvailable(now, id) {
 			return id
 		}
@@ -45,14 +45,14 @@
 // the order in which this VM uses them. The order differs between VMs: each keeps
 // few connections to one gateway, and the gateways share the requests.
 func (r *Reducer) gatewaysOf(d fleet.Domain) []fleet.VMID {
-	line, kept := r.gateways[d]
-	if kept {
-		return line
+	order, cached := r.gateways[d]
+	if cached {
+		return order
 	}
-	carry := r.strongMatching(func(m *fleet.VM) bool { return m.Domain == d && m.GatewayAddr != "" })
-	line = rank.Order(string(r.opts.Self), carry)
-	r.gateways[d] = line
-	return line
+	forwarders := r.strongMatching(func(m *fleet.VM) bool { return m.Domain == d && m.GatewayAddr != "" })
+	order = rank.Order(string(r.opts.Self), forwarders)
+	r.gateways[d] = order
+	return order
 }
 
 // emitSend adds a's Send to the effects.
--- a/decide/ingress/gateway_test.go
+++ b/decide/ingress/gateway_test.go
@@ -27,7 +27,7 @@
 	s.configure(1, rt)
 	s.target("t1", "far", 9)
 	s.target("t2", "far", 9)
-	s.earnRepeat()
+	s.earnRetries()
 	return s
 }
 
@@ -148,55 +148,55 @@
 // A gateway sends a request once and returns the result.
 func TestAGatewayReturnsEveryResult(t *testing.T) {
 	const id = RequestID(7)
-	carry := func(is *is.I, s *harness) Send {
+	forward := func(is *is.I, s *harness) Send {
 		out := s.step(&Carry{Request: id, Target: "t1", Left: time.Second})
 		is.Equal(len(out.Sends), 1)
 		is.Equal(out.Sends[0].Gateway, fleet.VMID(""))
 		is.Equal(out.Sends[0].TimeLeft, time.Second)
 		return out.Sends[0]
 	}
-	over := func(is *is.I, s *harness) {
+	checkRemoved := func(is *is.I, s *harness) {
 		is.Equal(len(s.r.forwards), 0)
 		is.Equal(len(s.r.forwardsByAttempt), 0)
 	}
 	t.Run("answer", func(t *testing.T) {
 		for _, o := range []Outcome{Served, ServerError, Refused, Misdirected, InvalidAnswer} {
 			is, s := is.New(t), gatewayHarness(t, true)
-			e := carry(is, s)
+			e := forward(is, s)
 			out := s.step(&Answered{Attempt: e.Attempt, Outcome: o})
 			is.Equal(out.Delivers, []Deliver{{Request: id, Attempt: e.Attempt}})
-			over(is, s)
+			checkRemoved(is, s)
 		}
 	})
 	t.Run("failure", func(t *testing.T) {
 		is, s := is.New(t), gatewayHarness(t, true)
-		e := carry(is, s)
+		e := forward(is, s)
 		out := s.step(&Failed{Attempt: e.Attempt, Verdict: verdict.NotRun, Reason: verdict.ReasonConnect})
 		is.Equal(out.Refusals, []Refusal{{Request: id, Verdict: verdict.NotRun, Reason: verdict.ReasonConnect}})
-		over(is, s)
+		checkRemoved(is, s)
 	})
 	t.Run("no time left", func(t *testing.T) {
 		is, s := is.New(t), gatewayHarness(t, true)
-		e := carry(is, s)
+		e := forward(is, s)
 		s.now = s.now.Add(time.Second + answerMargin)
 		out := s.step(&Tick{})
 		is.Equal(out.Refusals[0].Verdict, verdict.MayHaveRun)
 		is.Equal(out.Cancels, []Cancel{{Request: id, Attempt: e.Attempt}})
-		over(is, s)
+		checkRemoved(is, s)
 	})
 	t.Run("given up by its entry VM", func(t *testing.T) {
 		is, s := is.New(t), gatewayHarness(t, true)
-		e := carry(is, s)
+		e := forward(is, s)
 		out := s.step(&CallerGone{Request: id})
 		is.Equal(out.Cancels, []Cancel{{Request: id, Attempt: e.Attempt}})
 		is.Equal(out.Abandoned, []RequestID{id})
-		over(is, s)
+		checkRemoved(is, s)
 	})
 	t.Run("unknown target", func(t *testing.T) {
 		is, s := is.New(t), gatewayHarness(t, true)
 		out := s.step(&Carry{Request: id, Target: "none", Left: time.Second})
 		is.Equal(out.Refusals, []Refusal{{Request: id, Verdict: verdict.NotRun, Reason: verdict.ReasonGateway}})
-		over(is, s)
+		checkRemoved(is, s)
 	})
 }
 
@@ -239,7 +239,7 @@
 	gate.last++
 	id := gate.last
 	gate.open[id] = &simRequest{
-		id: id, due: s.now.Add(e.TimeLeft), running: make(map[AttemptID]bool), content: q.content,
+		id: id, deadline: s.now.Add(e.TimeLeft), running: make(map[AttemptID]bool), content: q.content,
 		forwarded: &simForwarded{sender: vm, attempt: e.Attempt, q: q},
 	}
 	q.gateways = append(q.gateways, simGatewayRequest{gate, id, e.Attempt})
--- a/decide/ingress/history.go
+++ b/decide/ingress/history.go
@@ -73,8 +73,8 @@
 	}
 	share := h.sum.share()
 	chance := math.Sqrt(share * (1 - share) * 2 / float64(h.sum.all))
-	most := (historyBoundShare*bound + chance) / 2
-	return share - most, share + most
+	delta := (historyBoundShare*bound + chance) / 2
+	return share - delta, share + delta
 }
 
 // debts are the requests that each side lacks to reach its lower limit. That many
--- a/decide/ingress/history_test.go
+++ b/decide/ingress/history_test.go
@@ -104,7 +104,7 @@
 		s.target(fleet.TargetID(fmt.Sprint("far", i)), "far", 3)
 	}
 	id := RequestID(0)
-	ask := func() Send {
+	serveOne := func() Send {
 		id++
 		out := s.step(&Arrive{Request: id, Host: "h", Path: "/a/x", Object: fmt.Sprint("o", id%50)})
 		send := out.Sends[0]
@@ -113,20 +113,20 @@
 		return send
 	}
 	for range 100 {
-		is.Equal(ask().Domain, fleet.Domain("far"))
+		is.Equal(serveOne().Domain, fleet.Domain("far"))
 	}
 	for i := range 20 {
 		s.target(fleet.TargetID(fmt.Sprint("near", i)), "d1", 3)
 	}
 	s.r.services["svc"].objects = objects{} // its VMs were lost as well
-	away := 0
-	const asked = 400 // two seconds
-	for range asked {
-		if ask().Domain == "far" {
-			away++
+	remote := 0
+	const requests = 400 // two seconds
+	for range requests {
+		if serveOne().Domain == "far" {
+			remote++
 		}
 	}
 	// Both regions have the same number of targets, so no share in the other
 	// region is wanted. The rest is a change that operators allow.
-	is.True(float64(away)/asked < 0.15)
+	is.True(float64(remote)/requests < 0.15)
 }
--- a/decide/ingress/invariant.go
+++ b/decide/ingress/invariant.go
@@ -10,7 +10,7 @@
 // call it after every step.
 func (r *Reducer) Check() error {
 	inFlight := make(map[*targetState]int)
-	awaited := make(map[*targetState]int)
+	preferred := make(map[*targetState]int)
 	for key, j := range r.jobs {
 		switch j.state {
 		case jobPlaced:
@@ -20,7 +20,7 @@
 				return fmt.Errorf("job %v: waiting, but not in the queue", key)
 			}
 			if j.preferred != nil {
-				awaited[j.preferred]++
+				preferred[j.preferred]++
 			}
 		default:
 			return fmt.Errorf("job %v: unexpected state %d", key, j.state)
@@ -36,11 +36,11 @@
 		if t.inFlight != inFlight[t] {
 			return fmt.Errorf("target %s: %d requests counted in flight, %d jobs placed there", id, t.inFlight, inFlight[t])
 		}
-		if t.preferredBy != awaited[t] {
-			return fmt.Errorf("target %s: counted as preferred by %d jobs, preferred by %d", id, t.preferredBy, awaited[t])
+		if t.preferredBy != preferred[t] {
+			return fmt.Errorf("target %s: counted as preferred by %d jobs, preferred by %d", id, t.preferredBy, preferred[t])
 		}
 	}
-	return errors.Join(r.checkRequests(), r.checkQueues(), r.checkKept())
+	return errors.Join(r.checkRequests(), r.checkQueues(), r.checkCaches())
 }
 
 func (r *Reducer) checkRequests() error {
@@ -87,8 +87,8 @@
 	return nil
 }
 
-// checkKept compares cached data with its source.
-func (r *Reducer) checkKept() error {
+// checkCaches compares cached data with its source.
+func (r *Reducer) checkCaches() error {
 	waiting := make(map[*targetState]int)
 	for key, j := range r.jobs {
 		if j.state != jobWaiting {
--- a/decide/ingress/job.go
+++ b/decide/ingress/job.go
@@ -150,13 +150,13 @@
 
 // deny reports to j's entry VM that there is no target for it.
 func (r *Reducer) deny(now clock.Time, j *job) {
-	reason, room := r.denyReason(now, j), r.freeAfter(now, j)
+	reason, freeAfter := r.denyReason(now, j), r.freeAfter(now, j)
 	r.removeJob(j)
 	if j.req != nil {
-		r.placementDenied(now, j.req, reason, room)
+		r.placementDenied(now, j.req, reason, freeAfter)
 		return
 	}
-	r.sendMessage(j.key.vm, &Deny{ID: j.key.id, Reason: reason, FreeAfter: room, Share: j.svc.share.advertised()})
+	r.sendMessage(j.key.vm, &Deny{ID: j.key.id, Reason: reason, FreeAfter: freeAfter, Share: j.svc.share.advertised()})
 }
 
 // freeAfter returns the expected time until j's preferred target has room for it;
--- a/decide/ingress/recall_test.go
+++ b/decide/ingress/lasttarget_test.go
@@ -36,9 +36,9 @@
 			out := entry.step(&Arrive{
 				Request: RequestID(round*objects + i + 1), Host: "h", Path: "/a/x", Object: fmt.Sprint("o", i),
 			})
-			ask := out.Tells[0].Message.(*PlacementRequest)
-			last = append(last, *ask)
-			out = entry.step(&Heard{From: otherVM, Message: &Grant{ID: ask.ID, Target: place(i)}})
+			req := out.Tells[0].Message.(*PlacementRequest)
+			last = append(last, *req)
+			out = entry.step(&Heard{From: otherVM, Message: &Grant{ID: req.ID, Target: place(i)}})
 			entry.step(&Answered{Attempt: out.Sends[0].Attempt, Outcome: Served})
 		}
 	}
--- a/decide/ingress/object.go
+++ b/decide/ingress/object.go
@@ -195,16 +195,16 @@
 }
 
 // insertBest inserts x into list, which holds the best targets in order, at most
-// most of them.
-func insertBest(list []scored, x scored, most int) []scored {
+// limit of them.
+func insertBest(list []scored, x scored, limit int) []scored {
 	at := len(list)
 	for at > 0 && x.before(list[at-1]) {
 		at--
 	}
 	switch {
-	case at == most:
+	case at == limit:
 		return list
-	case len(list) < most:
+	case len(list) < limit:
 		list = append(list, scored{})
 	}
 	copy(list[at+1:], list[at:])
--- a/decide/ingress/options.go
+++ b/decide/ingress/options.go
@@ -78,8 +78,8 @@
 	queueLimitNoObject = 1
 	// minHeadroom is the part of a region's slots that is kept free as long as
 	// other regions have room: the share that runs there rises while less is free.
-	// It increased the requests in time in the worst-served failure domain and of
-	// the worst-served kind.
+	// With it, more requests of the worst-served failure domain and of the
+	// worst-served kind were in time.
 	minHeadroom = 0.2
 	// largeBody is the body size in bytes above which a request stays in its
 	// region. A larger body exceeds the ten segments that TCP sends initially and
--- a/decide/ingress/place.go
+++ b/decide/ingress/place.go
@@ -10,8 +10,8 @@
 
 // usable reports whether t may get j at all.
 func (r *Reducer) usable(j *job, t *targetState) bool {
-	home := len(j.AllowedRegions) == 0 || slices.Contains(j.AllowedRegions, t.region)
-	return home && !t.Draining && !r.evacuated[t.Domain]
+	allowed := len(j.AllowedRegions) == 0 || slices.Contains(j.AllowedRegions, t.region)
+	return allowed && !t.Draining && !r.evacuated[t.Domain]
 }
 
 // choose returns the candidate with the earliest expected answer to j, nil if all
@@ -51,9 +51,9 @@
 	}
 	local, remote := r.bestOptions(now, j, includeEjected)
 	j.hadChoice = local.t != nil && remote.t != nil
-	chosen, why := r.chooseSide(now, j, local, remote)
+	chosen, reason := r.chooseSide(now, j, local, remote)
 	best := chosen.t
-	j.regionReason = why
+	j.regionReason = reason
 	j.localFaster = local.t != nil && local.cost < chosen.cost
 	j.preferred = best
 	if best == nil || r.isFull(now, j, best) {
@@ -131,8 +131,8 @@
 		s.adjust(now, remote.cost < local.cost || (r.on(Headroom) && r.lacksHeadroom(now, j.svc)))
 	}
 	first, second, toRemote := local, remote, true
-	belongs, why := s.sideFor(now, r.objectHash(j.Object), warmSide(now, j, local.t, remote.t))
-	if belongs == sideRemote {
+	belongsTo, reason := s.sideFor(now, r.objectHash(j.Object), warmSide(now, j, local.t, remote.t))
+	if belongsTo == sideRemote {
 		first, second, toRemote = remote, local, false
 	}
 	// Waiting for a target where the object is warm often takes less time than a
@@ -140,9 +140,9 @@
 	// long.
 	sooner := second.cost < first.cost
 	if sooner && r.isFull(now, j, first.t) && !r.isFull(now, j, second.t) && s.mayCross(now, toRemote) {
-		return second, ReasonLocalFull
+		return second, ReasonSideFull
 	}
-	return first, why
+	return first, reason
 }
 
 // warmSide returns the side on which alone the object of j is warm.
@@ -170,8 +170,8 @@
 // there are slots may wait there, which is one round. A cold request gains nothing
 // by queueing at a target and delays those behind it.
 //
-// With one request beyond the slots for all classes, or with two for warm and one
-// for others, more requests missed their aim.
+// Limits of one request for all classes, or of two and one, made more requests
+// miss their aim.
 func (r *Reducer) queueLimit(class workClass, slots int) int {
 	switch class {
 	case objectWarm:
--- a/decide/ingress/placed.go
+++ b/decide/ingress/placement_stats.go
@@ -29,12 +29,12 @@
 // Reasons for a region. The first group applies to requests with a target on both
 // sides.
 const (
-	ReasonHash      RegionReason = "hash"      // the object's hash belongs to that side of the share
-	ReasonWarm      RegionReason = "warm"      // the object is warm on that side alone
-	ReasonBand      RegionReason = "band"      // the recent share deviates from the one in force
-	ReasonFarBand   RegionReason = "far-off"   // the recent share deviates far from the one in force
-	ReasonHistory   RegionReason = "history"   // the share would change by more than the limit
-	ReasonLocalFull RegionReason = "full-here" // the side to which it belongs has no free slot and is slower
+	ReasonHash     RegionReason = "hash"      // the object's hash belongs to that side of the share
+	ReasonWarm     RegionReason = "warm"      // the object is warm on that side alone
+	ReasonBand     RegionReason = "band"      // the recent share deviates from the one in force
+	ReasonFarBand  RegionReason = "far-off"   // the recent share deviates far from the one in force
+	ReasonHistory  RegionReason = "history"   // the share would change by more than the limit
+	ReasonSideFull RegionReason = "full-here" // the side to which it belongs has no free slot and is slower
 
 	ReasonOnlyLocal      RegionReason = "only"  // no target of another region may take it
 	ReasonMayCrashTarget RegionReason = "alone" // it may crash its target
--- a/decide/ingress/quarantine.go
+++ b/decide/ingress/quarantine.go
@@ -36,11 +36,11 @@
 // arbitersOf returns the VMs that count the crashes of a fingerprint: only this
 // one while it knows no members.
 func (r *Reducer) arbitersOf(f quarantine.Fingerprint) []fleet.VMID {
-	line := r.strongOrder(anyRegion, string(f[:]))
-	if len(line) == 0 {
+	order := r.strongOrder(anyRegion, string(f[:]))
+	if len(order) == 0 {
 		return []fleet.VMID{r.opts.Self}
 	}
-	return line[:min(len(line), arbiterCount)]
+	return order[:min(len(order), arbiterCount)]
 }
 
 // isArbiter reports whether this VM counts the crashes of a fingerprint.
@@ -50,8 +50,8 @@
 
 // admitsTrials reports whether this VM is the one that admits trials.
 func (r *Reducer) admitsTrials(f quarantine.Fingerprint) bool {
-	line := r.arbitersOf(f)
-	return len(line) > 0 && line[0] == r.opts.Self
+	order := r.arbitersOf(f)
+	return len(order) > 0 && order[0] == r.opts.Self
 }
 
 // quarantineDelay reports whether q must not be sent to a target, and after which
@@ -232,14 +232,14 @@
 		if !r.isQuarantined(now, f) {
 			continue
 		}
-		room := r.quarantine.Find(now, f).TrialAt().Sub(now)
+		wait := r.quarantine.Find(now, f).TrialAt().Sub(now)
 		for _, q := range r.requestsWith(f) {
 			if q.trial {
 				continue
 			}
 			r.cancelSearch(now, q)
 			if len(q.running) == 0 {
-				q.reason, q.freeAfter = verdict.ReasonQuarantined, room
+				q.reason, q.freeAfter = verdict.ReasonQuarantined, wait
 				r.refuse(now, q)
 			}
 		}
@@ -263,9 +263,9 @@
 // arbiter.
 func (r *Reducer) reportQuarantine(rec *quarantine.Record) {
 	arbiter := r.isArbiter(rec.Fingerprint)
-	kept := rec.Quarantined()
+	quarantined := rec.Quarantined()
 	r.out.Quarantines = append(r.out.Quarantines, Quarantine{
-		Record: *rec, Keep: arbiter && kept, Remove: arbiter && !kept,
+		Record: *rec, Keep: arbiter && quarantined, Remove: arbiter && !quarantined,
 	})
 }
 
--- a/decide/ingress/quarantine_test.go
+++ b/decide/ingress/quarantine_test.go
@@ -20,7 +20,7 @@
 	for n := range 10 {
 		s.target(fleet.TargetID("t"+string(rune('0'+n))), "d1", 3)
 	}
-	s.earnRepeat()
+	s.earnRetries()
 	s.last = 1000
 	return s
 }
--- a/decide/ingress/ratelimit.go
+++ b/decide/ingress/ratelimit.go
@@ -10,8 +10,7 @@
 // A target's rate limit applies to all entry VMs together, so one of them enforces
 // it for all: the coordinator for its service in its region, which places the
 // requests of the others. VMs that disagree about the members choose at most two
-// coordinators in practice, and each uses half of what is allowed beyond the
-// limit.
+// coordinators in practice, and each uses half of what is allowed.
 //
 // The coordinator of another region sends such a target a request only
 // occasionally, to detect the end of the limit.
@@ -33,8 +32,8 @@
 	// probe for its end, sends nothing there after the limit was last stated.
 	limitBackoff = 30 * time.Second
 	// limitShare is the part of a limit used by the VM that enforces it: half of
-	// what operators allow beyond the limit itself, because a second VM may
-	// consider itself responsible as well.
+	// the operators' allowance, which exceeds the limit itself, because a second
+	// VM may consider itself responsible as well.
 	limitShare = 0.75
 	// limitWindow is the time over which sends to a target with a limit are
 	// counted.
@@ -118,8 +117,8 @@
 	}
 	switch r.opts.Self {
 	case r.limitOwner(t):
-		span, most := t.limit.allows()
-		return t.sends.countWithin(now, span) < most
+		span, count := t.limit.allows()
+		return t.sends.countWithin(now, span) < count
 	case r.coordinator(r.region, t.Service):
 		return t.sends.countWithin(now, limitProbeInterval) == 0
 	default:
@@ -128,10 +127,10 @@
 }
 
 // allows returns how many requests may be placed within a span.
-func (l *rateLimit) allows() (span time.Duration, most int) {
+func (l *rateLimit) allows() (span time.Duration, count int) {
 	rate := limitShare * l.perSecond
-	if most := rate * limitWindow.Seconds(); most >= 1 {
-		return limitWindow, int(min(most, maxSends))
+	if count := rate * limitWindow.Seconds(); count >= 1 {
+		return limitWindow, int(min(count, maxSends))
 	}
 	if rate*limitMaxInterval.Seconds() < 1 {
 		return limitMaxInterval, 1
--- a/decide/ingress/ratelimit_test.go
+++ b/decide/ingress/ratelimit_test.go
@@ -157,8 +157,8 @@
 		out := s.step(&Heard{From: otherVM, Message: &PlacementRequest{
 			ID: PlacementID(s.last), Service: "svc", Route: "a", Domain: "d1", TimeLeft: time.Minute, Limits: limited,
 		}})
-		for _, tell := range out.Tells {
-			if _, ok := tell.Message.(*Grant); ok {
+		for _, msg := range out.Tells {
+			if _, ok := msg.Message.(*Grant); ok {
 				n++
 			}
 		}
@@ -181,16 +181,16 @@
 		s.r.out = &s.out
 		s.r.setLimit(s.now, s.r.targets[id], rateLimit{active: true, perSecond: 1, statedAt: s.now})
 	}
-	told := make(map[fleet.TargetID]bool)
+	reported := make(map[fleet.TargetID]bool)
 	for range 2 * targets / maxTargetLimits {
 		list := s.r.limitsFor(s.now, svc)
 		is.Equal(len(list), maxTargetLimits)
 		for _, l := range list {
-			told[l.Target] = true
+			reported[l.Target] = true
 		}
 		s.r.nextPlacement++
 	}
-	is.Equal(len(told), targets)
+	is.Equal(len(reported), targets)
 }
 
 // Guards against a delayed answer that ends a limit stated after its request was
--- a/decide/ingress/reducer.go
+++ b/decide/ingress/reducer.go
@@ -236,9 +236,9 @@
 	m.value += movingAverageWeight * (v - m.value)
 }
 
-func (m *movingAverage) valueOr(otherwise float64) float64 {
+func (m *movingAverage) valueOr(fallback float64) float64 {
 	if m == nil || !m.known {
-		return otherwise
+		return fallback
 	}
 	return m.value
 }
--- a/decide/ingress/reducer_test.go
+++ b/decide/ingress/reducer_test.go
@@ -78,8 +78,8 @@
 	s.step(&TargetsChanged{Set: []Target{{ID: id, Service: "svc", Domain: d, Slots: slots}}})
 }
 
-// earnRepeat sends and cancels requests until the budget pays for a retry.
-func (s *harness) earnRepeat() {
+// earnRetries sends and cancels requests until the budget pays for a retry.
+func (s *harness) earnRetries() {
 	for id := RequestID(1); id <= 20; id++ {
 		s.step(&Arrive{Request: id, Host: "h", Path: "/a/x"})
 		s.step(&CallerGone{Request: id})
@@ -104,10 +104,10 @@
 	s.configure(1, rt)
 	s.target("t1", "d1", 3)
 	s.target("t2", "d1", 3)
-	s.earnRepeat()
+	s.earnRetries()
 	out := s.step(&Arrive{Request: 100, Host: "h", Path: "/a/x"})
-	ask := out.Tells[0].Message.(*PlacementRequest)
-	out = s.step(&Heard{From: otherVM, Message: &Grant{ID: ask.ID, Target: "t1"}})
+	req := out.Tells[0].Message.(*PlacementRequest)
+	out = s.step(&Heard{From: otherVM, Message: &Grant{ID: req.ID, Target: "t1"}})
 	is.Equal(len(out.Sends), 1)
 	s.now = s.now.Add(minHedgeDelay)
 	out = s.step(&Tick{})
@@ -128,7 +128,7 @@
 	s.configure(1, rt)
 	s.target("t1", "d1", 3)
 	s.target("t2", "d1", 3)
-	s.earnRepeat()
+	s.earnRetries()
 	is.Equal(len(s.step(&Arrive{Request: 100, Host: "h", Path: "/a/x"}).Sends), 1)
 	s.now = s.now.Add(rt.Timeout)
 	s.step(&Tick{})
@@ -159,8 +159,8 @@
 	s.configure(1, idempotentRoute("a"))
 	s.target("t1", "d1", 3)
 	out := s.step(&Arrive{Request: 1, Host: "h", Path: "/a/x"})
-	ask := out.Tells[0].Message.(*PlacementRequest)
-	s.now = s.now.Add(ask.MaxWait + placementTimeout)
+	req := out.Tells[0].Message.(*PlacementRequest)
+	s.now = s.now.Add(req.MaxWait + placementTimeout)
 	out = s.step(&Tick{})
 	is.Equal(len(out.Sends), 1)
 	out = s.step(&Arrive{Request: 2, Host: "h", Path: "/a/x"})
@@ -270,16 +270,16 @@
 	s := newHarness(t, Bounds{ColdFactor: 1, ColdSlack: 4}, selfVM)
 	s.configure(1, idempotentRoute("a"))
 	s.target("t1", "d1", 50)
-	ask := func(id RequestID, object string) Send {
+	serveOne := func(id RequestID, object string) Send {
 		send := s.step(&Arrive{Request: id, Host: "h", Path: "/a/x", Object: object}).Sends[0]
 		s.step(&Answered{Attempt: send.Attempt})
 		return send
 	}
 	for id := RequestID(1); id <= 10; id++ {
-		is.Equal(ask(id, "o").Target, fleet.TargetID("t1"))
+		is.Equal(serveOne(id, "o").Target, fleet.TargetID("t1"))
 	}
 	s.now = s.now.Add(time.Minute)
 	s.step(&TargetsChanged{Set: []Target{{ID: "t2", Service: "svc", Domain: "d1", Slots: 3, Cold: 3 * time.Second}}})
-	is.Equal(ask(11, "new").Target, fleet.TargetID("t2"))
-	is.Equal(ask(12, "o").Target, fleet.TargetID("t1")) // one request is enough
+	is.Equal(serveOne(11, "new").Target, fleet.TargetID("t2"))
+	is.Equal(serveOne(12, "o").Target, fleet.TargetID("t1")) // one request is enough
 }
--- a/decide/ingress/request.go
+++ b/decide/ingress/request.go
@@ -95,7 +95,7 @@
 		id: ev.Request, route: rt, object: ev.Object, bytes: ev.Bytes, arrived: now,
 		svc: r.serviceOf(r.pickService(rt)), verdict: verdict.NotRun, fingerprint: ev.Fingerprint,
 	}
-	if wait, kept := r.quarantineDelay(now, q); kept {
+	if wait, refused := r.quarantineDelay(now, q); refused {
 		r.out.Refusals = append(r.out.Refusals, Refusal{
 			Request: q.id, Verdict: verdict.NotRun, Reason: verdict.ReasonQuarantined, RetryAfter: wait,
 		})
@@ -163,14 +163,14 @@
 
 // placementDenied handles a search that found no target. freeAfter is the expected
 // time until there is one.
-func (r *Reducer) placementDenied(now clock.Time, q *request, why verdict.Reason, room time.Duration) {
+func (r *Reducer) placementDenied(now clock.Time, q *request, reason verdict.Reason, freeAfter time.Duration) {
 	q.job = nil
-	q.freeAfter = room
+	q.freeAfter = freeAfter
 	if len(q.running) > 0 {
 		return // a hedge; the first send is still running
 	}
 	if q.reason == verdict.ReasonNone {
-		q.reason = why
+		q.reason = reason
 	}
 	r.refuse(now, q)
 }
@@ -257,8 +257,8 @@
 // callers refused together return spread over the time in which room becomes free.
 func (r *Reducer) retryAfter(q *request) time.Duration {
 	aim := float64(q.aim())
-	room := min(max(float64(q.freeAfter), minRetryAfter*aim), maxRetryAfter*aim)
-	return time.Duration(room * (1 + r.rng.Float64()))
+	delay := min(max(float64(q.freeAfter), minRetryAfter*aim), maxRetryAfter*aim)
+	return time.Duration(delay * (1 + r.rng.Float64()))
 }
 
 // finish removes q and cancels its remaining search and attempts.
--- a/decide/ingress/restart_test.go
+++ b/decide/ingress/restart_test.go
@@ -63,7 +63,7 @@
 	s := newHarness(t, Bounds{RepeatRatio: 1, RepeatSlack: 10}, selfVM)
 	s.configure(1, idempotentRoute("a"))
 	s.registerInstance("t1", 1000, 0)
-	s.earnRepeat()
+	s.earnRetries()
 	is.Equal(len(s.step(&Arrive{Request: 100, Host: "h", Path: "/a/x"}).Sends), 1)
 	s.target("t2", "d1", 2)
 	out := s.registerInstance("t1", 2000, 0)
@@ -101,13 +101,13 @@
 	}
 	t.Born++
 	t.running = 0
-	t.Cold, t.cold, t.coldSends = 0, 0, nil
+	t.Cold, t.coldUntil, t.coldSends = 0, 0, nil
 	if s.rng.IntN(2) == 0 {
 		t.Cold = 3 * time.Second
 		born := t.Born
 		s.after(maxLearnTime, func() {
 			if t.Born == born {
-				t.cold = s.now.Add(t.Cold - maxLearnTime)
+				t.coldUntil = s.now.Add(t.Cold - maxLearnTime)
 			}
 		})
 	}
@@ -156,7 +156,7 @@
 					}
 				}
 			}
-			s.checkRepeats()
+			s.checkRetries()
 		})
 	}
 }
@@ -169,7 +169,7 @@
 	s := newHarness(t, Bounds{RepeatRatio: 1, RepeatSlack: 10}, selfVM)
 	s.configure(1, idempotentRoute("a"))
 	s.registerInstance("t1", 1000, 0)
-	s.earnRepeat()
+	s.earnRetries()
 	send := s.arriveOnce(100, "/a/x", "")
 	s.registerInstance("t1", 2000, 0)
 	is.True(s.r.requests[100].searching())
--- a/decide/ingress/shift.go
+++ b/decide/ingress/shift.go
@@ -91,7 +91,7 @@
 }
 
 // adjust moves the setpoint towards the wanted share, by at most the used part of
-// the limit, and not beyond the band around the share that ran. Objects stay where
+// the limit, and not beyond the band around the actual share. Objects stay where
 // they are warm, so a setpoint that moved further than the actual share forced
 // requests back into a full region: in a region with a tenth of the slots, 3 in
 // 100 of its requests were refused while targets of other regions were free. The
@@ -106,8 +106,8 @@
 	step := rate * min(now.Sub(s.updatedAt), time.Second).Seconds()
 	s.updatedAt = now
 	band := shiftBand * s.maxChange
-	ran := s.setpoint + s.deviation(now)
-	wanted := min(max(s.wanted, ran-band), ran+band)
+	actual := s.setpoint + s.deviation(now)
+	wanted := min(max(s.wanted, actual-band), actual+band)
 	if (wanted > s.setpoint) != (s.wanted > s.setpoint) {
 		return
 	}
--- a/decide/ingress/shift_test.go
+++ b/decide/ingress/shift_test.go
@@ -70,7 +70,7 @@
 		s.count(1, i*17%40 < 17) // spread evenly
 	}
 	is.Equal(sideWithoutReason(&s, 1, high, sideAny), sideRemote)
-	is.Equal(sideWithoutReason(&s, 1, low, sideLocal), sideLocal) // others can compensate
+	is.Equal(sideWithoutReason(&s, 1, low, sideLocal), sideLocal) // other requests can compensate
 	for range 10 {                                                // 0.34
 		s.count(1, false)
 	}
@@ -80,8 +80,9 @@
 // Guards against refusals and long waits for a local slot while targets of other
 // regions are free. The region's targets are replaced by fewer; objects stay where
 // they are warm, in other regions, while the local targets are the quicker choice
-// for some time and then are full. The setpoint fell while the actual share
-// stayed, until every request was sent to its own region.
+// for some time and then are full. The setpoint fell regardless of the actual
+// share, which stayed, until the gap exceeded the limit and every request was sent
+// to its own region.
 func TestTheSetpointStaysNearTheActualShare(t *testing.T) {
 	is := is.New(t)
 	s := regionShare{maxChange: 0.15}
@@ -216,9 +217,9 @@
 	if s.r.coordinator("r1", svc) == selfVM {
 		s.step(&MembersChanged{VMs: []fleet.VM{{ID: otherVM, Domain: "d1", Region: "r1"}}})
 	}
-	ask := s.step(&Arrive{Request: 1, Host: "h", Path: "/a/x", Object: "o"}).Tells[0]
-	is.Equal(ask.To, otherVM)
-	s.step(&Heard{From: otherVM, Message: &Grant{ID: ask.Message.(*PlacementRequest).ID, Target: "near1", Share: RemoteShare{Known: true, Share: 0.33}}})
+	req := s.step(&Arrive{Request: 1, Host: "h", Path: "/a/x", Object: "o"}).Tells[0]
+	is.Equal(req.To, otherVM)
+	s.step(&Heard{From: otherVM, Message: &Grant{ID: req.Message.(*PlacementRequest).ID, Target: "near1", Share: RemoteShare{Known: true, Share: 0.33}}})
 	is.Equal(s.r.services[svc].share.setpoint, 0.33)
 	s.step(&MembersChanged{VMs: []fleet.VM{{ID: selfVM, Domain: "d1", Region: "r1"}}})
 	remote, all := 0, 0
--- a/decide/ingress/standin.go
+++ b/decide/ingress/standby.go
@@ -31,8 +31,8 @@
 // this VM's region: the first of the coordinator order that is not silent. It
 // returns "" if there is none to ask.
 func (r *Reducer) activeCoordinator(now clock.Time, s fleet.ServiceName) fleet.VMID {
-	line := r.coordinatorOrder(r.region, s)
-	for _, id := range line[:min(len(line), maxStandby)] {
+	order := r.coordinatorOrder(r.region, s)
+	for _, id := range order[:min(len(order), maxStandby)] {
 		if r.isAvailable(now, id) {
 			return id
 		}
--- a/decide/ingress/standin_test.go
+++ b/decide/ingress/standby_test.go
@@ -13,9 +13,9 @@
 // placementRequests returns the VMs that are asked for a target, and the last
 // request.
 func placementRequests(out *Ready) (to []fleet.VMID, last *PlacementRequest) {
-	for _, tell := range out.Tells {
-		if a, ok := tell.Message.(*PlacementRequest); ok {
-			to, last = append(to, tell.To), a
+	for _, msg := range out.Tells {
+		if a, ok := msg.Message.(*PlacementRequest); ok {
+			to, last = append(to, msg.To), a
 		}
 	}
 	return to, last
@@ -33,17 +33,17 @@
 		}
 	}
 	s = newHarness(t, Bounds{}, members...)
-	line := s.r.coordinatorOrder("r1", "svc")
+	order := s.r.coordinatorOrder("r1", "svc")
 	s.configure(1, idempotentRoute("a"))
 	s.target("t1", "d1", 9)
 	s.target("t2", "d1", 9)
-	return s, line[0], line[1]
+	return s, order[0], order[1]
 }
 
 // silenceCoordinator lets the first request find that the coordinator is silent.
 func (s *harness) silenceCoordinator() {
-	_, ask := placementRequests(s.step(&Arrive{Request: 1, Host: "h", Path: "/a/x"}))
-	s.now = s.now.Add(ask.MaxWait + placementTimeout)
+	_, req := placementRequests(s.step(&Arrive{Request: 1, Host: "h", Path: "/a/x"}))
+	s.now = s.now.Add(req.MaxWait + placementTimeout)
 	s.step(&Tick{})
 }
 
@@ -56,9 +56,9 @@
 	to, _ := placementRequests(s.step(&Arrive{Request: 100, Host: "h", Path: "/a/x"}))
 	is.Equal(to, []fleet.VMID{first})
 	s.silenceCoordinator()
-	to, ask := placementRequests(s.step(&Arrive{Request: 2, Host: "h", Path: "/a/x"}))
+	to, req := placementRequests(s.step(&Arrive{Request: 2, Host: "h", Path: "/a/x"}))
 	is.Equal(to, []fleet.VMID{second})
-	out := s.step(&Heard{From: second, Message: &Grant{ID: ask.ID, Target: "t1"}})
+	out := s.step(&Heard{From: second, Message: &Grant{ID: req.ID, Target: "t1"}})
 	is.Equal(len(out.Sends), 1)
 }
 
--- a/decide/ingress/target.go
+++ b/decide/ingress/target.go
@@ -95,13 +95,13 @@
 			r.removeTarget(now, t)
 		}
 	}
-	var ended []*targetState
+	var terminated []*targetState
 	for _, d := range ev.Set {
 		if old := r.setTarget(now, d); old != nil {
-			ended = append(ended, old)
+			terminated = append(terminated, old)
 		}
 	}
-	for _, old := range ended {
+	for _, old := range terminated {
 		r.abandonInstance(now, old)
 	}
 	r.dispatchAll(now)
@@ -109,12 +109,12 @@
 
 // setTarget applies a registration. If the target has restarted, it returns the
 // state of the terminated instance.
-func (r *Reducer) setTarget(now clock.Time, d Target) (ended *targetState) {
+func (r *Reducer) setTarget(now clock.Time, d Target) (terminated *targetState) {
 	t, ok := r.targets[d.ID]
 	switch {
 	case ok && t.isRestart(d):
 		r.removeTarget(now, t)
-		ended, ok = t, false
+		terminated, ok = t, false
 	case ok && (t.Service != d.Service || t.Domain != d.Domain):
 		r.removeTarget(now, t)
 		ok = false
@@ -129,7 +129,7 @@
 		t.coldStarts++
 	}
 	r.updateListing(now, t)
-	return ended
+	return terminated
 }
 
 // addTarget adds a target that was not known.
--- a/decide/ingress/ended.go
+++ b/decide/ingress/termination.go
@@ -38,9 +38,9 @@
 }
 
 // recordLostRequest records that a has ended with its connection.
-func (r *Reducer) recordLostRequest(now clock.Time, a *attempt, why verdict.Reason) {
+func (r *Reducer) recordLostRequest(now clock.Time, a *attempt, reason verdict.Reason) {
 	q, t := a.req, a.target
-	if why != verdict.ReasonConnectionLost && why != verdict.ReasonAnswerCut {
+	if reason != verdict.ReasonConnectionLost && reason != verdict.ReasonAnswerCut {
 		return
 	}
 	q.lostConnections++
--- a/decide/ingress/timers.go
+++ b/decide/ingress/timers.go
@@ -26,7 +26,7 @@
 	seq       uint64 // breaks ties, so that the order is deterministic
 	request   RequestID
 	purpose   purpose
-	placement PlacementID // of dueAsk
+	placement PlacementID // of duePlacement
 	attempt   AttemptID   // of dueGateway
 	job       *job        // of dueJob
 }
