--- /dev/null
+++ b/decide/ingress/placement_stats.go
@@ -0,0 +1,132 @@
+package ingress
+
+import (
+	"slices"
+
+	"github.com/azurethread/azurethread/decide/clock"
+	"github.com/azurethread/azurethread/decide/fleet"
+	"github.com/azurethread/azurethread/decide/target"
+)
+
+// PlacementStats counts the requests of one service that this entry VM placed
+// within some time, both its own and those of VMs that asked it.
+type PlacementStats struct {
+	Service  fleet.ServiceName
+	ByRegion map[fleet.Region]int // requests, by the region of their target
+	// RemoteByReason counts the requests placed in other regions by reason, and
+	// RemoteSlower those of them that the own region's best target was expected to
+	// answer sooner.
+	RemoteByReason map[RegionReason]int
+	RemoteSlower   int
+	// Share is the share of other regions in force, and WantedShare the one with
+	// which requests would be answered soonest.
+	Share, WantedShare float64
+}
+
+// RegionReason is what determined the region in which a request was placed.
+type RegionReason string
+
+// Reasons for a region. The first group applies to requests with a target on both
+// sides.
+const (
+	ReasonHash     RegionReason = "hash"      // the object's hash belongs to that side of the share
+	ReasonWarm     RegionReason = "warm"      // the object is warm on that side alone
+	ReasonBand     RegionReason = "band"      // the recent share deviates from the one in force
+	ReasonFarBand  RegionReason = "far-off"   // the recent share deviates far from the one in force
+	ReasonHistory  RegionReason = "history"   // the share would change by more than the limit
+	ReasonSideFull RegionReason = "full-here" // the side to which it belongs has no free slot and is slower
+
+	ReasonOnlyLocal      RegionReason = "only"  // no target of another region may take it
+	ReasonMayCrashTarget RegionReason = "alone" // it may crash its target
+	ReasonAllowedRegions RegionReason = "homes" // its route is bound to regions
+
+	// No target of the own region may take it; the rest of the name says why the
+	// first one in the object's order may not.
+	ReasonNoTarget    RegionReason = "none-here: no target"
+	ReasonUnusable    RegionReason = "none-here: leaving or evacuated"
+	ReasonTried       RegionReason = "none-here: tried"
+	ReasonEjected     RegionReason = "none-here: ejected"
+	ReasonNotOwner    RegionReason = "none-here: cold, of another coordinator"
+	ReasonRateLimit   RegionReason = "none-here: no room in its rate limit"
+	ReasonColdLimit   RegionReason = "none-here: cold, no room this second"
+	ReasonUnspecified RegionReason = "none-here"
+)
+
+// noLocalReason returns why no target of the own region may take j.
+func (r *Reducer) noLocalReason(now clock.Time, j *job) RegionReason {
+	if len(j.AllowedRegions) > 0 && !slices.Contains(j.AllowedRegions, r.region) {
+		return ReasonAllowedRegions
+	}
+	var t *targetState
+	if j.obj != nil {
+		t = r.firstLocal(j)
+	} else if at := slices.IndexFunc(j.svc.orderWithoutObject(), r.isLocal); at >= 0 {
+		t = j.svc.withoutObject[at]
+	}
+	switch {
+	case t == nil:
+		return ReasonNoTarget
+	case !r.usable(j, t):
+		return ReasonUnusable
+	case slices.Contains(j.Tried, t.ID):
+		return ReasonTried
+	case t.standing.Standing() != target.InUse:
+		return ReasonEjected
+	case t.cold(now) && !r.owns(t):
+		return ReasonNotOwner
+	case t.cold(now):
+		return ReasonColdLimit
+	case !r.withinLimit(now, t):
+		return ReasonRateLimit
+	default:
+		return ReasonUnspecified
+	}
+}
+
+// isLocal reports whether t is in the own region.
+func (r *Reducer) isLocal(t *targetState) bool { return t.region == r.region }
+
+// placementCounts counts the requests of one service since TakePlacementStats.
+type placementCounts struct {
+	byRegion       map[fleet.Region]int
+	remoteByReason map[RegionReason]int
+	remoteSlower   int
+}
+
+// TakePlacementStats returns the counts since its last call, one record for each
+// service with requests.
+func (r *Reducer) TakePlacementStats() []PlacementStats {
+	var list []*service
+	for _, s := range r.services {
+		if s.counts != nil {
+			list = append(list, s)
+		}
+	}
+	sortServices(list)
+	out := make([]PlacementStats, 0, len(list))
+	for _, s := range list {
+		out = append(out, PlacementStats{
+			Service: s.name, ByRegion: s.counts.byRegion,
+			RemoteByReason: s.counts.remoteByReason, RemoteSlower: s.counts.remoteSlower,
+			Share: s.share.setpoint, WantedShare: s.share.wanted,
+		})
+		s.counts = nil
+	}
+	return out
+}
+
+// countPlacement counts a request that was placed.
+func (r *Reducer) countPlacement(j *job) {
+	s := j.svc
+	if s.counts == nil {
+		s.counts = &placementCounts{byRegion: make(map[fleet.Region]int), remoteByReason: make(map[RegionReason]int)}
+	}
+	s.counts.byRegion[j.target.region]++
+	if r.isLocal(j.target) {
+		return
+	}
+	s.counts.remoteByReason[j.regionReason]++
+	if j.localFaster {
+		s.counts.remoteSlower++
+	}
+}
--- /dev/null
+++ b/decide/ingress/termination.go
@@ -0,0 +1,103 @@
+package ingress
+
+import (
+	"time"
+
+	"github.com/azurethread/azurethread/decide/clock"
+	"github.com/azurethread/azurethread/decide/quarantine"
+	"github.com/azurethread/azurethread/decide/verdict"
+)
+
+// The loss of one connection does not prove that its target has terminated:
+// answers are cut off, connections reset, backlogs full. So a target is probed
+// after a connection with a request under way is lost. Only a refused connection
+// proves that its process has terminated; a host without power or behind a network
+// partition refuses nothing.
+
+// lostRequest is a request that was under way at a target when its connection was
+// lost.
+type lostRequest struct {
+	fingerprint quarantine.Fingerprint
+	route       string
+	sent, at    clock.Time
+}
+
+const (
+	// maxLostRequests limits the lost requests kept per target: more than run and
+	// wait at one.
+	maxLostRequests = 128
+	// lostRequestTTL is how long a lost request waits for proof that its target
+	// has terminated. The registration of a terminated target disappears within
+	// that time.
+	lostRequestTTL = 6 * time.Second
+)
+
+// instance identifies this instance of t.
+func (t *targetState) instance() quarantine.Start {
+	return quarantine.Start{Target: t.ID, Born: t.Born}
+}
+
+// recordLostRequest records that a has ended with its connection.
+func (r *Reducer) recordLostRequest(now clock.Time, a *attempt, reason verdict.Reason) {
+	q, t := a.req, a.target
+	if reason != verdict.ReasonConnectionLost && reason != verdict.ReasonAnswerCut {
+		return
+	}
+	q.lostConnections++
+	lost := lostRequest{fingerprint: q.fingerprint, route: q.route.Name, sent: a.sent, at: now}
+	switch {
+	case t.terminated:
+		r.recordTermination(now, t, lost)
+		return
+	case t.Draining || t.removed || len(t.lost) >= maxLostRequests:
+		return // a leaving target terminates without a crash
+	}
+	t.lost = append(t.lost, lost)
+	if t.probing {
+		return
+	}
+	t.probing = true
+	r.out.Probes = append(r.out.Probes, Probe{Target: t.ID, Born: t.Born, Addr: t.Addr, Timeout: r.connectTimeout(t)})
+}
+
+// probed handles the result of a probe.
+func (r *Reducer) probed(now clock.Time, ev *Probed) {
+	t, ok := r.targets[ev.Target]
+	if !ok || t.Born != ev.Born {
+		return // it has restarted or left, which proves the same
+	}
+	t.probing = false
+	switch ev.Listening {
+	case ListeningNo:
+		r.reportChange(t, "ended", 0)
+		r.markTerminated(now, t)
+	case ListeningYes:
+		t.lost = nil
+	}
+}
+
+// markTerminated records that this instance of t has terminated.
+func (r *Reducer) markTerminated(now clock.Time, t *targetState) {
+	lost := t.lost
+	t.lost = nil
+	if t.terminated || t.Draining {
+		return
+	}
+	t.terminated = true
+	for _, l := range lost {
+		if now.Sub(l.at) <= lostRequestTTL {
+			r.recordTermination(now, t, l)
+		}
+	}
+}
+
+// recordTerminationForAll records the termination of t for all requests under way
+// there.
+func (r *Reducer) recordTerminationForAll(now clock.Time, t *targetState) {
+	if t.Draining {
+		return
+	}
+	for _, a := range r.attemptsAt(t) {
+		r.recordTermination(now, t, lostRequest{fingerprint: a.req.fingerprint, route: a.req.route.Name, sent: a.sent, at: now})
+	}
+}
