--- a/decide/block/address.go
+++ b/decide/block/address.go
@@ -70,16 +70,16 @@
 // The blocks assumed for addresses that no block holds: the networks that one
 // site's clients commonly share.
 const (
-	implied4 = 24
-	implied6 = 48
+	defaultBits4 = 24
+	defaultBits6 = 48
 )
 
 // Implied returns the block assumed for an address that no block holds.
 func Implied(a netip.Addr) netip.Prefix {
 	a = a.Unmap().WithZone("")
-	bits := implied6
+	bits := defaultBits6
 	if a.Is4() {
-		bits = implied4
+		bits = defaultBits4
 	}
 	p, err := a.Prefix(bits)
 	if err != nil {
--- a/decide/block/blocktest/blocktest.go
+++ b/decide/block/blocktest/blocktest.go
@@ -40,8 +40,8 @@
 	g.blocks = make([]block.Block, 0, n)
 	// The gaps are set so that the blocks cover the space from 1.0.0.0 up to
 	// about 223.0.0.0 and 2400::/16.
-	g.walk4(v4, uint64(222<<24)/uint64(v4+1))
-	g.walk6(n-v4, uint64(1<<48)/uint64(n-v4+1))
+	g.generateIPv4(v4, uint64(222<<24)/uint64(v4+1))
+	g.generateIPv6(n-v4, uint64(1<<48)/uint64(n-v4+1))
 	return g.blocks
 }
 
@@ -114,10 +114,10 @@
 	homes  []block.Home
 	blocks []block.Block
 	home   block.Home
-	run    int // blocks left in the current run of one home
+	runLeft    int // blocks left in the current run of one home
 }
 
-func (g *generator) walk4(n int, step uint64) {
+func (g *generator) generateIPv4(n int, step uint64) {
 	at := uint64(1 << 24)
 	for i := 0; i < n; i++ {
 		bits := g.pick(24, 24, 24, 24, 24, 23, 22, 26, 20, 22)
@@ -125,16 +125,16 @@
 		at = (at + size - 1) &^ (size - 1)
 		var b [4]byte
 		binary.BigEndian.PutUint32(b[:], uint32(at))
-		g.emit(netip.PrefixFrom(netip.AddrFrom4(b), bits))
+		g.appendBlock(netip.PrefixFrom(netip.AddrFrom4(b), bits))
 		if bits < 24 && i+1 < n && g.rng.IntN(4) == 0 {
-			g.emit(netip.PrefixFrom(netip.AddrFrom4(b), 24))
+			g.appendBlock(netip.PrefixFrom(netip.AddrFrom4(b), 24))
 			i++
 		}
-		at = g.next(at+size, uint64(1<<24)+uint64(i+1)*step)
+		at = g.nextStart(at+size, uint64(1<<24)+uint64(i+1)*step)
 	}
 }
 
-func (g *generator) walk6(n int, step uint64) {
+func (g *generator) generateIPv6(n int, step uint64) {
 	const base = 0x2400 << 48
 	at := uint64(base)
 	for i := 0; i < n; i++ {
@@ -143,14 +143,14 @@
 		at = (at + size - 1) &^ (size - 1)
 		var b [16]byte
 		binary.BigEndian.PutUint64(b[:], at)
-		g.emit(netip.PrefixFrom(netip.AddrFrom16(b), bits))
-		at = g.next(at+size, base+uint64(i+1)*step)
+		g.appendBlock(netip.PrefixFrom(netip.AddrFrom16(b), bits))
+		at = g.nextStart(at+size, base+uint64(i+1)*step)
 	}
 }
 
-// next returns where the next block may start: mostly right behind the last
+// nextStart returns where the next block may start: mostly right behind the last
 // one, and now and then as far ahead as due.
-func (g *generator) next(end, due uint64) uint64 {
+func (g *generator) nextStart(end, due uint64) uint64 {
 	if end < due && g.rng.IntN(16) == 0 {
 		return due
 	}
@@ -159,12 +159,12 @@
 
 func (g *generator) pick(choices ...int) int { return choices[g.rng.IntN(len(choices))] }
 
-// emit adds a block; runs of neighbouring blocks share one home.
-func (g *generator) emit(p netip.Prefix) {
-	if g.run == 0 {
-		g.run = 1 + g.rng.IntN(8)
+// appendBlock adds a block; runs of neighbouring blocks share one home.
+func (g *generator) appendBlock(p netip.Prefix) {
+	if g.runLeft == 0 {
+		g.runLeft = 1 + g.rng.IntN(8)
 		g.home = g.homes[g.rng.IntN(len(g.homes))]
 	}
-	g.run--
+	g.runLeft--
 	g.blocks = append(g.blocks, block.Block{Prefix: p, Home: g.home})
 }
--- a/decide/block/build.go
+++ b/decide/block/build.go
@@ -15,13 +15,13 @@
 type Builder struct {
 	topology Topology
 	homes    *homeSet
-	v4       []draft[uint32]
-	v6       []draft[uint64]
+	v4       []parsedBlock[uint32]
+	v6       []parsedBlock[uint64]
 	line     int
 }
 
-// draft is an entry with the line it came from, for error reports.
-type draft[K key] struct {
+// parsedBlock is an entry with the line it came from, for error reports.
+type parsedBlock[K key] struct {
 	start K
 	line  uint32
 	home  HomeID
@@ -36,9 +36,9 @@
 // Add adds a block. The n-th call counts as line n in errors.
 func (b *Builder) Add(p netip.Prefix, h Home) error {
 	b.line++
-	id, err := b.home(h)
+	id, err := b.homeID(h)
 	if err == nil {
-		err = b.add(p, id)
+		err = b.addBlock(p, id)
 	}
 	if err != nil {
 		return &SourceError{Line: b.line, Err: err}
@@ -46,16 +46,16 @@
 	return nil
 }
 
-// home checks h and returns its number.
-func (b *Builder) home(h Home) (HomeID, error) {
+// homeID checks h and returns its number.
+func (b *Builder) homeID(h Home) (HomeID, error) {
 	if err := b.topology.check(h); err != nil {
 		return 0, err
 	}
 	return b.homes.id(h)
 }
 
-// add adds a block of the current line.
-func (b *Builder) add(p netip.Prefix, id HomeID) error {
+// addBlock adds a block of the current line.
+func (b *Builder) addBlock(p netip.Prefix, id HomeID) error {
 	if err := checkPrefix(p); err != nil {
 		return err
 	}
@@ -64,9 +64,9 @@
 	}
 	line, bits := uint32(b.line), uint8(p.Bits())
 	if p.Addr().Is4() {
-		b.v4 = append(b.v4, draft[uint32]{key4(p.Addr()), line, id, bits})
+		b.v4 = append(b.v4, parsedBlock[uint32]{key4(p.Addr()), line, id, bits})
 	} else {
-		b.v6 = append(b.v6, draft[uint64]{key6(p.Addr()), line, id, bits})
+		b.v6 = append(b.v6, parsedBlock[uint64]{key6(p.Addr()), line, id, bits})
 	}
 	return nil
 }
@@ -75,12 +75,12 @@
 // *ConflictError where one prefix was given two different homes; the same
 // block given twice is accepted.
 func (b *Builder) Build() (*Table, error) {
-	e4, err := entriesOf(b, b.v4, prefix4)
+	e4, err := sortedEntries(b, b.v4, prefix4)
 	if err != nil {
 		return nil, err
 	}
 	b.v4 = nil // the drafts are as large as the table: let them go early
-	e6, err := entriesOf(b, b.v6, prefix6)
+	e6, err := sortedEntries(b, b.v6, prefix6)
 	if err != nil {
 		return nil, err
 	}
@@ -89,16 +89,16 @@
 		v4:    newPages(e4),
 		v6:    newPages(e6),
 		homes: b.homes.homes,
-		sums:  b.homes.sums,
+		homeHashes:  b.homes.hashes,
 	}
-	t.sum = sumOf(&t.v4, t.sums) + sumOf(&t.v6, t.sums)
+	t.checksum = checksumOf(&t.v4, t.homeHashes) + checksumOf(&t.v6, t.homeHashes)
 	b.homes = newHomeSet(nil)
 	return t, nil
 }
 
-// entriesOf sorts drafts and turns them into entries without duplicates.
-func entriesOf[K key](b *Builder, drafts []draft[K], prefix func(K, uint8) netip.Prefix) ([]entry[K], error) {
-	slices.SortFunc(drafts, func(x, y draft[K]) int {
+// sortedEntries sorts drafts and turns them into entries without duplicates.
+func sortedEntries[K key](b *Builder, drafts []parsedBlock[K], prefix func(K, uint8) netip.Prefix) ([]entry[K], error) {
+	slices.SortFunc(drafts, func(x, y parsedBlock[K]) int {
 		if c := cmp.Compare(x.start, y.start); c != 0 {
 			return c
 		}
@@ -110,7 +110,7 @@
 	entries := make([]entry[K], 0, len(drafts))
 	for i, d := range drafts {
 		if i == 0 || d.start != drafts[i-1].start || d.bits != drafts[i-1].bits {
-			entries = append(entries, entry[K]{start: d.start, home: d.home, bits: d.bits, up: outside})
+			entries = append(entries, entry[K]{start: d.start, home: d.home, bits: d.bits, parent: noParent})
 			continue
 		}
 		if e := drafts[i-1]; e.home != d.home {
@@ -124,15 +124,15 @@
 	return entries, nil
 }
 
-func sumOf[K key](t *pages[K], homes []uint64) uint64 {
+func checksumOf[K key](t *pages[K], homes []uint64) uint64 {
 	var sum uint64
 	t.all(func(e *entry[K]) bool {
-		sum += e.sum(homes)
+		sum += e.checksum(homes)
 		return true
 	})
 	return sum
 }
 
-func (e *entry[K]) sum(homes []uint64) uint64 {
-	return entrySum(widthOf[K](), uint64(e.start), e.bits, homes[e.home])
+func (e *entry[K]) checksum(homes []uint64) uint64 {
+	return blockChecksum(widthOf[K](), uint64(e.start), e.bits, homes[e.home])
 }
--- a/decide/block/chunk.go
+++ b/decide/block/chunk.go
@@ -35,23 +35,23 @@
 // first start of a chunk and of a family is counted from zero.
 const (
 	chunkVersion = 1
-	family6      = 64
+	ipv6LengthOffset      = 64
 )
 
-// cutMask makes a chunk end after a block whose hash has these bits zero, one
+// chunkEndMask makes a chunk end after a block whose hash has these bits zero, one
 // in 2^16. Ends then depend on blocks and not on positions, so that an added
 // block changes its own chunk and not all that follow.
-const cutMask = 1<<16 - 1
+const chunkEndMask = 1<<16 - 1
 
 // chunkWriter collects one chunk.
 type chunkWriter struct {
 	table *Table
 	limit int
-	ids   map[HomeID]uint64 // numbers within the chunk
+	homeIndexes   map[HomeID]uint64 // numbers within the chunk
 	homes []byte
 	body  []byte
-	last  uint64
-	last6 bool
+	lastStart  uint64
+	inIPv6 bool
 }
 
 // EncodeChunks writes t as chunks of at most limit bytes each; limit is at
@@ -62,7 +62,7 @@
 	w := chunkWriter{table: t, limit: min(limit, MaxChunk)}
 	w.reset()
 	flush := func() {
-		chunk := w.bytes()
+		chunk := w.encode()
 		chunks = append(chunks, chunk)
 		m.Chunks = append(m.Chunks, ChunkKey(chunk))
 		w.reset()
@@ -74,7 +74,7 @@
 				return nil, Manifest{}, fmt.Errorf("%w: a block does not fit %d bytes", ErrTooLarge, w.limit)
 			}
 		}
-		if Hash(p)&cutMask == 0 {
+		if Hash(p)&chunkEndMask == 0 {
 			flush()
 		}
 	}
@@ -85,55 +85,55 @@
 }
 
 func (w *chunkWriter) reset() {
-	w.ids = make(map[HomeID]uint64)
+	w.homeIndexes = make(map[HomeID]uint64)
 	w.homes, w.body = nil, nil
-	w.last, w.last6 = 0, false
+	w.lastStart, w.inIPv6 = 0, false
 }
 
-// overhead bounds the version and the count of homes.
-const overhead = 1 + binary.MaxVarintLen32
+// maxChunkHeader bounds the version and the count of homes.
+const maxChunkHeader = 1 + binary.MaxVarintLen32
 
 // add appends a block, or reports false and changes nothing where the chunk
 // has no room for it.
 func (w *chunkWriter) add(p netip.Prefix, id HomeID) bool {
-	n, known := w.ids[id]
+	n, known := w.homeIndexes[id]
 	home := ""
 	if !known {
-		n = uint64(len(w.ids))
+		n = uint64(len(w.homeIndexes))
 		home = homeText(w.table.Home(id))
 	}
 	need := len(home) + 3*binary.MaxVarintLen64
-	if overhead+len(w.homes)+len(w.body)+need > w.limit {
+	if maxChunkHeader+len(w.homes)+len(w.body)+need > w.limit {
 		return false
 	}
 	if !known {
-		w.ids[id] = n
+		w.homeIndexes[id] = n
 		w.homes = binary.AppendUvarint(w.homes, uint64(len(home)))
 		w.homes = append(w.homes, home...)
 	}
-	start, length := packed(p)
-	if p.Addr().Is6() && !w.last6 {
-		w.last, w.last6 = 0, true
+	start, length := packPrefix(p)
+	if p.Addr().Is6() && !w.inIPv6 {
+		w.lastStart, w.inIPv6 = 0, true
 	}
 	w.body = append(w.body, length)
 	w.body = binary.AppendUvarint(w.body, n)
-	w.body = binary.AppendUvarint(w.body, start-w.last)
-	w.last = start
+	w.body = binary.AppendUvarint(w.body, start-w.lastStart)
+	w.lastStart = start
 	return true
 }
 
-// packed returns a block's start and length byte.
-func packed(p netip.Prefix) (start uint64, length byte) {
+// packPrefix returns a block's start and length byte.
+func packPrefix(p netip.Prefix) (start uint64, length byte) {
 	if p.Addr().Is4() {
 		return uint64(key4(p.Addr())), byte(p.Bits())
 	}
-	return key6(p.Addr()), byte(family6 + p.Bits())
+	return key6(p.Addr()), byte(ipv6LengthOffset + p.Bits())
 }
 
-func (w *chunkWriter) bytes() []byte {
-	out := make([]byte, 0, overhead+len(w.homes)+len(w.body))
+func (w *chunkWriter) encode() []byte {
+	out := make([]byte, 0, maxChunkHeader+len(w.homes)+len(w.body))
 	out = append(out, chunkVersion)
-	out = binary.AppendUvarint(out, uint64(len(w.ids)))
+	out = binary.AppendUvarint(out, uint64(len(w.homeIndexes)))
 	out = append(out, w.homes...)
 	return append(out, w.body...)
 }
@@ -167,12 +167,12 @@
 // chunkReader reads the fields of a chunk; after a fault it returns zeros.
 type chunkReader struct {
 	rest []byte
-	bad  bool
+	failed  bool
 }
 
-func (r *chunkReader) byte() byte {
+func (r *chunkReader) readByte() byte {
 	if len(r.rest) == 0 {
-		r.bad = true
+		r.failed = true
 		return 0
 	}
 	b := r.rest[0]
@@ -180,10 +180,10 @@
 	return b
 }
 
-func (r *chunkReader) uvarint() uint64 {
+func (r *chunkReader) readUvarint() uint64 {
 	x, n := binary.Uvarint(r.rest)
 	if n <= 0 {
-		r.bad = true
+		r.failed = true
 		r.rest = nil
 		return 0
 	}
@@ -191,10 +191,10 @@
 	return x
 }
 
-func (r *chunkReader) text() string {
-	n := r.uvarint()
+func (r *chunkReader) readString() string {
+	n := r.readUvarint()
 	if n > uint64(len(r.rest)) {
-		r.bad = true
+		r.failed = true
 		return ""
 	}
 	s := string(r.rest[:n])
@@ -204,7 +204,7 @@
 
 func decodeChunk(b *Builder, chunk []byte) error {
 	r := chunkReader{rest: chunk}
-	if v := r.byte(); v != chunkVersion {
+	if v := r.readByte(); v != chunkVersion {
 		return fmt.Errorf("%w: version %d", ErrSyntax, v)
 	}
 	ids, err := decodeHomes(b, &r)
@@ -215,17 +215,17 @@
 	last6 := false
 	for len(r.rest) > 0 {
 		b.line++
-		length, home, step := r.byte(), r.uvarint(), r.uvarint()
-		if r.bad || home >= uint64(len(ids)) {
+		length, home, step := r.readByte(), r.readUvarint(), r.readUvarint()
+		if r.failed || home >= uint64(len(ids)) {
 			return &SourceError{Line: b.line, Err: fmt.Errorf("%w: chunk ends early or names no home", ErrSyntax)}
 		}
-		if length >= family6 && !last6 {
+		if length >= ipv6LengthOffset && !last6 {
 			last, last6 = 0, true
 		}
 		last += step
-		p, err := unpacked(last, length)
+		p, err := unpackPrefix(last, length)
 		if err == nil {
-			err = b.add(p, ids[home])
+			err = b.addBlock(p, ids[home])
 		}
 		if err != nil {
 			return &SourceError{Line: b.line, Err: err}
@@ -235,21 +235,21 @@
 }
 
 func decodeHomes(b *Builder, r *chunkReader) ([]HomeID, error) {
-	n := r.uvarint()
+	n := r.readUvarint()
 	if n > uint64(len(r.rest)) {
 		return nil, fmt.Errorf("%w: %d homes in %d bytes", ErrSyntax, n, len(r.rest))
 	}
 	ids := make([]HomeID, 0, n)
 	for range n {
-		text := r.text()
-		if r.bad {
+		text := r.readString()
+		if r.failed {
 			return nil, fmt.Errorf("%w: chunk ends within its homes", ErrSyntax)
 		}
 		h, err := parseHome(text)
 		if err != nil {
 			return nil, err
 		}
-		id, err := b.home(h)
+		id, err := b.homeID(h)
 		if err != nil {
 			return nil, err
 		}
@@ -258,10 +258,10 @@
 	return ids, nil
 }
 
-// unpacked is the inverse of packed.
-func unpacked(start uint64, length byte) (netip.Prefix, error) {
-	if length >= family6 {
-		return prefix6(start, length-family6), nil
+// unpackPrefix is the inverse of packed.
+func unpackPrefix(start uint64, length byte) (netip.Prefix, error) {
+	if length >= ipv6LengthOffset {
+		return prefix6(start, length-ipv6LengthOffset), nil
 	}
 	if start > 1<<width4-1 || length > width4 {
 		return netip.Prefix{}, fmt.Errorf("%w: start %d, length %d", ErrPrefix, start, length)
--- a/decide/block/diff.go
+++ b/decide/block/diff.go
@@ -31,7 +31,7 @@
 // cursor walks over the entries of one address family.
 type cursor[K key] struct {
 	pages []page[K]
-	at    int // index in pages[0]
+	index    int // index in pages[0]
 }
 
 // entry returns the entry under the cursor, or nil at the end.
@@ -39,13 +39,13 @@
 	if len(c.pages) == 0 {
 		return nil
 	}
-	return &c.pages[0].entries[c.at]
+	return &c.pages[0].entries[c.index]
 }
 
 func (c *cursor[K]) next() {
-	c.at++
-	if c.at == len(c.pages[0].entries) {
-		c.pages, c.at = c.pages[1:], 0
+	c.index++
+	if c.index == len(c.pages[0].entries) {
+		c.pages, c.index = c.pages[1:], 0
 	}
 }
 
--- a/decide/block/home.go
+++ b/decide/block/home.go
@@ -47,7 +47,7 @@
 // homeSet numbers homes in the order in which they are first seen.
 type homeSet struct {
 	homes []Home
-	sums  []uint64 // checksum of each home, by HomeID
+	hashes  []uint64 // checksum of each home, by HomeID
 	ids   map[string]HomeID
 }
 
@@ -72,7 +72,7 @@
 	id := HomeID(len(s.homes))
 	h.Domains = slices.Clone(h.Domains)
 	s.homes = append(s.homes, h)
-	s.sums = append(s.sums, xxhash.Sum64String(k))
+	s.hashes = append(s.hashes, xxhash.Sum64String(k))
 	s.ids[k] = id
 	return id, nil
 }
--- a/decide/block/pages.go
+++ b/decide/block/pages.go
@@ -5,38 +5,38 @@
 	start K
 	home  HomeID
 	bits  uint8
-	up    uint8 // index in the page of the enclosing entry, or outside
+	parent    uint8 // index in the page of the enclosing entry, or outside
 }
 
-// outside marks an entry whose enclosing block, if any, is in an earlier page.
-const outside = 255
+// noParent marks an entry whose enclosing block, if any, is in an earlier page.
+const noParent = 255
 
 const (
-	// pageFill is the number of entries in a page of a new table.
-	pageFill = 64
-	// pageMax is the number of entries at which a patched page is split; it
+	// initialPageSize is the number of entries in a page of a new table.
+	initialPageSize = 64
+	// maxPageSize is the number of entries at which a patched page is split; it
 	// must stay below outside.
-	pageMax = 128
-	// maxBuckets is the largest number of buckets in the index of a family.
-	maxBuckets = 1 << 16
+	maxPageSize = 128
+	// maxIndexBuckets is the largest number of buckets in the index of a family.
+	maxIndexBuckets = 1 << 16
 )
 
 // page is a run of entries in ascending order of start, then bits.
 type page[K key] struct {
 	entries []entry[K]
-	// outer are the blocks of earlier pages that enclose the first entry,
+	// outerBlocks are the blocks of earlier pages that enclose the first entry,
 	// longest first. A block of an earlier page that encloses any entry of
 	// this one encloses the first, because it starts before it.
-	outer []entry[K]
+	outerBlocks []entry[K]
 }
 
 // pages holds the blocks of one address family.
 type pages[K key] struct {
-	firsts []K // start of the first entry of each page
+	firstStarts []K // start of the first entry of each page
 	pages  []page[K]
 	index  []uint32 // see newIndex
 	shift  uint8    // log2 of the addresses in a bucket of the index
-	n      int      // entries in all pages
+	count      int      // entries in all pages
 }
 
 func widthOf[K key]() uint8 {
@@ -66,22 +66,22 @@
 
 // find returns the longest block that contains a, or nil.
 func (t *pages[K]) find(a K) *entry[K] {
-	if len(t.firsts) == 0 || a < t.firsts[0] {
+	if len(t.firstStarts) == 0 || a < t.firstStarts[0] {
 		return nil
 	}
-	return t.pages[t.pageOf(a)].find(a)
+	return t.pages[t.findPage(a)].find(a)
 }
 
-// pageOf returns the last page that starts at or before a, which must not be
+// findPage returns the last page that starts at or before a, which must not be
 // below the first start. The index narrows the search to a few pages.
-func (t *pages[K]) pageOf(a K) int {
-	bucket := min((a-t.firsts[0])>>t.shift, K(len(t.index)-2))
+func (t *pages[K]) findPage(a K) int {
+	bucket := min((a-t.firstStarts[0])>>t.shift, K(len(t.index)-2))
 	lo, n := int(t.index[bucket]), int(t.index[bucket+1]-t.index[bucket])+1
 	// The branches of these searches are unpredictable; this form lets the
 	// compiler use conditional moves.
 	for n > 1 {
 		half := n / 2
-		if t.firsts[lo+half] <= a {
+		if t.firstStarts[lo+half] <= a {
 			lo += half
 		}
 		n -= half
@@ -97,7 +97,7 @@
 		return nil, 0
 	}
 	span := uint64(firsts[len(firsts)-1] - firsts[0])
-	for span>>shift >= maxBuckets {
+	for span>>shift >= maxIndexBuckets {
 		shift++
 	}
 	buckets := int(span>>shift) + 1
@@ -115,27 +115,27 @@
 }
 
 func (p *page[K]) find(a K) *entry[K] {
-	j := p.last(a)
+	j := p.lastAtOrBefore(a)
 	for j >= 0 {
 		e := &p.entries[j]
 		if e.contains(a) {
 			return e
 		}
-		if e.up == outside {
+		if e.parent == noParent {
 			break
 		}
-		j = int(e.up)
+		j = int(e.parent)
 	}
-	for j := range p.outer {
-		if p.outer[j].contains(a) {
-			return &p.outer[j]
+	for j := range p.outerBlocks {
+		if p.outerBlocks[j].contains(a) {
+			return &p.outerBlocks[j]
 		}
 	}
 	return nil
 }
 
-// last returns the index of the last entry that starts at or before a, or -1.
-func (p *page[K]) last(a K) int {
+// lastAtOrBefore returns the index of the last entry that starts at or before a, or -1.
+func (p *page[K]) lastAtOrBefore(a K) int {
 	lo, n := 0, len(p.entries)
 	if p.entries[0].start > a {
 		return -1
@@ -150,44 +150,44 @@
 	return lo
 }
 
-// link sets the up of every entry of the page.
-func (p *page[K]) link() {
+// linkParents sets the up of every entry of the page.
+func (p *page[K]) linkParents() {
 	for i := range p.entries {
-		p.entries[i].up = p.enclosing(i)
+		p.entries[i].parent = p.findParent(i)
 	}
 }
 
-// enclosing returns the index of the shortest-distance entry before i that
+// findParent returns the index of the shortest-distance entry before i that
 // encloses it; entries before i are linked already.
-func (p *page[K]) enclosing(i int) uint8 {
+func (p *page[K]) findParent(i int) uint8 {
 	if i == 0 {
-		return outside
+		return noParent
 	}
 	j := i - 1
 	for !p.entries[j].contains(p.entries[i].start) {
-		if p.entries[j].up == outside {
-			return outside
+		if p.entries[j].parent == noParent {
+			return noParent
 		}
-		j = int(p.entries[j].up)
+		j = int(p.entries[j].parent)
 	}
 	return uint8(j)
 }
 
-// outerOf returns the blocks of page p and of its outer ones that enclose the
+// enclosingBlocks returns the blocks of page p and of its outer ones that enclose the
 // entry first of the next page, longest first. Every such block also encloses
 // or is the last entry of p, so p's last chain holds them all.
-func (p *page[K]) outerOf(first *entry[K], buf []entry[K]) []entry[K] {
+func (p *page[K]) enclosingBlocks(first *entry[K], buf []entry[K]) []entry[K] {
 	buf = buf[:0]
-	for j := len(p.entries) - 1; ; j = int(p.entries[j].up) {
+	for j := len(p.entries) - 1; ; j = int(p.entries[j].parent) {
 		e := p.entries[j]
 		if e.contains(first.start) {
 			buf = append(buf, e)
 		}
-		if e.up == outside {
+		if e.parent == noParent {
 			break
 		}
 	}
-	for _, e := range p.outer {
+	for _, e := range p.outerBlocks {
 		if e.contains(first.start) {
 			buf = append(buf, e)
 		}
@@ -198,44 +198,44 @@
 // newPages cuts entries, which are sorted and without duplicates, into pages.
 // It keeps entries as the pages' memory.
 func newPages[K key](entries []entry[K]) pages[K] {
-	n := (len(entries) + pageFill - 1) / pageFill
+	n := (len(entries) + initialPageSize - 1) / initialPageSize
 	list := make([]page[K], 0, n)
 	for len(entries) > 0 {
-		m := min(pageFill, len(entries))
+		m := min(initialPageSize, len(entries))
 		list = append(list, page[K]{entries: entries[:m:m]})
 		entries = entries[m:]
 	}
 	for i := range list {
-		list[i].link()
+		list[i].linkParents()
 	}
-	return assemble(list)
+	return buildDirectory(list)
 }
 
-// assemble builds the directory over linked pages and renews their outer
+// buildDirectory builds the directory over linked pages and renews their outer
 // blocks. Pages whose outer blocks stay as they were keep their memory.
-func assemble[K key](list []page[K]) pages[K] {
-	t := pages[K]{pages: list, firsts: make([]K, len(list))}
+func buildDirectory[K key](list []page[K]) pages[K] {
+	t := pages[K]{pages: list, firstStarts: make([]K, len(list))}
 	var buf []entry[K]
 	for i := range list {
 		p := &list[i]
-		t.firsts[i] = p.entries[0].start
-		t.n += len(p.entries)
+		t.firstStarts[i] = p.entries[0].start
+		t.count += len(p.entries)
 		if i == 0 {
-			p.outer = nil
+			p.outerBlocks = nil
 			continue
 		}
-		buf = list[i-1].outerOf(&p.entries[0], buf)
-		p.setOuter(buf)
+		buf = list[i-1].enclosingBlocks(&p.entries[0], buf)
+		p.setOuterBlocks(buf)
 	}
-	t.index, t.shift = newIndex(t.firsts)
+	t.index, t.shift = newIndex(t.firstStarts)
 	return t
 }
 
-func (p *page[K]) setOuter(outer []entry[K]) {
-	if sameBlocks(p.outer, outer) {
+func (p *page[K]) setOuterBlocks(outer []entry[K]) {
+	if sameBlocks(p.outerBlocks, outer) {
 		return
 	}
-	p.outer = append([]entry[K](nil), outer...)
+	p.outerBlocks = append([]entry[K](nil), outer...)
 }
 
 func sameBlocks[K key](a, b []entry[K]) bool {
--- a/decide/block/patch.go
+++ b/decide/block/patch.go
@@ -41,28 +41,28 @@
 		t = &Table{}
 	}
 	homes := newHomeSet(t.homes)
-	c4, c6, err := changesOf(d, homes, topology)
+	c4, c6, err := splitChanges(d, homes, topology)
 	if err != nil {
 		return nil, err
 	}
-	next := &Table{homes: homes.homes, sums: homes.sums, sum: t.sum}
-	if next.v4, err = patchPages(&t.v4, c4, homes.sums, &next.sum, prefix4); err != nil {
+	next := &Table{homes: homes.homes, homeHashes: homes.hashes, checksum: t.checksum}
+	if next.v4, err = patchPages(&t.v4, c4, homes.hashes, &next.checksum, prefix4); err != nil {
 		return nil, err
 	}
-	if next.v6, err = patchPages(&t.v6, c6, homes.sums, &next.sum, prefix6); err != nil {
+	if next.v6, err = patchPages(&t.v6, c6, homes.hashes, &next.checksum, prefix6); err != nil {
 		return nil, err
 	}
 	if next.Len() > MaxBlocks {
 		return nil, fmt.Errorf("%w: more than %d blocks", ErrTooLarge, MaxBlocks)
 	}
-	if next.sum != d.To {
-		return nil, fmt.Errorf("%w: leads to %016x instead of %016x", ErrTruncated, next.sum, d.To)
+	if next.checksum != d.To {
+		return nil, fmt.Errorf("%w: leads to %016x instead of %016x", ErrTruncated, next.checksum, d.To)
 	}
 	return next, nil
 }
 
-// changesOf checks a delta and sorts its changes by address family.
-func changesOf(d Delta, homes *homeSet, topology Topology) ([]change[uint32], []change[uint64], error) {
+// splitChanges checks a delta and sorts its changes by address family.
+func splitChanges(d Delta, homes *homeSet, topology Topology) ([]change[uint32], []change[uint64], error) {
 	var c4 []change[uint32]
 	var c6 []change[uint64]
 	add := func(p netip.Prefix, id HomeID, remove bool) error {
@@ -71,9 +71,9 @@
 		}
 		bits := uint8(p.Bits())
 		if p.Addr().Is4() {
-			c4 = append(c4, change[uint32]{entry[uint32]{key4(p.Addr()), id, bits, outside}, remove})
+			c4 = append(c4, change[uint32]{entry[uint32]{key4(p.Addr()), id, bits, noParent}, remove})
 		} else {
-			c6 = append(c6, change[uint64]{entry[uint64]{key6(p.Addr()), id, bits, outside}, remove})
+			c6 = append(c6, change[uint64]{entry[uint64]{key6(p.Addr()), id, bits, noParent}, remove})
 		}
 		return nil
 	}
@@ -135,16 +135,16 @@
 		if err != nil {
 			return pages[K]{}, err
 		}
-		list = appendSplit(list, entries)
+		list = appendPages(list, entries)
 	}
 	if len(t.pages) == 0 {
 		entries, err := merge(nil, changes, homes, sum, prefix)
 		if err != nil {
 			return pages[K]{}, err
 		}
-		list = appendSplit(list, entries)
+		list = appendPages(list, entries)
 	}
-	return assemble(list), nil
+	return buildDirectory(list), nil
 }
 
 // countBefore returns how many of the sorted changes come before e.
@@ -168,12 +168,12 @@
 		}
 		present := len(entries) > 0 && entries[0].samePrefix(&c.entry)
 		if present {
-			*sum -= entries[0].sum(homes)
+			*sum -= entries[0].checksum(homes)
 			entries = entries[1:]
 		}
 		switch {
 		case !c.remove:
-			*sum += c.entry.sum(homes)
+			*sum += c.entry.checksum(homes)
 			out = append(out, c.entry)
 		case !present:
 			return nil, fmt.Errorf("%w: %s to be removed is not there", ErrBase, prefix(c.entry.start, c.entry.bits))
@@ -182,15 +182,15 @@
 	return append(out, entries...), nil
 }
 
-// appendSplit appends entries to list as pages of at most pageMax entries.
-func appendSplit[K key](list []page[K], entries []entry[K]) []page[K] {
+// appendPages appends entries to list as pages of at most pageMax entries.
+func appendPages[K key](list []page[K], entries []entry[K]) []page[K] {
 	for len(entries) > 0 {
 		n := len(entries)
-		if n > pageMax {
-			n = min(pageFill, n)
+		if n > maxPageSize {
+			n = min(initialPageSize, n)
 		}
 		p := page[K]{entries: entries[:n:n]}
-		p.link()
+		p.linkParents()
 		list = append(list, p)
 		entries = entries[n:]
 	}
--- a/decide/block/source_test.go
+++ b/decide/block/source_test.go
@@ -16,23 +16,23 @@
 
 func errIs(err, target error) bool { return errors.Is(err, target) }
 
-var greece = block.Topology{"attiki": {"attiki-1", "attiki-2"}, "kriti": {"kriti-1"}}
+var testTopology = block.Topology{"attiki": {"attiki-1", "attiki-2"}, "kriti": {"kriti-1"}}
 
-// sealed appends the last line that belongs to body.
-func sealed(body string, count int) string {
+// withEndLine appends the last line that belongs to body.
+func withEndLine(body string, count int) string {
 	return fmt.Sprintf("%send %d %016x\n", body, count, xxhash.Sum64String(body))
 }
 
 func TestLoad(t *testing.T) {
 	is := is.New(t)
 	body := "# blocks of the islands\n\n10.0.0.0/8\tattiki attiki-2,attiki-1\n10.1.0.0/16 kriti\r\n2400:1::/32 kriti kriti-1\n"
-	tab, err := block.Load(strings.NewReader(sealed(body, 3)), greece)
+	tab, err := block.Load(strings.NewReader(withEndLine(body, 3)), testTopology)
 	is.NoErr(err)
 	is.Equal(tab.Len(), 3)
 
 	var out bytes.Buffer
 	is.NoErr(block.Write(&out, tab))
-	again, err := block.Load(&out, greece)
+	again, err := block.Load(&out, testTopology)
 	is.NoErr(err)
 	is.Equal(again.Sum(), tab.Sum())
 }
@@ -49,30 +49,30 @@
 		line int
 		want error
 	}{
-		"conflict":         {sealed(good+"10.0.0.0/8 kriti\n", 3), 3, block.ErrConflict},
-		"unknown region":   {sealed(good+"11.0.0.0/8 thraki\n", 3), 3, block.ErrUnknownName},
-		"unknown domain":   {sealed(good+"11.0.0.0/8 kriti attiki-1\n", 3), 3, block.ErrUnknownName},
+		"conflict":         {withEndLine(good+"10.0.0.0/8 kriti\n", 3), 3, block.ErrConflict},
+		"unknown region":   {withEndLine(good+"11.0.0.0/8 thraki\n", 3), 3, block.ErrUnknownName},
+		"unknown domain":   {withEndLine(good+"11.0.0.0/8 kriti attiki-1\n", 3), 3, block.ErrUnknownName},
 		"no last line":     {good, 3, block.ErrTruncated},
 		"empty":            {"", 1, block.ErrTruncated},
-		"lost line":        {"10.0.0.0/8 attiki\n" + strings.SplitAfter(sealed(good, 2), "\n")[2], 2, block.ErrTruncated},
-		"altered":          {strings.Replace(sealed(good, 2), "/16", "/17", 1), 3, block.ErrTruncated},
-		"text after end":   {sealed(good, 2) + "11.0.0.0/8 kriti\n", 4, block.ErrSyntax},
-		"second end":       {sealed(good, 2) + sealed(good, 2), 4, block.ErrSyntax},
+		"lost line":        {"10.0.0.0/8 attiki\n" + strings.SplitAfter(withEndLine(good, 2), "\n")[2], 2, block.ErrTruncated},
+		"altered":          {strings.Replace(withEndLine(good, 2), "/16", "/17", 1), 3, block.ErrTruncated},
+		"text after end":   {withEndLine(good, 2) + "11.0.0.0/8 kriti\n", 4, block.ErrSyntax},
+		"second end":       {withEndLine(good, 2) + withEndLine(good, 2), 4, block.ErrSyntax},
 		"bad end":          {good + "end 2\n", 3, block.ErrSyntax},
-		"no home":          {sealed(good+"11.0.0.0/8\n", 3), 3, block.ErrSyntax},
-		"surplus field":    {sealed(good+"11.0.0.0/8 kriti kriti-1 x\n", 3), 3, block.ErrSyntax},
-		"empty domain":     {sealed(good+"11.0.0.0/8 kriti kriti-1,\n", 3), 3, block.ErrSyntax},
-		"no prefix":        {sealed(good+"11.0.0.0 kriti\n", 3), 3, block.ErrPrefix},
-		"host bits":        {sealed(good+"11.0.0.1/8 kriti\n", 3), 3, block.ErrPrefix},
-		"long IPv6":        {sealed(good+"2400::/65 kriti\n", 3), 3, block.ErrPrefix},
-		"mapped":           {sealed(good+"::ffff:10.0.0.0/104 kriti\n", 3), 3, block.ErrPrefix},
+		"no home":          {withEndLine(good+"11.0.0.0/8\n", 3), 3, block.ErrSyntax},
+		"surplus field":    {withEndLine(good+"11.0.0.0/8 kriti kriti-1 x\n", 3), 3, block.ErrSyntax},
+		"empty domain":     {withEndLine(good+"11.0.0.0/8 kriti kriti-1,\n", 3), 3, block.ErrSyntax},
+		"no prefix":        {withEndLine(good+"11.0.0.0 kriti\n", 3), 3, block.ErrPrefix},
+		"host bits":        {withEndLine(good+"11.0.0.1/8 kriti\n", 3), 3, block.ErrPrefix},
+		"long IPv6":        {withEndLine(good+"2400::/65 kriti\n", 3), 3, block.ErrPrefix},
+		"mapped":           {withEndLine(good+"::ffff:10.0.0.0/104 kriti\n", 3), 3, block.ErrPrefix},
 		"line too long":    {good + strings.Repeat("x", 70<<10), 3, block.ErrSyntax},
-		"only end differs": {strings.Replace(sealed(good, 2), "end 2", "end 3", 1), 3, block.ErrTruncated},
+		"only end differs": {strings.Replace(withEndLine(good, 2), "end 2", "end 3", 1), 3, block.ErrTruncated},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			tab, err := block.Load(strings.NewReader(c.text), greece)
+			tab, err := block.Load(strings.NewReader(c.text), testTopology)
 			is.Equal(tab, nil)
 			is.True(errIs(err, c.want))
 			is.True(strings.HasPrefix(err.Error(), fmt.Sprintf("line %d: ", c.line)))
@@ -80,24 +80,24 @@
 	}
 }
 
-func TestSameBlockTwiceIsOne(t *testing.T) {
+func TestLoadMergesDuplicateBlock(t *testing.T) {
 	is := is.New(t)
-	tab, err := block.Load(strings.NewReader(sealed("10.0.0.0/8 kriti\n10.0.0.0/8 kriti\n", 2)), greece)
+	tab, err := block.Load(strings.NewReader(withEndLine("10.0.0.0/8 kriti\n10.0.0.0/8 kriti\n", 2)), testTopology)
 	is.NoErr(err)
 	is.Equal(tab.Len(), 1)
 }
 
-const testLimit = 4096
+const testChunkLimit = 4096
 
 func TestChunksRoundTrip(t *testing.T) {
 	is := is.New(t)
 	topology := blocktest.Topology(3, 6)
 	tab := blocktest.Table(20_000, topology, true, 1)
-	chunks, manifest, err := block.EncodeChunks(tab, testLimit)
+	chunks, manifest, err := block.EncodeChunks(tab, testChunkLimit)
 	is.NoErr(err)
 	is.True(len(chunks) > 10)
 	for _, c := range chunks {
-		is.True(len(c) <= testLimit)
+		is.True(len(c) <= testChunkLimit)
 	}
 	again, err := block.DecodeChunks(manifest, chunks, topology)
 	is.NoErr(err)
@@ -112,7 +112,7 @@
 	is := is.New(t)
 	topology := blocktest.Topology(3, 6)
 	tab := blocktest.Table(5_000, topology, true, 1)
-	chunks, manifest, err := block.EncodeChunks(tab, testLimit)
+	chunks, manifest, err := block.EncodeChunks(tab, testChunkLimit)
 	is.NoErr(err)
 
 	_, err = block.DecodeChunks(manifest, chunks[1:], topology)
@@ -172,10 +172,10 @@
 }
 
 func FuzzLoad(f *testing.F) {
-	f.Add(sealed("10.0.0.0/8 attiki attiki-1,attiki-2\n2400::/32 kriti\n", 2))
+	f.Add(withEndLine("10.0.0.0/8 attiki attiki-1,attiki-2\n2400::/32 kriti\n", 2))
 	f.Add("10.0.0.0/8 attiki\nend 1 0\n")
 	f.Fuzz(func(t *testing.T, text string) {
-		tab, err := block.Load(strings.NewReader(text), greece)
+		tab, err := block.Load(strings.NewReader(text), testTopology)
 		if (tab == nil) == (err == nil) {
 			t.Fatalf("table %v with error %v", tab, err)
 		}
@@ -183,7 +183,7 @@
 }
 
 func FuzzDecodeChunk(f *testing.F) {
-	chunks, _, err := block.EncodeChunks(blocktest.Table(200, blocktest.Topology(3, 6), true, 1), testLimit)
+	chunks, _, err := block.EncodeChunks(blocktest.Table(200, blocktest.Topology(3, 6), true, 1), testChunkLimit)
 	if err != nil {
 		f.Fatal(err)
 	}
--- a/decide/block/table.go
+++ b/decide/block/table.go
@@ -12,8 +12,8 @@
 	v4    pages[uint32]
 	v6    pages[uint64]
 	homes []Home
-	sums  []uint64 // checksum of each home
-	sum   uint64
+	homeHashes  []uint64 // checksum of each home
+	checksum   uint64
 }
 
 // Match is the result of a look-up.
@@ -63,7 +63,7 @@
 	if t == nil {
 		return 0
 	}
-	return t.v4.n + t.v6.n
+	return t.v4.count + t.v6.count
 }
 
 // Sum returns the checksum of the table's content. Equal content gives equal
@@ -72,7 +72,7 @@
 	if t == nil {
 		return 0
 	}
-	return t.sum
+	return t.checksum
 }
 
 // Bytes returns the memory that the table's blocks and directory take.
@@ -84,11 +84,11 @@
 }
 
 func bytesOf[K key](t *pages[K]) int {
-	n := cap(t.firsts)*int(unsafe.Sizeof(K(0))) +
+	n := cap(t.firstStarts)*int(unsafe.Sizeof(K(0))) +
 		cap(t.pages)*int(unsafe.Sizeof(page[K]{})) +
 		cap(t.index)*int(unsafe.Sizeof(uint32(0)))
 	for i := range t.pages {
-		n += (cap(t.pages[i].entries) + cap(t.pages[i].outer)) * int(unsafe.Sizeof(entry[K]{}))
+		n += (cap(t.pages[i].entries) + cap(t.pages[i].outerBlocks)) * int(unsafe.Sizeof(entry[K]{}))
 	}
 	return n
 }
@@ -114,15 +114,15 @@
 
 // Constants of entrySum: odd multipliers of the usual 64-bit mixers.
 const (
-	mulStart = 0x9e3779b97f4a7c15
-	mulBits  = 0xbf58476d1ce4e5b9
+	startMultiplier = 0x9e3779b97f4a7c15
+	bitsMultiplier  = 0xbf58476d1ce4e5b9
 )
 
-// entrySum is the part of one block in the table's checksum. Parts are added,
+// blockChecksum is the part of one block in the table's checksum. Parts are added,
 // so that the checksum does not depend on order.
-func entrySum(width uint8, start uint64, length uint8, home uint64) uint64 {
-	x := (start ^ home) * mulStart
-	x ^= (uint64(length)<<8 | uint64(width)) * mulBits
-	hi, lo := bits.Mul64(x^home, mulStart^start)
+func blockChecksum(width uint8, start uint64, length uint8, home uint64) uint64 {
+	x := (start ^ home) * startMultiplier
+	x ^= (uint64(length)<<8 | uint64(width)) * bitsMultiplier
+	hi, lo := bits.Mul64(x^home, startMultiplier^start)
 	return hi ^ lo
 }
--- a/decide/block/table_test.go
+++ b/decide/block/table_test.go
@@ -56,7 +56,7 @@
 	}
 }
 
-func probesOf(m model, rng *rand.Rand) []netip.Addr {
+func probeAddrs(m model, rng *rand.Rand) []netip.Addr {
 	probes := []netip.Addr{netip.MustParseAddr("0.0.0.0"), netip.MustParseAddr("255.255.255.255"), netip.MustParseAddr("::")}
 	for p := range m {
 		probes = append(probes, p.Addr(), p.Addr().Prev(), blocktest.Addr(p, rng.Uint64()), blocktest.Addr(p, ^uint64(0)).Next())
@@ -79,7 +79,7 @@
 			m[randomPrefix(rng)] = blocktest.RegionName(rng.IntN(5))
 		}
 		tab := build(is, m)
-		checkModel(t, is, tab, m, probesOf(m, rng))
+		checkModel(t, is, tab, m, probeAddrs(m, rng))
 
 		for range 3 {
 			old, before := tab, maps.Clone(m)
@@ -91,8 +91,8 @@
 			tab, err = old.Patch(block.Diff(old, want), nil)
 			is.NoErr(err)
 			is.Equal(tab.Sum(), want.Sum())
-			checkModel(t, is, tab, m, probesOf(m, rng))
-			checkModel(t, is, old, before, probesOf(before, rng)) // the old table stays as it was
+			checkModel(t, is, tab, m, probeAddrs(m, rng))
+			checkModel(t, is, old, before, probeAddrs(before, rng)) // the old table stays as it was
 		}
 	})
 }
@@ -117,7 +117,7 @@
 	return t
 }
 
-func TestMappedAddressIsIPv4(t *testing.T) {
+func TestLookupUnmapsIPv4MappedAddress(t *testing.T) {
 	is := is.New(t)
 	tab := build(is, model{netip.MustParsePrefix("10.0.0.0/8"): "attiki"})
 	m, ok := tab.Lookup(netip.MustParseAddr("::ffff:10.1.2.3"))
--- a/decide/block/text.go
+++ b/decide/block/text.go
@@ -28,7 +28,7 @@
 // 16 hexadecimal digits, of every byte before that line. Without it, a file
 // cut at the end of a line would pass for a smaller table, and the clients of
 // the missing blocks would be steered by the default.
-const endWord = "end"
+const endKeyword = "end"
 
 // maxLine bounds a line of a text source, in bytes.
 const maxLine = 64 << 10
@@ -39,7 +39,7 @@
 	sum     *xxhash.Digest
 	homes   map[string]HomeID // by the text after the prefix
 	blocks  int
-	ended   bool
+	endSeen   bool
 }
 
 // Load reads a text source whole. Errors are *SourceError or *ConflictError
@@ -52,35 +52,35 @@
 	}
 	s := bufio.NewScanner(r)
 	s.Buffer(make([]byte, 0, maxLine), maxLine)
-	s.Split(scanRawLines)
+	s.Split(splitRawLines)
 	for s.Scan() {
 		t.builder.line++
-		if err := t.line(s.Bytes()); err != nil {
+		if err := t.parseLine(s.Bytes()); err != nil {
 			return nil, &SourceError{Line: t.builder.line, Err: err}
 		}
 	}
-	if err := t.finish(s.Err()); err != nil {
+	if err := t.checkComplete(s.Err()); err != nil {
 		return nil, &SourceError{Line: t.builder.line + 1, Err: err}
 	}
 	return t.builder.Build()
 }
 
-// finish checks that the source has ended as it should.
-func (t *textReader) finish(err error) error {
+// checkComplete checks that the source has ended as it should.
+func (t *textReader) checkComplete(err error) error {
 	switch {
 	case errors.Is(err, bufio.ErrTooLong):
 		return fmt.Errorf("%w: line longer than %d bytes", ErrSyntax, maxLine)
 	case err != nil:
 		return err
-	case !t.ended:
-		return fmt.Errorf("%w: no %q line", ErrTruncated, endWord)
+	case !t.endSeen:
+		return fmt.Errorf("%w: no %q line", ErrTruncated, endKeyword)
 	}
 	return nil
 }
 
-// scanRawLines splits like bufio.ScanLines and keeps the line ends, which are
+// splitRawLines splits like bufio.ScanLines and keeps the line ends, which are
 // part of the checksum.
-func scanRawLines(data []byte, atEOF bool) (advance int, token []byte, err error) {
+func splitRawLines(data []byte, atEOF bool) (advance int, token []byte, err error) {
 	if i := bytes.IndexByte(data, '\n'); i >= 0 {
 		return i + 1, data[:i+1], nil
 	}
@@ -90,20 +90,20 @@
 	return 0, nil, nil
 }
 
-func (t *textReader) line(raw []byte) error {
+func (t *textReader) parseLine(raw []byte) error {
 	text := bytes.TrimSpace(raw)
-	if t.ended && len(text) > 0 {
-		return fmt.Errorf("%w: text after the %q line", ErrSyntax, endWord)
+	if t.endSeen && len(text) > 0 {
+		return fmt.Errorf("%w: text after the %q line", ErrSyntax, endKeyword)
 	}
-	if word, rest, ok := cutField(text); ok && string(word) == endWord {
-		return t.end(rest)
+	if word, rest, ok := cutField(text); ok && string(word) == endKeyword {
+		return t.parseEndLine(rest)
 	}
 	// Digest.Write never fails.
 	_, _ = t.sum.Write(raw)
 	if len(text) == 0 || text[0] == '#' {
 		return nil
 	}
-	return t.block(text)
+	return t.parseBlock(text)
 }
 
 // cutField splits text after its first field.
@@ -115,7 +115,7 @@
 	return text[:i], bytes.TrimLeft(text[i:], " \t"), true
 }
 
-func (t *textReader) block(text []byte) error {
+func (t *textReader) parseBlock(text []byte) error {
 	field, rest, ok := cutField(text)
 	if !ok {
 		return fmt.Errorf("%w: want \"prefix region [domain,...]\"", ErrSyntax)
@@ -126,21 +126,21 @@
 	}
 	id, known := t.homes[string(rest)]
 	if !known {
-		if id, err = t.home(string(rest)); err != nil {
+		if id, err = t.homeID(string(rest)); err != nil {
 			return err
 		}
 	}
 	t.blocks++
-	return t.builder.add(p, id)
+	return t.builder.addBlock(p, id)
 }
 
-// home parses the text after a prefix, the first time it occurs.
-func (t *textReader) home(text string) (HomeID, error) {
+// homeID parses the text after a prefix, the first time it occurs.
+func (t *textReader) homeID(text string) (HomeID, error) {
 	h, err := parseHome(text)
 	if err != nil {
 		return 0, err
 	}
-	id, err := t.builder.home(h)
+	id, err := t.builder.homeID(h)
 	if err != nil {
 		return 0, err
 	}
@@ -166,11 +166,11 @@
 	return h, nil
 }
 
-// end checks the last line against what was read.
-func (t *textReader) end(rest []byte) error {
+// parseEndLine checks the last line against what was read.
+func (t *textReader) parseEndLine(rest []byte) error {
 	fields := bytes.Fields(rest)
 	if len(fields) != 2 {
-		return fmt.Errorf("%w: want \"%s COUNT CHECKSUM\"", ErrSyntax, endWord)
+		return fmt.Errorf("%w: want \"%s COUNT CHECKSUM\"", ErrSyntax, endKeyword)
 	}
 	count, err := strconv.Atoi(string(fields[0]))
 	if err != nil {
@@ -186,7 +186,7 @@
 	if got := t.sum.Sum64(); got != sum {
 		return fmt.Errorf("%w: checksum %016x, %016x stated", ErrTruncated, got, sum)
 	}
-	t.ended = true
+	t.endSeen = true
 	return nil
 }
 
@@ -211,7 +211,7 @@
 	if err := out.Flush(); err != nil {
 		return fmt.Errorf("block: write table: %w", err)
 	}
-	if _, err := fmt.Fprintf(w, "%s %d %016x\n", endWord, t.Len(), sum.Sum64()); err != nil {
+	if _, err := fmt.Fprintf(w, "%s %d %016x\n", endKeyword, t.Len(), sum.Sum64()); err != nil {
 		return fmt.Errorf("block: write table: %w", err)
 	}
 	return nil
--- a/decide/config/bench_test.go
+++ b/decide/config/bench_test.go
@@ -20,21 +20,21 @@
 	return len(b)
 }
 
-// usage is what a fleet spent in some span.
-type usage struct {
+// traffic is what a fleet spent in some span.
+type traffic struct {
 	messages, bytes, calls int
 	maxSent, maxBytes      int // of one daemon
 }
 
 // measure runs f and returns what was spent meanwhile.
-func (n *network) measure(f func()) usage {
-	n.messages, n.bytes, n.calls = 0, 0, 0
-	for _, v := range n.nodes {
+func (n *network) measure(f func()) traffic {
+	n.messages, n.bytes, n.platformCalls = 0, 0, 0
+	for _, v := range n.daemons {
 		v.sent, v.bytes = 0, 0
 	}
 	f()
-	u := usage{messages: n.messages, bytes: n.bytes, calls: n.calls}
-	for _, v := range n.nodes {
+	u := traffic{messages: n.messages, bytes: n.bytes, calls: n.platformCalls}
+	for _, v := range n.daemons {
 		u.maxSent = max(u.maxSent, v.sent)
 		u.maxBytes = max(u.maxBytes, v.bytes)
 	}
@@ -51,7 +51,7 @@
 	for b.Loop() {
 		n := newNetwork(1, domains, per)
 		n.maxDelay = 2 * time.Millisecond
-		n.farDelay = 55 * time.Millisecond
+		n.crossDomainDelay = 55 * time.Millisecond
 		n.sizeOf = jsonSize
 		n.run(20 * time.Second)
 		quiet := n.measure(func() { n.run(rest * time.Second) })
@@ -61,7 +61,7 @@
 				last = max(last, n.timeChange(b, i))
 			}
 		})
-		burst := n.measure(func() { n.burst(b, burstSpan) })
+		burst := n.measure(func() { n.writeBurst(b, burstSpan) })
 		daemons := float64(domains * per)
 		perChange := func(busy, quiet int) float64 {
 			return (float64(busy) - float64(quiet)*changes*changeSpan.Seconds()/rest) / changes
@@ -90,11 +90,11 @@
 	burstSpacing = 24 * time.Hour / 19000 / 20
 )
 
-// burst makes changes through one daemon after the other.
-func (n *network) burst(b *testing.B, span time.Duration) {
+// writeBurst makes changes through one daemon after the other.
+func (n *network) writeBurst(b *testing.B, span time.Duration) {
 	until := n.now.Add(span)
 	for i := 0; n.now.Before(until); i++ {
-		if !n.write(n.nodes[(i*41)%len(n.nodes)], fmt.Sprint("s", i%20), false) {
+		if !n.write(n.daemons[(i*41)%len(n.daemons)], fmt.Sprint("s", i%20), false) {
 			// The daemon is still fetching the change before: its operator
 			// is told so, and the next one writes.
 			b.Logf("change %d not accepted", i)
@@ -107,15 +107,15 @@
 // returns how long the last daemon took.
 func (n *network) timeChange(b *testing.B, i int) time.Duration {
 	at := n.now
-	if !n.write(n.nodes[(i*37)%len(n.nodes)], fmt.Sprint("s", i), false) {
+	if !n.write(n.daemons[(i*37)%len(n.daemons)], fmt.Sprint("s", i), false) {
 		b.Fatal("not accepted")
 	}
 	n.run(changeSpan)
-	if err := n.settled(); err != nil {
+	if err := n.checkConverged(); err != nil {
 		b.Fatal(err)
 	}
 	var last clock.Time
-	for _, v := range n.nodes {
+	for _, v := range n.daemons {
 		last = max(last, v.appliedAt)
 	}
 	return last.Sub(at)
@@ -149,9 +149,9 @@
 	for i := range 1000 {
 		c.Shifts = append(c.Shifts, catalogue.Shift{ID: fmt.Sprint("shift-", i), Owner: "statikos", Revision: 2})
 	}
-	n.set(c)
+	n.storeDocument(c)
 	n.run(20 * time.Second)
-	v, from := n.nodes[0], n.nodes[1]
+	v, from := n.daemons[0], n.daemons[1]
 	b.Run("digest", func(b *testing.B) {
 		ev := &PeerMessage{From: from.id, Msg: from.st.makeDigest()}
 		for b.Loop() {
@@ -175,8 +175,8 @@
 }
 
 // benchmarkPush applies a push of one entry and passes it on.
-func benchmarkPush(b *testing.B, n *network, v, from *node) {
-	held := v.st.held
+func benchmarkPush(b *testing.B, n *network, v, from *testDaemon) {
+	held := v.st.current
 	for b.Loop() {
 		entry := held.cat.Shifts[7]
 		entry.Revision = held.cat.Revision + 1
@@ -188,7 +188,7 @@
 		}
 		d.Hash = next.hash()
 		v.st.Step(n.now, &PeerMessage{From: from.id, Msg: &Push{Root: from.id, Delta: *d}}, &v.ready)
-		if held = v.st.held; held.cat.Revision != d.To {
+		if held = v.st.current; held.cat.Revision != d.To {
 			b.Fatal("not applied")
 		}
 	}
@@ -197,7 +197,7 @@
 // newContentFrom returns what d leads to, to learn its hash.
 func newContentFrom(c *content, d *Delta) (*content, error) {
 	merged, _ := merge(c.cat.Shifts, d.Shifts, nil, compareShifts, shiftID)
-	sum := c.sum
+	sum := c.entrySum
 	for _, s := range []struct {
 		shift catalogue.Shift
 		sign  uint64
@@ -208,18 +208,18 @@
 		}
 		sum += h * s.sign
 	}
-	return &content{cat: &catalogue.Catalogue{Revision: d.To, Shifts: merged}, sum: sum}, nil
+	return &content{cat: &catalogue.Catalogue{Revision: d.To, Shifts: merged}, entrySum: sum}, nil
 }
 
 // benchmarkDocument reads a document with one change from the platform.
-func benchmarkDocument(b *testing.B, n *network, v *node) {
+func benchmarkDocument(b *testing.B, n *network, v *testDaemon) {
 	for b.Loop() {
-		old := v.st.held.cat
+		old := v.st.current.cat
 		c := &catalogue.Catalogue{Revision: old.Revision + 1, Shifts: append([]catalogue.Shift{}, old.Shifts...)}
 		c.Shifts[9].Revision = c.Revision
-		ev := &PlatformRead{Seq: v.st.read.seq, Result: ReadDocument, Catalogue: c, Confirmed: n.now}
+		ev := &PlatformRead{Seq: v.st.reader.seq, Result: ReadDocument, Catalogue: c, Confirmed: n.now}
 		v.st.Step(n.now, ev, &v.ready)
-		if v.st.held.cat.Revision != c.Revision {
+		if v.st.current.cat.Revision != c.Revision {
 			b.Fatal("not applied")
 		}
 	}
--- a/decide/config/confirm.go
+++ b/decide/config/confirm.go
@@ -11,44 +11,44 @@
 // platform had accepted by then is still in force.
 type confirmation struct {
 	known       bool
-	at          clock.Time // instant of the platform read behind it
-	ignoreUntil clock.Time // before it, confirmations of peers are ignored
+	readAt          clock.Time // instant of the platform read behind it
+	ignorePeersUntil clock.Time // before it, confirmations of peers are ignored
 }
 
 // wake returns when the daemon becomes cut off.
 func (c *confirmation) wake(now clock.Time) clock.Time {
-	if !c.known || now.Sub(c.at) > CutOffAfter {
+	if !c.known || now.Sub(c.readAt) > CutOffAfter {
 		return clock.Never
 	}
-	return c.at.Add(CutOffAfter + 1)
+	return c.readAt.Add(CutOffAfter + 1)
 }
 
-// confirmHeld notes that the platform's newest was p at the instant at, if
+// confirmCurrent notes that the platform's newest was p at the instant at, if
 // that is what is in force.
-func (s *State) confirmHeld(p Point, at clock.Time) {
-	if s.held == nil || p != s.held.point() {
+func (s *State) confirmCurrent(p Point, at clock.Time) {
+	if s.current == nil || p != s.current.version() {
 		return
 	}
-	if !s.confirm.known || at.After(s.confirm.at) {
-		s.confirm.known = true
-		s.confirm.at = clock.Min(at, s.now)
+	if !s.confirmation.known || at.After(s.confirmation.readAt) {
+		s.confirmation.known = true
+		s.confirmation.readAt = clock.Min(at, s.now)
 	}
 }
 
 // confirmByPeer notes a confirmation passed on by a peer.
 func (s *State) confirmByPeer(p Point, age Age) {
-	if age == Unknown || s.now.Before(s.confirm.ignoreUntil) {
+	if age == Unknown || s.now.Before(s.confirmation.ignorePeersUntil) {
 		return
 	}
-	s.confirmHeld(p, s.now.Add(-age.Duration()))
+	s.confirmCurrent(p, s.now.Add(-age.Duration()))
 }
 
-// age returns the age of the confirmation for messages.
-func (s *State) age() Age {
-	if !s.confirm.known {
+// messageAge returns the age of the confirmation for messages.
+func (s *State) messageAge() Age {
+	if !s.confirmation.known {
 		return Unknown
 	}
-	return toAge(s.now.Sub(s.confirm.at))
+	return toAge(s.now.Sub(s.confirmation.readAt))
 }
 
 // toAge rounds up, so that an age isn't understated at each hop.
@@ -60,7 +60,7 @@
 // Age returns the age of the last known platform read all of whose content is
 // in force here, and false if there is none.
 func (s *State) Age(now clock.Time) (time.Duration, bool) {
-	return now.Sub(s.confirm.at), s.confirm.known
+	return now.Sub(s.confirmation.readAt), s.confirmation.known
 }
 
 // CutOff reports whether nothing has confirmed the configuration for
@@ -75,7 +75,7 @@
 // has heard of a higher revision whose content it is still asking for: a
 // write on an older base would silently undo accepted changes.
 func (s *State) Base(now clock.Time) (Base, bool) {
-	b := Base{Catalogue: s.Catalogue(), Floor: max(s.point().Revision, s.catchUp.highest)}
-	joined := s.held != nil || !now.Before(s.join.deadline)
-	return b, joined && !s.catchUp.pending(s.point().Revision, now)
+	b := Base{Catalogue: s.Catalogue(), Floor: max(s.currentVersion().Revision, s.catchUp.highestKnown)}
+	joined := s.current != nil || !now.Before(s.join.deadline)
+	return b, joined && !s.catchUp.pending(s.currentVersion().Revision, now)
 }
--- a/decide/config/content.go
+++ b/decide/config/content.go
@@ -27,7 +27,7 @@
 // UTC. It is immutable.
 type content struct {
 	cat *catalogue.Catalogue
-	sum uint64 // of the entries' hashes
+	entrySum uint64 // of the entries' hashes
 }
 
 // newContent returns the canonical form of c, which it doesn't change.
@@ -37,7 +37,7 @@
 		Services: slices.Clone(c.Services),
 		Shifts:   slices.Clone(c.Shifts),
 	}
-	canonicalise(n.Shifts)
+	convertToUTC(n.Shifts)
 	slices.SortFunc(n.Services, compareServices)
 	slices.SortFunc(n.Shifts, compareShifts)
 	if err := checkUnique(n); err != nil {
@@ -47,16 +47,16 @@
 	if err != nil {
 		return nil, err
 	}
-	return &content{cat: n, sum: sum}, nil
+	return &content{cat: n, entrySum: sum}, nil
 }
 
 // hash returns the content hash: revision and entries.
 func (c *content) hash() uint64 {
-	return c.sum + xxhash.Sum64String(fmt.Sprintf("revision %d", c.cat.Revision))
+	return c.entrySum + xxhash.Sum64String(fmt.Sprintf("revision %d", c.cat.Revision))
 }
 
-// point returns the revision with its hash.
-func (c *content) point() Point {
+// version returns the revision with its hash.
+func (c *content) version() Point {
 	return Point{Revision: c.cat.Revision, Hash: c.hash()}
 }
 
@@ -64,9 +64,9 @@
 
 func compareShifts(a, b catalogue.Shift) int { return cmp.Compare(a.ID, b.ID) }
 
-// canonicalise puts the times of shifts in UTC: msgpack decodes into the local
+// convertToUTC puts the times of shifts in UTC: msgpack decodes into the local
 // zone, and one instant in two zones would hash differently.
-func canonicalise(shifts []catalogue.Shift) {
+func convertToUTC(shifts []catalogue.Shift) {
 	for i := range shifts {
 		w := &shifts[i].Limits.Window
 		w.Start = w.Start.UTC()
@@ -123,7 +123,7 @@
 // content that d was made from.
 func (c *content) apply(d *Delta) (*content, error) {
 	shifts := slices.Clone(d.Shifts)
-	canonicalise(shifts)
+	convertToUTC(shifts)
 	n := &catalogue.Catalogue{Revision: d.To}
 	var dropped catalogue.Catalogue
 	n.Services, dropped.Services = merge(c.cat.Services, d.Services, d.RemovedServices, compareServices, serviceName)
@@ -139,7 +139,7 @@
 	if err != nil {
 		return nil, err
 	}
-	out := &content{cat: n, sum: c.sum + added - gone}
+	out := &content{cat: n, entrySum: c.entrySum + added - gone}
 	if out.hash() != d.Hash {
 		return nil, errHash
 	}
--- a/decide/config/content_test.go
+++ b/decide/config/content_test.go
@@ -60,7 +60,7 @@
 		}
 		newest := chain[len(chain)-1]
 		for from := range len(chain) - 1 {
-			d, ok := h.since(chain[from].cat.Revision, newest, MaxDeltaEntries)
+			d, ok := h.deltaSince(chain[from].cat.Revision, newest, MaxDeltaEntries)
 			if !ok {
 				t.Fatalf("no delta from %d", from)
 			}
@@ -87,9 +87,9 @@
 	c.Services = append(c.Services, catalogue.Service{Name: "calc-lookup"})
 	whole, err := newContent(c)
 	is.NoErr(err)
-	parts := snapshotOf(whole, 0)
+	parts := splitSnapshot(whole, 0)
 	is.Equal(len(parts), 3)
-	var a assembly
+	var a snapshotAssembly
 	for _, i := range []int{2, 0, 2} {
 		is.NoErr(parts[i].check())
 		got, err := a.add(parts[i])
@@ -123,7 +123,7 @@
 
 // TestRankMovesLittle: the loss of one member changes no other pair's order,
 // so that it makes at most one new reader.
-func TestRankMovesLittle(t *testing.T) {
+func TestMemberLossKeepsRankOrder(t *testing.T) {
 	is := is.New(t)
 	var ids []fleet.VMID
 	for i := range 40 {
@@ -143,7 +143,7 @@
 
 // TestTreeReachesAll: whoever is the root, the children's children are all
 // members, each once.
-func TestTreeReachesAll(t *testing.T) {
+func TestTreeReachesEachMemberOnce(t *testing.T) {
 	is := is.New(t)
 	var ms []Member
 	for i := range 43 {
--- a/decide/config/gossip.go
+++ b/decide/config/gossip.go
@@ -7,54 +7,54 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// snapshotPause is the least time between two snapshots to one peer. A peer
+// minSnapshotInterval is the least time between two snapshots to one peer. A peer
 // that asks in a loop would otherwise turn small messages into large ones.
-const snapshotPause = WantTimeout / 2
+const minSnapshotInterval = UpdateRequestTimeout / 2
 
 // gossip is the exchange of digests, and what is remembered of each peer for
 // it.
 type gossip struct {
 	nextDigest    clock.Time
-	nextCross     clock.Time
+	nextCrossDomainDigest     clock.Time
 	nextHeartbeat clock.Time
-	digests       int
+	digestsSent       int
 	heartbeatSeq  map[fleet.VMID]uint64     // last digest passed on, by root
-	pushedTo      map[fleet.VMID]uint64     // last revision passed on, by root
+	pushedRevision      map[fleet.VMID]uint64     // last revision passed on, by root
 	snapshotAt    map[fleet.VMID]clock.Time // last snapshot sent, by peer
 }
 
 func (g *gossip) wake() clock.Time {
-	return clock.Min(g.nextDigest, clock.Min(g.nextCross, g.nextHeartbeat))
+	return clock.Min(g.nextDigest, clock.Min(g.nextCrossDomainDigest, g.nextHeartbeat))
 }
 
-// forget drops what is kept of former members. Without it memory would grow
+// removeFormerMembers drops what is kept of former members. Without it memory would grow
 // with every VM that was ever replaced.
-func (g *gossip) forget(v view) {
+func (g *gossip) removeFormerMembers(v view) {
 	for id := range g.heartbeatSeq {
-		if !v.isOwn(id) {
+		if !v.isDomainMember(id) {
 			delete(g.heartbeatSeq, id)
 		}
 	}
-	for id := range g.pushedTo {
-		if !v.isOwn(id) {
-			delete(g.pushedTo, id)
+	for id := range g.pushedRevision {
+		if !v.isDomainMember(id) {
+			delete(g.pushedRevision, id)
 		}
 	}
 	clear(g.snapshotAt)
 }
 
-// firstHeartbeat reports whether a digest of root wasn't passed on before.
-func (g *gossip) firstHeartbeat(root fleet.VMID, seq uint64) bool {
-	return rises(&g.heartbeatSeq, root, seq)
+// isNewHeartbeat reports whether a digest of root wasn't passed on before.
+func (g *gossip) isNewHeartbeat(root fleet.VMID, seq uint64) bool {
+	return recordIfHigher(&g.heartbeatSeq, root, seq)
 }
 
-// firstPush reports whether a push of root wasn't passed on before.
-func (g *gossip) firstPush(root fleet.VMID, to uint64) bool {
-	return rises(&g.pushedTo, root, to)
+// isNewPush reports whether a push of root wasn't passed on before.
+func (g *gossip) isNewPush(root fleet.VMID, to uint64) bool {
+	return recordIfHigher(&g.pushedRevision, root, to)
 }
 
-// rises records n for id. It reports whether n is above the last one.
-func rises(m *map[fleet.VMID]uint64, id fleet.VMID, n uint64) bool {
+// recordIfHigher records n for id. It reports whether n is above the last one.
+func recordIfHigher(m *map[fleet.VMID]uint64, id fleet.VMID, n uint64) bool {
 	if *m == nil {
 		*m = map[fleet.VMID]uint64{}
 	}
@@ -68,7 +68,7 @@
 // allowSnapshot reports whether a snapshot may be sent to a peer now, and if so
 // starts its snapshotPause.
 func (g *gossip) allowSnapshot(to fleet.VMID, now clock.Time) bool {
-	if at, ok := g.snapshotAt[to]; ok && now.Sub(at) < snapshotPause {
+	if at, ok := g.snapshotAt[to]; ok && now.Sub(at) < minSnapshotInterval {
 		return false
 	}
 	if g.snapshotAt == nil {
@@ -79,13 +79,13 @@
 }
 
 func (s *State) makeDigest() *Digest {
-	p := s.point()
+	p := s.currentVersion()
 	return &Digest{
 		Format:   Format,
 		Revision: p.Revision,
 		Hash:     p.Hash,
-		Age:      s.age(),
-		ReadAge:  s.read.age(s.now),
+		Age:      s.messageAge(),
+		ReadAge:  s.reader.age(s.now),
 	}
 }
 
@@ -100,35 +100,35 @@
 // rank or because it took over. The duties of the fleet go to such daemons.
 func (s *State) Leads() bool {
 	byRank := s.view.rank >= 0 && s.view.rank < ReadersPerDomain
-	return byRank || s.read.working(s.now)
+	return byRank || s.reader.working(s.now)
 }
 
-func (s *State) dueGossip(out *Ready) {
+func (s *State) runGossipTimers(out *Ready) {
 	g := &s.gossip
 	if !s.now.Before(g.nextHeartbeat) {
 		g.nextHeartbeat = s.now.Add(HeartbeatInterval)
 		s.sendHeartbeat(out)
 	}
 	if !s.now.Before(g.nextDigest) {
-		g.nextDigest = s.now.Add(s.around(DigestInterval))
+		g.nextDigest = s.now.Add(s.withJitter(DigestInterval))
 		s.sendDigest(out)
 	}
-	if !s.now.Before(g.nextCross) {
-		g.nextCross = s.now.Add(s.around(CrossDigestInterval))
+	if !s.now.Before(g.nextCrossDomainDigest) {
+		g.nextCrossDomainDigest = s.now.Add(s.withJitter(CrossDomainDigestInterval))
 		if s.Leads() {
-			s.sendDigestTo(s.randomCross(1), out)
+			s.sendDigestTo(s.randomCrossDomainReaders(1), out)
 		}
 	}
 }
 
-// around returns a random duration from 3/4 to 5/4 of d. Equal intervals
+// withJitter returns a random duration from 3/4 to 5/4 of d. Equal intervals
 // would synchronise the daemons' sends.
-func (s *State) around(d time.Duration) time.Duration {
+func (s *State) withJitter(d time.Duration) time.Duration {
 	return d*3/4 + s.jitter(d/2)
 }
 
 func (s *State) sendHeartbeat(out *Ready) {
-	if s.held == nil || !s.Leads() {
+	if s.current == nil || !s.Leads() {
 		return
 	}
 	m := s.makeHeartbeat()
@@ -138,16 +138,16 @@
 }
 
 func (s *State) sendDigest(out *Ready) {
-	s.gossip.digests++
-	to := s.randomOwn(1)
-	if len(to) == 0 || (!s.Leads() && s.gossip.digests%CrossDigestEvery == 0) {
-		to = s.randomCross(1)
+	s.gossip.digestsSent++
+	to := s.randomDomainMembers(1)
+	if len(to) == 0 || (!s.Leads() && s.gossip.digestsSent%CrossDomainDigestEvery == 0) {
+		to = s.randomCrossDomainReaders(1)
 	}
 	s.sendDigestTo(to, out)
 }
 
 func (s *State) sendDigestTo(to []fleet.VMID, out *Ready) {
-	if s.held == nil {
+	if s.current == nil {
 		return
 	}
 	for _, id := range to {
@@ -155,14 +155,14 @@
 	}
 }
 
-// digest takes a Digest.
-func (s *State) digest(from fleet.VMID, m *Digest, out *Ready) {
+// handleDigest takes a Digest.
+func (s *State) handleDigest(from fleet.VMID, m *Digest, out *Ready) {
 	if m.Root != "" {
-		s.heartbeat(m, out)
+		s.forwardHeartbeat(m, out)
 	}
-	if s.held == nil {
+	if s.current == nil {
 		s.addCandidate(from, Point{Revision: m.Revision, Hash: m.Hash})
-		s.joinAnswer(from, out)
+		s.recordJoinAnswer(from, out)
 		return
 	}
 	if m.Ask {
@@ -170,54 +170,54 @@
 		return
 	}
 	p := Point{Revision: m.Revision, Hash: m.Hash}
-	s.compare(from, p, m.Age)
-	if from == s.catchUp.asked && !p.supersedes(s.point()) {
+	s.compareWithPeer(from, p, m.Age)
+	if from == s.catchUp.askedPeer && !p.supersedes(s.currentVersion()) {
 		s.dropCandidate(from) // it has nothing for us, or not yet
 	}
 	if m.Root != "" && m.Root != from {
-		s.compare(m.Root, p, m.Age)
+		s.compareWithPeer(m.Root, p, m.Age)
 		return
 	}
 	switch {
-	case s.point().supersedes(p):
-		s.repair(from, p, out)
-	case s.point() == p && s.refreshes(m.Age):
+	case s.currentVersion().supersedes(p):
+		s.updatePeer(from, p, out)
+	case s.currentVersion() == p && s.shouldSendConfirmation(m.Age):
 		s.send(from, s.makeDigest(), out)
 	}
 }
 
-// refreshes reports whether a peer whose confirmation has this age should be
+// shouldSendConfirmation reports whether a peer whose confirmation has this age should be
 // sent ours. A daemon that the readers' membership doesn't list is in none
 // of their trees, and would seem cut off to itself.
-func (s *State) refreshes(theirs Age) bool {
-	own := s.age()
+func (s *State) shouldSendConfirmation(theirs Age) bool {
+	own := s.messageAge()
 	if own == Unknown || own.Duration() > CutOffAfter/2 {
 		return false
 	}
 	return theirs == Unknown || theirs.Duration() > CutOffAfter/2
 }
 
-// heartbeat notes the heartbeat of a reader and forwards it down the tree.
-func (s *State) heartbeat(m *Digest, out *Ready) {
-	if m.Root == s.cfg.Self || !s.view.isOwn(m.Root) {
+// forwardHeartbeat notes the heartbeat of a reader and forwards it down the tree.
+func (s *State) forwardHeartbeat(m *Digest, out *Ready) {
+	if m.Root == s.cfg.Self || !s.view.isDomainMember(m.Root) {
 		return
 	}
-	if !s.gossip.firstHeartbeat(m.Root, m.Seq) {
+	if !s.gossip.isNewHeartbeat(m.Root, m.Seq) {
 		return
 	}
 	if m.ReadAge != Unknown {
-		s.read.noteHeartbeat(m.Root, s.now.Add(-m.ReadAge.Duration()))
+		s.reader.recordRead(m.Root, s.now.Add(-m.ReadAge.Duration()))
 	}
 	for _, to := range s.view.treeChildren(m.Root) {
 		s.send(to, m, out)
 	}
 }
 
-// repair sends a peer that is behind a delta, or a digest that makes it ask.
-func (s *State) repair(to fleet.VMID, p Point, out *Ready) {
-	if p.Revision < s.held.cat.Revision && p.Revision > 0 {
-		if d, ok := s.history.since(p.Revision, s.held, MaxPushEntries); ok {
-			d.Age = s.age()
+// updatePeer sends a peer that is behind a delta, or a digest that makes it ask.
+func (s *State) updatePeer(to fleet.VMID, p Point, out *Ready) {
+	if p.Revision < s.current.cat.Revision && p.Revision > 0 {
+		if d, ok := s.history.deltaSince(p.Revision, s.current, MaxPushEntries); ok {
+			d.Age = s.messageAge()
 			s.send(to, d, out)
 			return
 		}
@@ -225,9 +225,9 @@
 	s.send(to, s.makeDigest(), out)
 }
 
-// randomOwn returns up to n members of the own domain but self.
-func (s *State) randomOwn(n int) []fleet.VMID {
-	all := s.view.own.all
+// randomDomainMembers returns up to n members of the own domain but self.
+func (s *State) randomDomainMembers(n int) []fleet.VMID {
+	all := s.view.domain.members
 	out := make([]fleet.VMID, 0, n)
 	for _, i := range s.rng.Perm(len(all)) {
 		if len(out) == n {
@@ -240,14 +240,14 @@
 	return out
 }
 
-// randomCross returns one reader of each of up to n other domains.
-func (s *State) randomCross(n int) []fleet.VMID {
+// randomCrossDomainReaders returns one reader of each of up to n other domains.
+func (s *State) randomCrossDomainReaders(n int) []fleet.VMID {
 	out := make([]fleet.VMID, 0, n)
-	for _, i := range s.rng.Perm(len(s.view.others)) {
+	for _, i := range s.rng.Perm(len(s.view.otherDomains)) {
 		if len(out) == n {
 			break
 		}
-		if r := s.view.others[i].readers(); len(r) > 0 {
+		if r := s.view.otherDomains[i].readers(); len(r) > 0 {
 			out = append(out, r[s.rng.IntN(len(r))])
 		}
 	}
--- a/decide/config/history.go
+++ b/decide/config/history.go
@@ -37,10 +37,10 @@
 // clear forgets everything: the content was replaced under its revision.
 func (h *history) clear() { h.changes = nil }
 
-// since returns the Delta from revision have to now, or false if the history
+// deltaSince returns the Delta from revision have to now, or false if the history
 // doesn't reach back to it or the Delta would exceed limit entries. have may
 // lie inside a recorded change, since entries are whole.
-func (h *history) since(have uint64, now *content, limit int) (*Delta, bool) {
+func (h *history) deltaSince(have uint64, now *content, limit int) (*Delta, bool) {
 	first := slices.IndexFunc(h.changes, func(c change) bool { return c.to > have })
 	if first < 0 || h.changes[first].from > have {
 		return nil, false
@@ -57,8 +57,8 @@
 		return nil, false
 	}
 	d := &Delta{Format: Format, From: have, To: now.cat.Revision, Hash: now.hash()}
-	d.Services, d.RemovedServices = pick(now.cat.Services, services, serviceName)
-	d.Shifts, d.RemovedShifts = pick(now.cat.Shifts, shifts, shiftID)
+	d.Services, d.RemovedServices = selectEntries(now.cat.Services, services, serviceName)
+	d.Shifts, d.RemovedShifts = selectEntries(now.cat.Shifts, shifts, shiftID)
 	return d, true
 }
 
@@ -67,8 +67,8 @@
 	return slices.Compact(ks)
 }
 
-// pick returns the entries of the given keys, and the keys without entry.
-func pick[E any, K cmp.Ordered](entries []E, keys []K, key func(E) K) (found []E, missing []K) {
+// selectEntries returns the entries of the given keys, and the keys without entry.
+func selectEntries[E any, K cmp.Ordered](entries []E, keys []K, key func(E) K) (found []E, missing []K) {
 	for _, k := range keys {
 		i, ok := slices.BinarySearchFunc(entries, k, func(e E, k K) int { return cmp.Compare(key(e), k) })
 		if ok {
@@ -80,8 +80,8 @@
 	return found, missing
 }
 
-// snapshotOf cuts c into parts.
-func snapshotOf(c *content, age Age) []*Snapshot {
+// splitSnapshot cuts c into parts.
+func splitSnapshot(c *content, age Age) []*Snapshot {
 	services, shifts := c.cat.Services, c.cat.Shifts
 	total := len(services) + len(shifts)
 	n := max(1, (total+MaxPartEntries-1)/MaxPartEntries)
@@ -89,50 +89,50 @@
 	for p := range n {
 		s := &Snapshot{Format: Format, Revision: c.cat.Revision, Hash: c.hash(), Age: age, Part: p, Parts: n}
 		room := MaxPartEntries
-		s.Services, services = cut(services, room)
-		s.Shifts, shifts = cut(shifts, room-len(s.Services))
+		s.Services, services = splitAt(services, room)
+		s.Shifts, shifts = splitAt(shifts, room-len(s.Services))
 		out = append(out, s)
 	}
 	return out
 }
 
-func cut[E any](es []E, n int) (head, rest []E) {
+func splitAt[E any](es []E, n int) (head, rest []E) {
 	n = min(n, len(es))
 	return es[:n], es[n:]
 }
 
-// assembly collects the parts of one snapshot.
-type assembly struct {
-	point Point
+// snapshotAssembly collects the parts of one snapshot.
+type snapshotAssembly struct {
+	version Point
 	parts []*Snapshot
-	left  int
+	missing  int
 }
 
 // add takes one part and returns the content once all are there. A part of
 // another snapshot discards the parts so far.
-func (a *assembly) add(s *Snapshot) (*content, error) {
+func (a *snapshotAssembly) add(s *Snapshot) (*content, error) {
 	p := Point{Revision: s.Revision, Hash: s.Hash}
-	if a.point != p || len(a.parts) != s.Parts {
-		*a = assembly{point: p, parts: make([]*Snapshot, s.Parts), left: s.Parts}
+	if a.version != p || len(a.parts) != s.Parts {
+		*a = snapshotAssembly{version: p, parts: make([]*Snapshot, s.Parts), missing: s.Parts}
 	}
 	if a.parts[s.Part] == nil {
 		a.parts[s.Part] = s
-		a.left--
+		a.missing--
 	}
-	if a.left > 0 {
+	if a.missing > 0 {
 		return nil, nil
 	}
 	return a.finish()
 }
 
-func (a *assembly) finish() (*content, error) {
-	c := &catalogue.Catalogue{Revision: a.point.Revision}
+func (a *snapshotAssembly) finish() (*content, error) {
+	c := &catalogue.Catalogue{Revision: a.version.Revision}
 	for _, s := range a.parts {
 		c.Services = append(c.Services, s.Services...)
 		c.Shifts = append(c.Shifts, s.Shifts...)
 	}
-	want := a.point.Hash
-	*a = assembly{}
+	want := a.version.Hash
+	*a = snapshotAssembly{}
 	n, err := newContent(c)
 	if err != nil {
 		return nil, err
--- a/decide/config/join_test.go
+++ b/decide/config/join_test.go
@@ -13,20 +13,20 @@
 // Symptom: a domain whose entry VMs were all replaced serves nothing, or goes
 // back. Sequence: all daemons of a domain restart at once, which has no
 // platform. Cause: a joiner asks only its own domain.
-func TestAllOfADomainReplaced(t *testing.T) {
+func TestWholeDomainRestarted(t *testing.T) {
 	is := is.New(t)
-	n := settledNetwork(is, 3, 4)
+	n := convergedNetwork(is, 3, 4)
 	is.True(n.write(n.byID["a0"], "s", false))
-	n.cutStore["b"] = true
+	n.domainsWithoutPlatform["b"] = true
 	n.run(time.Second)
-	for _, v := range n.nodes {
+	for _, v := range n.daemons {
 		if v.domain == "b" {
-			n.stop(v)
-			n.start(v)
+			n.kill(v)
+			n.restart(v)
 		}
 	}
 	n.run(3 * time.Second)
-	is.NoErr(n.settled())
+	is.NoErr(n.checkConverged())
 }
 
 // Symptom: a restarted daemon serves by a revision that its predecessor had
@@ -34,22 +34,22 @@
 // a stale one answers first. Cause: the joiner takes the first answer.
 func TestJoinerMeetsStalePeer(t *testing.T) {
 	is := is.New(t)
-	n := settledNetwork(is, 3, 2)
-	n.cutStore["c"] = true
-	n.cut[[2]fleet.Domain{"a", "c"}] = true
-	n.cut[[2]fleet.Domain{"b", "c"}] = true
+	n := convergedNetwork(is, 3, 2)
+	n.domainsWithoutPlatform["c"] = true
+	n.partitions[[2]fleet.Domain{"a", "c"}] = true
+	n.partitions[[2]fleet.Domain{"b", "c"}] = true
 	is.True(n.write(n.byID["a0"], "s", false))
 	n.run(5 * time.Second)
-	n.storeDown = true
-	clear(n.cut)
+	n.platformDown = true
+	clear(n.partitions)
 	b := n.byID["b0"]
-	n.stop(b)
-	n.start(b)
+	n.kill(b)
+	n.restart(b)
 	n.run(20 * time.Millisecond)
-	is.True(n.byID["c0"].revision < n.store.cat.Revision) // c is still stale
+	is.True(n.byID["c0"].revision < n.platform.cat.Revision) // c is still stale
 	n.run(JoinWait)
 	is.Equal(b.st.Counters().Applied, uint64(1))
-	is.Equal(b.revision, n.store.cat.Revision)
+	is.Equal(b.revision, n.platform.cat.Revision)
 }
 
 // Symptom: as above. Sequence: the platform was restored from older data, and
@@ -57,15 +57,15 @@
 // word without asking peers.
 func TestJoinerMeetsStalePlatform(t *testing.T) {
 	is := is.New(t)
-	n := settledNetwork(is, 2, 2)
-	old := n.store
+	n := convergedNetwork(is, 2, 2)
+	old := n.platform
 	is.True(n.write(n.byID["a0"], "s", false))
 	n.run(time.Second)
-	newest := n.store.cat.Revision
+	newest := n.platform.cat.Revision
 	n.rollBack(old)
 	b := n.byID["b0"]
-	n.stop(b)
-	n.start(b)
+	n.kill(b)
+	n.restart(b)
 	n.run(JoinWait)
 	is.Equal(b.st.Counters().Applied, uint64(1))
 	is.Equal(b.revision, newest)
@@ -73,17 +73,17 @@
 
 // Symptom: a daemon with nothing to go by answers look-ups. Sequence: it
 // starts alone, without the platform. Cause: an empty catalogue passes for one.
-func TestAloneWithNothing(t *testing.T) {
+func TestSingleDaemonWithoutPlatform(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork(1, 1, 1)
-	n.storeDown = true
+	n.platformDown = true
 	n.run(time.Minute)
-	v := n.nodes[0]
+	v := n.daemons[0]
 	is.True(!v.st.Ready())
 	is.Equal(v.st.Catalogue(), nil)
 	n.heal()
 	n.run(convergeWithin)
-	is.NoErr(n.settled())
+	is.NoErr(n.checkConverged())
 }
 
 // Symptom: a restarted daemon puts a lower revision in force than its
@@ -103,12 +103,12 @@
 	for range 2 {
 		st.Step(now, &PeerMessage{From: "a1", Msg: digest}, &out)
 	}
-	for _, part := range snapshotOf(older, Unknown) {
+	for _, part := range splitSnapshot(older, Unknown) {
 		st.Step(now, &PeerMessage{From: "a1", Msg: part}, &out)
 	}
 	is.True(!st.Ready()) // a2 may hold more
 	digest = &Digest{Format: Format, Revision: 9, Hash: 1, Age: Unknown, ReadAge: Unknown}
 	st.Step(now, &PeerMessage{From: "a2", Msg: digest}, &out)
 	is.True(!st.Ready())
-	is.Equal(out.Send[0], Send{To: "a2", Msg: &Want{Format: Format}})
+	is.Equal(out.Send[0], Send{To: "a2", Msg: &UpdateRequest{Format: Format}})
 }
--- a/decide/config/limits.go
+++ b/decide/config/limits.go
@@ -14,11 +14,11 @@
 	ReadersPerDomain = 2
 	// TreeFanOut is the number of members each member pushes a change to.
 	TreeFanOut = 4
-	// CrossPushes is the number of other failure domains that the root of a
+	// CrossDomainPushes is the number of other failure domains that the root of a
 	// push announces the change to.
-	CrossPushes = 3
-	// JoinAsks is the number of peers that a joiner asks for their revision.
-	JoinAsks = 5
+	CrossDomainPushes = 3
+	// JoinPeers is the number of peers that a joiner asks for their revision.
+	JoinPeers = 5
 )
 
 // The intervals of the protocol.
@@ -30,17 +30,17 @@
 	HeartbeatInterval = 4 * time.Second
 	// DigestInterval is the time between two digests to a random peer.
 	DigestInterval = 4 * time.Second
-	// CrossDigestInterval is the time between two digests of a reader to a
+	// CrossDomainDigestInterval is the time between two digests of a reader to a
 	// reader of another domain.
-	CrossDigestInterval = 2 * time.Second
-	// CrossDigestEvery is how many digests of a daemon that isn't a reader
+	CrossDomainDigestInterval = 2 * time.Second
+	// CrossDomainDigestEvery is how many digests of a daemon that isn't a reader
 	// stay in the domain for one that leaves it.
-	CrossDigestEvery = 4
-	// WantDelay is how long a daemon that learns of a change waits for its push
+	CrossDomainDigestEvery = 4
+	// UpdateRequestDelay is how long a daemon that learns of a change waits for its push
 	// before it asks, if its domain reads the platform.
-	WantDelay = 200 * time.Millisecond
-	// WantTimeout is the time after which another peer is asked.
-	WantTimeout = 500 * time.Millisecond
+	UpdateRequestDelay = 200 * time.Millisecond
+	// UpdateRequestTimeout is the time after which another peer is asked.
+	UpdateRequestTimeout = 500 * time.Millisecond
 	// JoinWait is the time a joiner collects revisions before it settles for
 	// the highest content it has got.
 	JoinWait = time.Second
@@ -53,24 +53,24 @@
 	// CutOffAfter is the age of the last confirmation beyond which the
 	// daemon reports that it is cut off.
 	CutOffAfter = 30 * time.Second
-	// CatchUpLimit bounds how long writes wait for the content of a revision
+	// CatchUpTimeout bounds how long writes wait for the content of a revision
 	// that was heard of but that nobody supplies.
-	CatchUpLimit = 10 * time.Second
-	// PauseBound is the gap between two steps that counts as a pause of the
+	CatchUpTimeout = 10 * time.Second
+	// PauseThreshold is the gap between two steps that counts as a pause of the
 	// process.
-	PauseBound = 5 * time.Second
-	// PauseSettle is the time after a pause in which confirmations of peers
+	PauseThreshold = 5 * time.Second
+	// PauseRecovery is the time after a pause in which confirmations of peers
 	// are ignored.
-	PauseSettle = time.Second
+	PauseRecovery = time.Second
 )
 
 // The times of reading the platform.
 const (
 	// WatchWait is how long the platform may hold a watch.
 	WatchWait = 5 * time.Second
-	// ReadTimeout is how much longer than its wait a read may take before it
+	// ReadGrace is how much longer than its wait a read may take before it
 	// counts as failed.
-	ReadTimeout = 10 * time.Second
+	ReadGrace = 10 * time.Second
 	// PlainReadEvery is the number of watches after which a plain read is
 	// made: a watch on an index that the platform has lost never returns.
 	PlainReadEvery = 4
@@ -83,9 +83,9 @@
 	// the first ranks.
 	MinReadBackoff = 500 * time.Millisecond
 	MaxReadBackoff = 10 * time.Second
-	// RestoreAfter is how long the platform must have shown older data before
+	// RestoreDelay is how long the platform must have shown older data before
 	// it is asked to take the newer catalogue back.
-	RestoreAfter = 5 * time.Second
+	RestoreDelay = 5 * time.Second
 )
 
 // The bounds on what is kept and accepted.
--- a/decide/config/member.go
+++ b/decide/config/member.go
@@ -19,15 +19,15 @@
 // domainView holds the members of one failure domain that are not dead.
 type domainView struct {
 	name   fleet.Domain
-	all    []fleet.VMID // live and leaving
+	members    []fleet.VMID // live and leaving
 	ranked []fleet.VMID // live, best rank first
 }
 
 // view is the membership as dissemination uses it.
 type view struct {
 	self     fleet.VMID
-	own      domainView
-	others   []domainView // sorted by name
+	domain      domainView
+	otherDomains   []domainView // sorted by name
 	rank     int          // of self among the live of its domain; -1 while it is leaving
 	children map[fleet.VMID][]fleet.VMID
 }
@@ -49,26 +49,26 @@
 	v := view{self: self.ID, children: map[fleet.VMID][]fleet.VMID{}}
 	for name, ms := range byDomain {
 		if name == self.Domain {
-			v.own = newDomainView(name, ms)
+			v.domain = newDomainView(name, ms)
 			continue
 		}
-		v.others = append(v.others, newDomainView(name, ms))
+		v.otherDomains = append(v.otherDomains, newDomainView(name, ms))
 	}
-	slices.SortFunc(v.others, func(a, b domainView) int { return cmp.Compare(a.name, b.name) })
-	v.rank = slices.Index(v.own.ranked, self.ID)
+	slices.SortFunc(v.otherDomains, func(a, b domainView) int { return cmp.Compare(a.name, b.name) })
+	v.rank = slices.Index(v.domain.ranked, self.ID)
 	return v
 }
 
 func newDomainView(name fleet.Domain, ms []Member) domainView {
 	d := domainView{name: name}
 	for _, m := range ms {
-		d.all = append(d.all, m.ID)
+		d.members = append(d.members, m.ID)
 		if m.State == fleet.Live {
 			d.ranked = append(d.ranked, m.ID)
 		}
 	}
-	slices.Sort(d.all)
-	d.all = slices.Compact(d.all)
+	slices.Sort(d.members)
+	d.members = slices.Compact(d.members)
 	d.ranked = rank.Order(string(name), d.ranked)
 	d.ranked = slices.Compact(d.ranked)
 	return d
@@ -79,9 +79,9 @@
 	return d.ranked[:min(ReadersPerDomain, len(d.ranked))]
 }
 
-// isOwn reports whether id is a known member of the own domain.
-func (v *view) isOwn(id fleet.VMID) bool {
-	_, found := slices.BinarySearch(v.own.all, id)
+// isDomainMember reports whether id is a known member of the own domain.
+func (v *view) isDomainMember(id fleet.VMID) bool {
+	_, found := slices.BinarySearch(v.domain.members, id)
 	return found
 }
 
@@ -94,16 +94,16 @@
 	if c, ok := v.children[root]; ok {
 		return c
 	}
-	c := v.findChildren(root)
+	c := v.computeChildren(root)
 	v.children[root] = c
 	return c
 }
 
-func (v *view) findChildren(root fleet.VMID) []fleet.VMID {
-	readers := v.own.readers()
-	inner := make([]fleet.VMID, 0, len(v.own.all))
+func (v *view) computeChildren(root fleet.VMID) []fleet.VMID {
+	readers := v.domain.readers()
+	inner := make([]fleet.VMID, 0, len(v.domain.members))
 	order := []fleet.VMID{root}
-	for _, id := range v.own.all {
+	for _, id := range v.domain.members {
 		if id != root && !slices.Contains(readers, id) {
 			inner = append(inner, id)
 		}
--- a/decide/config/message.go
+++ b/decide/config/message.go
@@ -17,7 +17,7 @@
 // Body carries exactly one message; it is the form on the wire.
 type Body struct {
 	Digest   *Digest   `json:"d,omitempty"`
-	Want     *Want     `json:"w,omitempty"`
+	UpdateRequest     *UpdateRequest     `json:"w,omitempty"`
 	Delta    *Delta    `json:"c,omitempty"`
 	Snapshot *Snapshot `json:"s,omitempty"`
 	Push     *Push     `json:"p,omitempty"`
@@ -28,8 +28,8 @@
 	switch m := m.(type) {
 	case *Digest:
 		return Body{Digest: m}
-	case *Want:
-		return Body{Want: m}
+	case *UpdateRequest:
+		return Body{UpdateRequest: m}
 	case *Delta:
 		return Body{Delta: m}
 	case *Snapshot:
@@ -46,8 +46,8 @@
 	if b.Digest != nil {
 		found = append(found, b.Digest)
 	}
-	if b.Want != nil {
-		found = append(found, b.Want)
+	if b.UpdateRequest != nil {
+		found = append(found, b.UpdateRequest)
 	}
 	if b.Delta != nil {
 		found = append(found, b.Delta)
@@ -100,8 +100,8 @@
 	Ask bool `json:"k,omitempty"`
 }
 
-// Want asks for everything newer than Have; 0 asks for a Snapshot.
-type Want struct {
+// UpdateRequest asks for everything newer than Have; 0 asks for a Snapshot.
+type UpdateRequest struct {
 	Format uint8  `json:"f"`
 	Have   uint64 `json:"r"`
 }
@@ -168,7 +168,7 @@
 	return d.ReadAge.check()
 }
 
-func (w *Want) check() error {
+func (w *UpdateRequest) check() error {
 	return checkHeader(w.Format, w.Have, Unknown)
 }
 
@@ -179,7 +179,7 @@
 	if d.From >= d.To {
 		return fmt.Errorf("config: delta from %d to %d", d.From, d.To)
 	}
-	if n := d.entries(); n > MaxDeltaEntries {
+	if n := d.entryCount(); n > MaxDeltaEntries {
 		return fmt.Errorf("config: delta of %d entries", n)
 	}
 	for _, n := range d.RemovedServices {
@@ -195,7 +195,7 @@
 	return checkEntries(d.Services, d.Shifts)
 }
 
-func (d *Delta) entries() int {
+func (d *Delta) entryCount() int {
 	return len(d.Services) + len(d.Shifts) + len(d.RemovedServices) + len(d.RemovedShifts)
 }
 
--- a/decide/config/message_test.go
+++ b/decide/config/message_test.go
@@ -14,15 +14,15 @@
 // Sequence: a platform put back to older data gave one revision out twice, in
 // two partitions. Cause: without a rule each keeps its own. The greater hash
 // must win at both, and the loser must count it.
-func TestTwoContentsUnderOneRevision(t *testing.T) {
+func TestGreaterHashWinsUnderOneRevision(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork(3, 2, 1)
-	n.storeDown = true
-	a, b := n.nodes[0], n.nodes[1]
+	n.platformDown = true
+	a, b := n.daemons[0], n.daemons[1]
 	a.st.Step(n.now, &Accepted{Catalogue: withShift(9, "x")}, &a.ready)
 	b.st.Step(n.now, &Accepted{Catalogue: withShift(9, "y")}, &b.ready)
 	n.run(10 * time.Second)
-	is.Equal(a.st.point(), b.st.point())
+	is.Equal(a.st.currentVersion(), b.st.currentVersion())
 	is.True(a.st.Counters().Diverged+b.st.Counters().Diverged > 0)
 }
 
@@ -41,7 +41,7 @@
 		"read age":         &Digest{Format: Format, Revision: 9, ReadAge: Age(maxAge)},
 		"hash alone":       &Digest{Format: Format, Hash: 1},
 		"root":             &Digest{Format: Format, Root: fleet.VMID(make([]byte, MaxIDLen+1))},
-		"want":             &Want{Format: Format, Have: MaxRevision + 1},
+		"want":             &UpdateRequest{Format: Format, Have: MaxRevision + 1},
 		"delta backwards":  &Delta{Format: Format, From: 9, To: 9},
 		"delta too large":  &Delta{Format: Format, From: 1, To: 9, Shifts: many},
 		"delta without id": &Delta{Format: Format, From: 1, To: 9, Shifts: make([]catalogue.Shift, 1)},
@@ -56,13 +56,13 @@
 	for name, m := range bad {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			n := settledNetwork(is, 1, 2)
-			v := n.nodes[0]
-			before := v.st.point()
+			n := convergedNetwork(is, 1, 2)
+			v := n.daemons[0]
+			before := v.st.currentVersion()
 			v.st.Step(n.now, &PeerMessage{From: "a1", Msg: m}, &v.ready)
 			is.Equal(v.st.Counters().Malformed, uint64(1))
-			is.Equal(v.st.point(), before)
-			is.Equal(v.st.catchUp.highest, before.Revision)
+			is.Equal(v.st.currentVersion(), before)
+			is.Equal(v.st.catchUp.highestKnown, before.Revision)
 		})
 	}
 }
@@ -72,8 +72,8 @@
 // know; so content of another format is refused, and counted apart.
 func TestOtherFormatIsRefused(t *testing.T) {
 	is := is.New(t)
-	n := settledNetwork(is, 1, 2)
-	v := n.nodes[0]
+	n := convergedNetwork(is, 1, 2)
+	v := n.daemons[0]
 	d := &Delta{Format: Format + 1, From: 1, To: 9, Shifts: withShift(9, "x").Shifts}
 	v.st.Step(n.now, &PeerMessage{From: "a1", Msg: d}, &v.ready)
 	is.Equal(v.st.Counters().OtherFormat, uint64(1))
@@ -85,11 +85,11 @@
 // with the hash; the daemon must ask for a snapshot instead.
 func TestWrongDeltaIsReplacedBySnapshot(t *testing.T) {
 	is := is.New(t)
-	n := settledNetwork(is, 1, 2)
-	v := n.nodes[0]
+	n := convergedNetwork(is, 1, 2)
+	v := n.daemons[0]
 	d := &Delta{Format: Format, From: 1, To: 9, Hash: 1, Age: Unknown, Shifts: withShift(9, "x").Shifts}
 	v.st.Step(n.now, &PeerMessage{From: "a1", Msg: d}, &v.ready)
 	is.Equal(v.st.Counters().HashMismatch, uint64(1))
 	is.Equal(v.revision, uint64(1))
-	is.Equal(v.ready.Send[0].Msg, Message(&Want{Format: Format, Have: 0}))
+	is.Equal(v.ready.Send[0].Msg, Message(&UpdateRequest{Format: Format, Have: 0}))
 }
--- a/decide/config/net_test.go
+++ b/decide/config/net_test.go
@@ -18,29 +18,29 @@
 	rng   *rand.Rand
 	seq   int // deliveries so far
 	queue clocktest.Queue[delivery]
-	nodes []*node // by id
-	byID  map[fleet.VMID]*node
+	daemons []*testDaemon // by id
+	byID  map[fleet.VMID]*testDaemon
 
-	loss       float64
+	lossRate       float64
 	minDelay   time.Duration
 	maxDelay   time.Duration
-	farDelay   time.Duration            // added between domains and to the platform
-	cut        map[[2]fleet.Domain]bool // domains that can't reach each other
-	cutStore   map[fleet.Domain]bool    // domains that can't reach the platform
-	noStore    map[fleet.VMID]bool      // daemons that alone can't
-	storeDown  bool
+	crossDomainDelay   time.Duration            // added between domains and to the platform
+	partitions        map[[2]fleet.Domain]bool // domains that can't reach each other
+	domainsWithoutPlatform   map[fleet.Domain]bool    // domains that can't reach the platform
+	vmsWithoutPlatform    map[fleet.VMID]bool      // daemons that alone can't
+	platformDown  bool
 	reorder    bool
-	store      store
-	calls      int // platform calls
+	platform      platformStore
+	platformCalls      int // platform calls
 	messages   int
 	sizeOf     func(Message) int // nil: bytes are not counted
 	bytes      int
-	contents   map[uint64]uint64 // hash first seen in force, by revision
+	hashByRevision   map[uint64]uint64 // hash first seen in force, by revision
 	violations []string
 }
 
-// node is one daemon; a restart replaces its State.
-type node struct {
+// testDaemon is one daemon; a restart replaces its State.
+type testDaemon struct {
 	id          fleet.VMID
 	domain      fleet.Domain
 	incarnation fleet.Incarnation
@@ -56,7 +56,7 @@
 }
 
 type delivery struct {
-	to *node
+	to *testDaemon
 	st *State // the process it is for
 	ev Event
 }
@@ -67,66 +67,66 @@
 	n := &network{
 		now:      clock.Time(time.Hour),
 		rng:      rand.New(rand.NewPCG(seed, 1)),
-		byID:     map[fleet.VMID]*node{},
+		byID:     map[fleet.VMID]*testDaemon{},
 		minDelay: time.Millisecond,
 		maxDelay: 3 * time.Millisecond,
-		cut:      map[[2]fleet.Domain]bool{},
-		cutStore: map[fleet.Domain]bool{},
-		noStore:  map[fleet.VMID]bool{},
-		contents: map[uint64]uint64{},
+		partitions:      map[[2]fleet.Domain]bool{},
+		domainsWithoutPlatform: map[fleet.Domain]bool{},
+		vmsWithoutPlatform:  map[fleet.VMID]bool{},
+		hashByRevision: map[uint64]uint64{},
 	}
-	n.set(&catalogue.Catalogue{Revision: 1, Services: []catalogue.Service{{Name: "calc-lookup", Revision: 1}}})
+	n.storeDocument(&catalogue.Catalogue{Revision: 1, Services: []catalogue.Service{{Name: "calc-lookup", Revision: 1}}})
 	for d := range domains {
 		for i := range perDomain {
 			domain := fleet.Domain(fmt.Sprintf("%c", 'a'+d))
 			if domains > 26 {
 				domain = fleet.Domain(fmt.Sprintf("d%02d", d))
 			}
-			v := &node{id: fleet.VMID(fmt.Sprintf("%s%d", domain, i)), domain: domain}
-			n.nodes = append(n.nodes, v)
+			v := &testDaemon{id: fleet.VMID(fmt.Sprintf("%s%d", domain, i)), domain: domain}
+			n.daemons = append(n.daemons, v)
 			n.byID[v.id] = v
 		}
 	}
-	for _, v := range n.nodes {
-		n.begin(v)
+	for _, v := range n.daemons {
+		n.startProcess(v)
 	}
-	n.announce()
+	n.deliverMembers()
 	return n
 }
 
-// start begins a new process of v, which knows nothing.
-func (n *network) start(v *node) {
-	n.begin(v)
-	n.announce()
+// restart begins a new process of v, which knows nothing.
+func (n *network) restart(v *testDaemon) {
+	n.startProcess(v)
+	n.deliverMembers()
 }
 
-func (n *network) begin(v *node) {
+func (n *network) startProcess(v *testDaemon) {
 	v.incarnation++
 	v.revision, v.hash = 0, 0
 	v.watch = nil
 	v.st = New(Config{Self: v.id, Domain: v.domain, Incarnation: v.incarnation, Seed: n.rng.Uint64()})
 }
 
-func (n *network) stop(v *node) {
+func (n *network) kill(v *testDaemon) {
 	v.st = nil
-	n.announce()
+	n.deliverMembers()
 }
 
-// rowSize is how many members of another domain a daemon knows.
-const rowSize = 4
+// knownPerOtherDomain is how many members of another domain a daemon knows.
+const knownPerOtherDomain = 4
 
-// announce tells every daemon the membership, a little later to each: all of
+// deliverMembers tells every daemon the membership, a little later to each: all of
 // its own domain, and some of the others.
-func (n *network) announce() {
+func (n *network) deliverMembers() {
 	whole := map[fleet.Domain][]Member{}
 	var rows []Member
-	for _, v := range n.nodes {
+	for _, v := range n.daemons {
 		m := Member{ID: v.id, Domain: v.domain, Incarnation: v.incarnation}
 		if v.st == nil {
 			m.State = fleet.Dead
 		}
 		whole[v.domain] = append(whole[v.domain], m)
-		if len(whole[v.domain]) <= rowSize {
+		if len(whole[v.domain]) <= knownPerOtherDomain {
 			rows = append(rows, m)
 		}
 	}
@@ -134,7 +134,7 @@
 	for d, own := range whole {
 		events[d] = &Members{Members: append(slices.Clone(own), rows...)}
 	}
-	for _, v := range n.nodes {
+	for _, v := range n.daemons {
 		if v.st != nil {
 			n.deliver(v, events[v.domain], n.memberDelay())
 		}
@@ -154,7 +154,7 @@
 	return n.minDelay + time.Duration(n.rng.Int64N(int64(n.maxDelay-n.minDelay)+1))
 }
 
-func (n *network) deliver(to *node, ev Event, after time.Duration) {
+func (n *network) deliver(to *testDaemon, ev Event, after time.Duration) {
 	n.seq++
 	n.queue.Push(n.now.Add(after), delivery{to: to, st: to.st, ev: ev})
 }
@@ -180,10 +180,10 @@
 	n.now = until
 }
 
-func (n *network) nextWake() (*node, clock.Time) {
-	var first *node
+func (n *network) nextWake() (*testDaemon, clock.Time) {
+	var first *testDaemon
 	at := clock.Never
-	for _, v := range n.nodes {
+	for _, v := range n.daemons {
 		if v.st != nil && v.wake.Before(at) {
 			first, at = v, v.wake
 		}
@@ -191,7 +191,7 @@
 	return first, at
 }
 
-func (n *network) step(v *node, ev Event) {
+func (n *network) step(v *testDaemon, ev Event) {
 	v.st.Step(n.now, ev, &v.ready)
 	v.wake = v.ready.Wake
 	for _, a := range v.ready.Apply {
@@ -215,7 +215,7 @@
 }
 
 // applied checks the invariants of everything that comes into force.
-func (n *network) applied(v *node, c *catalogue.Catalogue) {
+func (n *network) applied(v *testDaemon, c *catalogue.Catalogue) {
 	h, err := Hash(c)
 	if err != nil {
 		n.violate("%s: %v", v.id, err)
@@ -223,10 +223,10 @@
 	if c.Revision < v.revision {
 		n.violate("%s fell from %d to %d", v.id, v.revision, c.Revision)
 	}
-	if first, ok := n.contents[c.Revision]; ok && first != h {
+	if first, ok := n.hashByRevision[c.Revision]; ok && first != h {
 		n.violate("%s holds other content at %d", v.id, c.Revision)
 	}
-	n.contents[c.Revision] = h
+	n.hashByRevision[c.Revision] = h
 	v.revision, v.hash, v.appliedAt = c.Revision, h, n.now
 }
 
@@ -234,7 +234,7 @@
 	n.violations = append(n.violations, fmt.Sprintf(format, args...))
 }
 
-func (n *network) send(from *node, s Send) {
+func (n *network) send(from *testDaemon, s Send) {
 	n.messages++
 	from.sent++
 	if n.sizeOf != nil {
@@ -243,55 +243,55 @@
 		from.bytes += size
 	}
 	to := n.byID[s.To]
-	if to == nil || to.st == nil || n.parted(from.domain, to.domain) || n.rng.Float64() < n.loss {
+	if to == nil || to.st == nil || n.partitioned(from.domain, to.domain) || n.rng.Float64() < n.lossRate {
 		return
 	}
 	delay := n.delay()
 	if from.domain != to.domain {
-		delay += n.farDelay
+		delay += n.crossDomainDelay
 	}
 	n.deliver(to, &PeerMessage{From: from.id, Msg: s.Msg}, delay)
 }
 
-func (n *network) parted(a, b fleet.Domain) bool {
-	return n.cut[[2]fleet.Domain{a, b}] || n.cut[[2]fleet.Domain{b, a}]
+func (n *network) partitioned(a, b fleet.Domain) bool {
+	return n.partitions[[2]fleet.Domain{a, b}] || n.partitions[[2]fleet.Domain{b, a}]
 }
 
-func (n *network) reaches(v *node) bool {
-	return !n.storeDown && !n.cutStore[v.domain] && !n.noStore[v.id]
+func (n *network) reachesPlatform(v *testDaemon) bool {
+	return !n.platformDown && !n.domainsWithoutPlatform[v.domain] && !n.vmsWithoutPlatform[v.id]
 }
 
 // heal mends everything and starts whoever is down.
 func (n *network) heal() {
-	n.loss = 0
+	n.lossRate = 0
 	n.reorder = false
-	n.storeDown = false
-	clear(n.cut)
-	clear(n.cutStore)
-	for _, v := range n.nodes {
+	n.platformDown = false
+	clear(n.partitions)
+	clear(n.domainsWithoutPlatform)
+	for _, v := range n.daemons {
 		if v.st == nil {
-			n.start(v)
+			n.restart(v)
 		}
 	}
-	n.announce()
+	n.deliverMembers()
 }
 
-// settled returns what is missing for all daemons to hold the platform's
+// checkConverged returns what is missing for all daemons to hold the platform's
 // document.
-func (n *network) settled() error {
+func (n *network) checkConverged() error {
 	if len(n.violations) > 0 {
 		return fmt.Errorf("%v", n.violations)
 	}
-	want, err := Hash(n.store.cat)
+	want, err := Hash(n.platform.cat)
 	if err != nil {
 		return err
 	}
-	for _, v := range n.nodes {
+	for _, v := range n.daemons {
 		if v.st == nil {
 			continue
 		}
-		if v.revision != n.store.cat.Revision || v.hash != want {
-			return fmt.Errorf("%s holds %d, the platform %d", v.id, v.revision, n.store.cat.Revision)
+		if v.revision != n.platform.cat.Revision || v.hash != want {
+			return fmt.Errorf("%s holds %d, the platform %d", v.id, v.revision, n.platform.cat.Revision)
 		}
 		if d := v.st.Counters().Diverged; d > 0 {
 			return fmt.Errorf("%s saw %d times two contents under one revision", v.id, d)
--- a/decide/config/push.go
+++ b/decide/config/push.go
@@ -8,88 +8,88 @@
 // push is the dissemination of new revisions with this daemon as the root.
 type push struct {
 	pending bool
-	whole   bool       // send the change, not only its digest
-	base    uint64     // revision before the first change not yet pushed
-	at      clock.Time // when it is due
-	last    clock.Time // when the last one was sent
+	sendDelta   bool       // send the change, not only its digest
+	baseRevision    uint64     // revision before the first change not yet pushed
+	dueAt      clock.Time // when it is due
+	lastSentAt    clock.Time // when the last one was sent
 	sent    bool
-	newest  uint64 // highest revision pushed or announced
+	lastRevision  uint64 // highest revision pushed or announced
 }
 
-// originate makes the daemon push what came into force after before: whole, or
+// schedulePush makes the daemon push what came into force after before: whole, or
 // only its digest where another root is expected to push it whole. Changes
 // until the push is due are merged into it.
-func (s *State) originate(before *content, whole bool) {
+func (s *State) schedulePush(before *content, whole bool) {
 	p := &s.push
 	if before == nil {
 		return
 	}
 	if p.pending {
-		p.whole = p.whole || whole
+		p.sendDelta = p.sendDelta || whole
 		return
 	}
 	p.pending = true
-	p.whole = whole
-	p.base = before.cat.Revision
-	p.at = s.now
+	p.sendDelta = whole
+	p.baseRevision = before.cat.Revision
+	p.dueAt = s.now
 	if p.sent {
-		p.at = max(p.at, p.last.Add(MinPushInterval))
+		p.dueAt = max(p.dueAt, p.lastSentAt.Add(MinPushInterval))
 	}
 }
 
-// announce makes a reader send the digest of what is in force down its tree,
+// announceCurrent makes a reader send the digest of what is in force down its tree,
 // unless it has pushed that: it reached this daemon down the tree of another
 // root, and may not have reached everybody.
-func (s *State) announce() {
+func (s *State) announceCurrent() {
 	p := &s.push
-	if p.pending || p.newest >= s.held.cat.Revision {
+	if p.pending || p.lastRevision >= s.current.cat.Revision {
 		return
 	}
-	s.originate(s.held, false)
+	s.schedulePush(s.current, false)
 }
 
 func (p *push) wake() clock.Time {
 	if !p.pending {
 		return clock.Never
 	}
-	return p.at
+	return p.dueAt
 }
 
-// duePush sends the pending push down the own tree, and its digest to other
+// runPushTimer sends the pending push down the own tree, and its digest to other
 // domains: those without the platform will ask. A change too large for a push
 // is announced by its digest alone.
-func (s *State) duePush(out *Ready) {
+func (s *State) runPushTimer(out *Ready) {
 	p := &s.push
-	if !p.pending || s.now.Before(p.at) {
+	if !p.pending || s.now.Before(p.dueAt) {
 		return
 	}
 	p.pending = false
 	p.sent = true
-	p.newest = s.held.cat.Revision
-	p.last = s.now
+	p.lastRevision = s.current.cat.Revision
+	p.lastSentAt = s.now
 	m := s.pushMessage()
 	for _, to := range s.view.treeChildren(s.cfg.Self) {
 		s.send(to, m, out)
 	}
-	for _, to := range s.randomCross(CrossPushes) {
+	for _, to := range s.randomCrossDomainReaders(CrossDomainPushes) {
 		s.send(to, s.makeDigest(), out)
 	}
 }
 
 func (s *State) pushMessage() Message {
-	d, ok := s.history.since(s.push.base, s.held, MaxPushEntries)
-	if !ok || !s.push.whole {
+	d, ok := s.history.deltaSince(s.push.baseRevision, s.current, MaxPushEntries)
+	if !ok || !s.push.sendDelta {
 		return s.makeHeartbeat()
 	}
-	d.Age = s.age()
+	d.Age = s.messageAge()
 	return &Push{Root: s.cfg.Self, Delta: *d}
 }
 
-// pushed takes a Push and passes it down its root's tree, also where it already
+// handlePush takes a Push and passes it down its root's tree, also where it already
 // has the change: those below may not.
-func (s *State) pushed(from fleet.VMID, m *Push, out *Ready) {
-	s.delta(from, &m.Delta, out)
-	if !s.view.isOwn(from) || m.Root == s.cfg.Self || !s.gossip.firstPush(m.Root, m.Delta.To) {
+func (s *State) handlePush(from fleet.VMID, m *Push, out *Ready) {
+	s.handleDelta(from, &m.Delta, out)
+	if !s.view.isDomainMember(from) || m.Root == s.cfg.Self || !s.gossip.isNewPush(m.Root, m.Delta.To) {
 		return
 	}
 	for _, to := range s.view.treeChildren(m.Root) {
--- a/decide/config/random_test.go
+++ b/decide/config/random_test.go
@@ -29,52 +29,52 @@
 		n.maxDelay = rapid.SampledFrom([]time.Duration{2, 60, 300}).Draw(t, "delay") * time.Millisecond
 		n.run(3 * time.Second)
 		n.reorder = true
-		old := n.store
+		old := n.platform
 		for i := range rapid.IntRange(5, 40).Draw(t, "steps") {
-			old = n.disturb(t, i, old)
+			old = n.injectFault(t, i, old)
 			n.run(rapid.SampledFrom([]time.Duration{2, 50, 700, 6000, 45000}).Draw(t, "wait") * time.Millisecond)
 		}
 		n.heal()
 		n.run(convergeWithin)
-		if err := n.settled(); err != nil {
+		if err := n.checkConverged(); err != nil {
 			t.Fatal(err)
 		}
 	})
 }
 
-// disturb brings about one random event, and returns the data that a later
+// injectFault brings about one random event, and returns the data that a later
 // rollback goes back to.
-func (n *network) disturb(t *rapid.T, i int, old store) store {
-	v := rapid.SampledFrom(n.nodes).Draw(t, "node")
-	w := rapid.SampledFrom(n.nodes).Draw(t, "other")
+func (n *network) injectFault(t *rapid.T, i int, old platformStore) platformStore {
+	v := rapid.SampledFrom(n.daemons).Draw(t, "node")
+	w := rapid.SampledFrom(n.daemons).Draw(t, "other")
 	switch what := rapid.IntRange(0, 11).Draw(t, "what"); what {
 	case 0, 1, 2, 3:
 		if v.st != nil {
 			n.write(v, fmt.Sprintf("s%d", i%7), rapid.Bool().Draw(t, "lose"))
 		}
 	case 4:
-		n.stop(v)
+		n.kill(v)
 	case 5:
-		n.stop(v)
-		n.start(v)
+		n.kill(v)
+		n.restart(v)
 	case 6:
-		n.cut[[2]fleet.Domain{v.domain, w.domain}] = v.domain != w.domain
+		n.partitions[[2]fleet.Domain{v.domain, w.domain}] = v.domain != w.domain
 	case 7:
-		n.cutStore[v.domain] = !n.cutStore[v.domain]
+		n.domainsWithoutPlatform[v.domain] = !n.domainsWithoutPlatform[v.domain]
 	case 8:
-		n.storeDown = !n.storeDown
+		n.platformDown = !n.platformDown
 	case 9:
-		n.loss = rapid.SampledFrom([]float64{0, 0.1, 0.5}).Draw(t, "loss")
+		n.lossRate = rapid.SampledFrom([]float64{0, 0.1, 0.5}).Draw(t, "loss")
 	case 10:
 		if rapid.Bool().Draw(t, "back") {
 			n.rollBack(old)
 		}
-		return n.store
+		return n.platform
 	case 11:
-		for _, x := range n.nodes {
+		for _, x := range n.daemons {
 			if x.domain == v.domain {
-				n.stop(x)
-				n.start(x)
+				n.kill(x)
+				n.restart(x)
 			}
 		}
 	}
--- a/decide/config/read.go
+++ b/decide/config/read.go
@@ -21,86 +21,86 @@
 // once from being asked in a loop.
 const readSpacing = 500 * time.Millisecond
 
-// behindSpacing is the time between reads while the platform shows older data.
-const behindSpacing = time.Second
+// platformBehindSpacing is the time between reads while the platform shows older data.
+const platformBehindSpacing = time.Second
 
-// reading is this daemon's part in reading the platform.
-type reading struct {
+// platformReader is this daemon's part in reading the platform.
+type platformReader struct {
 	mode     readMode
-	wanted   bool
+	active   bool
 	seq      uint64
 	deadline clock.Time // when the read under way counts as failed
-	next     clock.Time // when the next one starts
-	begun    clock.Time // when the last one started
+	nextAt     clock.Time // when the next one starts
+	startedAt    clock.Time // when the last one started
 	watches  int        // since the last plain read
-	fails    int        // since the last success
+	failures    int        // since the last success
 
 	index uint64 // platform's index of its document
-	point Point  // content at index
-	known bool   // whether index and point are
+	version Point  // content at index
+	indexKnown bool   // whether index and point are
 
-	ok   bool       // whether a read has succeeded yet
-	okAt clock.Time // instant that the last success vouches for
+	everSucceeded   bool       // whether a read has succeeded yet
+	lastSuccess clock.Time // instant that the last success vouches for
 
-	heartbeats  map[fleet.VMID]clock.Time // last successful read of other members
+	lastReads  map[fleet.VMID]clock.Time // last successful read of other members
 	tooFewSince clock.Time                // since when too few of better rank read
 
-	behind      bool
-	behindSince clock.Time
+	platformBehind      bool
+	platformBehindSince clock.Time
 	restoreAt   clock.Time
 }
 
 // working reports whether this daemon reads the platform successfully.
-func (r *reading) working(now clock.Time) bool {
-	return r.wanted && r.ok && now.Sub(r.okAt) <= TakeoverAfter
+func (r *platformReader) working(now clock.Time) bool {
+	return r.active && r.everSucceeded && now.Sub(r.lastSuccess) <= TakeoverAfter
 }
 
 // age returns the age of the last successful read for messages.
-func (r *reading) age(now clock.Time) Age {
-	if !r.ok {
+func (r *platformReader) age(now clock.Time) Age {
+	if !r.everSucceeded {
 		return Unknown
 	}
-	return toAge(now.Sub(r.okAt))
+	return toAge(now.Sub(r.lastSuccess))
 }
 
-// noteHeartbeat notes that a member has read the platform at the instant at.
-func (r *reading) noteHeartbeat(id fleet.VMID, at clock.Time) {
-	if r.heartbeats == nil {
-		r.heartbeats = map[fleet.VMID]clock.Time{}
+// recordRead notes that a member has read the platform at the instant at.
+func (r *platformReader) recordRead(id fleet.VMID, at clock.Time) {
+	if r.lastReads == nil {
+		r.lastReads = map[fleet.VMID]clock.Time{}
 	}
-	r.heartbeats[id] = max(r.heartbeats[id], at)
+	r.lastReads[id] = max(r.lastReads[id], at)
 }
 
 // isReading reports whether a heartbeat has shown a recent successful read of a
 // member.
-func (r *reading) isReading(id fleet.VMID, now clock.Time) bool {
-	at, ok := r.heartbeats[id]
+func (r *platformReader) isReading(id fleet.VMID, now clock.Time) bool {
+	at, ok := r.lastReads[id]
 	return ok && now.Sub(at) <= TakeoverAfter
 }
 
-func (r *reading) forget(v view) {
-	for id := range r.heartbeats {
-		if !v.isOwn(id) {
-			delete(r.heartbeats, id)
+func (r *platformReader) removeFormerMembers(v view) {
+	for id := range r.lastReads {
+		if !v.isDomainMember(id) {
+			delete(r.lastReads, id)
 		}
 	}
 }
 
-func (r *reading) wake() clock.Time {
+func (r *platformReader) wake() clock.Time {
 	switch {
-	case !r.wanted:
+	case !r.active:
 		return clock.Never
 	case r.mode == readIdle:
-		return r.next
+		return r.nextAt
 	default:
 		return r.deadline
 	}
 }
 
-// wantsToRead decides whether this daemon should read: by rank, or because
+// shouldRead decides whether this daemon should read: by rank, or because
 // those of better rank have shown no successful read for too long.
-func (s *State) wantsToRead() bool {
-	r, rank := &s.read, s.view.rank
+func (s *State) shouldRead() bool {
+	r, rank := &s.reader, s.view.rank
 	if rank < 0 {
 		return false
 	}
@@ -108,7 +108,7 @@
 		return true
 	}
 	working := 0
-	for _, id := range s.view.own.ranked[:rank] {
+	for _, id := range s.view.domain.ranked[:rank] {
 		if r.isReading(id, s.now) {
 			working++
 		}
@@ -121,186 +121,186 @@
 	return s.now.Sub(r.tooFewSince) >= wait
 }
 
-// firstReader reports whether no member of better rank is known to read.
-func (s *State) firstReader() bool {
-	for _, id := range s.view.own.ranked[:max(0, s.view.rank)] {
-		if s.read.isReading(id, s.now) {
+// isFirstReader reports whether no member of better rank is known to read.
+func (s *State) isFirstReader() bool {
+	for _, id := range s.view.domain.ranked[:max(0, s.view.rank)] {
+		if s.reader.isReading(id, s.now) {
 			return false
 		}
 	}
 	return true
 }
 
-// domainReads reports whether this daemon's domain reads the platform, so that
+// domainHasReader reports whether this daemon's domain reads the platform, so that
 // a change is about to come from there.
-func (s *State) domainReads() bool {
-	if s.read.working(s.now) {
+func (s *State) domainHasReader() bool {
+	if s.reader.working(s.now) {
 		return true
 	}
-	for _, id := range s.view.own.ranked {
-		if s.read.isReading(id, s.now) {
+	for _, id := range s.view.domain.ranked {
+		if s.reader.isReading(id, s.now) {
 			return true
 		}
 	}
 	return false
 }
 
-func (s *State) dueRead(out *Ready) {
-	r := &s.read
-	if !s.wantsToRead() {
-		s.stopReading(out)
+func (s *State) runReadTimers(out *Ready) {
+	r := &s.reader
+	if !s.shouldRead() {
+		s.deactivateReader(out)
 		return
 	}
-	if !r.wanted {
-		s.startReading()
+	if !r.active {
+		s.activateReader()
 	}
 	if r.mode != readIdle && !s.now.Before(r.deadline) {
-		s.abandonRead(out)
+		s.timeOutRead(out)
 	}
-	if r.mode == readIdle && !s.now.Before(r.next) {
-		s.beginRead(out)
+	if r.mode == readIdle && !s.now.Before(r.nextAt) {
+		s.startRead(out)
 	}
 }
 
-func (s *State) startReading() {
-	s.read.wanted = true
-	s.read.next = s.now
+func (s *State) activateReader() {
+	s.reader.active = true
+	s.reader.nextAt = s.now
 	if s.view.rank >= ReadersPerDomain {
 		s.counters.Takeovers++
 	}
 }
 
-func (s *State) stopReading(out *Ready) {
-	r := &s.read
+func (s *State) deactivateReader(out *Ready) {
+	r := &s.reader
 	if r.mode == readWatching {
 		out.Stop = append(out.Stop, StopWatching{Seq: r.seq})
 	}
-	r.wanted = false
+	r.active = false
 	r.mode = readIdle
-	r.fails = 0
-	r.behind = false
+	r.failures = 0
+	r.platformBehind = false
 }
 
-// abandonRead gives up a read that was never answered.
-func (s *State) abandonRead(out *Ready) {
-	if s.read.mode == readWatching {
-		out.Stop = append(out.Stop, StopWatching{Seq: s.read.seq})
+// timeOutRead gives up a read that was never answered.
+func (s *State) timeOutRead(out *Ready) {
+	if s.reader.mode == readWatching {
+		out.Stop = append(out.Stop, StopWatching{Seq: s.reader.seq})
 	}
-	s.readFailed()
+	s.recordReadFailure()
 }
 
-// beginRead watches from the known index, or reads at once: at first, after a
+// startRead watches from the known index, or reads at once: at first, after a
 // failure, while the platform is behind, and now and then, since a watch on an
 // index that the platform has lost would never return.
-func (s *State) beginRead(out *Ready) {
-	r := &s.read
+func (s *State) startRead(out *Ready) {
+	r := &s.reader
 	r.seq++
-	r.begun = s.now
-	if !r.known || r.fails > 0 || r.behind || r.watches >= PlainReadEvery {
+	r.startedAt = s.now
+	if !r.indexKnown || r.failures > 0 || r.platformBehind || r.watches >= PlainReadEvery {
 		r.mode = readFetching
 		r.watches = 0
-		r.deadline = s.now.Add(ReadTimeout)
+		r.deadline = s.now.Add(ReadGrace)
 		out.Fetch = append(out.Fetch, FetchPlatform{Seq: r.seq})
 		return
 	}
 	r.mode = readWatching
 	r.watches++
-	r.deadline = s.now.Add(WatchWait + ReadTimeout)
+	r.deadline = s.now.Add(WatchWait + ReadGrace)
 	out.Watch = append(out.Watch, WatchPlatform{Seq: r.seq, After: r.index, Wait: WatchWait})
 }
 
-func (s *State) platformRead(ev *PlatformRead, out *Ready) {
-	current := ev.Seq == s.read.seq && s.read.mode != readIdle
+func (s *State) handlePlatformRead(ev *PlatformRead, out *Ready) {
+	current := ev.Seq == s.reader.seq && s.reader.mode != readIdle
 	if !current {
 		// An answer that was given up on may still bring something newer.
 		if ev.Result == ReadDocument && ev.Catalogue != nil {
-			s.document(ev, out)
+			s.handleDocument(ev, out)
 		}
 		return
 	}
 	switch ev.Result {
 	case ReadDocument:
-		if ev.Catalogue == nil || !s.document(ev, out) {
-			s.readFailed()
+		if ev.Catalogue == nil || !s.handleDocument(ev, out) {
+			s.recordReadFailure()
 			return
 		}
 	case ReadNotModified:
-		s.notModified(ev, out)
+		s.handleNotModified(ev, out)
 	case ReadNotFound:
-		s.notFound(ev, out)
+		s.handleNotFound(ev, out)
 	default:
-		s.readFailed()
+		s.recordReadFailure()
 		return
 	}
-	s.readSucceeded(ev)
+	s.recordReadSuccess(ev)
 }
 
-func (s *State) readSucceeded(ev *PlatformRead) {
-	r := &s.read
+func (s *State) recordReadSuccess(ev *PlatformRead) {
+	r := &s.reader
 	r.mode = readIdle
-	r.fails = 0
-	r.ok = true
-	r.okAt = max(r.okAt, clock.Min(ev.Confirmed, s.now))
-	r.next = max(s.now, r.begun.Add(readSpacing))
-	if r.behind {
-		r.next = s.now.Add(behindSpacing)
+	r.failures = 0
+	r.everSucceeded = true
+	r.lastSuccess = max(r.lastSuccess, clock.Min(ev.Confirmed, s.now))
+	r.nextAt = max(s.now, r.startedAt.Add(readSpacing))
+	if r.platformBehind {
+		r.nextAt = s.now.Add(platformBehindSpacing)
 	}
 	s.counters.Reads++
 }
 
-// readFailed sets the time of the next attempt. Those of later ranks are
+// recordReadFailure sets the time of the next attempt. Those of later ranks are
 // farther apart, so that in an outage the whole fleet doesn't call the
 // platform.
-func (s *State) readFailed() {
-	r := &s.read
+func (s *State) recordReadFailure() {
+	r := &s.reader
 	r.mode = readIdle
-	r.fails++
+	r.failures++
 	s.counters.ReadsFailed++
-	wait := min(MaxReadBackoff, MinReadBackoff<<min(r.fails-1, 8))
+	wait := min(MaxReadBackoff, MinReadBackoff<<min(r.failures-1, 8))
 	if s.view.rank >= ReadersPerDomain {
 		wait = MaxReadBackoff * time.Duration(s.view.rank-ReadersPerDomain+1)
 	}
-	r.next = s.now.Add(s.around(wait))
+	r.nextAt = s.now.Add(s.withJitter(wait))
 }
 
-// document takes the platform's document; it returns false if that is
+// handleDocument takes the platform's document; it returns false if that is
 // unreadable.
-func (s *State) document(ev *PlatformRead, out *Ready) bool {
+func (s *State) handleDocument(ev *PlatformRead, out *Ready) bool {
 	c, err := newContent(ev.Catalogue)
 	if err != nil || c.cat.Revision > MaxRevision {
 		s.counters.Malformed++
 		return false
 	}
-	r := &s.read
-	p := c.point()
-	r.index, r.point, r.known = ev.Index, p, true
-	if s.held == nil {
-		s.offerJoin(offer{content: c, confirmed: true, at: ev.Confirmed}, out)
+	r := &s.reader
+	p := c.version()
+	r.index, r.version, r.indexKnown = ev.Index, p, true
+	if s.current == nil {
+		s.addJoinOffer(joinOffer{content: c, confirmed: true, confirmedAt: ev.Confirmed}, out)
 		return true
 	}
 	s.checkLineage(p, ev.Lineage)
-	before := s.held
-	if s.adopt(c, out) {
-		s.originate(before, s.firstReader())
-	} else if p == s.held.point() {
-		s.announce()
+	before := s.current
+	if s.install(c, out) {
+		s.schedulePush(before, s.isFirstReader())
+	} else if p == s.current.version() {
+		s.announceCurrent()
 	}
-	s.confirmHeld(p, ev.Confirmed)
+	s.confirmCurrent(p, ev.Confirmed)
 	s.checkBehind(p, ev.Confirmed, out)
 	return true
 }
 
-func (s *State) notModified(ev *PlatformRead, out *Ready) {
-	s.confirmHeld(s.read.point, ev.Confirmed)
-	if s.held != nil {
-		s.checkBehind(s.read.point, ev.Confirmed, out)
+func (s *State) handleNotModified(ev *PlatformRead, out *Ready) {
+	s.confirmCurrent(s.reader.version, ev.Confirmed)
+	if s.current != nil {
+		s.checkBehind(s.reader.version, ev.Confirmed, out)
 	}
 }
 
-func (s *State) notFound(ev *PlatformRead, out *Ready) {
-	r := &s.read
-	r.index, r.point, r.known = ev.Index, Point{}, ev.Index > 0
-	if s.held == nil {
+func (s *State) handleNotFound(ev *PlatformRead, out *Ready) {
+	r := &s.reader
+	r.index, r.version, r.indexKnown = ev.Index, Point{}, ev.Index > 0
+	if s.current == nil {
 		return
 	}
 	s.checkBehind(Point{}, ev.Confirmed, out)
@@ -309,7 +309,7 @@
 // checkLineage detects a platform that was restored to older data and has
 // accepted writes since: what is in force here is not part of its history.
 func (s *State) checkLineage(p Point, lineage []Point) {
-	held := s.held.point()
+	held := s.current.version()
 	if p.Revision <= held.Revision || len(lineage) == 0 {
 		return
 	}
@@ -328,24 +328,24 @@
 // checkBehind detects a platform that shows an older revision than the one in
 // force, in an answer to a read that began after that came into force.
 func (s *State) checkBehind(p Point, asked clock.Time, out *Ready) {
-	r := &s.read
-	if !s.held.point().supersedes(p) {
-		r.behind = false
+	r := &s.reader
+	if !s.current.version().supersedes(p) {
+		r.platformBehind = false
 		return
 	}
-	if asked.Before(s.heldAt) {
+	if asked.Before(s.currentSince) {
 		return
 	}
 	s.counters.PlatformBehind++
-	if !r.behind {
-		r.behind = true
-		r.behindSince = s.now
-		r.restoreAt = s.now.Add(RestoreAfter * time.Duration(s.view.rank+1))
+	if !r.platformBehind {
+		r.platformBehind = true
+		r.platformBehindSince = s.now
+		r.restoreAt = s.now.Add(RestoreDelay * time.Duration(s.view.rank+1))
 	}
-	if s.now.Before(r.restoreAt) || s.catchUp.pending(s.held.cat.Revision, s.now) {
+	if s.now.Before(r.restoreAt) || s.catchUp.pending(s.current.cat.Revision, s.now) {
 		return
 	}
-	r.restoreAt = s.now.Add(RestoreAfter)
+	r.restoreAt = s.now.Add(RestoreDelay)
 	s.counters.Restores++
-	out.Restore = append(out.Restore, RestorePlatform{Catalogue: s.held.cat})
+	out.Restore = append(out.Restore, RestorePlatform{Catalogue: s.current.cat})
 }
--- a/decide/config/session_test.go
+++ b/decide/config/session_test.go
@@ -16,11 +16,11 @@
 type session struct {
 	n     *network
 	names map[uint64]string
-	old   store
+	savedPlatform   platformStore
 }
 
-// TestSessions runs the golden sessions of testdata.
-func TestSessions(t *testing.T) {
+// TestGoldenSessions runs the golden sessions of testdata.
+func TestGoldenSessions(t *testing.T) {
 	datadriven.Walk(t, "testdata/sessions", func(t *testing.T, path string) {
 		s := &session{names: map[uint64]string{0: "nothing"}}
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string { return s.run(t, d) })
@@ -34,46 +34,46 @@
 		d.ScanArgs(t, "domains", &domains)
 		d.ScanArgs(t, "per", &per)
 		s.n = newNetwork(1, domains, per)
-		s.name()
-		return s.pass(10 * time.Second)
+		s.nameRevision()
+		return s.runAndShow(10 * time.Second)
 	case "run":
 		span, err := time.ParseDuration(d.CmdArgs[0].Key)
 		if err != nil {
 			t.Fatal(err)
 		}
-		return s.pass(span)
+		return s.runAndShow(span)
 	case "write":
 		v := s.n.byID[fleet.VMID(d.CmdArgs[0].Key)]
 		if !s.n.write(v, d.CmdArgs[1].Key, d.HasArg("lose-answer")) {
 			return "not run\n"
 		}
-		return fmt.Sprintf("accepted as %s\n", s.name())
+		return fmt.Sprintf("accepted as %s\n", s.nameRevision())
 	case "keep":
-		s.old = s.n.store
-		return "kept " + s.names[s.old.cat.Revision] + "\n"
+		s.savedPlatform = s.n.platform
+		return "kept " + s.names[s.savedPlatform.cat.Revision] + "\n"
 	default:
-		s.change(t, d)
+		s.injectFault(t, d)
 		return "ok\n"
 	}
 }
 
-// change brings a fault about, or ends it.
-func (s *session) change(t *testing.T, d *datadriven.TestData) {
+// injectFault brings a fault about, or ends it.
+func (s *session) injectFault(t *testing.T, d *datadriven.TestData) {
 	arg := func(i int) string { return d.CmdArgs[i].Key }
 	switch d.Cmd {
 	case "cut":
-		s.n.cut[[2]fleet.Domain{fleet.Domain(arg(0)), fleet.Domain(arg(1))}] = true
+		s.n.partitions[[2]fleet.Domain{fleet.Domain(arg(0)), fleet.Domain(arg(1))}] = true
 	case "cut-platform":
-		s.n.cutStore[fleet.Domain(arg(0))] = true
+		s.n.domainsWithoutPlatform[fleet.Domain(arg(0))] = true
 	case "platform-down":
-		s.n.storeDown = true
+		s.n.platformDown = true
 	case "platform-back":
-		s.n.storeDown = false
-		s.n.rollBack(s.old)
+		s.n.platformDown = false
+		s.n.rollBack(s.savedPlatform)
 	case "restart":
 		v := s.n.byID[fleet.VMID(arg(0))]
-		s.n.stop(v)
-		s.n.start(v)
+		s.n.kill(v)
+		s.n.restart(v)
 	case "heal":
 		s.n.heal()
 	default:
@@ -81,21 +81,21 @@
 	}
 }
 
-// name gives the platform's revision a name.
-func (s *session) name() string {
-	r := s.n.store.cat.Revision
+// nameRevision gives the platform's revision a name.
+func (s *session) nameRevision() string {
+	r := s.n.platform.cat.Revision
 	if s.names[r] == "" {
 		s.names[r] = fmt.Sprintf("r%d", len(s.names))
 	}
 	return s.names[r]
 }
 
-// pass lets time pass and shows each daemon.
-func (s *session) pass(d time.Duration) string {
+// runAndShow lets time pass and shows each daemon.
+func (s *session) runAndShow(d time.Duration) string {
 	s.n.run(d)
 	var b strings.Builder
-	fmt.Fprintf(&b, "platform %s\n", s.names[s.n.store.cat.Revision])
-	for _, v := range s.n.nodes {
+	fmt.Fprintf(&b, "platform %s\n", s.names[s.n.platform.cat.Revision])
+	for _, v := range s.n.daemons {
 		st := v.st.Status(s.n.now)
 		fmt.Fprintf(&b, "%s %s%s\n", v.id, s.names[st.Revision], flags(st))
 	}
--- a/decide/config/state.go
+++ b/decide/config/state.go
@@ -27,19 +27,19 @@
 	rng  *rand.Rand
 	view view
 
-	held    *content   // in force; nil before the first
-	heldAt  clock.Time // when it came into force
+	current    *content   // in force; nil before the first
+	currentSince  clock.Time // when it came into force
 	history history
-	parts   assembly
+	assembly   snapshotAssembly
 
-	confirm confirmation
+	confirmation confirmation
 	join    join
 	catchUp catchUp
 	push    push
-	read    reading
+	reader    platformReader
 	gossip  gossip
 
-	last     Status
+	lastStatus     Status
 	counters Counters
 	now      clock.Time
 	started  bool
@@ -51,11 +51,11 @@
 		cfg: cfg,
 		rng: rand.New(rand.NewPCG(cfg.Seed, rank.Score(string(cfg.Self), string(cfg.Domain)))),
 	}
-	s.view = newView(s.self(), nil)
+	s.view = newView(s.selfMember(), nil)
 	return s
 }
 
-func (s *State) self() Member {
+func (s *State) selfMember() Member {
 	return Member{ID: s.cfg.Self, Domain: s.cfg.Domain, Incarnation: s.cfg.Incarnation, State: fleet.Live}
 }
 
@@ -63,47 +63,47 @@
 // now must not fall.
 func (s *State) Step(now clock.Time, ev Event, out *Ready) {
 	out.reset()
-	s.begin(now)
+	s.beginStep(now)
 	switch ev := ev.(type) {
 	case *Members:
-		s.members(ev)
+		s.handleMembers(ev)
 	case *PlatformRead:
-		s.platformRead(ev, out)
+		s.handlePlatformRead(ev, out)
 	case *PeerMessage:
-		s.peerMessage(ev, out)
+		s.handlePeerMessage(ev, out)
 	case *Accepted:
-		s.accepted(ev, out)
+		s.handleAccepted(ev, out)
 	case *Tick:
 	}
-	s.due(out)
-	s.finish(out)
+	s.runTimers(out)
+	s.finishStep(out)
 }
 
-// begin detects pauses. A process that was suspended for an hour reads messages
+// beginStep detects pauses. A process that was suspended for an hour reads messages
 // that waited in its sockets; their ages are an hour too low, and would confirm
 // a configuration that may be an hour old.
-func (s *State) begin(now clock.Time) {
+func (s *State) beginStep(now clock.Time) {
 	if !s.started {
 		s.started = true
 		s.now = now
-		s.start()
+		s.startTimers()
 		return
 	}
-	if now.Sub(s.now) > PauseBound {
+	if now.Sub(s.now) > PauseThreshold {
 		s.counters.Pauses++
-		s.confirm.ignoreUntil = now.Add(PauseSettle)
+		s.confirmation.ignorePeersUntil = now.Add(PauseRecovery)
 	}
 	s.now = max(now, s.now)
 }
 
-// start sets the timers of a new daemon with jitter, so that daemons started
+// startTimers sets the timers of a new daemon with jitter, so that daemons started
 // together don't send together.
-func (s *State) start() {
+func (s *State) startTimers() {
 	s.join.begin(s.now)
 	s.gossip.nextDigest = s.now.Add(s.jitter(DigestInterval))
-	s.gossip.nextCross = s.now.Add(s.jitter(CrossDigestInterval))
+	s.gossip.nextCrossDomainDigest = s.now.Add(s.jitter(CrossDomainDigestInterval))
 	s.gossip.nextHeartbeat = s.now.Add(s.jitter(HeartbeatInterval))
-	s.read.tooFewSince = s.now.Add(TakeoverAfter)
+	s.reader.tooFewSince = s.now.Add(TakeoverAfter)
 }
 
 // jitter returns a random duration below d.
@@ -111,41 +111,41 @@
 	return time.Duration(s.rng.Int64N(int64(d)))
 }
 
-func (s *State) members(ev *Members) {
-	s.view = newView(s.self(), ev.Members)
-	s.join.members = true
-	if s.held == nil && !s.join.asked {
-		s.join.retry = s.now
+func (s *State) handleMembers(ev *Members) {
+	s.view = newView(s.selfMember(), ev.Members)
+	s.join.membersKnown = true
+	if s.current == nil && !s.join.askedAny {
+		s.join.retryAt = s.now
 	}
-	s.gossip.forget(s.view)
-	s.read.forget(s.view)
+	s.gossip.removeFormerMembers(s.view)
+	s.reader.removeFormerMembers(s.view)
 }
 
-func (s *State) peerMessage(ev *PeerMessage, out *Ready) {
+func (s *State) handlePeerMessage(ev *PeerMessage, out *Ready) {
 	if ev.Msg == nil {
 		s.counters.Malformed++
 		return
 	}
 	if err := ev.Msg.check(); err != nil {
-		s.countRefusal(err)
+		s.countRejected(err)
 		return
 	}
 	switch m := ev.Msg.(type) {
 	case *Digest:
-		s.digest(ev.From, m, out)
-	case *Want:
-		s.want(ev.From, m, out)
+		s.handleDigest(ev.From, m, out)
+	case *UpdateRequest:
+		s.handleUpdateRequest(ev.From, m, out)
 	case *Delta:
-		s.delta(ev.From, m, out)
+		s.handleDelta(ev.From, m, out)
 	case *Snapshot:
-		s.snapshot(ev.From, m, out)
+		s.handleSnapshot(ev.From, m, out)
 	case *Push:
-		s.pushed(ev.From, m, out)
+		s.handlePush(ev.From, m, out)
 	}
 }
 
-// countRefusal counts a refused message by its cause.
-func (s *State) countRefusal(err error) {
+// countRejected counts a refused message by its cause.
+func (s *State) countRejected(err error) {
 	switch {
 	case errors.Is(err, errFormat):
 		s.counters.OtherFormat++
@@ -156,50 +156,50 @@
 	}
 }
 
-func (s *State) accepted(ev *Accepted, out *Ready) {
+func (s *State) handleAccepted(ev *Accepted, out *Ready) {
 	c, err := newContent(ev.Catalogue)
 	if err != nil {
-		s.countRefusal(err)
+		s.countRejected(err)
 		return
 	}
-	before := s.held
-	if s.adopt(c, out) {
-		s.originate(before, true)
+	before := s.current
+	if s.install(c, out) {
+		s.schedulePush(before, true)
 		s.join.end()
 	}
-	s.confirmHeld(c.point(), ev.Confirmed)
+	s.confirmCurrent(c.version(), ev.Confirmed)
 }
 
-// adopt puts c in force if it may be, and reports whether it did. Nothing else
+// install puts c in force if it may be, and reports whether it did. Nothing else
 // brings a revision into force.
-func (s *State) adopt(c *content, out *Ready) bool {
-	if s.held != nil && !s.mayReplace(c) {
+func (s *State) install(c *content, out *Ready) bool {
+	if s.current != nil && !s.mayReplace(c) {
 		return false
 	}
 	switch {
-	case s.held == nil:
-	case s.held.cat.Revision == c.cat.Revision:
+	case s.current == nil:
+	case s.current.cat.Revision == c.cat.Revision:
 		s.history.clear()
 	default:
-		s.history.record(s.held, c)
+		s.history.record(s.current, c)
 	}
-	s.held = c
-	s.heldAt = s.now
-	s.catchUp.prune(c.point())
+	s.current = c
+	s.currentSince = s.now
+	s.catchUp.prune(c.version())
 	s.counters.Applied++
 	out.Apply = append(out.Apply, Apply{Catalogue: c.cat})
 	return true
 }
 
-// adoptFrom is adopt for content that a peer sent. Content from another domain
+// installFromPeer is adopt for content that a peer sent. Content from another domain
 // is pushed in the own one, which may have no other way to it.
-func (s *State) adoptFrom(from fleet.VMID, c *content, out *Ready) bool {
-	before := s.held
-	if !s.adopt(c, out) {
+func (s *State) installFromPeer(from fleet.VMID, c *content, out *Ready) bool {
+	before := s.current
+	if !s.install(c, out) {
 		return false
 	}
-	if !s.view.isOwn(from) {
-		s.originate(before, true)
+	if !s.view.isDomainMember(from) {
+		s.schedulePush(before, true)
 	}
 	return true
 }
@@ -207,7 +207,7 @@
 // mayReplace holds the two rules that make all daemons agree: the higher
 // revision wins, and of two contents under one revision the greater hash.
 func (s *State) mayReplace(c *content) bool {
-	held, next := s.held.point(), c.point()
+	held, next := s.current.version(), c.version()
 	switch {
 	case next.Revision < held.Revision:
 		s.counters.Lower++
@@ -221,27 +221,27 @@
 	return next.Hash > held.Hash
 }
 
-// point returns what is in force; the zero Point before the first.
-func (s *State) point() Point {
-	if s.held == nil {
+// currentVersion returns what is in force; the zero Point before the first.
+func (s *State) currentVersion() Point {
+	if s.current == nil {
 		return Point{}
 	}
-	return s.held.point()
+	return s.current.version()
 }
 
-// due runs whatever is due at s.now.
-func (s *State) due(out *Ready) {
-	s.dueJoin(out)
-	s.dueCatchUp(out)
-	s.dueRead(out)
-	s.duePush(out)
-	s.dueGossip(out)
+// runTimers runs whatever is due at s.now.
+func (s *State) runTimers(out *Ready) {
+	s.runJoinTimers(out)
+	s.runCatchUpTimers(out)
+	s.runReadTimers(out)
+	s.runPushTimer(out)
+	s.runGossipTimers(out)
 }
 
-// finish reports a changed status and sets the wake time.
-func (s *State) finish(out *Ready) {
-	if st := s.Status(s.now); st != s.last {
-		s.last = st
+// finishStep reports a changed status and sets the wake time.
+func (s *State) finishStep(out *Ready) {
+	if st := s.Status(s.now); st != s.lastStatus {
+		s.lastStatus = st
 		out.Status = append(out.Status, StatusChange{Status: st})
 	}
 	s.counters.MessagesOut += uint64(len(out.Send))
@@ -249,11 +249,11 @@
 }
 
 func (s *State) wake() clock.Time {
-	w := clock.Min(s.gossip.wake(), s.read.wake())
+	w := clock.Min(s.gossip.wake(), s.reader.wake())
 	w = clock.Min(w, s.join.wake(s.now))
 	w = clock.Min(w, s.catchUp.wake(s.now))
 	w = clock.Min(w, s.push.wake())
-	return clock.Min(w, s.confirm.wake(s.now))
+	return clock.Min(w, s.confirmation.wake(s.now))
 }
 
 func (s *State) send(to fleet.VMID, m Message, out *Ready) {
@@ -261,24 +261,24 @@
 }
 
 // Ready reports whether a catalogue is in force.
-func (s *State) Ready() bool { return s.held != nil }
+func (s *State) Ready() bool { return s.current != nil }
 
 // Catalogue returns the catalogue in force, or nil. It must not be changed.
 func (s *State) Catalogue() *catalogue.Catalogue {
-	if s.held == nil {
+	if s.current == nil {
 		return nil
 	}
-	return s.held.cat
+	return s.current.cat
 }
 
 // Status returns the status at now.
 func (s *State) Status(now clock.Time) Status {
-	p := s.point()
+	p := s.currentVersion()
 	return Status{
 		Ready:          s.Ready(),
 		CutOff:         s.CutOff(now),
-		PlatformBehind: s.read.behind,
-		Reading:        s.read.working(now),
+		PlatformBehind: s.reader.platformBehind,
+		Reading:        s.reader.working(now),
 		Revision:       p.Revision,
 		Hash:           p.Hash,
 	}
--- a/serve/store/wire_test.go
+++ b/serve/store/wire_test.go
@@ -95,7 +95,7 @@
 	for name, m := range map[string]config.Message{
 		"digest":        &digest,
 		"heartbeat":     &heartbeat,
-		"want":          &config.Want{Format: 1, Have: 1764700000000},
+		"want":          &config.UpdateRequest{Format: 1, Have: 1764700000000},
 		"push-1-shift":  &config.Push{Root: "attiki-1-07", Delta: delta},
 		"snapshot-part": &snapshot,
 	} {
