--- a/decide/block/blocktest/blocktest.go
+++ b/decide/block/blocktest/blocktest.go
@@ -110,11 +110,11 @@
 
 // generator walks up the address space.
 type generator struct {
-	rng    *rand.Rand
-	homes  []block.Home
-	blocks []block.Block
-	home   block.Home
-	runLeft    int // blocks left in the current run of one home
+	rng     *rand.Rand
+	homes   []block.Home
+	blocks  []block.Block
+	home    block.Home
+	runLeft int // blocks left in the current run of one home
 }
 
 func (g *generator) generateIPv4(n int, step uint64) {
--- a/decide/block/build.go
+++ b/decide/block/build.go
@@ -86,10 +86,10 @@
 	}
 	b.v6 = nil
 	t := &Table{
-		v4:    newPages(e4),
-		v6:    newPages(e6),
-		homes: b.homes.homes,
-		homeHashes:  b.homes.hashes,
+		v4:         newPages(e4),
+		v6:         newPages(e6),
+		homes:      b.homes.homes,
+		homeHashes: b.homes.hashes,
 	}
 	t.checksum = checksumOf(&t.v4, t.homeHashes) + checksumOf(&t.v6, t.homeHashes)
 	b.homes = newHomeSet(nil)
--- a/decide/block/chunk.go
+++ b/decide/block/chunk.go
@@ -34,8 +34,8 @@
 // The length byte is the prefix length for IPv4 and 64 plus it for IPv6. The
 // first start of a chunk and of a family is counted from zero.
 const (
-	chunkVersion = 1
-	ipv6LengthOffset      = 64
+	chunkVersion     = 1
+	ipv6LengthOffset = 64
 )
 
 // chunkEndMask makes a chunk end after a block whose hash has these bits zero, one
@@ -45,13 +45,13 @@
 
 // chunkWriter collects one chunk.
 type chunkWriter struct {
-	table *Table
-	limit int
-	homeIndexes   map[HomeID]uint64 // numbers within the chunk
-	homes []byte
-	body  []byte
-	lastStart  uint64
-	inIPv6 bool
+	table       *Table
+	limit       int
+	homeIndexes map[HomeID]uint64 // numbers within the chunk
+	homes       []byte
+	body        []byte
+	lastStart   uint64
+	inIPv6      bool
 }
 
 // EncodeChunks writes t as chunks of at most limit bytes each; limit is at
@@ -166,8 +166,8 @@
 
 // chunkReader reads the fields of a chunk; after a fault it returns zeros.
 type chunkReader struct {
-	rest []byte
-	failed  bool
+	rest   []byte
+	failed bool
 }
 
 func (r *chunkReader) readByte() byte {
--- a/decide/block/diff.go
+++ b/decide/block/diff.go
@@ -31,7 +31,7 @@
 // cursor walks over the entries of one address family.
 type cursor[K key] struct {
 	pages []page[K]
-	index    int // index in pages[0]
+	index int // index in pages[0]
 }
 
 // entry returns the entry under the cursor, or nil at the end.
--- a/decide/block/home.go
+++ b/decide/block/home.go
@@ -46,9 +46,9 @@
 
 // homeSet numbers homes in the order in which they are first seen.
 type homeSet struct {
-	homes []Home
-	hashes  []uint64 // checksum of each home, by HomeID
-	ids   map[string]HomeID
+	homes  []Home
+	hashes []uint64 // checksum of each home, by HomeID
+	ids    map[string]HomeID
 }
 
 func newHomeSet(homes []Home) *homeSet {
--- a/decide/block/pages.go
+++ b/decide/block/pages.go
@@ -2,10 +2,10 @@
 
 // entry is one block. Its size is what the memory of a table consists of.
 type entry[K key] struct {
-	start K
-	home  HomeID
-	bits  uint8
-	parent    uint8 // index in the page of the enclosing entry, or outside
+	start  K
+	home   HomeID
+	bits   uint8
+	parent uint8 // index in the page of the enclosing entry, or outside
 }
 
 // noParent marks an entry whose enclosing block, if any, is in an earlier page.
@@ -33,10 +33,10 @@
 // pages holds the blocks of one address family.
 type pages[K key] struct {
 	firstStarts []K // start of the first entry of each page
-	pages  []page[K]
-	index  []uint32 // see newIndex
-	shift  uint8    // log2 of the addresses in a bucket of the index
-	count      int      // entries in all pages
+	pages       []page[K]
+	index       []uint32 // see newIndex
+	shift       uint8    // log2 of the addresses in a bucket of the index
+	count       int      // entries in all pages
 }
 
 func widthOf[K key]() uint8 {
--- a/decide/block/table.go
+++ b/decide/block/table.go
@@ -9,10 +9,10 @@
 
 // Table is an immutable set of blocks. The zero Table and a nil one are empty.
 type Table struct {
-	v4    pages[uint32]
-	v6    pages[uint64]
-	homes []Home
-	homeHashes  []uint64 // checksum of each home
+	v4         pages[uint32]
+	v6         pages[uint64]
+	homes      []Home
+	homeHashes []uint64 // checksum of each home
 	checksum   uint64
 }
 
--- a/decide/block/text.go
+++ b/decide/block/text.go
@@ -39,7 +39,7 @@
 	sum     *xxhash.Digest
 	homes   map[string]HomeID // by the text after the prefix
 	blocks  int
-	endSeen   bool
+	endSeen bool
 }
 
 // Load reads a text source whole. Errors are *SourceError or *ConflictError
--- a/decide/config/catchup.go
+++ b/decide/config/catchup.go
@@ -11,16 +11,16 @@
 type catchUp struct {
 	highestKnown      uint64     // highest revision known to exist, whether or not its content came
 	highestKnownSince clock.Time // when highest first exceeded what is in force
-	candidates   []candidate
-	askAfter    clock.Time // when to ask the first peer
-	askedPeer        fleet.VMID // peer whose answer is awaited; empty if none
-	deadline     clock.Time // when another peer is asked
-	wantSnapshot         bool       // ask for a snapshot: a delta didn't fit
+	candidates        []candidate
+	askAfter          clock.Time // when to ask the first peer
+	askedPeer         fleet.VMID // peer whose answer is awaited; empty if none
+	deadline          clock.Time // when another peer is asked
+	wantSnapshot      bool       // ask for a snapshot: a delta didn't fit
 }
 
 // candidate is a peer whose content supersedes the own one.
 type candidate struct {
-	id    fleet.VMID
+	id      fleet.VMID
 	version Point
 }
 
--- a/decide/config/confirm.go
+++ b/decide/config/confirm.go
@@ -10,8 +10,8 @@
 // platform's newest. It outlives a change to a higher revision: whatever the
 // platform had accepted by then is still in force.
 type confirmation struct {
-	known       bool
-	readAt          clock.Time // instant of the platform read behind it
+	known            bool
+	readAt           clock.Time // instant of the platform read behind it
 	ignorePeersUntil clock.Time // before it, confirmations of peers are ignored
 }
 
--- a/decide/config/content.go
+++ b/decide/config/content.go
@@ -26,7 +26,7 @@
 // content is a catalogue in canonical form: entries sorted by id and times in
 // UTC. It is immutable.
 type content struct {
-	cat *catalogue.Catalogue
+	cat      *catalogue.Catalogue
 	entrySum uint64 // of the entries' hashes
 }
 
--- a/decide/config/gossip.go
+++ b/decide/config/gossip.go
@@ -14,13 +14,13 @@
 // gossip is the exchange of digests, and what is remembered of each peer for
 // it.
 type gossip struct {
-	nextDigest    clock.Time
-	nextCrossDomainDigest     clock.Time
-	nextHeartbeat clock.Time
-	digestsSent       int
-	heartbeatSeq  map[fleet.VMID]uint64     // last digest passed on, by root
-	pushedRevision      map[fleet.VMID]uint64     // last revision passed on, by root
-	snapshotAt    map[fleet.VMID]clock.Time // last snapshot sent, by peer
+	nextDigest            clock.Time
+	nextCrossDomainDigest clock.Time
+	nextHeartbeat         clock.Time
+	digestsSent           int
+	heartbeatSeq          map[fleet.VMID]uint64     // last digest passed on, by root
+	pushedRevision        map[fleet.VMID]uint64     // last revision passed on, by root
+	snapshotAt            map[fleet.VMID]clock.Time // last snapshot sent, by peer
 }
 
 func (g *gossip) wake() clock.Time {
@@ -96,9 +96,9 @@
 	return d
 }
 
-// Leads reports whether this daemon is one of the readers of its domain, by
+// IsReader reports whether this daemon is one of the readers of its domain, by
 // rank or because it took over. The duties of the fleet go to such daemons.
-func (s *State) Leads() bool {
+func (s *State) IsReader() bool {
 	byRank := s.view.rank >= 0 && s.view.rank < ReadersPerDomain
 	return byRank || s.reader.working(s.now)
 }
@@ -115,7 +115,7 @@
 	}
 	if !s.now.Before(g.nextCrossDomainDigest) {
 		g.nextCrossDomainDigest = s.now.Add(s.withJitter(CrossDomainDigestInterval))
-		if s.Leads() {
+		if s.IsReader() {
 			s.sendDigestTo(s.randomCrossDomainReaders(1), out)
 		}
 	}
@@ -128,7 +128,7 @@
 }
 
 func (s *State) sendHeartbeat(out *Ready) {
-	if s.current == nil || !s.Leads() {
+	if s.current == nil || !s.IsReader() {
 		return
 	}
 	m := s.makeHeartbeat()
@@ -140,7 +140,7 @@
 func (s *State) sendDigest(out *Ready) {
 	s.gossip.digestsSent++
 	to := s.randomDomainMembers(1)
-	if len(to) == 0 || (!s.Leads() && s.gossip.digestsSent%CrossDomainDigestEvery == 0) {
+	if len(to) == 0 || (!s.IsReader() && s.gossip.digestsSent%CrossDomainDigestEvery == 0) {
 		to = s.randomCrossDomainReaders(1)
 	}
 	s.sendDigestTo(to, out)
--- a/decide/config/history.go
+++ b/decide/config/history.go
@@ -104,8 +104,8 @@
 // snapshotAssembly collects the parts of one snapshot.
 type snapshotAssembly struct {
 	version Point
-	parts []*Snapshot
-	missing  int
+	parts   []*Snapshot
+	missing int
 }
 
 // add takes one part and returns the content once all are there. A part of
--- a/decide/config/join.go
+++ b/decide/config/join.go
@@ -12,20 +12,20 @@
 // it took the first answer, a stale peer in a small partition would make it
 // apply a lower revision than its predecessor at the same address had in force.
 type join struct {
-	deadline clock.Time   // when the highest content so far is taken
-	collectUntil  clock.Time   // until when answers are awaited
-	retryAt    clock.Time   // when other peers are asked
-	best     *joinOffer       // highest content received so far
-	membersKnown  bool         // whether membership is known
-	askedAny    bool         // whether any peer has been asked
-	awaiting []fleet.VMID // peers asked that have not answered
+	deadline     clock.Time   // when the highest content so far is taken
+	collectUntil clock.Time   // until when answers are awaited
+	retryAt      clock.Time   // when other peers are asked
+	best         *joinOffer   // highest content received so far
+	membersKnown bool         // whether membership is known
+	askedAny     bool         // whether any peer has been asked
+	awaiting     []fleet.VMID // peers asked that have not answered
 }
 
 // joinOffer is content that may be put in force, with its confirmation.
 type joinOffer struct {
-	content   *content
-	confirmed bool
-	confirmedAt        clock.Time // of the confirmation
+	content     *content
+	confirmed   bool
+	confirmedAt clock.Time // of the confirmation
 }
 
 func (j *join) begin(now clock.Time) {
@@ -45,7 +45,7 @@
 	return w
 }
 
-func (j *join) end() {
+func (j *join) finish() {
 	*j = join{deadline: clock.Never, collectUntil: clock.Never, retryAt: clock.Never}
 }
 
@@ -80,7 +80,7 @@
 	if best.confirmed {
 		s.confirmCurrent(best.content.version(), best.confirmedAt)
 	}
-	j.end()
+	j.finish()
 }
 
 func (s *State) runJoinTimers(out *Ready) {
--- a/decide/config/limits.go
+++ b/decide/config/limits.go
@@ -68,9 +68,9 @@
 const (
 	// WatchWait is how long the platform may hold a watch.
 	WatchWait = 5 * time.Second
-	// ReadGrace is how much longer than its wait a read may take before it
+	// ReadTimeout is how much longer than its wait a read may take before it
 	// counts as failed.
-	ReadGrace = 10 * time.Second
+	ReadTimeout = 10 * time.Second
 	// PlainReadEvery is the number of watches after which a plain read is
 	// made: a watch on an index that the platform has lost never returns.
 	PlainReadEvery = 4
--- a/decide/config/member.go
+++ b/decide/config/member.go
@@ -18,18 +18,18 @@
 
 // domainView holds the members of one failure domain that are not dead.
 type domainView struct {
-	name   fleet.Domain
-	members    []fleet.VMID // live and leaving
-	ranked []fleet.VMID // live, best rank first
+	name    fleet.Domain
+	members []fleet.VMID // live and leaving
+	ranked  []fleet.VMID // live, best rank first
 }
 
 // view is the membership as dissemination uses it.
 type view struct {
-	self     fleet.VMID
-	domain      domainView
-	otherDomains   []domainView // sorted by name
-	rank     int          // of self among the live of its domain; -1 while it is leaving
-	children map[fleet.VMID][]fleet.VMID
+	self         fleet.VMID
+	domain       domainView
+	otherDomains []domainView // sorted by name
+	rank         int          // of self among the live of its domain; -1 while it is leaving
+	children     map[fleet.VMID][]fleet.VMID
 }
 
 // newView builds the view of self from membership. Self is always part of it,
--- a/decide/config/message.go
+++ b/decide/config/message.go
@@ -16,11 +16,11 @@
 
 // Body carries exactly one message; it is the form on the wire.
 type Body struct {
-	Digest   *Digest   `json:"d,omitempty"`
-	UpdateRequest     *UpdateRequest     `json:"w,omitempty"`
-	Delta    *Delta    `json:"c,omitempty"`
-	Snapshot *Snapshot `json:"s,omitempty"`
-	Push     *Push     `json:"p,omitempty"`
+	Digest        *Digest        `json:"d,omitempty"`
+	UpdateRequest *UpdateRequest `json:"w,omitempty"`
+	Delta         *Delta         `json:"c,omitempty"`
+	Snapshot      *Snapshot      `json:"s,omitempty"`
+	Push          *Push          `json:"p,omitempty"`
 }
 
 // NewBody wraps m for the wire.
--- a/decide/config/net_test.go
+++ b/decide/config/net_test.go
@@ -14,29 +14,29 @@
 
 // network joins a handful of States with a platform under one fake clock.
 type network struct {
-	now   clock.Time
-	rng   *rand.Rand
-	seq   int // deliveries so far
-	queue clocktest.Queue[delivery]
+	now     clock.Time
+	rng     *rand.Rand
+	seq     int // deliveries so far
+	queue   clocktest.Queue[delivery]
 	daemons []*testDaemon // by id
-	byID  map[fleet.VMID]*testDaemon
+	byID    map[fleet.VMID]*testDaemon
 
-	lossRate       float64
-	minDelay   time.Duration
-	maxDelay   time.Duration
-	crossDomainDelay   time.Duration            // added between domains and to the platform
-	partitions        map[[2]fleet.Domain]bool // domains that can't reach each other
-	domainsWithoutPlatform   map[fleet.Domain]bool    // domains that can't reach the platform
-	vmsWithoutPlatform    map[fleet.VMID]bool      // daemons that alone can't
-	platformDown  bool
-	reorder    bool
-	platform      platformStore
-	platformCalls      int // platform calls
-	messages   int
-	sizeOf     func(Message) int // nil: bytes are not counted
-	bytes      int
-	hashByRevision   map[uint64]uint64 // hash first seen in force, by revision
-	violations []string
+	lossRate               float64
+	minDelay               time.Duration
+	maxDelay               time.Duration
+	crossDomainDelay       time.Duration            // added between domains and to the platform
+	partitions             map[[2]fleet.Domain]bool // domains that can't reach each other
+	domainsWithoutPlatform map[fleet.Domain]bool    // domains that can't reach the platform
+	vmsWithoutPlatform     map[fleet.VMID]bool      // daemons that alone can't
+	platformDown           bool
+	reorder                bool
+	platform               platformStore
+	platformCalls          int // platform calls
+	messages               int
+	sizeOf                 func(Message) int // nil: bytes are not counted
+	bytes                  int
+	hashByRevision         map[uint64]uint64 // hash first seen in force, by revision
+	violations             []string
 }
 
 // testDaemon is one daemon; a restart replaces its State.
@@ -65,15 +65,15 @@
 // platform holding one service at revision 1.
 func newNetwork(seed uint64, domains, perDomain int) *network {
 	n := &network{
-		now:      clock.Time(time.Hour),
-		rng:      rand.New(rand.NewPCG(seed, 1)),
-		byID:     map[fleet.VMID]*testDaemon{},
-		minDelay: time.Millisecond,
-		maxDelay: 3 * time.Millisecond,
-		partitions:      map[[2]fleet.Domain]bool{},
+		now:                    clock.Time(time.Hour),
+		rng:                    rand.New(rand.NewPCG(seed, 1)),
+		byID:                   map[fleet.VMID]*testDaemon{},
+		minDelay:               time.Millisecond,
+		maxDelay:               3 * time.Millisecond,
+		partitions:             map[[2]fleet.Domain]bool{},
 		domainsWithoutPlatform: map[fleet.Domain]bool{},
-		vmsWithoutPlatform:  map[fleet.VMID]bool{},
-		hashByRevision: map[uint64]uint64{},
+		vmsWithoutPlatform:     map[fleet.VMID]bool{},
+		hashByRevision:         map[uint64]uint64{},
 	}
 	n.storeDocument(&catalogue.Catalogue{Revision: 1, Services: []catalogue.Service{{Name: "calc-lookup", Revision: 1}}})
 	for d := range domains {
@@ -195,7 +195,7 @@
 	v.st.Step(n.now, ev, &v.ready)
 	v.wake = v.ready.Wake
 	for _, a := range v.ready.Apply {
-		n.applied(v, a.Catalogue)
+		n.checkApplied(v, a.Catalogue)
 	}
 	for _, s := range v.ready.Send {
 		n.send(v, s)
@@ -214,23 +214,23 @@
 	}
 }
 
-// applied checks the invariants of everything that comes into force.
-func (n *network) applied(v *testDaemon, c *catalogue.Catalogue) {
+// checkApplied checks the invariants of everything that comes into force.
+func (n *network) checkApplied(v *testDaemon, c *catalogue.Catalogue) {
 	h, err := Hash(c)
 	if err != nil {
-		n.violate("%s: %v", v.id, err)
+		n.recordViolation("%s: %v", v.id, err)
 	}
 	if c.Revision < v.revision {
-		n.violate("%s fell from %d to %d", v.id, v.revision, c.Revision)
+		n.recordViolation("%s fell from %d to %d", v.id, v.revision, c.Revision)
 	}
 	if first, ok := n.hashByRevision[c.Revision]; ok && first != h {
-		n.violate("%s holds other content at %d", v.id, c.Revision)
+		n.recordViolation("%s holds other content at %d", v.id, c.Revision)
 	}
 	n.hashByRevision[c.Revision] = h
 	v.revision, v.hash, v.appliedAt = c.Revision, h, n.now
 }
 
-func (n *network) violate(format string, args ...any) {
+func (n *network) recordViolation(format string, args ...any) {
 	n.violations = append(n.violations, fmt.Sprintf(format, args...))
 }
 
--- a/decide/config/platform_test.go
+++ b/decide/config/platform_test.go
@@ -49,7 +49,7 @@
 func (n *network) storeDocument(c *catalogue.Catalogue) {
 	h, err := Hash(c)
 	if err != nil {
-		n.violate("platform: %v", err)
+		n.recordViolation("platform: %v", err)
 	}
 	n.platform.index++
 	n.platform.cat = c
--- a/decide/config/push.go
+++ b/decide/config/push.go
@@ -7,13 +7,13 @@
 
 // push is the dissemination of new revisions with this daemon as the root.
 type push struct {
-	pending bool
-	sendDelta   bool       // send the change, not only its digest
-	baseRevision    uint64     // revision before the first change not yet pushed
-	dueAt      clock.Time // when it is due
-	lastSentAt    clock.Time // when the last one was sent
-	sent    bool
-	lastRevision  uint64 // highest revision pushed or announced
+	pending      bool
+	sendDelta    bool       // send the change, not only its digest
+	baseRevision uint64     // revision before the first change not yet pushed
+	dueAt        clock.Time // when it is due
+	lastSentAt   clock.Time // when the last one was sent
+	sent         bool
+	lastRevision uint64 // highest revision pushed or announced
 }
 
 // schedulePush makes the daemon push what came into force after before: whole, or
--- a/decide/config/read.go
+++ b/decide/config/read.go
@@ -26,28 +26,28 @@
 
 // platformReader is this daemon's part in reading the platform.
 type platformReader struct {
-	mode     readMode
-	active   bool
-	seq      uint64
-	deadline clock.Time // when the read under way counts as failed
-	nextAt     clock.Time // when the next one starts
-	startedAt    clock.Time // when the last one started
-	watches  int        // since the last plain read
-	failures    int        // since the last success
-
-	index uint64 // platform's index of its document
-	version Point  // content at index
+	mode      readMode
+	active    bool
+	seq       uint64
+	deadline  clock.Time // when the read under way counts as failed
+	nextAt    clock.Time // when the next one starts
+	startedAt clock.Time // when the last one started
+	watches   int        // since the last plain read
+	failures  int        // since the last success
+
+	index      uint64 // platform's index of its document
+	version    Point  // content at index
 	indexKnown bool   // whether index and point are
 
-	everSucceeded   bool       // whether a read has succeeded yet
-	lastSuccess clock.Time // instant that the last success vouches for
+	everSucceeded bool       // whether a read has succeeded yet
+	lastSuccess   clock.Time // instant that the last success vouches for
 
-	lastReads  map[fleet.VMID]clock.Time // last successful read of other members
+	lastReads   map[fleet.VMID]clock.Time // last successful read of other members
 	tooFewSince clock.Time                // since when too few of better rank read
 
 	platformBehind      bool
 	platformBehindSince clock.Time
-	restoreAt   clock.Time
+	restoreAt           clock.Time
 }
 
 // working reports whether this daemon reads the platform successfully.
@@ -199,13 +199,13 @@
 	if !r.indexKnown || r.failures > 0 || r.platformBehind || r.watches >= PlainReadEvery {
 		r.mode = readFetching
 		r.watches = 0
-		r.deadline = s.now.Add(ReadGrace)
+		r.deadline = s.now.Add(ReadTimeout)
 		out.Fetch = append(out.Fetch, FetchPlatform{Seq: r.seq})
 		return
 	}
 	r.mode = readWatching
 	r.watches++
-	r.deadline = s.now.Add(WatchWait + ReadGrace)
+	r.deadline = s.now.Add(WatchWait + ReadTimeout)
 	out.Watch = append(out.Watch, WatchPlatform{Seq: r.seq, After: r.index, Wait: WatchWait})
 }
 
--- a/decide/config/session_test.go
+++ b/decide/config/session_test.go
@@ -14,9 +14,9 @@
 // session is a golden session of a small fleet. Revisions are shown as r1, r2
 // and so on, in the order in which they were accepted.
 type session struct {
-	n     *network
-	names map[uint64]string
-	savedPlatform   platformStore
+	n             *network
+	names         map[uint64]string
+	savedPlatform platformStore
 }
 
 // TestGoldenSessions runs the golden sessions of testdata.
--- a/decide/config/state.go
+++ b/decide/config/state.go
@@ -27,22 +27,22 @@
 	rng  *rand.Rand
 	view view
 
-	current    *content   // in force; nil before the first
-	currentSince  clock.Time // when it came into force
-	history history
-	assembly   snapshotAssembly
+	current      *content   // in force; nil before the first
+	currentSince clock.Time // when it came into force
+	history      history
+	assembly     snapshotAssembly
 
 	confirmation confirmation
-	join    join
-	catchUp catchUp
-	push    push
-	reader    platformReader
-	gossip  gossip
+	join         join
+	catchUp      catchUp
+	push         push
+	reader       platformReader
+	gossip       gossip
 
-	lastStatus     Status
-	counters Counters
-	now      clock.Time
-	started  bool
+	lastStatus Status
+	counters   Counters
+	now        clock.Time
+	started    bool
 }
 
 // New returns the state of a daemon that has just started.
@@ -165,7 +165,7 @@
 	before := s.current
 	if s.install(c, out) {
 		s.schedulePush(before, true)
-		s.join.end()
+		s.join.finish()
 	}
 	s.confirmCurrent(c.version(), ev.Confirmed)
 }
--- a/serve/store/reader.go
+++ b/serve/store/reader.go
@@ -105,7 +105,7 @@
 // Fetch reads the document now.
 func (r *Reader) Fetch(ctx context.Context, f config.FetchPlatform) *config.PlatformRead {
 	asked := r.o.Now()
-	ctx, cancel := context.WithTimeout(ctx, config.ReadGrace)
+	ctx, cancel := context.WithTimeout(ctx, config.ReadTimeout)
 	defer cancel()
 	e, err := r.o.Store.Get(ctx, HeadKey)
 	return r.outcome(ctx, f.Seq, e, err, asked)
@@ -114,7 +114,7 @@
 // Watch reads the document once it has changed.
 func (r *Reader) Watch(ctx context.Context, w config.WatchPlatform) *config.PlatformRead {
 	asked := r.o.Now()
-	ctx, cancel := context.WithTimeout(ctx, w.Wait+config.ReadGrace)
+	ctx, cancel := context.WithTimeout(ctx, w.Wait+config.ReadTimeout)
 	defer cancel()
 	e, err := r.o.Store.Watch(ctx, HeadKey, w.After, w.Wait)
 	if errors.Is(err, platform.ErrNotModified) {
