--- a/decide/config/bench_test.go
+++ b/decide/config/bench_test.go
@@ -10,8 +10,8 @@
 	"github.com/azurethread/azurethread/decide/clock"
 )
 
-// jsonSize is the size of a message in JSON. On the wire messages are msgpack,
-// which is smaller; serve/store measures the ratio.
+// jsonSize returns the size of a message in JSON. The wire format is msgpack, which
+// is smaller; serve/store measures the ratio.
 func jsonSize(m Message) int {
 	b, err := json.Marshal(NewBody(m))
 	if err != nil {
@@ -20,13 +20,13 @@
 	return len(b)
 }
 
-// traffic is what a fleet spent in some span.
+// traffic counts the messages, bytes and platform calls of a fleet in some period.
 type traffic struct {
 	messages, bytes, calls int
-	maxSent, maxBytes      int // of one daemon
+	maxSent, maxBytes      int // highest values of a single daemon
 }
 
-// measure runs f and returns what was spent meanwhile.
+// measure returns the traffic while f runs.
 func (n *network) measure(f func()) traffic {
 	n.messages, n.bytes, n.platformCalls = 0, 0, 0
 	for _, v := range n.daemons {
@@ -41,11 +41,11 @@
 	return u
 }
 
-// benchmarkSpread reports, in fake time with 1-2 ms inside domains and 55 ms
-// more between them and to the platform, what a fleet spends at rest, for one
-// change, and in a burst, and how long the last daemon takes to have a change
-// in force. Messages and bytes for a change are those above the ones at rest;
-// platform calls are all calls of the 3 s that a change is given.
+// benchmarkSpread reports the traffic of a fleet at rest, per change and in a
+// burst, and the time until a change is in force at the last daemon. It runs in
+// simulated time, with a delay of 1-2 ms within domains and 55 ms more between
+// domains and to the platform. Messages and bytes per change exclude those at
+// rest; platform calls per change are all calls in the 3 s after it.
 func benchmarkSpread(b *testing.B, domains, per int) {
 	const rest, changes = 60, 20
 	for b.Loop() {
@@ -81,34 +81,34 @@
 	}
 }
 
-// changeSpan is the time between two changes of benchmarkSpread.
+// changeSpan is the time between two changes in benchmarkSpread.
 const changeSpan = 3 * time.Second
 
-// A burst is 20 times the mean of 19,000 changes a day, for burstSpan.
+// A burst has 20 times the mean rate of 19,000 changes a day, for burstSpan.
 const (
 	burstSpan    = 20 * time.Second
 	burstSpacing = 24 * time.Hour / 19000 / 20
 )
 
-// writeBurst makes changes through one daemon after the other.
+// writeBurst makes changes through different daemons in turn.
 func (n *network) writeBurst(b *testing.B, span time.Duration) {
 	until := n.now.Add(span)
 	for i := 0; n.now.Before(until); i++ {
 		if !n.write(n.daemons[(i*41)%len(n.daemons)], fmt.Sprint("s", i%20), false) {
-			// The daemon is still fetching the change before: its operator
-			// is told so, and the next one writes.
-			b.Logf("change %d not accepted", i)
+			// The daemon is still fetching the previous change and rejects
+			// the write. The next change goes through another daemon.
+			b.Logf("change %d was not accepted", i)
 		}
 		n.run(burstSpacing)
 	}
 }
 
-// timeChange makes a change through some daemon, lets changeSpan pass, and
-// returns how long the last daemon took.
+// timeChange makes a change through a daemon, runs for changeSpan, and returns
+// the time until the change was in force at the last daemon.
 func (n *network) timeChange(b *testing.B, i int) time.Duration {
 	at := n.now
 	if !n.write(n.daemons[(i*37)%len(n.daemons)], fmt.Sprint("s", i), false) {
-		b.Fatal("not accepted")
+		b.Fatalf("change %d was not accepted", i)
 	}
 	n.run(changeSpan)
 	if err := n.checkConverged(); err != nil {
@@ -133,15 +133,15 @@
 	}
 }
 
-// BenchmarkEveryDaemonWatches is the baseline for platform calls: each daemon
-// is a domain of its own, so that each one watches.
+// BenchmarkEveryDaemonWatches is the baseline for platform calls: each daemon is
+// alone in its domain, so every daemon watches.
 func BenchmarkEveryDaemonWatches(b *testing.B) {
 	for _, daemons := range []int{8, 32, 128, 256} {
 		b.Run(fmt.Sprint(daemons), func(b *testing.B) { benchmarkSpread(b, daemons, 1) })
 	}
 }
 
-// BenchmarkStep is the processor time of one message, in a domain of 43
+// BenchmarkStep measures the processor time of one event, in a domain of 43
 // daemons with a catalogue of 1,000 entries.
 func BenchmarkStep(b *testing.B) {
 	n := newNetwork(1, 4, 43)
@@ -174,7 +174,7 @@
 	})
 }
 
-// benchmarkPush applies a push of one entry and passes it on.
+// benchmarkPush applies a push of one entry and forwards it.
 func benchmarkPush(b *testing.B, n *network, v, from *testDaemon) {
 	held := v.st.current
 	for b.Loop() {
@@ -189,12 +189,13 @@
 		d.Hash = next.hash()
 		v.st.Step(n.now, &PeerMessage{From: from.id, Msg: &Push{Root: from.id, Delta: *d}}, &v.ready)
 		if held = v.st.current; held.cat.Revision != d.To {
-			b.Fatal("not applied")
+			b.Fatalf("push to revision %d was not applied: revision %d is in force", d.To, held.cat.Revision)
 		}
 	}
 }
 
-// newContentFrom returns what d leads to, to learn its hash.
+// newContentFrom returns the content that results from applying d to c, for its
+// hash.
 func newContentFrom(c *content, d *Delta) (*content, error) {
 	merged, _ := merge(c.cat.Shifts, d.Shifts, nil, compareShifts, shiftID)
 	sum := c.entrySum
@@ -220,7 +221,7 @@
 		ev := &PlatformRead{Seq: v.st.reader.seq, Result: ReadDocument, Catalogue: c, Confirmed: n.now}
 		v.st.Step(n.now, ev, &v.ready)
 		if v.st.current.cat.Revision != c.Revision {
-			b.Fatal("not applied")
+			b.Fatalf("document of revision %d was not applied: revision %d is in force", c.Revision, v.st.current.cat.Revision)
 		}
 	}
 }
--- a/decide/config/catchup.go
+++ b/decide/config/catchup.go
@@ -7,25 +7,26 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// catchUp fetches content from peers known to hold it, one request at a time.
+// catchUp requests newer content from peers known to have it, one peer at a
+// time.
 type catchUp struct {
-	highestKnown      uint64     // highest revision known to exist, whether or not its content came
-	highestKnownSince clock.Time // when highest first exceeded what is in force
+	highestKnown      uint64     // highest revision known to exist, with or without its content
+	highestKnownSince clock.Time // when highestKnown last increased
 	candidates        []candidate
 	askAfter          clock.Time // when to ask the first peer
 	askedPeer         fleet.VMID // peer whose answer is awaited; empty if none
-	deadline          clock.Time // when another peer is asked
-	wantSnapshot      bool       // ask for a snapshot: a delta didn't fit
+	deadline          clock.Time // when the request to askedPeer times out
+	wantSnapshot      bool       // request a snapshot, because a delta would not apply
 }
 
-// candidate is a peer whose content supersedes the own one.
+// candidate is a peer whose content supersedes the content in force here.
 type candidate struct {
 	id      fleet.VMID
 	version Point
 }
 
-// supersedes reports whether p replaces q where both are offered: the higher
-// revision does, and under one revision the greater hash.
+// supersedes reports whether p takes precedence over q: the higher revision
+// does, and under the same revision the greater hash.
 func (p Point) supersedes(q Point) bool {
 	if p.Revision != q.Revision {
 		return p.Revision > q.Revision
@@ -33,18 +34,19 @@
 	return p.Hash > q.Hash
 }
 
-// addCandidate notes that a peer holds p.
+// addCandidate records that a peer has p, unless p is no newer than the content
+// in force.
 func (s *State) addCandidate(from fleet.VMID, p Point) {
 	c := &s.catchUp
-	held := s.currentVersion()
-	if !p.supersedes(held) {
+	current := s.currentVersion()
+	if !p.supersedes(current) {
 		return
 	}
 	if p.Revision > c.highestKnown {
 		c.highestKnown = p.Revision
 		c.highestKnownSince = s.now
 	}
-	if s.current != nil && p.Revision == held.Revision {
+	if s.current != nil && p.Revision == current.Revision {
 		c.wantSnapshot = true
 	}
 	if len(c.candidates) == 0 {
@@ -60,7 +62,8 @@
 	c.candidates = append(c.candidates, candidate{id: from, version: p})
 }
 
-// prune drops the candidates whose content does not supersede p.
+// prune drops the candidates whose content does not supersede p, and ends the
+// current request.
 func (c *catchUp) prune(p Point) {
 	c.candidates = slices.DeleteFunc(c.candidates, func(x candidate) bool { return !x.version.supersedes(p) })
 	c.highestKnown = max(c.highestKnown, p.Revision)
@@ -68,10 +71,10 @@
 	c.wantSnapshot = false
 }
 
-// pending reports whether content of a higher revision than held is still
-// being asked for.
-func (c *catchUp) pending(held uint64, now clock.Time) bool {
-	return c.highestKnown > held && now.Sub(c.highestKnownSince) < CatchUpTimeout
+// pending reports whether the content of a revision higher than current is still
+// expected. That ends CatchUpTimeout after the revision became known.
+func (c *catchUp) pending(current uint64, now clock.Time) bool {
+	return c.highestKnown > current && now.Sub(c.highestKnownSince) < CatchUpTimeout
 }
 
 func (c *catchUp) wake(now clock.Time) clock.Time {
@@ -85,7 +88,8 @@
 	}
 }
 
-// runCatchUpTimers asks the best candidate, and gives up on one that didn't answer.
+// runCatchUpTimers drops a candidate that did not answer in time, and sends a
+// request to the best remaining one.
 func (s *State) runCatchUpTimers(out *Ready) {
 	c := &s.catchUp
 	if c.askedPeer != "" && s.now.Before(c.deadline) {
@@ -107,7 +111,8 @@
 	s.send(best.id, w, out)
 }
 
-// best returns the candidate with the newest content; of equals the first known.
+// best returns the candidate with the newest content, and the earliest known
+// one of several with the same content.
 func (c *catchUp) best() candidate {
 	best := c.candidates[0]
 	for _, x := range c.candidates[1:] {
@@ -124,7 +129,9 @@
 	c.askedPeer = ""
 }
 
-// handleUpdateRequest answers a peer that is behind.
+// handleUpdateRequest sends a peer that is behind a Delta, or a Snapshot if no
+// Delta leads from its revision to the one in force. A peer that is not behind
+// gets a Digest.
 func (s *State) handleUpdateRequest(from fleet.VMID, m *UpdateRequest, out *Ready) {
 	if s.current == nil {
 		return
@@ -146,7 +153,8 @@
 	}
 }
 
-// handleDelta takes a Delta.
+// handleDelta applies a Delta if it fits the content in force, and otherwise
+// records the sender as a candidate.
 func (s *State) handleDelta(from fleet.VMID, d *Delta, out *Ready) {
 	p := Point{Revision: d.To, Hash: d.Hash}
 	if s.current == nil || d.From > s.current.cat.Revision {
@@ -160,8 +168,8 @@
 	}
 	c, err := s.current.apply(d)
 	if err != nil {
-		// The base differs from the sender's, or the delta is damaged: only
-		// a snapshot helps.
+		// The base differs from the sender's, or the delta is damaged:
+		// request a snapshot instead.
 		s.countRejected(err)
 		s.addCandidate(from, p)
 		s.catchUp.askAfter = s.now
@@ -172,7 +180,8 @@
 	s.confirmByPeer(p, d.Age)
 }
 
-// handleSnapshot takes one part of a Snapshot.
+// handleSnapshot takes one part of a Snapshot, and installs the content once
+// all parts have arrived.
 func (s *State) handleSnapshot(from fleet.VMID, m *Snapshot, out *Ready) {
 	p := Point{Revision: m.Revision, Hash: m.Hash}
 	if !p.supersedes(s.currentVersion()) {
@@ -196,14 +205,14 @@
 	s.confirmByPeer(p, m.Age)
 }
 
-// compareWithPeer evaluates a peer's point p: a confirmation, a divergence, or content
-// to fetch.
+// compareWithPeer compares p, the content of a peer, with the content in force:
+// it records a confirmation, a divergence, or a candidate for newer content.
 func (s *State) compareWithPeer(from fleet.VMID, p Point, age Age) {
-	held := s.currentVersion()
+	current := s.currentVersion()
 	switch {
-	case p == held:
+	case p == current:
 		s.confirmByPeer(p, age)
-	case p.Revision == held.Revision && p.Revision > 0:
+	case p.Revision == current.Revision && p.Revision > 0:
 		s.counters.Diverged++
 		s.addCandidate(from, p)
 	default:
--- a/decide/config/content.go
+++ b/decide/config/content.go
@@ -12,9 +12,9 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// Hash returns the content hash of c. It doesn't depend on the order of the
-// entries: it is the sum of the entries' hashes, so that a delta updates it in
-// time proportional to the delta.
+// Hash returns the content hash of c. The hash is the sum of the hashes of the
+// entries and of the revision. It is therefore independent of the order of the
+// entries, and a delta updates it in time proportional to the delta.
 func Hash(c *catalogue.Catalogue) (uint64, error) {
 	n, err := newContent(c)
 	if err != nil {
@@ -23,14 +23,14 @@
 	return n.hash(), nil
 }
 
-// content is a catalogue in canonical form: entries sorted by id and times in
-// UTC. It is immutable.
+// content is an immutable catalogue in canonical form: entries sorted by id and
+// times in UTC.
 type content struct {
 	cat      *catalogue.Catalogue
-	entrySum uint64 // of the entries' hashes
+	entrySum uint64 // sum of the entries' hashes
 }
 
-// newContent returns the canonical form of c, which it doesn't change.
+// newContent returns the canonical form of c and leaves c unchanged.
 func newContent(c *catalogue.Catalogue) (*content, error) {
 	n := &catalogue.Catalogue{
 		Revision: c.Revision,
@@ -50,12 +50,12 @@
 	return &content{cat: n, entrySum: sum}, nil
 }
 
-// hash returns the content hash: revision and entries.
+// hash returns the content hash, which covers the revision and all entries.
 func (c *content) hash() uint64 {
 	return c.entrySum + xxhash.Sum64String(fmt.Sprintf("revision %d", c.cat.Revision))
 }
 
-// version returns the revision with its hash.
+// version returns the revision and the content hash.
 func (c *content) version() Point {
 	return Point{Revision: c.cat.Revision, Hash: c.hash()}
 }
@@ -64,8 +64,8 @@
 
 func compareShifts(a, b catalogue.Shift) int { return cmp.Compare(a.ID, b.ID) }
 
-// convertToUTC puts the times of shifts in UTC: msgpack decodes into the local
-// zone, and one instant in two zones would hash differently.
+// convertToUTC converts the times of shifts to UTC: msgpack decodes into the
+// local time zone, and the same instant in two time zones would hash differently.
 func convertToUTC(shifts []catalogue.Shift) {
 	for i := range shifts {
 		w := &shifts[i].Limits.Window
@@ -77,12 +77,12 @@
 func checkUnique(c *catalogue.Catalogue) error {
 	for i := 1; i < len(c.Services); i++ {
 		if c.Services[i].Name == c.Services[i-1].Name {
-			return fmt.Errorf("config: service %q twice", c.Services[i].Name)
+			return fmt.Errorf("config: catalogue revision %d lists service %q twice", c.Revision, c.Services[i].Name)
 		}
 	}
 	for i := 1; i < len(c.Shifts); i++ {
 		if c.Shifts[i].ID == c.Shifts[i-1].ID {
-			return fmt.Errorf("config: shift %q twice", c.Shifts[i].ID)
+			return fmt.Errorf("config: catalogue revision %d lists shift %q twice", c.Revision, c.Shifts[i].ID)
 		}
 	}
 	return nil
@@ -110,7 +110,7 @@
 func hashEntry(kind string, entry any) (uint64, error) {
 	b, err := json.Marshal(entry)
 	if err != nil {
-		return 0, fmt.Errorf("config: %s: %w", kind, err)
+		return 0, fmt.Errorf("config: encode %s for hashing: %w", kind, err)
 	}
 	var d xxhash.Digest
 	d.Reset()
@@ -119,8 +119,8 @@
 	return d.Sum64(), nil
 }
 
-// apply returns c with the changes of d, or an error if the result isn't the
-// content that d was made from.
+// apply returns c with the changes of d, or an error if the hash of the result
+// differs from the one that d states.
 func (c *content) apply(d *Delta) (*content, error) {
 	shifts := slices.Clone(d.Shifts)
 	convertToUTC(shifts)
@@ -135,11 +135,11 @@
 	if err != nil {
 		return nil, err
 	}
-	gone, err := sumEntries(dropped.Services, dropped.Shifts)
+	removed, err := sumEntries(dropped.Services, dropped.Shifts)
 	if err != nil {
 		return nil, err
 	}
-	out := &content{cat: n, entrySum: c.entrySum + added - gone}
+	out := &content{cat: n, entrySum: c.entrySum + added - removed}
 	if out.hash() != d.Hash {
 		return nil, errHash
 	}
@@ -150,19 +150,19 @@
 
 func shiftID(s catalogue.Shift) string { return s.ID }
 
-// merge returns the sorted entries of old without removed and with changed,
-// and the entries of old that this dropped.
+// merge returns the entries of old with those in changed added or replaced and
+// those in removed deleted, sorted, and the entries of old that it dropped.
 func merge[E any, K cmp.Ordered](old, changed []E, removed []K, compare func(a, b E) int, key func(E) K) (merged, dropped []E) {
-	out := make(map[K]bool, len(changed)+len(removed))
+	obsolete := make(map[K]bool, len(changed)+len(removed))
 	for _, k := range removed {
-		out[k] = true
+		obsolete[k] = true
 	}
 	for _, e := range changed {
-		out[key(e)] = true
+		obsolete[key(e)] = true
 	}
 	merged = make([]E, 0, len(old)+len(changed))
 	for _, e := range old {
-		if out[key(e)] {
+		if obsolete[key(e)] {
 			dropped = append(dropped, e)
 			continue
 		}
@@ -173,8 +173,8 @@
 	return merged, dropped
 }
 
-// diff returns the keys that changed or were added from old to new, and those
-// that were removed. Both are sorted by key.
+// diff returns the keys that were changed or added between old and new, and the
+// keys that were removed. old and new are sorted by key, and so are the results.
 func diff[E comparable, K cmp.Ordered](old, new []E, key func(E) K) (changed, removed []K) {
 	i := 0
 	for _, n := range new {
--- a/decide/config/content_test.go
+++ b/decide/config/content_test.go
@@ -13,8 +13,8 @@
 	"github.com/azurethread/azurethread/decide/rank"
 )
 
-// drawChain draws the contents of successive revisions, each changing some
-// entries of the one before.
+// drawChain draws the contents of successive revisions, each of which changes
+// some entries of the previous one.
 func drawChain(t *rapid.T) []*content {
 	c := &catalogue.Catalogue{Revision: 1}
 	chain := []*content{mustContent(t, c)}
@@ -49,8 +49,8 @@
 	return out
 }
 
-// TestDeltaFromAnyBase: every delta from a recorded revision applies to every
-// revision between its ends, and gives the newest content.
+// A delta from any recorded revision must apply to every revision between its
+// ends and result in the newest content.
 func TestDeltaFromAnyBase(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		chain := drawChain(t)
@@ -62,22 +62,22 @@
 		for from := range len(chain) - 1 {
 			d, ok := h.deltaSince(chain[from].cat.Revision, newest, MaxDeltaEntries)
 			if !ok {
-				t.Fatalf("no delta from %d", from)
+				t.Fatalf("history has no delta from content %d of the chain", from)
 			}
 			for base := from; base < len(chain)-1; base++ {
 				got, err := chain[base].apply(d)
 				if err != nil {
-					t.Fatalf("from %d on %d: %v", from, base, err)
+					t.Fatalf("apply delta from content %d to content %d: %v", from, base, err)
 				}
 				if got.hash() != newest.hash() {
-					t.Fatalf("from %d on %d: other content", from, base)
+					t.Fatalf("delta from content %d applied to content %d: hash %016x, want %016x", from, base, got.hash(), newest.hash())
 				}
 			}
 		}
 	})
 }
 
-// TestSnapshotParts: parts in any order, some twice, give the content again.
+// Parts of a snapshot that arrive out of order or twice must reproduce the content.
 func TestSnapshotParts(t *testing.T) {
 	is := is.New(t)
 	c := &catalogue.Catalogue{Revision: 3}
@@ -101,9 +101,9 @@
 	is.Equal(got.hash(), whole.hash())
 }
 
-// Symptom: daemons in machines of different time zones report two contents
-// under one revision. Sequence: a window's instant is decoded into the local
-// zone. Cause: the zone is part of what is hashed.
+// Guards against daemons in different time zones reporting two contents under one
+// revision: a window's time is decoded into the local time zone, and the hash
+// would include that time zone.
 func TestHashIgnoresZoneAndOrder(t *testing.T) {
 	is := is.New(t)
 	at := time.Date(2026, 3, 1, 9, 0, 0, 0, time.UTC)
@@ -121,8 +121,8 @@
 	is.True(h1 != h3)
 }
 
-// TestRankMovesLittle: the loss of one member changes no other pair's order,
-// so that it makes at most one new reader.
+// The loss of a member must not change the order of the others, so that at most
+// one new reader results.
 func TestMemberLossKeepsRankOrder(t *testing.T) {
 	is := is.New(t)
 	var ids []fleet.VMID
@@ -141,8 +141,7 @@
 	}
 }
 
-// TestTreeReachesAll: whoever is the root, the children's children are all
-// members, each once.
+// For every root, the tree must contain every other member exactly once.
 func TestTreeReachesEachMemberOnce(t *testing.T) {
 	is := is.New(t)
 	var ms []Member
--- a/decide/config/event.go
+++ b/decide/config/event.go
@@ -6,24 +6,24 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// Event is what happened: *Members, *PlatformRead, *PeerMessage, *Accepted or
-// *Tick.
+// Event is an input of State.Step: *Members, *PlatformRead, *PeerMessage,
+// *Accepted or *Tick.
 type Event interface {
 	isEvent()
 }
 
-// Members replaces the known entry VMs. Other failure domains may be listed in
-// part; the own domain is listed whole.
+// Members replaces the list of known entry VMs. It lists all members of the
+// daemon's own failure domain, and may list only some of the others.
 type Members struct {
 	Members []Member
 }
 
-// ReadResult classes the outcome of a platform read.
+// ReadResult is the outcome of a platform read.
 type ReadResult uint8
 
 const (
-	// ReadFailed: no usable answer. The zero value, so that an outcome left
-	// unset confirms nothing.
+	// ReadFailed: no usable answer. It is the zero value, so that an unset
+	// result confirms nothing.
 	ReadFailed ReadResult = iota
 	// ReadDocument: the platform's document was read.
 	ReadDocument
@@ -31,29 +31,30 @@
 	ReadNotModified
 	// ReadNotFound: the platform holds no catalogue.
 	ReadNotFound
-	// ReadMalformed: the platform answered with something unreadable.
+	// ReadMalformed: the platform's answer could not be decoded.
 	ReadMalformed
 )
 
 // PlatformRead is the outcome of a WatchPlatform or FetchPlatform.
 type PlatformRead struct {
-	// Seq is that of the effect.
+	// Seq is the Seq of the WatchPlatform or FetchPlatform.
 	Seq    uint64
 	Result ReadResult
 	// Catalogue is set with ReadDocument.
 	Catalogue *catalogue.Catalogue
-	// Lineage holds earlier revisions that Catalogue was built on, as far as
-	// the document lists them.
+	// Lineage holds the earlier revisions that Catalogue was built on, as far
+	// back as the document lists them.
 	Lineage []Point
-	// Index is the platform's index of the document, to watch from.
+	// Index is the platform's index of the document; the next watch starts from
+	// it.
 	Index uint64
-	// Confirmed is the latest instant at which the answer is known to have
-	// been the platform's newest: when the read was sent, or for
-	// ReadNotModified when the platform's wait was over.
+	// Confirmed is the latest time at which the answer is known to have been
+	// the platform's newest: when the read was sent or, for ReadNotModified,
+	// when the platform's wait ended.
 	Confirmed clock.Time
 }
 
-// Point is one revision with the hash of its content.
+// Point identifies content by its revision and hash.
 type Point struct {
 	Revision uint64 `json:"revision"`
 	Hash     uint64 `json:"hash"`
@@ -61,18 +62,18 @@
 
 // PeerMessage is a message from another daemon.
 type PeerMessage struct {
-	From fleet.VMID // as the connection's handshake states it
+	From fleet.VMID // from the connection's handshake
 	Msg  Message
 }
 
-// Accepted is a write of this daemon that the platform has accepted.
+// Accepted reports that the platform has accepted a write of this daemon.
 type Accepted struct {
 	Catalogue *catalogue.Catalogue
 	// Confirmed is when the write was sent.
 	Confirmed clock.Time
 }
 
-// Tick passes time; it is due at Ready.Wake.
+// Tick runs the timers that are due. The caller sends one at Ready.Wake.
 type Tick struct{}
 
 func (*Members) isEvent()      {}
--- a/decide/config/failure_test.go
+++ b/decide/config/failure_test.go
@@ -11,7 +11,7 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// convergedNetwork starts a network and lets every daemon join.
+// convergedNetwork starts a network and runs it until every daemon has joined.
 func convergedNetwork(is *is.I, domains, perDomain int) *network {
 	n := newNetwork(7, domains, perDomain)
 	n.run(10 * time.Second)
@@ -19,9 +19,9 @@
 	return n
 }
 
-// Symptom: a change is in force only after the next digest. Sequence: one
-// write in a quiet fleet. Cause: the change isn't pushed, or not down the
-// whole tree; digests are seconds apart and can't hide it within 50 ms.
+// Guards against a change that is not pushed, or not down the whole tree, and so
+// comes into force only with the next digest. Digests are seconds apart and
+// cannot hide this within 50 ms.
 func TestChangeIsPushed(t *testing.T) {
 	is := is.New(t)
 	n := convergedNetwork(is, 3, 12)
@@ -30,9 +30,9 @@
 	is.NoErr(n.checkConverged())
 }
 
-// Symptom: an operator's change is accepted, but its entry VM doesn't know.
-// Sequence: the platform accepts the write and its answer is lost. Cause: the
-// revision comes into force only through the readers.
+// Guards against an accepted change that does not come into force at its entry
+// VM: the platform accepts the write and its answer is lost, so the revision
+// arrives only through the readers.
 func TestWriteWithLostAnswerIsReadBack(t *testing.T) {
 	is := is.New(t)
 	n := convergedNetwork(is, 2, 5)
@@ -41,10 +41,9 @@
 	is.NoErr(n.checkConverged())
 }
 
-// Symptom: a failure domain without the platform keeps an old catalogue, or
-// calls itself cut off. Sequence: the platform is unreachable for one domain,
-// then something changes. Cause: changes and confirmations come only from own
-// reads.
+// Guards against a failure domain that keeps an old catalogue, or reports that it
+// is cut off, because it takes changes and confirmations only from its own reads:
+// the platform is unreachable from one domain, then a change is made.
 func TestDomainWithoutPlatform(t *testing.T) {
 	is := is.New(t)
 	n := convergedNetwork(is, 3, 4)
@@ -52,14 +51,14 @@
 	n.run(time.Minute)
 	is.True(n.write(n.byID["a0"], "s", false))
 	n.run(time.Second)
-	is.NoErr(n.checkConverged()) // in force in b too, and not cut off
+	is.NoErr(n.checkConverged()) // includes b, which must not be cut off
 }
 
-// Symptom: after a partition one side's changes vanish, or two catalogues are
-// in force under one revision. Sequence: a domain loses the platform and all
-// peers, operators change the same entry on both sides, the partition heals.
-// Cause: a side without the platform accepts changes. It must refuse them,
-// say that it is cut off, and take the other side's once healed.
+// Guards against lost changes, or two catalogues under one revision, after a
+// partition: a domain loses the platform and all peers, operators change the same
+// entry on both sides, and the partition heals. The side without the platform
+// must reject changes, report that it is cut off, and take over the other side's
+// changes once the partition has healed.
 func TestPartitionWithChangesOnBothSides(t *testing.T) {
 	is := is.New(t)
 	n := convergedNetwork(is, 2, 3)
@@ -78,10 +77,10 @@
 	is.NoErr(n.checkConverged())
 }
 
-// Symptom: during an outage of the platform a restarted daemon serves nothing,
-// or the platform is met with calls of the whole fleet when it returns.
-// Sequence: an hour without the platform in which every daemon restarts once.
-// Cause: joiners depend on the platform, or every daemon becomes a reader.
+// Guards against restarted daemons that have no catalogue during an outage of the
+// platform, because joining depends on the platform, and against calls of the whole
+// fleet when it returns, because every daemon has become a reader. Every daemon
+// restarts once during an outage of more than an hour.
 func TestRestartsDuringPlatformOutage(t *testing.T) {
 	is := is.New(t)
 	n := convergedNetwork(is, 2, 20)
@@ -97,16 +96,16 @@
 		is.Equal(v.revision, newest)
 		is.True(v.st.CutOff(n.now))
 	}
-	is.True(n.platformCalls < 2*60*60) // one call a second and domain
+	is.True(n.platformCalls < 2*60*60) // one call per second and domain
 	n.heal()
 	n.run(convergeWithin)
 	is.NoErr(n.checkConverged())
 }
 
-// Symptom: changes that were accepted are gone. Sequence: the platform is
-// restored from older data, and before anybody has noticed an operator changes
-// something. Cause: the write is built on the older data. It must be built on
-// the higher revision in force, and without a write the fleet must restore it.
+// Guards against the loss of accepted changes: the platform is restored from
+// older data, and an operator's write before this is detected is built on that
+// data. The write must be built on the higher revision in force. Without a write,
+// the fleet must restore that revision.
 func TestPlatformRestoredFromOlderData(t *testing.T) {
 	for _, write := range []bool{true, false} {
 		is := is.New(t)
@@ -127,10 +126,10 @@
 	}
 }
 
-// Symptom: one domain keeps an old catalogue for good, and believes it to be
-// confirmed. Sequence: the platform is put back to older data and accepts a
-// write, and so gives out an index a second time while a watch waits on it.
-// Cause: the watch sees the index it knows, and never returns the document.
+// Guards against a domain that permanently keeps an old catalogue and reports it
+// as confirmed: the platform is restored from older data and accepts a write, and
+// so reuses an index on which a watch waits. The watch never returns the document,
+// because the index has not changed.
 func TestPlatformIndexReused(t *testing.T) {
 	is := is.New(t)
 	n := convergedNetwork(is, 2, 2)
@@ -149,9 +148,9 @@
 	is.Equal(n.byID["a0"].revision, n.platform.cat.Revision)
 }
 
-// Symptom: changes stop reaching a domain although most of its members could
-// read the platform. Sequence: both readers lose the platform, and the domain
-// its peers elsewhere. Cause: nobody takes over.
+// Guards against a domain that gets no changes although most of its members can
+// read the platform: both readers lose the platform, the domain has no peers in
+// other domains, and no other member takes over.
 func TestReaderTakeover(t *testing.T) {
 	is := is.New(t)
 	n := convergedNetwork(is, 1, 8)
@@ -176,10 +175,10 @@
 	}
 }
 
-// Symptom: a daemon that is behind, or whose platform is, looks up to date.
-// Sequence: a peer with another revision states a fresh confirmation; a read
-// that began before a change answers after it. Cause: a confirmation counts
-// for whatever is in force, or an answer for the time when it came.
+// Guards against a daemon that reports itself confirmed although it or the
+// platform is behind. A peer's fresh confirmation of another revision must not
+// count for the revision in force, and the answer to a read that was sent before
+// a change must count as of the time when the read was sent.
 func TestOnlyRevisionInForceIsConfirmed(t *testing.T) {
 	is := is.New(t)
 	st := New(Config{Self: "a0", Domain: "a"})
@@ -200,19 +199,19 @@
 	is.True(st.CutOff(now))
 }
 
-// Symptom: some daemons get a change seconds late. Sequence: a daemon dies, and
-// before membership has noticed, something changes. Cause: it was an inner
-// member of the tree, or the first reader, and nothing else reaches those that
-// it should have passed the change to.
+// Guards against some daemons getting a change seconds late: a daemon fails, and a
+// change is made before membership detects the failure. The daemon was an inner
+// node of the tree, or the first reader, and the members below it get the change
+// in no other way.
 func TestDeadMemberDoesNotDelayPush(t *testing.T) {
 	is := is.New(t)
 	const members = 30
 	n := convergedNetwork(is, 1, members)
-	n.crossDomainDelay = 55 * time.Millisecond // pushes overtake the platform's answers
+	n.crossDomainDelay = 55 * time.Millisecond // pushes arrive before the platform's answers
 	for i := range 4 * members {
 		dead := n.daemons[i%members]
 		st := dead.st
-		dead.st = nil // without news to anybody
+		dead.st = nil // membership does not change
 		writer := n.daemons[(i+1+i/members)%members]
 		is.True(n.write(writer, "s", i%2 == 0))
 		n.run(time.Second)
@@ -222,9 +221,9 @@
 	}
 }
 
-// Symptom: a burst of changes takes more than a daemon's share of messages.
-// Sequence: an operator's script makes a change every 5 ms. Cause: each is
-// pushed alone instead of with those of the same MinPushInterval.
+// Guards against too many messages in a burst of changes: a script makes a change
+// every 5 ms, and each is pushed separately instead of together with the others
+// within MinPushInterval.
 func TestBurstIsCoalesced(t *testing.T) {
 	is := is.New(t)
 	n := convergedNetwork(is, 1, 30)
@@ -240,9 +239,9 @@
 	is.True(n.messages <= roots*pushes*len(n.daemons))
 }
 
-// Symptom: a daemon that missed a push stays behind. Sequence: all messages of
-// a domain without the platform are lost while a change spreads. Cause: no
-// digest finds the gap, or nobody acts on it.
+// Guards against a daemon that stays behind after a lost push: all messages are
+// lost while a change spreads, and a domain without the platform does not detect
+// the missing change by digests, or does not request it.
 func TestDigestsRepairLostPush(t *testing.T) {
 	is := is.New(t)
 	n := convergedNetwork(is, 2, 6)
@@ -256,9 +255,9 @@
 	is.NoErr(n.checkConverged())
 }
 
-// Symptom: a daemon that slept for an hour says that its catalogue has just
-// been confirmed. Sequence: it is paused, and on waking reads a digest that
-// waited in its socket. Cause: the digest's age was true when it was sent.
+// Guards against a daemon that was paused for an hour and then reports a fresh
+// confirmation: after the pause it reads a digest that waited in its socket, whose
+// age was correct only when it was sent.
 func TestPausedDaemonIgnoresStaleConfirmation(t *testing.T) {
 	is := is.New(t)
 	n := convergedNetwork(is, 1, 3)
@@ -273,9 +272,9 @@
 	is.True(!v.st.CutOff(now))
 }
 
-// Symptom: nobody learns that accepted changes are lost. Sequence: the
-// platform was put back, and a daemon that knew nothing newer wrote there.
-// Cause: the new document looks like any other; only its lineage shows it.
+// Guards against an unreported loss of accepted changes: the platform is restored
+// from older data, and a daemon that knows no newer revision writes to it. Only
+// the lineage of the new document shows that changes are missing.
 func TestLostHistoryIsReported(t *testing.T) {
 	is := is.New(t)
 	st := New(Config{Self: "a0", Domain: "a"})
@@ -288,9 +287,9 @@
 	is.Equal(st.Counters().HistoryLost, uint64(1))
 }
 
-// Symptom: a new revision undoes accepted changes. Sequence: an operator
-// writes through an entry VM that has heard of a higher revision and doesn't
-// have it yet. Cause: the write is built on what the entry VM holds.
+// Guards against a revision that undoes accepted changes: an operator writes
+// through an entry VM that knows of a higher revision but does not have its
+// content yet, and the write is built on the older content.
 func TestNoWriteOnStaleBase(t *testing.T) {
 	is := is.New(t)
 	n := convergedNetwork(is, 1, 2)
@@ -299,13 +298,13 @@
 	v.st.Step(n.now, &PeerMessage{From: "a1", Msg: d}, &v.ready)
 	_, ok := v.st.Base(n.now)
 	is.True(!ok)
-	base, ok := v.st.Base(n.now.Add(CatchUpTimeout)) // nobody supplied it
+	base, ok := v.st.Base(n.now.Add(CatchUpTimeout)) // no peer supplied the content
 	is.True(ok)
 	is.Equal(base.Floor, uint64(50))
 	is.Equal(base.Catalogue.Revision, uint64(1))
 }
 
-// withShift returns a catalogue of one shift.
+// withShift returns a catalogue with one shift.
 func withShift(revision uint64, id string) *catalogue.Catalogue {
 	return &catalogue.Catalogue{
 		Revision: revision,
--- a/decide/config/gossip.go
+++ b/decide/config/gossip.go
@@ -7,28 +7,29 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// minSnapshotInterval is the least time between two snapshots to one peer. A peer
-// that asks in a loop would otherwise turn small messages into large ones.
+// minSnapshotInterval is the minimum time between two snapshots to one peer.
+// Otherwise a peer that sends requests in a loop would trigger a large answer to
+// each small message.
 const minSnapshotInterval = UpdateRequestTimeout / 2
 
-// gossip is the exchange of digests, and what is remembered of each peer for
-// it.
+// gossip holds the timers for sending digests, and the per-peer state that
+// filters duplicates and limits snapshots.
 type gossip struct {
 	nextDigest            clock.Time
 	nextCrossDomainDigest clock.Time
 	nextHeartbeat         clock.Time
 	digestsSent           int
-	heartbeatSeq          map[fleet.VMID]uint64     // last digest passed on, by root
-	pushedRevision        map[fleet.VMID]uint64     // last revision passed on, by root
-	snapshotAt            map[fleet.VMID]clock.Time // last snapshot sent, by peer
+	heartbeatSeq          map[fleet.VMID]uint64     // Seq of the last digest forwarded, by root
+	pushedRevision        map[fleet.VMID]uint64     // last revision forwarded, by root
+	snapshotAt            map[fleet.VMID]clock.Time // time of the last snapshot sent, by peer
 }
 
 func (g *gossip) wake() clock.Time {
 	return clock.Min(g.nextDigest, clock.Min(g.nextCrossDomainDigest, g.nextHeartbeat))
 }
 
-// removeFormerMembers drops what is kept of former members. Without it memory would grow
-// with every VM that was ever replaced.
+// removeFormerMembers deletes the state of former members; otherwise memory
+// would grow with every replaced VM.
 func (g *gossip) removeFormerMembers(v view) {
 	for id := range g.heartbeatSeq {
 		if !v.isDomainMember(id) {
@@ -43,17 +44,20 @@
 	clear(g.snapshotAt)
 }
 
-// isNewHeartbeat reports whether a digest of root wasn't passed on before.
+// isNewHeartbeat reports whether the digest seq of root has not been forwarded
+// yet, and records it.
 func (g *gossip) isNewHeartbeat(root fleet.VMID, seq uint64) bool {
 	return recordIfHigher(&g.heartbeatSeq, root, seq)
 }
 
-// isNewPush reports whether a push of root wasn't passed on before.
+// isNewPush reports whether the push of root to revision to has not been
+// forwarded yet, and records it.
 func (g *gossip) isNewPush(root fleet.VMID, to uint64) bool {
 	return recordIfHigher(&g.pushedRevision, root, to)
 }
 
-// recordIfHigher records n for id. It reports whether n is above the last one.
+// recordIfHigher records n for id if it is higher than the recorded value, and
+// reports whether it was.
 func recordIfHigher(m *map[fleet.VMID]uint64, id fleet.VMID, n uint64) bool {
 	if *m == nil {
 		*m = map[fleet.VMID]uint64{}
@@ -66,7 +70,7 @@
 }
 
 // allowSnapshot reports whether a snapshot may be sent to a peer now, and if so
-// starts its snapshotPause.
+// records that it is sent.
 func (g *gossip) allowSnapshot(to fleet.VMID, now clock.Time) bool {
 	if at, ok := g.snapshotAt[to]; ok && now.Sub(at) < minSnapshotInterval {
 		return false
@@ -97,7 +101,7 @@
 }
 
 // IsReader reports whether this daemon is one of the readers of its domain, by
-// rank or because it took over. The duties of the fleet go to such daemons.
+// rank or after a takeover. Fleet-wide duties are assigned to readers.
 func (s *State) IsReader() bool {
 	byRank := s.view.rank >= 0 && s.view.rank < ReadersPerDomain
 	return byRank || s.reader.working(s.now)
@@ -121,8 +125,8 @@
 	}
 }
 
-// withJitter returns a random duration from 3/4 to 5/4 of d. Equal intervals
-// would synchronise the daemons' sends.
+// withJitter returns a random duration between 3/4 and 5/4 of d. With fixed
+// intervals the sends of different daemons could synchronise.
 func (s *State) withJitter(d time.Duration) time.Duration {
 	return d*3/4 + s.jitter(d/2)
 }
@@ -155,7 +159,8 @@
 	}
 }
 
-// handleDigest takes a Digest.
+// handleDigest compares a peer's Digest with the content in force, and forwards
+// it if it is a heartbeat.
 func (s *State) handleDigest(from fleet.VMID, m *Digest, out *Ready) {
 	if m.Root != "" {
 		s.forwardHeartbeat(m, out)
@@ -172,7 +177,7 @@
 	p := Point{Revision: m.Revision, Hash: m.Hash}
 	s.compareWithPeer(from, p, m.Age)
 	if from == s.catchUp.askedPeer && !p.supersedes(s.currentVersion()) {
-		s.dropCandidate(from) // it has nothing for us, or not yet
+		s.dropCandidate(from) // it has no newer content yet
 	}
 	if m.Root != "" && m.Root != from {
 		s.compareWithPeer(m.Root, p, m.Age)
@@ -186,18 +191,20 @@
 	}
 }
 
-// shouldSendConfirmation reports whether a peer whose confirmation has this age should be
-// sent ours. A daemon that the readers' membership doesn't list is in none
-// of their trees, and would seem cut off to itself.
-func (s *State) shouldSendConfirmation(theirs Age) bool {
+// shouldSendConfirmation reports whether to send this daemon's confirmation to a
+// peer whose confirmation has the given age. A daemon that is missing from the
+// readers' membership lists is in none of their trees, and would otherwise report
+// that it is cut off.
+func (s *State) shouldSendConfirmation(peerAge Age) bool {
 	own := s.messageAge()
 	if own == Unknown || own.Duration() > CutOffAfter/2 {
 		return false
 	}
-	return theirs == Unknown || theirs.Duration() > CutOffAfter/2
+	return peerAge == Unknown || peerAge.Duration() > CutOffAfter/2
 }
 
-// forwardHeartbeat notes the heartbeat of a reader and forwards it down the tree.
+// forwardHeartbeat records the heartbeat of a reader and forwards it down the
+// reader's tree.
 func (s *State) forwardHeartbeat(m *Digest, out *Ready) {
 	if m.Root == s.cfg.Self || !s.view.isDomainMember(m.Root) {
 		return
@@ -213,7 +220,8 @@
 	}
 }
 
-// updatePeer sends a peer that is behind a delta, or a digest that makes it ask.
+// updatePeer sends a peer that is behind a delta or, if none is available, a
+// digest, upon which the peer sends an UpdateRequest.
 func (s *State) updatePeer(to fleet.VMID, p Point, out *Ready) {
 	if p.Revision < s.current.cat.Revision && p.Revision > 0 {
 		if d, ok := s.history.deltaSince(p.Revision, s.current, MaxPushEntries); ok {
@@ -225,7 +233,8 @@
 	s.send(to, s.makeDigest(), out)
 }
 
-// randomDomainMembers returns up to n members of the own domain but self.
+// randomDomainMembers returns up to n members of the daemon's own domain, without
+// the daemon itself.
 func (s *State) randomDomainMembers(n int) []fleet.VMID {
 	all := s.view.domain.members
 	out := make([]fleet.VMID, 0, n)
@@ -240,7 +249,7 @@
 	return out
 }
 
-// randomCrossDomainReaders returns one reader of each of up to n other domains.
+// randomCrossDomainReaders returns one reader from each of up to n other domains.
 func (s *State) randomCrossDomainReaders(n int) []fleet.VMID {
 	out := make([]fleet.VMID, 0, n)
 	for _, i := range s.rng.Perm(len(s.view.otherDomains)) {
--- a/decide/config/history.go
+++ b/decide/config/history.go
@@ -8,15 +8,16 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// change records which entries one step of revisions touched.
+// change lists the entries that differ between two revisions that were in force
+// one after the other.
 type change struct {
 	from, to uint64
 	services []fleet.ServiceName
 	shifts   []string
 }
 
-// history holds the last changes, oldest first, each beginning where the one
-// before it ended.
+// history holds the most recent changes, oldest first. Each starts at the
+// revision where the previous one ends.
 type history struct {
 	changes []change
 }
@@ -34,12 +35,14 @@
 	}
 }
 
-// clear forgets everything: the content was replaced under its revision.
+// clear removes all changes. It is called when content is replaced by other
+// content of the same revision.
 func (h *history) clear() { h.changes = nil }
 
-// deltaSince returns the Delta from revision have to now, or false if the history
-// doesn't reach back to it or the Delta would exceed limit entries. have may
-// lie inside a recorded change, since entries are whole.
+// deltaSince returns the Delta from revision have to now, or false if the
+// history does not reach back to have or the Delta would exceed limit entries.
+// have may lie between the two revisions of a recorded change, because a Delta
+// holds whole entries.
 func (h *history) deltaSince(have uint64, now *content, limit int) (*Delta, bool) {
 	first := slices.IndexFunc(h.changes, func(c change) bool { return c.to > have })
 	if first < 0 || h.changes[first].from > have {
@@ -67,7 +70,8 @@
 	return slices.Compact(ks)
 }
 
-// selectEntries returns the entries of the given keys, and the keys without entry.
+// selectEntries returns the entries with the given keys, and the keys that have
+// no entry.
 func selectEntries[E any, K cmp.Ordered](entries []E, keys []K, key func(E) K) (found []E, missing []K) {
 	for _, k := range keys {
 		i, ok := slices.BinarySearchFunc(entries, k, func(e E, k K) int { return cmp.Compare(key(e), k) })
@@ -80,7 +84,7 @@
 	return found, missing
 }
 
-// splitSnapshot cuts c into parts.
+// splitSnapshot splits c into parts of at most MaxPartEntries entries.
 func splitSnapshot(c *content, age Age) []*Snapshot {
 	services, shifts := c.cat.Services, c.cat.Shifts
 	total := len(services) + len(shifts)
@@ -88,9 +92,8 @@
 	out := make([]*Snapshot, 0, n)
 	for p := range n {
 		s := &Snapshot{Format: Format, Revision: c.cat.Revision, Hash: c.hash(), Age: age, Part: p, Parts: n}
-		room := MaxPartEntries
-		s.Services, services = splitAt(services, room)
-		s.Shifts, shifts = splitAt(shifts, room-len(s.Services))
+		s.Services, services = splitAt(services, MaxPartEntries)
+		s.Shifts, shifts = splitAt(shifts, MaxPartEntries-len(s.Services))
 		out = append(out, s)
 	}
 	return out
@@ -108,8 +111,8 @@
 	missing int
 }
 
-// add takes one part and returns the content once all are there. A part of
-// another snapshot discards the parts so far.
+// add adds one part, and returns the content once all parts are present. A part
+// of a different snapshot discards the parts collected so far.
 func (a *snapshotAssembly) add(s *Snapshot) (*content, error) {
 	p := Point{Revision: s.Revision, Hash: s.Hash}
 	if a.version != p || len(a.parts) != s.Parts {
--- a/decide/config/join.go
+++ b/decide/config/join.go
@@ -7,25 +7,26 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// join is the start of a daemon that has nothing yet. It asks a few peers for
-// their revision and the platform for its document, and takes the highest. If
-// it took the first answer, a stale peer in a small partition would make it
-// apply a lower revision than its predecessor at the same address had in force.
+// join is the start-up of a daemon that has no catalogue yet. The daemon asks a
+// few peers for their revision and the platform for its document, and installs
+// the highest revision. If it installed the first answer, a stale peer in a small
+// partition could make it apply a lower revision than the previous process at the
+// same address had in force.
 type join struct {
-	deadline     clock.Time   // when the highest content so far is taken
-	collectUntil clock.Time   // until when answers are awaited
-	retryAt      clock.Time   // when other peers are asked
+	deadline     clock.Time   // when the highest content received so far is installed
+	collectUntil clock.Time   // when waiting for the answers of peers ends
+	retryAt      clock.Time   // when the next round of peers is asked
 	best         *joinOffer   // highest content received so far
 	membersKnown bool         // whether membership is known
 	askedAny     bool         // whether any peer has been asked
-	awaiting     []fleet.VMID // peers asked that have not answered
+	awaiting     []fleet.VMID // peers that were asked and have not answered
 }
 
-// joinOffer is content that may be put in force, with its confirmation.
+// joinOffer is content that a joining daemon may install, and its confirmation.
 type joinOffer struct {
 	content     *content
 	confirmed   bool
-	confirmedAt clock.Time // of the confirmation
+	confirmedAt clock.Time // used only if confirmed
 }
 
 func (j *join) begin(now clock.Time) {
@@ -49,13 +50,15 @@
 	*j = join{deadline: clock.Never, collectUntil: clock.Never, retryAt: clock.Never}
 }
 
-// answersComplete reports whether every peer asked has answered, or timed out.
+// answersComplete reports whether every peer that was asked has answered or
+// timed out.
 func (j *join) answersComplete(now clock.Time) bool {
 	known := j.membersKnown || !now.Before(j.deadline)
 	return known && (len(j.awaiting) == 0 || !now.Before(j.collectUntil))
 }
 
-// addJoinOffer keeps o if it is the best so far, and takes the best if it may.
+// addJoinOffer keeps o if it is the best offer so far, and then tries to finish
+// joining.
 func (s *State) addJoinOffer(o joinOffer, out *Ready) {
 	b := s.join.best
 	if b == nil || !b.content.version().supersedes(o.content.version()) {
@@ -64,8 +67,8 @@
 	s.tryFinishJoin(out)
 }
 
-// tryFinishJoin takes the best content once nothing higher has been heard of and
-// the platform or all asked peers have answered, or once the time is over.
+// tryFinishJoin installs the best offer once every asked peer has answered or
+// timed out and no higher revision is known, or once the deadline has passed.
 func (s *State) tryFinishJoin(out *Ready) {
 	j := &s.join
 	if s.current != nil || j.best == nil {
@@ -93,8 +96,8 @@
 	s.tryFinishJoin(out)
 }
 
-// askForRevisions sends a digest with Ask to some peers, of the own and of
-// other domains.
+// askForRevisions sends a digest with Ask to some peers in the daemon's own and
+// in other domains.
 func (s *State) askForRevisions(out *Ready) {
 	j := &s.join
 	j.retryAt = s.now.Add(JoinRetry)
@@ -109,15 +112,16 @@
 	}
 }
 
-// joinPeers picks the peers to ask. Other domains are asked too, since the own
-// one may have been cut off, or replaced as a whole.
+// joinPeers selects the peers to ask. They include peers of other domains, since
+// the daemon's own domain may be cut off or completely restarted.
 func (s *State) joinPeers() []fleet.VMID {
 	own := s.randomDomainMembers(JoinPeers - 2)
 	return append(own, s.randomCrossDomainReaders(JoinPeers-len(own))...)
 }
 
-// recordJoinAnswer notes a digest of a peer. Each peer counts once: digests also come
-// unasked, and counting them would end the wait for peers that may hold more.
+// recordJoinAnswer records that a peer has answered. Each peer counts once: peers
+// also send digests unasked, and counting those would end the wait for other
+// peers that may have a higher revision.
 func (s *State) recordJoinAnswer(from fleet.VMID, out *Ready) {
 	if s.current != nil {
 		return
--- a/decide/config/join_test.go
+++ b/decide/config/join_test.go
@@ -10,9 +10,9 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// Symptom: a domain whose entry VMs were all replaced serves nothing, or goes
-// back. Sequence: all daemons of a domain restart at once, which has no
-// platform. Cause: a joiner asks only its own domain.
+// Guards against a domain that has no catalogue, or an older one, after all its
+// daemons restart at once while it cannot reach the platform. A joining daemon
+// must also ask peers in other domains.
 func TestWholeDomainRestarted(t *testing.T) {
 	is := is.New(t)
 	n := convergedNetwork(is, 3, 4)
@@ -29,9 +29,9 @@
 	is.NoErr(n.checkConverged())
 }
 
-// Symptom: a restarted daemon serves by a revision that its predecessor had
-// left. Sequence: the platform is down, a joiner's peers are partly stale, and
-// a stale one answers first. Cause: the joiner takes the first answer.
+// Guards against a restarted daemon that installs a lower revision than it had
+// before: the platform is down, some peers are stale, and a stale one answers
+// first. The daemon must not install the first answer.
 func TestJoinerMeetsStalePeer(t *testing.T) {
 	is := is.New(t)
 	n := convergedNetwork(is, 3, 2)
@@ -52,9 +52,8 @@
 	is.Equal(b.revision, n.platform.cat.Revision)
 }
 
-// Symptom: as above. Sequence: the platform was restored from older data, and
-// answers a joiner before its peers do. Cause: the joiner takes the platform's
-// word without asking peers.
+// Guards against the same failure if the platform was restored from older data
+// and answers before the peers do. The joining daemon must also ask peers.
 func TestJoinerMeetsStalePlatform(t *testing.T) {
 	is := is.New(t)
 	n := convergedNetwork(is, 2, 2)
@@ -71,8 +70,8 @@
 	is.Equal(b.revision, newest)
 }
 
-// Symptom: a daemon with nothing to go by answers look-ups. Sequence: it
-// starts alone, without the platform. Cause: an empty catalogue passes for one.
+// Guards against a daemon that answers look-ups without a catalogue: it starts
+// alone, without the platform, and treats an empty catalogue as valid.
 func TestSingleDaemonWithoutPlatform(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork(1, 1, 1)
@@ -86,10 +85,10 @@
 	is.NoErr(n.checkConverged())
 }
 
-// Symptom: a restarted daemon puts a lower revision in force than its
-// predecessor had. Sequence: it asks its peers; one that is behind sends two
-// digests before a newer one answers. Cause: digests are counted, so the
-// second one passes for the answer of the other peer.
+// Guards against a restarted daemon that installs a lower revision than it had
+// before: it asks two peers, and the one that is behind sends two digests before
+// the other answers. If digests were counted instead of peers, the second one
+// would count as the answer of the other peer.
 func TestJoinerCountsEachPeerOnce(t *testing.T) {
 	is := is.New(t)
 	st := New(Config{Self: "a0", Domain: "a"})
@@ -106,7 +105,7 @@
 	for _, part := range splitSnapshot(older, Unknown) {
 		st.Step(now, &PeerMessage{From: "a1", Msg: part}, &out)
 	}
-	is.True(!st.Ready()) // a2 may hold more
+	is.True(!st.Ready()) // a2 may have a higher revision
 	digest = &Digest{Format: Format, Revision: 9, Hash: 1, Age: Unknown, ReadAge: Unknown}
 	st.Step(now, &PeerMessage{From: "a2", Msg: digest}, &out)
 	is.True(!st.Ready())
--- a/decide/config/limits.go
+++ b/decide/config/limits.go
@@ -2,100 +2,103 @@
 
 import "time"
 
-// Format is the version of the messages and of the content hash. Content of
-// another format is not applied: a daemon of an older release would drop the
-// fields it doesn't know, and pass the loss on.
+// Format is the version of the messages and of the content hash. Messages of
+// another format are rejected: a daemon of an older release would drop fields
+// that it does not know, and pass the incomplete entries on.
 const Format = 1
 
-// The shape of dissemination.
+// Numbers of readers, peers and tree children in dissemination.
 const (
-	// ReadersPerDomain is the number of daemons of a failure domain that
-	// watch the platform when all is well.
+	// ReadersPerDomain is the number of daemons of a failure domain that watch
+	// the platform in normal operation.
 	ReadersPerDomain = 2
 	// TreeFanOut is the number of members each member pushes a change to.
 	TreeFanOut = 4
-	// CrossDomainPushes is the number of other failure domains that the root of a
-	// push announces the change to.
+	// CrossDomainPushes is the number of other failure domains to which the root
+	// of a push announces the change.
 	CrossDomainPushes = 3
-	// JoinPeers is the number of peers that a joiner asks for their revision.
+	// JoinPeers is the number of peers that a joining daemon asks for their
+	// revision.
 	JoinPeers = 5
 )
 
-// The intervals of the protocol.
+// Intervals and timeouts of the protocol.
 const (
-	// MinPushInterval is the least time between two pushes of one root.
+	// MinPushInterval is the minimum time between two pushes of one root.
 	MinPushInterval = 250 * time.Millisecond
-	// HeartbeatInterval is the time between two digests of a reader to all of
-	// its domain.
+	// HeartbeatInterval is the time between two digests that a reader sends to
+	// its whole domain.
 	HeartbeatInterval = 4 * time.Second
-	// DigestInterval is the time between two digests to a random peer.
+	// DigestInterval is the average time between two digests to a random peer.
 	DigestInterval = 4 * time.Second
-	// CrossDomainDigestInterval is the time between two digests of a reader to a
-	// reader of another domain.
+	// CrossDomainDigestInterval is the average time between two digests that a
+	// reader sends to a reader of another domain.
 	CrossDomainDigestInterval = 2 * time.Second
-	// CrossDomainDigestEvery is how many digests of a daemon that isn't a reader
-	// stay in the domain for one that leaves it.
+	// CrossDomainDigestEvery is the interval, in digests, at which a daemon that
+	// is not a reader sends a digest to another domain instead of its own.
 	CrossDomainDigestEvery = 4
-	// UpdateRequestDelay is how long a daemon that learns of a change waits for its push
-	// before it asks, if its domain reads the platform.
+	// UpdateRequestDelay is how long a daemon that learns of a change waits for
+	// the push before it sends an UpdateRequest, if its domain has a reader.
 	UpdateRequestDelay = 200 * time.Millisecond
-	// UpdateRequestTimeout is the time after which another peer is asked.
+	// UpdateRequestTimeout is the time without an answer after which another peer
+	// is asked.
 	UpdateRequestTimeout = 500 * time.Millisecond
-	// JoinWait is the time a joiner collects revisions before it settles for
-	// the highest content it has got.
+	// JoinWait is the time after which a joining daemon installs the highest
+	// content that it has received.
 	JoinWait = time.Second
-	// JoinDigestWait is the time a joiner waits for digests before it asks
-	// the peer with the highest revision for content.
+	// JoinDigestWait is how long a joining daemon waits for digests before it
+	// requests content from the peer with the highest revision.
 	JoinDigestWait = 200 * time.Millisecond
-	// JoinRetry is the time between two rounds of asking while there is
-	// nothing to serve.
+	// JoinRetry is the time between two rounds of asking peers while no
+	// catalogue is in force.
 	JoinRetry = time.Second
-	// CutOffAfter is the age of the last confirmation beyond which the
-	// daemon reports that it is cut off.
+	// CutOffAfter is the age of the last confirmation above which the daemon
+	// reports that it is cut off.
 	CutOffAfter = 30 * time.Second
-	// CatchUpTimeout bounds how long writes wait for the content of a revision
-	// that was heard of but that nobody supplies.
+	// CatchUpTimeout is how long writes wait for the content of a known higher
+	// revision that no peer supplies.
 	CatchUpTimeout = 10 * time.Second
-	// PauseThreshold is the gap between two steps that counts as a pause of the
-	// process.
+	// PauseThreshold is the time between two steps above which the process is
+	// assumed to have been paused.
 	PauseThreshold = 5 * time.Second
-	// PauseRecovery is the time after a pause in which confirmations of peers
-	// are ignored.
+	// PauseRecovery is the time after a pause during which confirmations by
+	// peers are ignored.
 	PauseRecovery = time.Second
 )
 
-// The times of reading the platform.
+// Intervals and timeouts for reading the platform.
 const (
-	// WatchWait is how long the platform may hold a watch.
+	// WatchWait is how long the platform may hold a watch open.
 	WatchWait = 5 * time.Second
-	// ReadTimeout is how much longer than its wait a read may take before it
-	// counts as failed.
+	// ReadTimeout is the time after which a read counts as failed. A watch has
+	// WatchWait in addition.
 	ReadTimeout = 10 * time.Second
-	// PlainReadEvery is the number of watches after which a plain read is
-	// made: a watch on an index that the platform has lost never returns.
+	// PlainReadEvery is the number of watches after which the document is
+	// fetched without a watch: a watch on an index that the platform has lost
+	// never returns the document.
 	PlainReadEvery = 4
-	// TakeoverAfter is the age of a reader's last heartbeat beyond which the
-	// next rank reads.
+	// TakeoverAfter is the age of a reader's last successful read above which
+	// the member of the next rank takes over.
 	TakeoverAfter = 15 * time.Second
 	// TakeoverStagger is the additional wait for each further rank.
 	TakeoverStagger = 2 * time.Second
-	// MinReadBackoff and MaxReadBackoff bound the wait after failed reads of
-	// the first ranks.
+	// MinReadBackoff and MaxReadBackoff bound the backoff after failed reads of
+	// the first ReadersPerDomain members.
 	MinReadBackoff = 500 * time.Millisecond
 	MaxReadBackoff = 10 * time.Second
-	// RestoreDelay is how long the platform must have shown older data before
-	// it is asked to take the newer catalogue back.
+	// RestoreDelay is how long the platform must have returned older data before
+	// the newer catalogue is written back to it.
 	RestoreDelay = 5 * time.Second
 )
 
-// The bounds on what is kept and accepted.
+// Bounds on what is stored and accepted.
 const (
-	// MaxRevision bounds revisions. They may follow the milliseconds of the
-	// wall clock, which stay below it for 140,000 years.
+	// MaxRevision bounds revisions. Revisions may be wall-clock time in
+	// milliseconds, which stays below this bound for 140,000 years.
 	MaxRevision = 1 << 52
-	// MaxDeltaEntries bounds the entries, changed and removed, of a Delta.
+	// MaxDeltaEntries bounds the changed and removed entries of a Delta.
 	MaxDeltaEntries = 512
-	// MaxPushEntries bounds the entries of a Delta that is pushed unasked.
+	// MaxPushEntries bounds the entries of a Delta sent without a request.
 	MaxPushEntries = 32
 	// MaxPartEntries bounds the entries of one part of a Snapshot.
 	MaxPartEntries = 256
@@ -103,10 +106,10 @@
 	MaxParts = 256
 	// MaxIDLen bounds the length of ids and names, in bytes.
 	MaxIDLen = 256
-	// MaxHistory bounds the changes kept for making deltas.
+	// MaxHistory bounds the changes kept for building deltas.
 	MaxHistory = 256
-	// maxAge bounds the ages that messages may state.
+	// maxAge bounds the ages stated in messages.
 	maxAge = 366 * 24 * time.Hour
-	// maxCandidates bounds the peers remembered as holding more.
+	// maxCandidates bounds the recorded peers with newer content.
 	maxCandidates = 8
 )
--- a/decide/config/member.go
+++ b/decide/config/member.go
@@ -8,7 +8,7 @@
 	"github.com/azurethread/azurethread/decide/rank"
 )
 
-// Member is one entry VM as membership knows it.
+// Member is an entry VM in the membership list.
 type Member struct {
 	ID          fleet.VMID
 	Domain      fleet.Domain
@@ -23,17 +23,17 @@
 	ranked  []fleet.VMID // live, best rank first
 }
 
-// view is the membership as dissemination uses it.
+// view is the membership in the form used by dissemination.
 type view struct {
 	self         fleet.VMID
 	domain       domainView
-	otherDomains []domainView // sorted by name
-	rank         int          // of self among the live of its domain; -1 while it is leaving
-	children     map[fleet.VMID][]fleet.VMID
+	otherDomains []domainView                // sorted by name
+	rank         int                         // of self among the live members of its domain; -1 while it is leaving
+	children     map[fleet.VMID][]fleet.VMID // cached results of treeChildren, by root
 }
 
-// newView builds the view of self from membership. Self is always part of it,
-// since membership may not list its own daemon.
+// newView builds the view of self from the membership list. It always includes
+// self, which the list may omit.
 func newView(self Member, members []Member) view {
 	byDomain := map[fleet.Domain][]Member{self.Domain: nil}
 	for _, m := range members {
@@ -79,17 +79,17 @@
 	return d.ranked[:min(ReadersPerDomain, len(d.ranked))]
 }
 
-// isDomainMember reports whether id is a known member of the own domain.
+// isDomainMember reports whether id is a known member of self's domain.
 func (v *view) isDomainMember(id fleet.VMID) bool {
 	_, found := slices.BinarySearch(v.domain.members, id)
 	return found
 }
 
-// treeChildren returns the members that self forwards a push of root to. The
-// order of the tree depends on the root, so that the trees of a domain have
-// different inner members. Other readers come last, as leaves: if one were
-// both the root of the second tree and an inner member of the first, its death
-// would leave those below it without either.
+// treeChildren returns the members to which self forwards a push of root. The
+// order of the members in the tree depends on the root, so that the trees of a
+// domain have different inner nodes. Other readers come last, as leaves: if a
+// reader were the root of the second tree and an inner node of the first, its
+// failure would cut the members below it off from both trees.
 func (v *view) treeChildren(root fleet.VMID) []fleet.VMID {
 	if c, ok := v.children[root]; ok {
 		return c
--- a/decide/config/message.go
+++ b/decide/config/message.go
@@ -8,13 +8,13 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// Message is what daemons send each other: *Digest, *Want, *Delta, *Snapshot
-// or *Push.
+// Message is a message between daemons: *Digest, *UpdateRequest, *Delta,
+// *Snapshot or *Push.
 type Message interface {
 	check() error
 }
 
-// Body carries exactly one message; it is the form on the wire.
+// Body is the wire form of a message. Exactly one field is set.
 type Body struct {
 	Digest        *Digest        `json:"d,omitempty"`
 	UpdateRequest *UpdateRequest `json:"w,omitempty"`
@@ -23,7 +23,7 @@
 	Push          *Push          `json:"p,omitempty"`
 }
 
-// NewBody wraps m for the wire.
+// NewBody returns the wire form of m.
 func NewBody(m Message) Body {
 	switch m := m.(type) {
 	case *Digest:
@@ -40,7 +40,7 @@
 	return Body{}
 }
 
-// Message returns the message of b, or an error unless there is exactly one.
+// Message returns the message in b, or an error if b does not hold exactly one.
 func (b Body) Message() (Message, error) {
 	var found []Message
 	if b.Digest != nil {
@@ -59,15 +59,16 @@
 		found = append(found, b.Push)
 	}
 	if len(found) != 1 {
-		return nil, fmt.Errorf("config: body holds %d messages", len(found))
+		return nil, fmt.Errorf("config: body holds %d messages, want 1", len(found))
 	}
 	return found[0], nil
 }
 
-// Age is how long ago something was known, in milliseconds; Unknown if never.
+// Age is the time since an event in milliseconds, or Unknown if the event has
+// never occurred.
 type Age int64
 
-// Unknown is the age of what never happened.
+// Unknown is the Age of an event that has never occurred.
 const Unknown Age = -1
 
 // Duration returns the age as a duration.
@@ -75,44 +76,45 @@
 
 func (a Age) check() error {
 	if a < Unknown || a > Age(maxAge/time.Millisecond) {
-		return fmt.Errorf("config: age %d out of bounds", int64(a))
+		return fmt.Errorf("config: age %d ms is not between %d and %d", int64(a), int64(Unknown), int64(maxAge/time.Millisecond))
 	}
 	return nil
 }
 
-// Digest states what the sender, or the root of the tree it came down, has in
-// force.
+// Digest states what is in force at the sender or, for a digest sent down a tree,
+// at the root of the tree.
 type Digest struct {
 	Format   uint8  `json:"f"`
 	Revision uint64 `json:"r"` // 0: nothing yet
 	Hash     uint64 `json:"h"`
-	// Age is that of the last platform read that confirmed Revision.
+	// Age is the age of the last platform read that confirmed Revision.
 	Age Age `json:"a"`
-	// ReadAge is that of the last successful platform read that the sender
-	// (or Root) made itself.
+	// ReadAge is the age of the sender's (or Root's) own last successful
+	// platform read.
 	ReadAge Age `json:"o"`
-	// Root is set on digests that go down the tree of a reader.
+	// Root is the reader down whose tree the digest is sent; empty for other
+	// digests.
 	Root fleet.VMID `json:"t,omitempty"`
-	// Seq rises with each digest of Root; it ends loops between members whose
-	// views differ.
+	// Seq increases with each digest of Root. It stops forwarding loops between
+	// members whose views of the membership differ.
 	Seq uint64 `json:"q,omitempty"`
-	// Ask requests a digest in answer.
+	// Ask requests a Digest in reply.
 	Ask bool `json:"k,omitempty"`
 }
 
-// UpdateRequest asks for everything newer than Have; 0 asks for a Snapshot.
+// UpdateRequest requests all changes after revision Have; 0 requests a Snapshot.
 type UpdateRequest struct {
 	Format uint8  `json:"f"`
 	Have   uint64 `json:"r"`
 }
 
-// Delta holds what changed after revision From up to revision To. It applies
-// to every revision from From up to To, since its entries are whole.
+// Delta holds the changes after revision From, up to revision To. It can be
+// applied to every revision from From up to To, because it holds whole entries.
 type Delta struct {
 	Format          uint8               `json:"f"`
 	From            uint64              `json:"b"`
 	To              uint64              `json:"r"`
-	Hash            uint64              `json:"h"` // of the whole content at To
+	Hash            uint64              `json:"h"` // of the complete content at To
 	Age             Age                 `json:"a"`
 	Services        []catalogue.Service `json:"s,omitempty"`
 	Shifts          []catalogue.Shift   `json:"e,omitempty"`
@@ -120,7 +122,7 @@
 	RemovedShifts   []string            `json:"y,omitempty"`
 }
 
-// Snapshot is one part of the whole catalogue.
+// Snapshot is one part of a complete catalogue.
 type Snapshot struct {
 	Format   uint8               `json:"f"`
 	Revision uint64              `json:"r"`
@@ -132,7 +134,7 @@
 	Shifts   []catalogue.Shift   `json:"e,omitempty"`
 }
 
-// Push is a Delta that goes down the tree of Root.
+// Push is a Delta sent down the tree of Root.
 type Push struct {
 	Root  fleet.VMID `json:"t"`
 	Delta Delta      `json:"d"`
@@ -140,17 +142,17 @@
 
 func checkHeader(format uint8, revision uint64, age Age) error {
 	if format != Format {
-		return fmt.Errorf("%w: %d", errFormat, format)
+		return fmt.Errorf("%w: %d, want %d", errFormat, format, Format)
 	}
 	if revision > MaxRevision {
-		return fmt.Errorf("config: revision %d out of bounds", revision)
+		return fmt.Errorf("config: revision %d exceeds %d", revision, uint64(MaxRevision))
 	}
 	return age.check()
 }
 
 func checkID(id string) error {
 	if id == "" || len(id) > MaxIDLen {
-		return fmt.Errorf("config: id of %d bytes", len(id))
+		return fmt.Errorf("config: id of %d bytes, want 1 to %d", len(id), MaxIDLen)
 	}
 	return nil
 }
@@ -160,7 +162,7 @@
 		return err
 	}
 	if d.Revision == 0 && d.Hash != 0 {
-		return fmt.Errorf("config: hash without revision")
+		return fmt.Errorf("config: digest has hash %016x but no revision", d.Hash)
 	}
 	if len(d.Root) > MaxIDLen {
 		return checkID(string(d.Root))
@@ -177,10 +179,10 @@
 		return err
 	}
 	if d.From >= d.To {
-		return fmt.Errorf("config: delta from %d to %d", d.From, d.To)
+		return fmt.Errorf("config: delta from revision %d does not lead to a higher one: %d", d.From, d.To)
 	}
 	if n := d.entryCount(); n > MaxDeltaEntries {
-		return fmt.Errorf("config: delta of %d entries", n)
+		return fmt.Errorf("config: delta of %d entries exceeds %d", n, MaxDeltaEntries)
 	}
 	for _, n := range d.RemovedServices {
 		if err := checkID(string(n)); err != nil {
@@ -207,10 +209,10 @@
 		return fmt.Errorf("config: snapshot of revision 0")
 	}
 	if s.Parts < 1 || s.Parts > MaxParts || s.Part < 0 || s.Part >= s.Parts {
-		return fmt.Errorf("config: snapshot part %d of %d", s.Part, s.Parts)
+		return fmt.Errorf("config: invalid snapshot part %d of %d", s.Part, s.Parts)
 	}
 	if n := len(s.Services) + len(s.Shifts); n > MaxPartEntries {
-		return fmt.Errorf("config: snapshot part of %d entries", n)
+		return fmt.Errorf("config: snapshot part of %d entries exceeds %d", n, MaxPartEntries)
 	}
 	return checkEntries(s.Services, s.Shifts)
 }
--- a/decide/config/message_test.go
+++ b/decide/config/message_test.go
@@ -10,10 +10,10 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// Symptom: two daemons steer differently and both report the same revision.
-// Sequence: a platform put back to older data gave one revision out twice, in
-// two partitions. Cause: without a rule each keeps its own. The greater hash
-// must win at both, and the loser must count it.
+// Guards against daemons that permanently have different content under the same
+// revision: a platform that was restored from older data accepted one revision
+// twice, in two partitions. The content with the greater hash must win at both
+// daemons, and the divergence must be counted.
 func TestGreaterHashWinsUnderOneRevision(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork(3, 2, 1)
@@ -26,9 +26,8 @@
 	is.True(a.st.Counters().Diverged+b.st.Counters().Diverged > 0)
 }
 
-// Symptom: a damaged or hostile message changes the configuration or stops the
-// daemon. Sequence: a peer sends what no correct release sends. Cause: a bound
-// isn't checked.
+// Guards against damaged or hostile messages that change the configuration or
+// crash the daemon because a bound is not checked.
 func TestMalformedMessages(t *testing.T) {
 	many := make([]catalogue.Shift, MaxDeltaEntries+1)
 	for i := range many {
@@ -67,9 +66,9 @@
 	}
 }
 
-// Symptom: entries lose fields that a newer release added. Sequence: a daemon
-// of an older release passes a change on. Cause: it dropped what it didn't
-// know; so content of another format is refused, and counted apart.
+// Guards against the loss of fields that a newer release added: a daemon of an
+// older release would drop unknown fields and forward the entries. Messages of
+// another format must be rejected and counted separately.
 func TestOtherFormatIsRefused(t *testing.T) {
 	is := is.New(t)
 	n := convergedNetwork(is, 1, 2)
@@ -80,9 +79,9 @@
 	is.Equal(v.revision, uint64(1))
 }
 
-// Symptom: a daemon applies a catalogue that nobody wrote. Sequence: a delta
-// is damaged, or was made from another base. Cause: its result isn't compared
-// with the hash; the daemon must ask for a snapshot instead.
+// Guards against a daemon that applies a catalogue that was never written: a delta
+// is damaged or was made from another base. Its result must be compared with the
+// stated hash, and on a mismatch the daemon must request a snapshot.
 func TestWrongDeltaIsReplacedBySnapshot(t *testing.T) {
 	is := is.New(t)
 	n := convergedNetwork(is, 1, 2)
--- a/decide/config/net_test.go
+++ b/decide/config/net_test.go
@@ -12,7 +12,7 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// network joins a handful of States with a platform under one fake clock.
+// network connects several States and a platform under one simulated clock.
 type network struct {
 	now     clock.Time
 	rng     *rand.Rand
@@ -25,9 +25,9 @@
 	minDelay               time.Duration
 	maxDelay               time.Duration
 	crossDomainDelay       time.Duration            // added between domains and to the platform
-	partitions             map[[2]fleet.Domain]bool // domains that can't reach each other
-	domainsWithoutPlatform map[fleet.Domain]bool    // domains that can't reach the platform
-	vmsWithoutPlatform     map[fleet.VMID]bool      // daemons that alone can't
+	partitions             map[[2]fleet.Domain]bool // pairs of domains that cannot reach each other
+	domainsWithoutPlatform map[fleet.Domain]bool    // domains that cannot reach the platform
+	vmsWithoutPlatform     map[fleet.VMID]bool      // single VMs that cannot reach the platform
 	platformDown           bool
 	reorder                bool
 	platform               platformStore
@@ -35,7 +35,7 @@
 	messages               int
 	sizeOf                 func(Message) int // nil: bytes are not counted
 	bytes                  int
-	hashByRevision         map[uint64]uint64 // hash first seen in force, by revision
+	hashByRevision         map[uint64]uint64 // hash of the content first applied, by revision
 	violations             []string
 }
 
@@ -47,7 +47,7 @@
 	st          *State
 	ready       Ready
 	wake        clock.Time
-	revision    uint64 // applied by this process
+	revision    uint64 // last revision applied by the current process
 	hash        uint64
 	appliedAt   clock.Time
 	watch       *WatchPlatform
@@ -57,12 +57,12 @@
 
 type delivery struct {
 	to *testDaemon
-	st *State // the process it is for
+	st *State // receiving process; dropped if it has restarted since
 	ev Event
 }
 
-// newNetwork starts perDomain daemons in each of domains "a", "b", ..., over a
-// platform holding one service at revision 1.
+// newNetwork starts perDomain daemons in each of the domains "a", "b", ..., and a
+// platform with one service at revision 1.
 func newNetwork(seed uint64, domains, perDomain int) *network {
 	n := &network{
 		now:                    clock.Time(time.Hour),
@@ -94,7 +94,7 @@
 	return n
 }
 
-// restart begins a new process of v, which knows nothing.
+// restart starts a new process of v without any state.
 func (n *network) restart(v *testDaemon) {
 	n.startProcess(v)
 	n.deliverMembers()
@@ -112,11 +112,12 @@
 	n.deliverMembers()
 }
 
-// knownPerOtherDomain is how many members of another domain a daemon knows.
+// knownPerOtherDomain is the number of members of each other domain that a daemon
+// knows.
 const knownPerOtherDomain = 4
 
-// deliverMembers tells every daemon the membership, a little later to each: all of
-// its own domain, and some of the others.
+// deliverMembers sends every daemon the membership, after a delay: all members of
+// its own domain and some of the others.
 func (n *network) deliverMembers() {
 	whole := map[fleet.Domain][]Member{}
 	var rows []Member
@@ -141,8 +142,8 @@
 	}
 }
 
-// memberDelay keeps news of membership in order unless reorder is set; then
-// daemons go on with differing views.
+// memberDelay keeps membership changes in order unless reorder is set; with
+// reorder, daemons keep different views.
 func (n *network) memberDelay() time.Duration {
 	if !n.reorder {
 		return n.maxDelay + time.Duration(n.seq)*time.Nanosecond
@@ -159,7 +160,7 @@
 	n.queue.Push(n.now.Add(after), delivery{to: to, st: to.st, ev: ev})
 }
 
-// run passes time.
+// run processes all deliveries and ticks of the next d.
 func (n *network) run(d time.Duration) {
 	until := n.now.Add(d)
 	for {
@@ -214,17 +215,18 @@
 	}
 }
 
-// checkApplied checks the invariants of everything that comes into force.
+// checkApplied checks the invariants of a catalogue that comes into force: the
+// revision has not decreased, and its content is the same at every daemon.
 func (n *network) checkApplied(v *testDaemon, c *catalogue.Catalogue) {
 	h, err := Hash(c)
 	if err != nil {
 		n.recordViolation("%s: %v", v.id, err)
 	}
 	if c.Revision < v.revision {
-		n.recordViolation("%s fell from %d to %d", v.id, v.revision, c.Revision)
+		n.recordViolation("%s went back from revision %d to %d", v.id, v.revision, c.Revision)
 	}
 	if first, ok := n.hashByRevision[c.Revision]; ok && first != h {
-		n.recordViolation("%s holds other content at %d", v.id, c.Revision)
+		n.recordViolation("%s applied revision %d with hash %016x, seen before with %016x", v.id, c.Revision, h, first)
 	}
 	n.hashByRevision[c.Revision] = h
 	v.revision, v.hash, v.appliedAt = c.Revision, h, n.now
@@ -261,7 +263,7 @@
 	return !n.platformDown && !n.domainsWithoutPlatform[v.domain] && !n.vmsWithoutPlatform[v.id]
 }
 
-// heal mends everything and starts whoever is down.
+// heal ends all faults and starts the daemons that are down.
 func (n *network) heal() {
 	n.lossRate = 0
 	n.reorder = false
@@ -276,8 +278,8 @@
 	n.deliverMembers()
 }
 
-// checkConverged returns what is missing for all daemons to hold the platform's
-// document.
+// checkConverged returns an error unless all daemons that run have the platform's
+// document in force, are confirmed, and have violated no invariant.
 func (n *network) checkConverged() error {
 	if len(n.violations) > 0 {
 		return fmt.Errorf("%v", n.violations)
@@ -291,10 +293,11 @@
 			continue
 		}
 		if v.revision != n.platform.cat.Revision || v.hash != want {
-			return fmt.Errorf("%s holds %d, the platform %d", v.id, v.revision, n.platform.cat.Revision)
+			return fmt.Errorf("%s has revision %d with hash %016x, the platform has %d with %016x",
+				v.id, v.revision, v.hash, n.platform.cat.Revision, want)
 		}
 		if d := v.st.Counters().Diverged; d > 0 {
-			return fmt.Errorf("%s saw %d times two contents under one revision", v.id, d)
+			return fmt.Errorf("%s counted %d divergences: different contents under one revision", v.id, d)
 		}
 		if st := v.st.Status(n.now); st.CutOff || st.PlatformBehind {
 			return fmt.Errorf("%s: %+v", v.id, st)
--- a/decide/config/platform_test.go
+++ b/decide/config/platform_test.go
@@ -8,7 +8,7 @@
 	"github.com/azurethread/azurethread/decide/clock"
 )
 
-// platformStore is the platform's document. Each value ever accepted stays in history.
+// platformStore is the platform's document. lineage lists all accepted revisions.
 type platformStore struct {
 	index   uint64
 	cat     *catalogue.Catalogue
@@ -45,7 +45,7 @@
 	n.deliver(v, quiet, w.Wait+n.delay())
 }
 
-// storeDocument puts a new document into the store and answers the watches on it.
+// storeDocument stores a new document on the platform and answers the watches.
 func (n *network) storeDocument(c *catalogue.Catalogue) {
 	h, err := Hash(c)
 	if err != nil {
@@ -66,8 +66,8 @@
 	}
 }
 
-// write makes a change through v as store.Writer does, and reports whether it
-// was accepted. The answer may be lost.
+// write makes a change through v in the same way as store.Writer, and reports
+// whether it was accepted. If loseAnswer is set, v does not get the answer.
 func (n *network) write(v *testDaemon, id string, loseAnswer bool) bool {
 	base, ok := v.st.Base(n.now)
 	if !ok || !n.reachesPlatform(v) {
@@ -80,7 +80,8 @@
 	c := &catalogue.Catalogue{Services: from.Services}
 	c.Revision = max(from.Revision+1, base.Floor+1, uint64(n.now)/uint64(time.Millisecond))
 	c.Shifts = slices.DeleteFunc(slices.Clone(from.Shifts), func(s catalogue.Shift) bool { return s.ID == id })
-	// Each third change of an entry removes it, so that removals spread too.
+	// Removes an existing entry if the revision is divisible by 3, so that
+	// removals are tested too.
 	if c.Revision%3 != 0 || len(c.Shifts) == len(from.Shifts) {
 		c.Shifts = append(c.Shifts, catalogue.Shift{ID: id, Revision: c.Revision, Owner: "statikos"})
 	}
@@ -91,7 +92,7 @@
 	return true
 }
 
-// restore does what store.Writer.Restore does.
+// restore writes c to the platform in the same way as store.Writer.Restore.
 func (n *network) restore(v *testDaemon, c *catalogue.Catalogue) {
 	n.platformCalls++
 	if !n.reachesPlatform(v) || (n.platform.cat != nil && n.platform.cat.Revision >= c.Revision) {
@@ -101,7 +102,7 @@
 	n.storeDocument(c)
 }
 
-// rollBack puts the store back to older data, with its index.
+// rollBack restores the platform's older data, including its index.
 func (n *network) rollBack(old platformStore) {
 	n.platform = old
 	n.platform.lineage = slices.Clone(old.lineage)
--- a/decide/config/push.go
+++ b/decide/config/push.go
@@ -5,31 +5,31 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// push is the dissemination of new revisions with this daemon as the root.
+// push is the state of pushes that have this daemon as their root.
 type push struct {
 	pending      bool
-	sendDelta    bool       // send the change, not only its digest
+	sendDelta    bool       // send the Delta, not only a Digest
 	baseRevision uint64     // revision before the first change not yet pushed
-	dueAt        clock.Time // when it is due
-	lastSentAt   clock.Time // when the last one was sent
+	dueAt        clock.Time // when the pending push is due
+	lastSentAt   clock.Time // when the last push was sent
 	sent         bool
 	lastRevision uint64 // highest revision pushed or announced
 }
 
-// schedulePush makes the daemon push what came into force after before: whole, or
-// only its digest where another root is expected to push it whole. Changes
-// until the push is due are merged into it.
-func (s *State) schedulePush(before *content, whole bool) {
+// schedulePush schedules a push of everything that came into force after before.
+// If sendDelta is false, only a Digest is sent, because another root is expected
+// to push the Delta. Changes made before the push is due are merged into it.
+func (s *State) schedulePush(before *content, sendDelta bool) {
 	p := &s.push
 	if before == nil {
 		return
 	}
 	if p.pending {
-		p.sendDelta = p.sendDelta || whole
+		p.sendDelta = p.sendDelta || sendDelta
 		return
 	}
 	p.pending = true
-	p.sendDelta = whole
+	p.sendDelta = sendDelta
 	p.baseRevision = before.cat.Revision
 	p.dueAt = s.now
 	if p.sent {
@@ -37,9 +37,9 @@
 	}
 }
 
-// announceCurrent makes a reader send the digest of what is in force down its tree,
-// unless it has pushed that: it reached this daemon down the tree of another
-// root, and may not have reached everybody.
+// announceCurrent schedules a Digest of the content in force down this reader's
+// tree, unless the reader has already pushed that content. The content came down
+// the tree of another root and may not have reached every member.
 func (s *State) announceCurrent() {
 	p := &s.push
 	if p.pending || p.lastRevision >= s.current.cat.Revision {
@@ -55,9 +55,9 @@
 	return p.dueAt
 }
 
-// runPushTimer sends the pending push down the own tree, and its digest to other
-// domains: those without the platform will ask. A change too large for a push
-// is announced by its digest alone.
+// runPushTimer sends the pending push down this daemon's tree, and a Digest to
+// other domains, of which those without the platform will request the change. A
+// change that is too large for a push is announced by a Digest only.
 func (s *State) runPushTimer(out *Ready) {
 	p := &s.push
 	if !p.pending || s.now.Before(p.dueAt) {
@@ -85,8 +85,8 @@
 	return &Push{Root: s.cfg.Self, Delta: *d}
 }
 
-// handlePush takes a Push and passes it down its root's tree, also where it already
-// has the change: those below may not.
+// handlePush applies a Push and forwards it down the tree of its root. It
+// forwards it even if it already has the change, since the members below may not.
 func (s *State) handlePush(from fleet.VMID, m *Push, out *Ready) {
 	s.handleDelta(from, &m.Delta, out)
 	if !s.view.isDomainMember(from) || m.Root == s.cfg.Self || !s.gossip.isNewPush(m.Root, m.Delta.To) {
--- a/decide/config/random_test.go
+++ b/decide/config/random_test.go
@@ -10,17 +10,17 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// convergeWithin bounds the time from healing to agreement: the longest
-// backoff of a reader, the wait before older data is replaced, and a few
+// convergeWithin bounds the time from the end of all faults to convergence: the
+// longest backoff of a reader, the delay before older data is replaced, and a few
 // rounds of digests.
 const convergeWithin = 30 * time.Second
 
-// TestRandomFaults: symptom: two daemons steer by different catalogues, or one
-// goes back. Sequence: any mix of changes with lost answers, restarts, lost and
-// reordered messages, partitions, outages and a platform put back to older
-// data. Cause: whatever rule of this package the mix breaks. The network
-// checks after every step that no process applies a lower revision and that no
-// two hold different content at one revision.
+// TestRandomFaults guards against daemons that have different catalogues or revert
+// to an older one. It runs random sequences of changes with lost answers, restarts,
+// lost and reordered messages, partitions, outages and restores of the platform
+// from older data. The network checks whenever a catalogue is applied that no
+// process applies a lower revision and that no two processes apply different
+// content under one revision.
 func TestRandomFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		domains := rapid.IntRange(1, 4).Draw(t, "domains")
@@ -42,8 +42,8 @@
 	})
 }
 
-// injectFault brings about one random event, and returns the data that a later
-// rollback goes back to.
+// injectFault applies one random change or fault, and returns the data to which
+// a later rollback returns the platform.
 func (n *network) injectFault(t *rapid.T, i int, old platformStore) platformStore {
 	v := rapid.SampledFrom(n.daemons).Draw(t, "node")
 	w := rapid.SampledFrom(n.daemons).Draw(t, "other")
--- a/decide/config/read.go
+++ b/decide/config/read.go
@@ -7,7 +7,7 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// readMode is what a reader waits for.
+// readMode is the kind of platform read in progress.
 type readMode uint8
 
 const (
@@ -16,34 +16,35 @@
 	readWatching
 )
 
-// readSpacing is the least time between the starts of two reads. It merges
-// the changes of a burst, and keeps a platform that answers every watch at
-// once from being asked in a loop.
+// readSpacing is the minimum time between the starts of two reads. It merges
+// the changes of a burst, and prevents a busy loop if the platform answers every
+// watch at once.
 const readSpacing = 500 * time.Millisecond
 
-// platformBehindSpacing is the time between reads while the platform shows older data.
+// platformBehindSpacing is the time between reads while the platform returns
+// older data.
 const platformBehindSpacing = time.Second
 
-// platformReader is this daemon's part in reading the platform.
+// platformReader is the state of this daemon's reads of the platform.
 type platformReader struct {
 	mode      readMode
 	active    bool
 	seq       uint64
-	deadline  clock.Time // when the read under way counts as failed
-	nextAt    clock.Time // when the next one starts
-	startedAt clock.Time // when the last one started
-	watches   int        // since the last plain read
+	deadline  clock.Time // when the read in progress times out
+	nextAt    clock.Time // when the next read starts
+	startedAt clock.Time // when the last read started
+	watches   int        // since the last fetch without a watch
 	failures  int        // since the last success
 
 	index      uint64 // platform's index of its document
 	version    Point  // content at index
-	indexKnown bool   // whether index and point are
+	indexKnown bool   // whether index and version are known
 
 	everSucceeded bool       // whether a read has succeeded yet
-	lastSuccess   clock.Time // instant that the last success vouches for
+	lastSuccess   clock.Time // time as of which the last successful read was current
 
 	lastReads   map[fleet.VMID]clock.Time // last successful read of other members
-	tooFewSince clock.Time                // since when too few of better rank read
+	tooFewSince clock.Time                // since when too few members of higher rank read successfully
 
 	platformBehind      bool
 	platformBehindSince clock.Time
@@ -63,7 +64,7 @@
 	return toAge(now.Sub(r.lastSuccess))
 }
 
-// recordRead notes that a member has read the platform at the instant at.
+// recordRead records that a member has read the platform at the given time.
 func (r *platformReader) recordRead(id fleet.VMID, at clock.Time) {
 	if r.lastReads == nil {
 		r.lastReads = map[fleet.VMID]clock.Time{}
@@ -71,7 +72,7 @@
 	r.lastReads[id] = max(r.lastReads[id], at)
 }
 
-// isReading reports whether a heartbeat has shown a recent successful read of a
+// isReading reports whether a heartbeat has shown a recent successful read by a
 // member.
 func (r *platformReader) isReading(id fleet.VMID, now clock.Time) bool {
 	at, ok := r.lastReads[id]
@@ -97,8 +98,9 @@
 	}
 }
 
-// shouldRead decides whether this daemon should read: by rank, or because
-// those of better rank have shown no successful read for too long.
+// shouldRead decides whether this daemon should read the platform: because of its
+// rank, or because too few members of higher rank have read successfully for too
+// long.
 func (s *State) shouldRead() bool {
 	r, rank := &s.reader, s.view.rank
 	if rank < 0 {
@@ -121,7 +123,8 @@
 	return s.now.Sub(r.tooFewSince) >= wait
 }
 
-// isFirstReader reports whether no member of better rank is known to read.
+// isFirstReader reports whether no member of higher rank is known to read the
+// platform.
 func (s *State) isFirstReader() bool {
 	for _, id := range s.view.domain.ranked[:max(0, s.view.rank)] {
 		if s.reader.isReading(id, s.now) {
@@ -131,8 +134,8 @@
 	return true
 }
 
-// domainHasReader reports whether this daemon's domain reads the platform, so that
-// a change is about to come from there.
+// domainHasReader reports whether a member of this daemon's domain reads the
+// platform, so that a push of a change can be expected from it.
 func (s *State) domainHasReader() bool {
 	if s.reader.working(s.now) {
 		return true
@@ -181,7 +184,7 @@
 	r.platformBehind = false
 }
 
-// timeOutRead gives up a read that was never answered.
+// timeOutRead ends a read that was not answered in time.
 func (s *State) timeOutRead(out *Ready) {
 	if s.reader.mode == readWatching {
 		out.Stop = append(out.Stop, StopWatching{Seq: s.reader.seq})
@@ -189,9 +192,10 @@
 	s.recordReadFailure()
 }
 
-// startRead watches from the known index, or reads at once: at first, after a
-// failure, while the platform is behind, and now and then, since a watch on an
-// index that the platform has lost would never return.
+// startRead watches from the known index, or fetches the document: if no index
+// is known, after a failure, while the platform is behind, and after
+// PlainReadEvery watches, since a watch on an index that the platform has lost
+// would never return.
 func (s *State) startRead(out *Ready) {
 	r := &s.reader
 	r.seq++
@@ -212,7 +216,8 @@
 func (s *State) handlePlatformRead(ev *PlatformRead, out *Ready) {
 	current := ev.Seq == s.reader.seq && s.reader.mode != readIdle
 	if !current {
-		// An answer that was given up on may still bring something newer.
+		// The answer to a read that has timed out may still hold a newer
+		// document.
 		if ev.Result == ReadDocument && ev.Catalogue != nil {
 			s.handleDocument(ev, out)
 		}
@@ -248,9 +253,8 @@
 	s.counters.Reads++
 }
 
-// recordReadFailure sets the time of the next attempt. Those of later ranks are
-// farther apart, so that in an outage the whole fleet doesn't call the
-// platform.
+// recordReadFailure sets the time of the next attempt. The backoff grows with the
+// rank, so that during an outage the whole fleet does not call the platform.
 func (s *State) recordReadFailure() {
 	r := &s.reader
 	r.mode = readIdle
@@ -263,8 +267,8 @@
 	r.nextAt = s.now.Add(s.withJitter(wait))
 }
 
-// handleDocument takes the platform's document; it returns false if that is
-// unreadable.
+// handleDocument processes the platform's document. It returns false if the
+// document is malformed.
 func (s *State) handleDocument(ev *PlatformRead, out *Ready) bool {
 	c, err := newContent(ev.Catalogue)
 	if err != nil || c.cat.Revision > MaxRevision {
@@ -306,27 +310,29 @@
 	s.checkBehind(Point{}, ev.Confirmed, out)
 }
 
-// checkLineage detects a platform that was restored to older data and has
-// accepted writes since: what is in force here is not part of its history.
+// checkLineage detects a platform that was restored from older data and has
+// accepted writes since: the content in force here is missing from its lineage.
 func (s *State) checkLineage(p Point, lineage []Point) {
-	held := s.current.version()
-	if p.Revision <= held.Revision || len(lineage) == 0 {
+	current := s.current.version()
+	if p.Revision <= current.Revision || len(lineage) == 0 {
 		return
 	}
 	oldest := lineage[0].Revision
 	for _, l := range lineage {
-		if l == held {
+		if l == current {
 			return
 		}
 		oldest = min(oldest, l.Revision)
 	}
-	if oldest <= held.Revision {
+	if oldest <= current.Revision {
 		s.counters.HistoryLost++
 	}
 }
 
-// checkBehind detects a platform that shows an older revision than the one in
-// force, in an answer to a read that began after that came into force.
+// checkBehind detects a platform that returns older content than the content in
+// force, in an answer to a read that was sent after that came into force. If this
+// persists for RestoreDelay times the rank (from 1), it requests that the platform
+// be restored.
 func (s *State) checkBehind(p Point, asked clock.Time, out *Ready) {
 	r := &s.reader
 	if !s.current.version().supersedes(p) {
--- a/decide/config/ready.go
+++ b/decide/config/ready.go
@@ -8,8 +8,9 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// Ready holds the effects of one step, to be carried out in any order but with
-// the messages to one peer in theirs. The caller reuses it; Step clears it.
+// Ready holds the effects of one step. They may be executed in any order, except
+// that messages to the same peer must stay in order. The caller reuses Ready; Step
+// clears it.
 type Ready struct {
 	Apply   []Apply
 	Send    []Send
@@ -22,18 +23,19 @@
 	Wake clock.Time
 }
 
-// Apply puts a new catalogue in force at this daemon. It must not be changed.
+// Apply puts a new catalogue in force at this daemon. The catalogue must not be
+// modified.
 type Apply struct {
 	Catalogue *catalogue.Catalogue
 }
 
-// Send passes Msg to a peer; it may be lost.
+// Send sends Msg to a peer. The message may be lost.
 type Send struct {
 	To  fleet.VMID
 	Msg Message
 }
 
-// WatchPlatform asks for the document once its index is above After, and for
+// WatchPlatform requests the document as soon as its index exceeds After, or
 // ReadNotModified after Wait.
 type WatchPlatform struct {
 	Seq   uint64
@@ -41,23 +43,23 @@
 	Wait  time.Duration
 }
 
-// FetchPlatform asks for the document now.
+// FetchPlatform requests the document immediately.
 type FetchPlatform struct {
 	Seq uint64
 }
 
-// StopWatching abandons the watch under way; its answer is no longer needed.
+// StopWatching cancels the watch in progress.
 type StopWatching struct {
 	Seq uint64
 }
 
-// RestorePlatform asks for Catalogue to be written to a platform that holds a
-// lower revision. It must be fenced by compare-and-swap.
+// RestorePlatform requests that Catalogue be written to a platform that holds a
+// lower revision. The write must use compare-and-swap.
 type RestorePlatform struct {
 	Catalogue *catalogue.Catalogue
 }
 
-// StatusChange reports a new Status other than by its ages.
+// StatusChange reports a changed Status.
 type StatusChange struct {
 	Status Status
 }
@@ -73,41 +75,41 @@
 	r.Wake = clock.Never
 }
 
-// Status is what operators are shown.
+// Status is the state of the configuration as shown to operators.
 type Status struct {
-	// Ready says that a catalogue is in force.
+	// Ready is true if a catalogue is in force.
 	Ready bool
-	// CutOff says that nothing has confirmed it for CutOffAfter.
+	// CutOff is true if the catalogue has not been confirmed for CutOffAfter.
 	CutOff bool
-	// PlatformBehind says that the platform shows an older revision.
+	// PlatformBehind is true if the platform returns an older revision.
 	PlatformBehind bool
-	// Reading says that this daemon reads the platform successfully.
+	// Reading is true if this daemon reads the platform successfully.
 	Reading  bool
 	Revision uint64
 	Hash     uint64
 }
 
-// Counters count what operators should look at.
+// Counters counts events for monitoring, since the start of the process.
 type Counters struct {
 	Applied        uint64 // catalogues put in force
-	Malformed      uint64 // messages refused by their bounds
-	OtherFormat    uint64 // messages of another release's format
-	HashMismatch   uint64 // deltas and snapshots whose content had another hash
-	Lower          uint64 // lower revisions offered and refused
-	Diverged       uint64 // two contents seen under one revision: must stay 0
+	Malformed      uint64 // messages and documents rejected as invalid
+	OtherFormat    uint64 // messages in the format of another release
+	HashMismatch   uint64 // deltas and snapshots whose content did not match the stated hash
+	Lower          uint64 // lower revisions received and rejected
+	Diverged       uint64 // different contents seen under one revision: must stay 0
 	HistoryLost    uint64 // platform documents not built on the revision in force: must stay 0
-	PlatformBehind uint64 // platform reads showing a lower revision
+	PlatformBehind uint64 // platform reads that returned a lower revision
 	ReadsFailed    uint64
 	Reads          uint64 // successful
-	Takeovers      uint64 // times this daemon began to read for a better rank
+	Takeovers      uint64 // times this daemon began to read in place of members of higher rank
 	Restores       uint64
 	Pauses         uint64
 	MessagesOut    uint64
 }
 
-// Base is what a write is built on when the platform holds less.
+// Base is the base of a write if the platform has only older content.
 type Base struct {
 	Catalogue *catalogue.Catalogue
-	// Floor is the highest revision known to exist; a new one must exceed it.
+	// Floor is the highest known revision; a new revision must exceed it.
 	Floor uint64
 }
--- a/decide/config/session_test.go
+++ b/decide/config/session_test.go
@@ -11,7 +11,7 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// session is a golden session of a small fleet. Revisions are shown as r1, r2
+// session runs a golden session of a small fleet. Revisions are shown as r1, r2
 // and so on, in the order in which they were accepted.
 type session struct {
 	n             *network
@@ -57,7 +57,7 @@
 	}
 }
 
-// injectFault brings a fault about, or ends it.
+// injectFault starts or ends a fault.
 func (s *session) injectFault(t *testing.T, d *datadriven.TestData) {
 	arg := func(i int) string { return d.CmdArgs[i].Key }
 	switch d.Cmd {
@@ -81,7 +81,8 @@
 	}
 }
 
-// nameRevision gives the platform's revision a name.
+// nameRevision returns the name of the platform's revision, and assigns one to a
+// new revision.
 func (s *session) nameRevision() string {
 	r := s.n.platform.cat.Revision
 	if s.names[r] == "" {
@@ -90,7 +91,7 @@
 	return s.names[r]
 }
 
-// runAndShow lets time pass and shows each daemon.
+// runAndShow runs the network for d and returns the state of each daemon.
 func (s *session) runAndShow(d time.Duration) string {
 	s.n.run(d)
 	var b strings.Builder
--- a/decide/config/state.go
+++ b/decide/config/state.go
@@ -11,23 +11,24 @@
 	"github.com/azurethread/azurethread/decide/rank"
 )
 
-// Config states who this daemon is.
+// Config identifies this daemon.
 type Config struct {
 	Self        fleet.VMID
 	Domain      fleet.Domain
 	Incarnation fleet.Incarnation
-	// Seed starts the random choice of peers.
+	// Seed initialises the random number generator for the choice of peers and
+	// the jitter of timers.
 	Seed uint64
 }
 
-// State is one daemon's state of the configuration and its dissemination. It is
-// not safe for concurrent use.
+// State holds the configuration in force at one daemon and the state of its
+// dissemination. It is not safe for concurrent use.
 type State struct {
 	cfg  Config
 	rng  *rand.Rand
 	view view
 
-	current      *content   // in force; nil before the first
+	current      *content   // in force; nil until the first is installed
 	currentSince clock.Time // when it came into force
 	history      history
 	assembly     snapshotAssembly
@@ -59,8 +60,8 @@
 	return Member{ID: s.cfg.Self, Domain: s.cfg.Domain, Incarnation: s.cfg.Incarnation, State: fleet.Live}
 }
 
-// Step takes one event and puts its effects into out, which it clears first.
-// now must not fall.
+// Step processes one event and stores its effects in out, which it clears first.
+// now must not decrease.
 func (s *State) Step(now clock.Time, ev Event, out *Ready) {
 	out.reset()
 	s.beginStep(now)
@@ -79,9 +80,9 @@
 	s.finishStep(out)
 }
 
-// beginStep detects pauses. A process that was suspended for an hour reads messages
-// that waited in its sockets; their ages are an hour too low, and would confirm
-// a configuration that may be an hour old.
+// beginStep sets the time and detects pauses. A process that was suspended for an
+// hour reads messages that waited in its sockets; the ages in them are an hour too
+// low and would confirm a configuration that may be an hour old.
 func (s *State) beginStep(now clock.Time) {
 	if !s.started {
 		s.started = true
@@ -96,8 +97,8 @@
 	s.now = max(now, s.now)
 }
 
-// startTimers sets the timers of a new daemon with jitter, so that daemons started
-// together don't send together.
+// startTimers sets the timers of a new daemon with jitter, so that daemons that
+// start at the same time do not send at the same time.
 func (s *State) startTimers() {
 	s.join.begin(s.now)
 	s.gossip.nextDigest = s.now.Add(s.jitter(DigestInterval))
@@ -144,7 +145,7 @@
 	}
 }
 
-// countRejected counts a refused message by its cause.
+// countRejected counts a rejected message by its cause.
 func (s *State) countRejected(err error) {
 	switch {
 	case errors.Is(err, errFormat):
@@ -170,8 +171,8 @@
 	s.confirmCurrent(c.version(), ev.Confirmed)
 }
 
-// install puts c in force if it may be, and reports whether it did. Nothing else
-// brings a revision into force.
+// install puts c in force if it may replace the current content, and reports
+// whether it did. This is the only way in which a revision comes into force.
 func (s *State) install(c *content, out *Ready) bool {
 	if s.current != nil && !s.mayReplace(c) {
 		return false
@@ -191,8 +192,8 @@
 	return true
 }
 
-// installFromPeer is adopt for content that a peer sent. Content from another domain
-// is pushed in the own one, which may have no other way to it.
+// installFromPeer installs content that a peer has sent. Content from another
+// domain is pushed in this daemon's domain, which may have no other source for it.
 func (s *State) installFromPeer(from fleet.VMID, c *content, out *Ready) bool {
 	before := s.current
 	if !s.install(c, out) {
@@ -204,24 +205,26 @@
 	return true
 }
 
-// mayReplace holds the two rules that make all daemons agree: the higher
-// revision wins, and of two contents under one revision the greater hash.
+// mayReplace reports whether c may replace the current content. All daemons
+// converge because of its two rules: the higher revision wins, and of two contents
+// with the same revision the one with the greater hash.
 func (s *State) mayReplace(c *content) bool {
-	held, next := s.current.version(), c.version()
+	current, next := s.current.version(), c.version()
 	switch {
-	case next.Revision < held.Revision:
+	case next.Revision < current.Revision:
 		s.counters.Lower++
 		return false
-	case next.Revision > held.Revision:
+	case next.Revision > current.Revision:
 		return true
-	case next.Hash == held.Hash:
+	case next.Hash == current.Hash:
 		return false
 	}
 	s.counters.Diverged++
-	return next.Hash > held.Hash
+	return next.Hash > current.Hash
 }
 
-// currentVersion returns what is in force; the zero Point before the first.
+// currentVersion returns the revision and hash in force, or zeros if no catalogue
+// is in force.
 func (s *State) currentVersion() Point {
 	if s.current == nil {
 		return Point{}
@@ -229,7 +232,7 @@
 	return s.current.version()
 }
 
-// runTimers runs whatever is due at s.now.
+// runTimers runs all timers that are due.
 func (s *State) runTimers(out *Ready) {
 	s.runJoinTimers(out)
 	s.runCatchUpTimers(out)
@@ -238,7 +241,7 @@
 	s.runGossipTimers(out)
 }
 
-// finishStep reports a changed status and sets the wake time.
+// finishStep reports a changed Status and sets the time of the next Tick.
 func (s *State) finishStep(out *Ready) {
 	if st := s.Status(s.now); st != s.lastStatus {
 		s.lastStatus = st
@@ -263,7 +266,7 @@
 // Ready reports whether a catalogue is in force.
 func (s *State) Ready() bool { return s.current != nil }
 
-// Catalogue returns the catalogue in force, or nil. It must not be changed.
+// Catalogue returns the catalogue in force, or nil. It must not be modified.
 func (s *State) Catalogue() *catalogue.Catalogue {
 	if s.current == nil {
 		return nil
