--- a/decide/block/address.go
+++ b/decide/block/address.go
@@ -8,15 +8,15 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// The address widths that keys hold. An IPv6 network of one client is a /64,
-// so the upper half of an IPv6 address identifies the client and the lower half
-// is not kept.
+// Address widths of keys, in bits. The network of one IPv6 client is a /64, so
+// the upper half of an IPv6 address identifies the client and the lower half is
+// not stored.
 const (
 	width4 = 32
 	width6 = 64
 )
 
-// key is an address: all of an IPv4 one, or the upper half of an IPv6 one.
+// key is an IPv4 address or the upper half of an IPv6 address.
 type key interface{ uint32 | uint64 }
 
 func key4(a netip.Addr) uint32 {
@@ -41,7 +41,7 @@
 	return netip.PrefixFrom(netip.AddrFrom16(b), int(bits))
 }
 
-// checkPrefix refuses prefixes that a table does not hold.
+// checkPrefix returns an error for prefixes that a table cannot hold.
 func checkPrefix(p netip.Prefix) error {
 	switch {
 	case !p.IsValid():
@@ -56,9 +56,9 @@
 	return nil
 }
 
-// Hash returns the number by which a block is placed in shares and choices.
-// It depends on the prefix alone, so every daemon and every process of a
-// daemon computes the same one.
+// Hash returns a hash of the prefix for assigning blocks to shares and for
+// choosing among alternatives. It depends only on the prefix, so all daemons
+// compute the same value, also after a restart.
 func Hash(p netip.Prefix) uint64 {
 	var b [17]byte
 	a := p.Addr().As16()
@@ -67,14 +67,15 @@
 	return xxhash.Sum64(b[:])
 }
 
-// The blocks assumed for addresses that no block holds: the networks that one
-// site's clients commonly share.
+// Prefix lengths assumed for addresses that are in no block: the usual size of a
+// network shared by the clients of one site.
 const (
 	defaultBits4 = 24
 	defaultBits6 = 48
 )
 
-// Implied returns the block assumed for an address that no block holds.
+// Implied returns the prefix to use as the block of an address that is in no
+// block of the table.
 func Implied(a netip.Addr) netip.Prefix {
 	a = a.Unmap().WithZone("")
 	bits := defaultBits6
@@ -83,7 +84,7 @@
 	}
 	p, err := a.Prefix(bits)
 	if err != nil {
-		return netip.Prefix{} // a is the zero Addr
+		return netip.Prefix{} // a is the invalid zero Addr
 	}
 	return p
 }
--- a/decide/block/blocktest/blocktest.go
+++ b/decide/block/blocktest/blocktest.go
@@ -1,7 +1,7 @@
-// Package blocktest makes tables of client blocks for tests and benchmarks:
-// about seven blocks in ten are IPv4 networks of /20 to /26 and the others
-// IPv6 networks of /44 to /56, some of them nested, in runs with gaps as
-// address space is handed out.
+// Package blocktest generates tables of client blocks for tests and benchmarks.
+// About 70% of the blocks are IPv4 networks of /20 to /26, and the others are IPv6
+// networks of /44 to /56. Some are nested, and there are gaps between runs of
+// adjacent blocks, as in allocated address space.
 package blocktest
 
 import (
@@ -16,8 +16,8 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// Topology returns a topology of regions named r00, r01, ... that share
-// domains named r00-d0, r01-d0, ... evenly.
+// Topology returns a topology of regions named r00, r01, ... over which failure
+// domains named r00-d0, r01-d0, ... are distributed evenly.
 func Topology(regions, domains int) block.Topology {
 	t := make(block.Topology, regions)
 	for i := range domains {
@@ -30,22 +30,22 @@
 // RegionName returns the name of region i.
 func RegionName(i int) fleet.Region { return fleet.Region(fmt.Sprintf("r%02d", i)) }
 
-// Blocks returns n distinct blocks in ascending order, the same for the same
-// arguments. Every failure domain of the topology is home to as many of them
-// as any other; the homes name it and the next one of its region as preferred
-// where preferred is true, and only the region otherwise.
+// Blocks returns n distinct blocks in ascending order. The result depends only on
+// the arguments. Each block is assigned to a failure domain of the topology with
+// equal probability. If preferred is true, its home lists that domain and the next
+// one of the region as preferred; otherwise the home has only the region.
 func Blocks(n int, topology block.Topology, preferred bool, seed uint64) []block.Block {
 	g := generator{rng: rand.New(rand.NewPCG(seed, 0)), homes: homes(topology, preferred)}
 	v4 := n - n*3/10
 	g.blocks = make([]block.Block, 0, n)
-	// The gaps are set so that the blocks cover the space from 1.0.0.0 up to
-	// about 223.0.0.0 and 2400::/16.
+	// The gaps are sized so that the blocks cover the address space from 1.0.0.0
+	// to about 223.0.0.0, and 2400::/16.
 	g.generateIPv4(v4, uint64(222<<24)/uint64(v4+1))
 	g.generateIPv6(n-v4, uint64(1<<48)/uint64(n-v4+1))
 	return g.blocks
 }
 
-// homes returns one home for every failure domain, ordered by name.
+// homes returns one home per failure domain, sorted by region.
 func homes(topology block.Topology, preferred bool) []block.Home {
 	var out []block.Home
 	for _, r := range slices.Sorted(maps.Keys(topology)) {
@@ -69,7 +69,7 @@
 	b := block.NewBuilder(nil)
 	for _, x := range Blocks(n, topology, preferred, seed) {
 		if err := b.Add(x.Prefix, x.Home); err != nil {
-			panic(err) // the generator makes valid prefixes only
+			panic(err) // the generator makes only valid prefixes
 		}
 	}
 	t, err := b.Build()
@@ -79,7 +79,7 @@
 	return t
 }
 
-// Addrs returns n addresses of clients in random blocks of t.
+// Addrs returns n client addresses in random blocks of t.
 func Addrs(t *block.Table, n int, seed uint64) []netip.Addr {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	prefixes := make([]netip.Prefix, 0, t.Len())
@@ -93,7 +93,7 @@
 	return addrs
 }
 
-// Addr returns the address of p that x chooses.
+// Addr returns the address in p whose host bits are taken from x.
 func Addr(p netip.Prefix, x uint64) netip.Addr {
 	if p.Addr().Is4() {
 		b := p.Addr().As4()
@@ -108,7 +108,7 @@
 	return netip.AddrFrom16(b)
 }
 
-// generator walks up the address space.
+// generator generates blocks in ascending order of address.
 type generator struct {
 	rng     *rand.Rand
 	homes   []block.Home
@@ -148,8 +148,8 @@
 	}
 }
 
-// nextStart returns where the next block may start: mostly right behind the last
-// one, and now and then as far ahead as due.
+// nextStart returns the start for the next block: the end of the last one or, in
+// one of 16 cases, due if that is greater.
 func (g *generator) nextStart(end, due uint64) uint64 {
 	if end < due && g.rng.IntN(16) == 0 {
 		return due
@@ -159,7 +159,7 @@
 
 func (g *generator) pick(choices ...int) int { return choices[g.rng.IntN(len(choices))] }
 
-// appendBlock adds a block; runs of neighbouring blocks share one home.
+// appendBlock appends a block. Runs of adjacent blocks share one home.
 func (g *generator) appendBlock(p netip.Prefix) {
 	if g.runLeft == 0 {
 		g.runLeft = 1 + g.rng.IntN(8)
--- a/decide/block/build.go
+++ b/decide/block/build.go
@@ -7,8 +7,8 @@
 	"slices"
 )
 
-// MaxBlocks is the largest number of blocks in a table. It bounds the memory
-// that a faulty source can make a daemon take.
+// MaxBlocks is the maximum number of blocks in a table. It bounds the memory that
+// a faulty source can make a daemon allocate.
 const MaxBlocks = 1 << 24
 
 // Builder collects blocks for a Table.
@@ -20,7 +20,7 @@
 	line     int
 }
 
-// parsedBlock is an entry with the line it came from, for error reports.
+// parsedBlock is a block and its line in the source, for error messages.
 type parsedBlock[K key] struct {
 	start K
 	line  uint32
@@ -28,7 +28,8 @@
 	bits  uint8
 }
 
-// NewBuilder returns a Builder that accepts the names of topology.
+// NewBuilder returns a Builder that accepts only regions and failure domains of
+// topology.
 func NewBuilder(topology Topology) *Builder {
 	return &Builder{topology: topology, homes: newHomeSet(nil)}
 }
@@ -46,7 +47,7 @@
 	return nil
 }
 
-// homeID checks h and returns its number.
+// homeID checks h against the topology and returns its HomeID.
 func (b *Builder) homeID(h Home) (HomeID, error) {
 	if err := b.topology.check(h); err != nil {
 		return 0, err
@@ -54,7 +55,7 @@
 	return b.homes.id(h)
 }
 
-// addBlock adds a block of the current line.
+// addBlock adds a block from the current line.
 func (b *Builder) addBlock(p netip.Prefix, id HomeID) error {
 	if err := checkPrefix(p); err != nil {
 		return err
@@ -72,14 +73,14 @@
 }
 
 // Build returns the table and empties the Builder. It fails with a
-// *ConflictError where one prefix was given two different homes; the same
-// block given twice is accepted.
+// *ConflictError if one prefix was added with two different homes. Adding the same
+// block twice is allowed.
 func (b *Builder) Build() (*Table, error) {
 	e4, err := sortedEntries(b, b.v4, prefix4)
 	if err != nil {
 		return nil, err
 	}
-	b.v4 = nil // the drafts are as large as the table: let them go early
+	b.v4 = nil // as large as the table: free it early
 	e6, err := sortedEntries(b, b.v6, prefix6)
 	if err != nil {
 		return nil, err
@@ -96,9 +97,10 @@
 	return t, nil
 }
 
-// sortedEntries sorts drafts and turns them into entries without duplicates.
-func sortedEntries[K key](b *Builder, drafts []parsedBlock[K], prefix func(K, uint8) netip.Prefix) ([]entry[K], error) {
-	slices.SortFunc(drafts, func(x, y parsedBlock[K]) int {
+// sortedEntries sorts parsed blocks and converts them to entries without
+// duplicates.
+func sortedEntries[K key](b *Builder, parsed []parsedBlock[K], prefix func(K, uint8) netip.Prefix) ([]entry[K], error) {
+	slices.SortFunc(parsed, func(x, y parsedBlock[K]) int {
 		if c := cmp.Compare(x.start, y.start); c != 0 {
 			return c
 		}
@@ -107,13 +109,13 @@
 		}
 		return cmp.Compare(x.line, y.line)
 	})
-	entries := make([]entry[K], 0, len(drafts))
-	for i, d := range drafts {
-		if i == 0 || d.start != drafts[i-1].start || d.bits != drafts[i-1].bits {
+	entries := make([]entry[K], 0, len(parsed))
+	for i, d := range parsed {
+		if i == 0 || d.start != parsed[i-1].start || d.bits != parsed[i-1].bits {
 			entries = append(entries, entry[K]{start: d.start, home: d.home, bits: d.bits, parent: noParent})
 			continue
 		}
-		if e := drafts[i-1]; e.home != d.home {
+		if e := parsed[i-1]; e.home != d.home {
 			return nil, &ConflictError{
 				Prefix: prefix(d.start, d.bits),
 				Line:   int(d.line), First: int(e.line),
--- a/decide/block/chunk.go
+++ b/decide/block/chunk.go
@@ -8,54 +8,57 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// MaxChunk is the largest size of a chunk in bytes: the platform's limit for
-// one value, 1 MB, less some room for the envelope of a chunk.
+// MaxChunk is the maximum size of a chunk in bytes: the platform's limit of 1 MB
+// for one value, minus 16 KiB for the envelope of a chunk.
 const MaxChunk = 1_000_000 - 16<<10
 
-// Manifest lists the chunks of one table. It is written after them, with a
-// compare-and-swap, so a reader that sees it finds every chunk.
+// Manifest lists the chunks of one table. It is written by compare-and-swap after
+// the chunks, so a reader that sees it finds every chunk.
 type Manifest struct {
-	Chunks []uint64 // Key of each chunk, in order
+	Chunks []uint64 // ChunkKey of each chunk, in order
 	Blocks int      // number of blocks in all chunks
 	Sum    uint64   // Table.Sum
 }
 
-// ChunkKey is the name of a chunk: the hash of its content. A chunk whose
-// blocks have not changed keeps its key and need not be written or read again.
+// ChunkKey returns the key of a chunk, which is the hash of its content. A chunk
+// whose blocks have not changed keeps its key and need not be written or read
+// again.
 func ChunkKey(chunk []byte) uint64 { return xxhash.Sum64(chunk) }
 
-// A chunk is
+// The format of a chunk is
 //
 //	version  1 byte
 //	homes    uvarint count, then each as uvarint length and "region domain,..."
 //	blocks   until the end: family and length (1 byte), home (uvarint),
-//	         start minus the start before (uvarint; IPv6: the upper 64 bits)
+//	         start minus the previous start (uvarint; IPv6: the upper 64 bits)
 //
-// The length byte is the prefix length for IPv4 and 64 plus it for IPv6. The
-// first start of a chunk and of a family is counted from zero.
+// The length byte is the prefix length for IPv4, and 64 plus the prefix length for
+// IPv6. The first start of each family in a chunk is relative to zero.
 const (
 	chunkVersion     = 1
 	ipv6LengthOffset = 64
 )
 
-// chunkEndMask makes a chunk end after a block whose hash has these bits zero, one
-// in 2^16. Ends then depend on blocks and not on positions, so that an added
-// block changes its own chunk and not all that follow.
+// chunkEndMask ends a chunk after a block whose hash has these bits zero, which
+// is one block in 2^16 on average. The ends of chunks then depend on the blocks
+// and not on their positions, so an added block changes only its own chunk and
+// not all later ones.
 const chunkEndMask = 1<<16 - 1
 
-// chunkWriter collects one chunk.
+// chunkWriter encodes one chunk.
 type chunkWriter struct {
 	table       *Table
 	limit       int
-	homeIndexes map[HomeID]uint64 // numbers within the chunk
+	homeIndexes map[HomeID]uint64 // home numbers within the chunk
 	homes       []byte
 	body        []byte
 	lastStart   uint64
 	inIPv6      bool
 }
 
-// EncodeChunks writes t as chunks of at most limit bytes each; limit is at
-// most MaxChunk and must have room for one block.
+// EncodeChunks encodes t as chunks of at most limit bytes each, and returns them
+// with their manifest. A limit above MaxChunk is reduced to MaxChunk; it must be
+// large enough for one block.
 func EncodeChunks(t *Table, limit int) ([][]byte, Manifest, error) {
 	m := Manifest{Blocks: t.Len(), Sum: t.Sum()}
 	var chunks [][]byte
@@ -71,7 +74,7 @@
 		if !w.add(p, id) {
 			flush()
 			if !w.add(p, id) {
-				return nil, Manifest{}, fmt.Errorf("%w: a block does not fit %d bytes", ErrTooLarge, w.limit)
+				return nil, Manifest{}, fmt.Errorf("%w: block %s does not fit in a chunk of %d bytes", ErrTooLarge, p, w.limit)
 			}
 		}
 		if Hash(p)&chunkEndMask == 0 {
@@ -93,8 +96,8 @@
 // maxChunkHeader bounds the version and the count of homes.
 const maxChunkHeader = 1 + binary.MaxVarintLen32
 
-// add appends a block, or reports false and changes nothing where the chunk
-// has no room for it.
+// add appends a block. If the chunk has no room for it, add returns false and
+// changes nothing.
 func (w *chunkWriter) add(p netip.Prefix, id HomeID) bool {
 	n, known := w.homeIndexes[id]
 	home := ""
@@ -122,7 +125,7 @@
 	return true
 }
 
-// packPrefix returns a block's start and length byte.
+// packPrefix returns the start and the length byte of a block.
 func packPrefix(p netip.Prefix) (start uint64, length byte) {
 	if p.Addr().Is4() {
 		return uint64(key4(p.Addr())), byte(p.Bits())
@@ -138,16 +141,17 @@
 	return append(out, w.body...)
 }
 
-// DecodeChunks builds a table from the chunks of a manifest, in its order. A
-// missing, altered or surplus chunk refuses the whole.
+// DecodeChunks builds a table from the chunks of a manifest, given in the order of
+// the manifest. If a chunk is missing, altered or surplus, it returns an error and
+// no table.
 func DecodeChunks(m Manifest, chunks [][]byte, topology Topology) (*Table, error) {
 	if len(chunks) != len(m.Chunks) {
-		return nil, fmt.Errorf("%w: %d chunks, %d stated", ErrTruncated, len(chunks), len(m.Chunks))
+		return nil, fmt.Errorf("%w: got %d chunks, the manifest lists %d", ErrTruncated, len(chunks), len(m.Chunks))
 	}
 	b := NewBuilder(topology)
 	for i, chunk := range chunks {
 		if key := ChunkKey(chunk); key != m.Chunks[i] {
-			return nil, fmt.Errorf("%w: chunk %d is %016x, %016x stated", ErrTruncated, i+1, key, m.Chunks[i])
+			return nil, fmt.Errorf("%w: chunk %d has key %016x, the manifest lists %016x", ErrTruncated, i+1, key, m.Chunks[i])
 		}
 		if err := decodeChunk(b, chunk); err != nil {
 			return nil, fmt.Errorf("chunk %d: %w", i+1, err)
@@ -158,13 +162,14 @@
 		return nil, err
 	}
 	if t.Len() != m.Blocks || t.Sum() != m.Sum {
-		return nil, fmt.Errorf("%w: %d blocks with checksum %016x, %d with %016x stated",
+		return nil, fmt.Errorf("%w: got %d blocks with checksum %016x, the manifest states %d with %016x",
 			ErrTruncated, t.Len(), t.Sum(), m.Blocks, m.Sum)
 	}
 	return t, nil
 }
 
-// chunkReader reads the fields of a chunk; after a fault it returns zeros.
+// chunkReader reads the fields of a chunk. After a decoding error, failed is set
+// and the values read are zero.
 type chunkReader struct {
 	rest   []byte
 	failed bool
@@ -205,7 +210,7 @@
 func decodeChunk(b *Builder, chunk []byte) error {
 	r := chunkReader{rest: chunk}
 	if v := r.readByte(); v != chunkVersion {
-		return fmt.Errorf("%w: version %d", ErrSyntax, v)
+		return fmt.Errorf("%w: chunk version %d, want %d", ErrSyntax, v, chunkVersion)
 	}
 	ids, err := decodeHomes(b, &r)
 	if err != nil {
@@ -217,7 +222,7 @@
 		b.line++
 		length, home, step := r.readByte(), r.readUvarint(), r.readUvarint()
 		if r.failed || home >= uint64(len(ids)) {
-			return &SourceError{Line: b.line, Err: fmt.Errorf("%w: chunk ends early or names no home", ErrSyntax)}
+			return &SourceError{Line: b.line, Err: fmt.Errorf("%w: chunk ends early or refers to an unknown home", ErrSyntax)}
 		}
 		if length >= ipv6LengthOffset && !last6 {
 			last, last6 = 0, true
@@ -237,13 +242,13 @@
 func decodeHomes(b *Builder, r *chunkReader) ([]HomeID, error) {
 	n := r.readUvarint()
 	if n > uint64(len(r.rest)) {
-		return nil, fmt.Errorf("%w: %d homes in %d bytes", ErrSyntax, n, len(r.rest))
+		return nil, fmt.Errorf("%w: chunk states %d homes but has only %d bytes left", ErrSyntax, n, len(r.rest))
 	}
 	ids := make([]HomeID, 0, n)
 	for range n {
 		text := r.readString()
 		if r.failed {
-			return nil, fmt.Errorf("%w: chunk ends within its homes", ErrSyntax)
+			return nil, fmt.Errorf("%w: chunk ends within its list of %d homes", ErrSyntax, n)
 		}
 		h, err := parseHome(text)
 		if err != nil {
@@ -264,7 +269,7 @@
 		return prefix6(start, length-ipv6LengthOffset), nil
 	}
 	if start > 1<<width4-1 || length > width4 {
-		return netip.Prefix{}, fmt.Errorf("%w: start %d, length %d", ErrPrefix, start, length)
+		return netip.Prefix{}, fmt.Errorf("%w: start %d and length %d are not an IPv4 prefix", ErrPrefix, start, length)
 	}
 	return prefix4(uint32(start), length), nil
 }
--- a/decide/block/diff.go
+++ b/decide/block/diff.go
@@ -2,7 +2,7 @@
 
 import "net/netip"
 
-// Diff returns the delta that leads from one table to another.
+// Diff returns the delta that changes the table from into the table to.
 func Diff(from, to *Table) Delta {
 	d := Delta{From: from.Sum(), To: to.Sum()}
 	if from == nil {
@@ -17,7 +17,8 @@
 	return d
 }
 
-// sameHomes returns the test whether a home of one table equals one of another.
+// sameHomes returns a function that reports whether a home of from equals a home
+// of to.
 func sameHomes(from, to *Table) func(HomeID, HomeID) bool {
 	set := newHomeSet(from.homes)
 	ids := make([]HomeID, len(to.homes))
@@ -28,7 +29,7 @@
 	return func(a, b HomeID) bool { return found[b] && ids[b] == a }
 }
 
-// cursor walks over the entries of one address family.
+// cursor iterates over the entries of one address family.
 type cursor[K key] struct {
 	pages []page[K]
 	index int // index in pages[0]
@@ -49,7 +50,8 @@
 	}
 }
 
-// diffPages walks both families in step and notes what differs.
+// diffPages iterates over both tables of one address family in parallel and adds
+// their differences to d.
 func diffPages[K key](
 	d *Delta, table *Table, from, to *pages[K], same func(HomeID, HomeID) bool, prefix func(K, uint8) netip.Prefix,
 ) {
--- a/decide/block/errors.go
+++ b/decide/block/errors.go
@@ -8,31 +8,31 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// Reasons for which a source or a delta is refused. Errors returned by this
-// package wrap one of them.
+// Reasons for rejecting a source or a delta. Errors returned by this package wrap
+// one of them.
 var (
-	// ErrPrefix says that a prefix is malformed, has host bits set, or is an
+	// ErrPrefix means that a prefix is malformed, has host bits set, or is an
 	// IPv6 prefix longer than /64.
 	ErrPrefix = errors.New("invalid prefix")
-	// ErrConflict says that one prefix is given two different homes.
+	// ErrConflict means that one prefix has two different homes.
 	ErrConflict = errors.New("prefix with two different homes")
-	// ErrUnknownName says that a region or failure domain is not in the Topology.
+	// ErrUnknownName means that a region or failure domain is not in the Topology.
 	ErrUnknownName = errors.New("unknown region or failure domain")
-	// ErrSyntax says that a line or chunk cannot be decoded.
+	// ErrSyntax means that a line or chunk cannot be decoded.
 	ErrSyntax = errors.New("malformed source")
-	// ErrTruncated says that a source ends early, lacks chunks, or differs
-	// from the count or checksum that it states.
+	// ErrTruncated means that a source ends early, lacks chunks, or does not
+	// match the count or checksum that it states.
 	ErrTruncated = errors.New("source is truncated or altered")
-	// ErrTooLarge says that a source exceeds the number of blocks or homes
-	// that a table holds, or that a chunk exceeds its size.
+	// ErrTooLarge means that a source exceeds the maximum number of blocks or
+	// homes of a table, or that a block does not fit in a chunk.
 	ErrTooLarge = errors.New("source is too large")
-	// ErrBase says that a delta was made for another table.
+	// ErrBase means that a delta was made for another table.
 	ErrBase = errors.New("delta does not fit this table")
 )
 
 var errTooManyHomes = fmt.Errorf("%w: more than %d distinct homes", ErrTooLarge, maxHomes)
 
-// SourceError is a refusal with the place of the fault.
+// SourceError reports the reason for rejecting a source and the line of the fault.
 type SourceError struct {
 	Line int // line of a text source, or number of the block added; from 1
 	Err  error
@@ -47,24 +47,24 @@
 // ConflictError reports a prefix with two different homes in one source.
 type ConflictError struct {
 	Prefix        netip.Prefix
-	Line          int // of the second mention
-	First         int // line of the first mention
+	Line          int // line of the second occurrence
+	First         int // line of the first occurrence
 	Home, Earlier Home
 }
 
 // Error implements error.
 func (e *ConflictError) Error() string {
-	return fmt.Sprintf("line %d: %v: %s is %q here and %q in line %d",
+	return fmt.Sprintf("line %d: %v: %s has home %q here and %q in line %d",
 		e.Line, ErrConflict, e.Prefix, homeText(e.Home), homeText(e.Earlier), e.First)
 }
 
 // Unwrap returns ErrConflict.
 func (e *ConflictError) Unwrap() error { return ErrConflict }
 
-// UnknownNameError is a name that the Topology does not hold.
+// UnknownNameError reports a name that is not in the Topology.
 type UnknownNameError struct {
 	Region fleet.Region
-	Domain fleet.Domain // empty where the region itself is unknown
+	Domain fleet.Domain // empty if the region itself is unknown
 }
 
 // Error implements error.
--- a/decide/block/home.go
+++ b/decide/block/home.go
@@ -9,25 +9,25 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// Home is where the clients of a block belong.
+// Home is the home region of a block and its preferred failure domains.
 type Home struct {
 	Region fleet.Region
-	// Domains are failure domains of Region in order of preference; empty
-	// means that all of them serve the block equally well.
+	// Domains are failure domains of Region in order of preference. Empty means
+	// no preference.
 	Domains []fleet.Domain
 }
 
-// HomeID numbers a Home within one Table and the tables patched from it.
+// HomeID identifies a Home within one Table and the tables patched from it.
 type HomeID uint16
 
-// maxHomes is the number of values of a HomeID.
+// maxHomes is the number of distinct HomeIDs.
 const maxHomes = 1 << 16
 
-// Topology lists the failure domains of every region that a source may name.
+// Topology lists the regions that a source may use, with their failure domains.
 // A nil Topology accepts every name.
 type Topology map[fleet.Region][]fleet.Domain
 
-// check reports the first name of h that t does not hold.
+// check returns an *UnknownNameError for the first name of h that is not in t.
 func (t Topology) check(h Home) error {
 	if t == nil {
 		return nil
@@ -44,7 +44,7 @@
 	return nil
 }
 
-// homeSet numbers homes in the order in which they are first seen.
+// homeSet assigns HomeIDs to homes in the order in which they are first seen.
 type homeSet struct {
 	homes  []Home
 	hashes []uint64 // checksum of each home, by HomeID
@@ -54,13 +54,13 @@
 func newHomeSet(homes []Home) *homeSet {
 	s := &homeSet{ids: make(map[string]HomeID, len(homes))}
 	for _, h := range homes {
-		// Homes of a table are distinct and within the limit already.
+		// The homes of a table are already distinct and within the limit.
 		_, _ = s.id(h)
 	}
 	return s
 }
 
-// id returns the number of h, adding it where it is new.
+// id returns the HomeID of h, and adds h if it is new.
 func (s *homeSet) id(h Home) (HomeID, error) {
 	k := homeText(h)
 	if id, ok := s.ids[k]; ok {
@@ -77,7 +77,7 @@
 	return id, nil
 }
 
-// homeText is the home as the text form writes it: "region domain,domain".
+// homeText returns the text form of a home: "region domain,domain".
 func homeText(h Home) string {
 	var b strings.Builder
 	b.WriteString(string(h.Region))
--- a/decide/block/pages.go
+++ b/decide/block/pages.go
@@ -1,6 +1,6 @@
 package block
 
-// entry is one block. Its size is what the memory of a table consists of.
+// entry is one block. Its size determines the memory use of a table.
 type entry[K key] struct {
 	start  K
 	home   HomeID
@@ -8,25 +8,27 @@
 	parent uint8 // index in the page of the enclosing entry, or outside
 }
 
-// noParent marks an entry whose enclosing block, if any, is in an earlier page.
+// noParent marks an entry with no enclosing entry in its page. A block of an
+// earlier page may enclose it.
 const noParent = 255
 
 const (
-	// initialPageSize is the number of entries in a page of a new table.
+	// initialPageSize is the number of entries per page of a new table.
 	initialPageSize = 64
-	// maxPageSize is the number of entries at which a patched page is split; it
-	// must stay below outside.
+	// maxPageSize is the number of entries above which a patched page is split.
+	// It must be less than noParent.
 	maxPageSize = 128
-	// maxIndexBuckets is the largest number of buckets in the index of a family.
+	// maxIndexBuckets is the maximum number of buckets in the index of an address
+	// family.
 	maxIndexBuckets = 1 << 16
 )
 
-// page is a run of entries in ascending order of start, then bits.
+// page holds consecutive entries in ascending order of start, then bits.
 type page[K key] struct {
 	entries []entry[K]
 	// outerBlocks are the blocks of earlier pages that enclose the first entry,
-	// longest first. A block of an earlier page that encloses any entry of
-	// this one encloses the first, because it starts before it.
+	// longest first. A block of an earlier page that encloses any entry of this
+	// page also encloses its first entry, because it starts before that entry.
 	outerBlocks []entry[K]
 }
 
@@ -46,7 +48,7 @@
 	return width6
 }
 
-// contains reports whether address a is in e's block.
+// contains reports whether the block contains address a.
 func (e *entry[K]) contains(a K) bool {
 	return (a^e.start)>>(widthOf[K]()-e.bits) == 0
 }
@@ -72,13 +74,13 @@
 	return t.pages[t.findPage(a)].find(a)
 }
 
-// findPage returns the last page that starts at or before a, which must not be
-// below the first start. The index narrows the search to a few pages.
+// findPage returns the number of the last page that starts at or before a. a must
+// not be less than the first start. The index narrows the search to a few pages.
 func (t *pages[K]) findPage(a K) int {
 	bucket := min((a-t.firstStarts[0])>>t.shift, K(len(t.index)-2))
 	lo, n := int(t.index[bucket]), int(t.index[bucket+1]-t.index[bucket])+1
-	// The branches of these searches are unpredictable; this form lets the
-	// compiler use conditional moves.
+	// The branches of a binary search are unpredictable; in this form the
+	// compiler can use conditional moves.
 	for n > 1 {
 		half := n / 2
 		if t.firstStarts[lo+half] <= a {
@@ -89,9 +91,9 @@
 	return lo
 }
 
-// newIndex divides the space between the first and the last start evenly.
-// Element i is the last page that starts at or before the beginning of bucket
-// i; one more element ends the last bucket.
+// newIndex divides the address space between the first and the last start into
+// buckets of equal size. Element i is the last page that starts at or before the
+// beginning of bucket i. One additional element marks the end of the last bucket.
 func newIndex[K key](firsts []K) (index []uint32, shift uint8) {
 	if len(firsts) == 0 {
 		return nil, 0
@@ -134,7 +136,8 @@
 	return nil
 }
 
-// lastAtOrBefore returns the index of the last entry that starts at or before a, or -1.
+// lastAtOrBefore returns the index of the last entry that starts at or before a,
+// or -1.
 func (p *page[K]) lastAtOrBefore(a K) int {
 	lo, n := 0, len(p.entries)
 	if p.entries[0].start > a {
@@ -157,8 +160,8 @@
 	}
 }
 
-// findParent returns the index of the shortest-distance entry before i that
-// encloses it; entries before i are linked already.
+// findParent returns the index of the nearest entry before i that encloses entry
+// i, or noParent. The parents of the entries before i must be set.
 func (p *page[K]) findParent(i int) uint8 {
 	if i == 0 {
 		return noParent
@@ -173,9 +176,10 @@
 	return uint8(j)
 }
 
-// enclosingBlocks returns the blocks of page p and of its outer ones that enclose the
-// entry first of the next page, longest first. Every such block also encloses
-// or is the last entry of p, so p's last chain holds them all.
+// enclosingBlocks returns the blocks of p and of p's outerBlocks that enclose
+// first, the first entry of the next page, longest first. Every such block is or
+// encloses the last entry of p, so it is found by following the parents of that
+// entry.
 func (p *page[K]) enclosingBlocks(first *entry[K], buf []entry[K]) []entry[K] {
 	buf = buf[:0]
 	for j := len(p.entries) - 1; ; j = int(p.entries[j].parent) {
@@ -195,8 +199,8 @@
 	return buf
 }
 
-// newPages cuts entries, which are sorted and without duplicates, into pages.
-// It keeps entries as the pages' memory.
+// newPages splits entries, which must be sorted and without duplicates, into
+// pages. The pages share the memory of entries.
 func newPages[K key](entries []entry[K]) pages[K] {
 	n := (len(entries) + initialPageSize - 1) / initialPageSize
 	list := make([]page[K], 0, n)
@@ -211,8 +215,8 @@
 	return buildDirectory(list)
 }
 
-// buildDirectory builds the directory over linked pages and renews their outer
-// blocks. Pages whose outer blocks stay as they were keep their memory.
+// buildDirectory builds the directory of pages whose parents are set, and updates
+// their outerBlocks. Pages whose outerBlocks have not changed keep their memory.
 func buildDirectory[K key](list []page[K]) pages[K] {
 	t := pages[K]{pages: list, firstStarts: make([]K, len(list))}
 	var buf []entry[K]
@@ -250,7 +254,8 @@
 	return true
 }
 
-// all calls yield for every entry in order until it returns false.
+// all calls yield for every entry in order until yield returns false. It returns
+// false if yield did.
 func (t *pages[K]) all(yield func(*entry[K]) bool) bool {
 	for i := range t.pages {
 		entries := t.pages[i].entries
--- a/decide/block/patch.go
+++ b/decide/block/patch.go
@@ -13,7 +13,7 @@
 	Home   Home
 }
 
-// Delta changes one table into the next.
+// Delta is the difference between two tables.
 type Delta struct {
 	From   uint64         // Table.Sum before
 	To     uint64         // Table.Sum after
@@ -21,21 +21,21 @@
 	Remove []netip.Prefix // removed blocks
 }
 
-// change is one step of a delta in the terms of one address family.
+// change sets or removes one entry of an address family.
 type change[K key] struct {
 	entry  entry[K]
 	remove bool
 }
 
-// Patch returns the table that d makes of t; t stays as it is. It fails where
-// d was made for another table, names a prefix twice, removes a prefix that is
-// not there, or does not lead to the checksum it states; nothing of the delta
-// is applied then. Names are checked against topology.
+// Patch returns the result of applying d to t, and leaves t unchanged. It returns
+// an error and no table if d was made for another table, lists a prefix twice,
+// removes a prefix that is not in t, or does not result in the checksum that it
+// states. Names are checked against topology.
 //
-// The new table shares the memory of all untouched pages with t.
+// The new table shares the memory of all unchanged pages with t.
 func (t *Table) Patch(d Delta, topology Topology) (*Table, error) {
 	if t.Sum() != d.From {
-		return nil, fmt.Errorf("%w: made for %016x, table is %016x", ErrBase, d.From, t.Sum())
+		return nil, fmt.Errorf("%w: delta is for checksum %016x, table has %016x", ErrBase, d.From, t.Sum())
 	}
 	if t == nil {
 		t = &Table{}
@@ -56,12 +56,13 @@
 		return nil, fmt.Errorf("%w: more than %d blocks", ErrTooLarge, MaxBlocks)
 	}
 	if next.checksum != d.To {
-		return nil, fmt.Errorf("%w: leads to %016x instead of %016x", ErrTruncated, next.checksum, d.To)
+		return nil, fmt.Errorf("%w: delta results in checksum %016x, want %016x", ErrTruncated, next.checksum, d.To)
 	}
 	return next, nil
 }
 
-// splitChanges checks a delta and sorts its changes by address family.
+// splitChanges checks a delta and returns its changes per address family, in the
+// order of entries.
 func splitChanges(d Delta, homes *homeSet, topology Topology) ([]change[uint32], []change[uint64], error) {
 	var c4 []change[uint32]
 	var c6 []change[uint64]
@@ -100,20 +101,21 @@
 	return c4, c6, sortChanges(c6, prefix6)
 }
 
-// sortChanges brings changes into the order of entries.
+// sortChanges sorts changes in the order of entries. It returns an error if two
+// changes have the same prefix.
 func sortChanges[K key](changes []change[K], prefix func(K, uint8) netip.Prefix) error {
 	slices.SortFunc(changes, func(a, b change[K]) int {
 		return cmp.Or(cmp.Compare(a.entry.start, b.entry.start), cmp.Compare(a.entry.bits, b.entry.bits))
 	})
 	for i := 1; i < len(changes); i++ {
 		if e := &changes[i].entry; e.samePrefix(&changes[i-1].entry) {
-			return fmt.Errorf("%w: delta names %s twice", ErrConflict, prefix(e.start, e.bits))
+			return fmt.Errorf("%w: delta lists %s twice", ErrConflict, prefix(e.start, e.bits))
 		}
 	}
 	return nil
 }
 
-// patchPages applies sorted changes to t and adds their part to sum.
+// patchPages applies sorted changes to t and updates the checksum sum.
 func patchPages[K key](
 	t *pages[K], changes []change[K], homes []uint64, sum *uint64, prefix func(K, uint8) netip.Prefix,
 ) (pages[K], error) {
@@ -122,16 +124,16 @@
 	}
 	list := make([]page[K], 0, len(t.pages)+1)
 	for i := range t.pages {
-		mine := changes
+		pageChanges := changes
 		if i+1 < len(t.pages) {
-			mine = changes[:countBefore(changes, &t.pages[i+1].entries[0])]
+			pageChanges = changes[:countBefore(changes, &t.pages[i+1].entries[0])]
 		}
-		changes = changes[len(mine):]
-		if len(mine) == 0 {
+		changes = changes[len(pageChanges):]
+		if len(pageChanges) == 0 {
 			list = append(list, t.pages[i])
 			continue
 		}
-		entries, err := merge(t.pages[i].entries, mine, homes, sum, prefix)
+		entries, err := merge(t.pages[i].entries, pageChanges, homes, sum, prefix)
 		if err != nil {
 			return pages[K]{}, err
 		}
@@ -147,7 +149,7 @@
 	return buildDirectory(list), nil
 }
 
-// countBefore returns how many of the sorted changes come before e.
+// countBefore returns the number of sorted changes that come before e.
 func countBefore[K key](changes []change[K], e *entry[K]) int {
 	n := 0
 	for n < len(changes) && changes[n].entry.before(e) {
@@ -156,7 +158,8 @@
 	return n
 }
 
-// merge returns a copy of entries with the changes applied.
+// merge returns a copy of entries with the sorted changes applied, and updates the
+// checksum sum.
 func merge[K key](
 	entries []entry[K], changes []change[K], homes []uint64, sum *uint64, prefix func(K, uint8) netip.Prefix,
 ) ([]entry[K], error) {
@@ -176,13 +179,14 @@
 			*sum += c.entry.checksum(homes)
 			out = append(out, c.entry)
 		case !present:
-			return nil, fmt.Errorf("%w: %s to be removed is not there", ErrBase, prefix(c.entry.start, c.entry.bits))
+			return nil, fmt.Errorf("%w: delta removes %s, which is not in the table", ErrBase, prefix(c.entry.start, c.entry.bits))
 		}
 	}
 	return append(out, entries...), nil
 }
 
-// appendPages appends entries to list as pages of at most pageMax entries.
+// appendPages appends entries to list as pages. It makes one page if there are at
+// most maxPageSize entries, and otherwise splits off pages of initialPageSize.
 func appendPages[K key](list []page[K], entries []entry[K]) []page[K] {
 	for len(entries) > 0 {
 		n := len(entries)
--- a/decide/block/source_test.go
+++ b/decide/block/source_test.go
@@ -18,7 +18,7 @@
 
 var testTopology = block.Topology{"attiki": {"attiki-1", "attiki-2"}, "kriti": {"kriti-1"}}
 
-// withEndLine appends the last line that belongs to body.
+// withEndLine appends an end line with the given count and the checksum of body.
 func withEndLine(body string, count int) string {
 	return fmt.Sprintf("%send %d %016x\n", body, count, xxhash.Sum64String(body))
 }
@@ -37,11 +37,10 @@
 	is.Equal(again.Sum(), tab.Sum())
 }
 
-// Symptom: the clients of some blocks are steered by the default, or to a
-// region that is not theirs, after a new table was put in force.
-// Sequence: a source is cut short, altered or contradicts itself on its way.
-// Cause: each remaining line is valid by itself, so only a refusal of the
-// whole keeps the last good table in force.
+// Guards against routing the clients of some blocks by the default, or to a wrong
+// region, after a new table was loaded: the source was truncated or altered in
+// transfer, or contradicts itself. Each remaining line is valid by itself, so the
+// source must be rejected as a whole, and the last good table stays in force.
 func TestLoadRefusesFaultySource(t *testing.T) {
 	good := "10.0.0.0/8 attiki\n10.1.0.0/16 kriti\n"
 	cases := map[string]struct {
@@ -105,9 +104,9 @@
 	is.Equal(again.Len(), tab.Len())
 }
 
-// Symptom: as for the text form. Sequence: chunks are written and read one by
-// one, so a reader can meet a lost, old or altered one. Cause: a chunk is
-// valid by itself; only the manifest tells that it belongs to this table.
+// Guards against the same failure in the chunked form: chunks are written and read
+// one by one, so a reader can get a lost, old or altered chunk. Each chunk is valid
+// by itself; only the manifest shows that it belongs to this table.
 func TestDecodeChunksRefusesFaultySource(t *testing.T) {
 	is := is.New(t)
 	topology := blocktest.Topology(3, 6)
@@ -134,9 +133,9 @@
 	}
 }
 
-// Symptom: each change of a table rewrites all of its chunks in the
-// platform's service. Sequence: a block is added near the front. Cause: ends
-// of chunks set by size alone move for every later block.
+// Guards against rewriting all chunks in the platform's service on each change of
+// a table: a block is added near the front, and the ends of all later chunks move
+// if they depend only on the size.
 func TestChangedBlockKeepsOtherChunks(t *testing.T) {
 	is := is.New(t)
 	blocks := blocktest.Blocks(600_000, blocktest.Topology(3, 6), false, 1)
@@ -177,7 +176,7 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		tab, err := block.Load(strings.NewReader(text), testTopology)
 		if (tab == nil) == (err == nil) {
-			t.Fatalf("table %v with error %v", tab, err)
+			t.Fatalf("Load returned table %v and error %v, want exactly one of them", tab, err)
 		}
 	})
 }
@@ -192,7 +191,7 @@
 		m := block.Manifest{Chunks: []uint64{block.ChunkKey(chunk)}}
 		tab, err := block.DecodeChunks(m, [][]byte{chunk}, nil)
 		if err == nil && tab.Len() != 0 {
-			t.Fatalf("accepted %d blocks, manifest states none", tab.Len())
+			t.Fatalf("DecodeChunks accepted %d blocks, but the manifest states none", tab.Len())
 		}
 	})
 }
--- a/decide/block/table.go
+++ b/decide/block/table.go
@@ -12,7 +12,7 @@
 	v4         pages[uint32]
 	v6         pages[uint64]
 	homes      []Home
-	homeHashes []uint64 // checksum of each home
+	homeHashes []uint64 // hash of each home
 	checksum   uint64
 }
 
@@ -22,7 +22,7 @@
 	Home   HomeID
 }
 
-// Lookup returns the longest block that contains a. It allocates nothing.
+// Lookup returns the longest block that contains a. It does not allocate.
 func (t *Table) Lookup(a netip.Addr) (Match, bool) {
 	if t == nil {
 		return Match{}, false
@@ -46,11 +46,11 @@
 	}
 }
 
-// Home returns the home that id numbers. The caller must not change it.
+// Home returns the home with the given id. The caller must not modify it.
 func (t *Table) Home(id HomeID) Home { return t.homes[id] }
 
-// Homes returns the number of homes; HomeIDs are below it. Homes that a patch
-// has left without blocks are counted until the table is rebuilt.
+// Homes returns the number of homes. All HomeIDs are less than it. Homes that have
+// no more blocks after a patch are counted until the table is rebuilt.
 func (t *Table) Homes() int {
 	if t == nil {
 		return 0
@@ -66,8 +66,8 @@
 	return t.v4.count + t.v6.count
 }
 
-// Sum returns the checksum of the table's content. Equal content gives equal
-// sums, whatever the order in which it was added or patched.
+// Sum returns the checksum of the table's content. Tables with equal content have
+// equal checksums, regardless of the order in which blocks were added or patched.
 func (t *Table) Sum() uint64 {
 	if t == nil {
 		return 0
@@ -75,7 +75,7 @@
 	return t.checksum
 }
 
-// Bytes returns the memory that the table's blocks and directory take.
+// Bytes returns the memory used by the table's blocks and directory.
 func (t *Table) Bytes() int {
 	if t == nil {
 		return 0
@@ -112,14 +112,14 @@
 	}
 }
 
-// Constants of entrySum: odd multipliers of the usual 64-bit mixers.
+// Odd multipliers for blockChecksum, as used by common 64-bit mixers.
 const (
 	startMultiplier = 0x9e3779b97f4a7c15
 	bitsMultiplier  = 0xbf58476d1ce4e5b9
 )
 
-// blockChecksum is the part of one block in the table's checksum. Parts are added,
-// so that the checksum does not depend on order.
+// blockChecksum returns the checksum of one block. The checksum of a table is the
+// sum over its blocks, so that it does not depend on their order.
 func blockChecksum(width uint8, start uint64, length uint8, home uint64) uint64 {
 	x := (start ^ home) * startMultiplier
 	x ^= (uint64(length)<<8 | uint64(width)) * bitsMultiplier
--- a/decide/block/table_test.go
+++ b/decide/block/table_test.go
@@ -14,7 +14,8 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// model is the obvious table: one map, searched by every length.
+// model is the reference implementation: a map that is searched by every prefix
+// length.
 type model map[netip.Prefix]fleet.Region
 
 func (m model) lookup(a netip.Addr) (netip.Prefix, bool) {
@@ -27,7 +28,8 @@
 	return netip.Prefix{}, false
 }
 
-// randomPrefix draws from a space so small that blocks nest, meet and repeat.
+// randomPrefix draws from a small address space, so that blocks are often nested,
+// adjacent or equal.
 func randomPrefix(rng *rand.Rand) netip.Prefix {
 	x := rng.Uint32N(1 << 14)
 	if rng.IntN(2) == 0 {
@@ -92,12 +94,12 @@
 			is.NoErr(err)
 			is.Equal(tab.Sum(), want.Sum())
 			checkModel(t, is, tab, m, probeAddrs(m, rng))
-			checkModel(t, is, old, before, probeAddrs(before, rng)) // the old table stays as it was
+			checkModel(t, is, old, before, probeAddrs(before, rng)) // Patch must not change the old table
 		}
 	})
 }
 
-// change sets a block or, in one case of three, removes the one drawn.
+// change sets a random block or, in one of three cases, removes it.
 func change(m model, rng *rand.Rand) {
 	p := randomPrefix(rng)
 	if rng.IntN(3) == 0 {
@@ -137,10 +139,9 @@
 	is.Equal(n, 0.0)
 }
 
-// Symptom: daemons that have applied the same deltas steer differently.
-// Sequence: one daemon misses a delta and applies the next one.
-// Cause: a delta says what changes and not what the rest is, so it must be
-// refused by any table but the one it was made from.
+// Guards against daemons that route by different tables after the same deltas: one
+// daemon misses a delta and applies the next one. A delta does not describe
+// unchanged blocks, so every table other than its base must reject it.
 func TestPatchRefusesWrongDelta(t *testing.T) {
 	p, q := netip.MustParsePrefix("10.0.0.0/8"), netip.MustParsePrefix("11.0.0.0/8")
 	home := block.Home{Region: "attiki"}
--- a/decide/block/text.go
+++ b/decide/block/text.go
@@ -15,7 +15,8 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// The text form has one block a line,
+// endKeyword begins the last line of the text form. The text form has one block per
+// line,
 //
 //	prefix region [domain[,domain]...]
 //
@@ -25,15 +26,15 @@
 //	end COUNT CHECKSUM
 //
 // where COUNT is the number of blocks and CHECKSUM the xxHash64 (seed 0), in
-// 16 hexadecimal digits, of every byte before that line. Without it, a file
-// cut at the end of a line would pass for a smaller table, and the clients of
-// the missing blocks would be steered by the default.
+// 16 hexadecimal digits, of all bytes before that line. Without it, a file that was
+// truncated at the end of a line would be accepted as a smaller table, and the
+// clients of the missing blocks would be routed by the default.
 const endKeyword = "end"
 
-// maxLine bounds a line of a text source, in bytes.
+// maxLine is the maximum length of a line of a text source, in bytes.
 const maxLine = 64 << 10
 
-// textReader reads one text source.
+// textReader parses one text source.
 type textReader struct {
 	builder *Builder
 	sum     *xxhash.Digest
@@ -42,8 +43,8 @@
 	endSeen bool
 }
 
-// Load reads a text source whole. Errors are *SourceError or *ConflictError
-// and name the line.
+// Load builds a table from a text source. Its errors are *SourceError or
+// *ConflictError and state the line.
 func Load(r io.Reader, topology Topology) (*Table, error) {
 	t := textReader{
 		builder: NewBuilder(topology),
@@ -65,21 +66,22 @@
 	return t.builder.Build()
 }
 
-// checkComplete checks that the source has ended as it should.
+// checkComplete returns an error unless the source was read without error up to
+// its end line.
 func (t *textReader) checkComplete(err error) error {
 	switch {
 	case errors.Is(err, bufio.ErrTooLong):
-		return fmt.Errorf("%w: line longer than %d bytes", ErrSyntax, maxLine)
+		return fmt.Errorf("%w: line exceeds %d bytes", ErrSyntax, maxLine)
 	case err != nil:
 		return err
 	case !t.endSeen:
-		return fmt.Errorf("%w: no %q line", ErrTruncated, endKeyword)
+		return fmt.Errorf("%w: %q line is missing", ErrTruncated, endKeyword)
 	}
 	return nil
 }
 
-// splitRawLines splits like bufio.ScanLines and keeps the line ends, which are
-// part of the checksum.
+// splitRawLines splits like bufio.ScanLines but keeps the line endings, which are
+// covered by the checksum.
 func splitRawLines(data []byte, atEOF bool) (advance int, token []byte, err error) {
 	if i := bytes.IndexByte(data, '\n'); i >= 0 {
 		return i + 1, data[:i+1], nil
@@ -134,7 +136,7 @@
 	return t.builder.addBlock(p, id)
 }
 
-// homeID parses the text after a prefix, the first time it occurs.
+// homeID parses the text after a prefix and caches its HomeID.
 func (t *textReader) homeID(text string) (HomeID, error) {
 	h, err := parseHome(text)
 	if err != nil {
@@ -166,7 +168,8 @@
 	return h, nil
 }
 
-// parseEndLine checks the last line against what was read.
+// parseEndLine checks the count and checksum of the end line against the lines
+// read so far.
 func (t *textReader) parseEndLine(rest []byte) error {
 	fields := bytes.Fields(rest)
 	if len(fields) != 2 {
@@ -174,23 +177,23 @@
 	}
 	count, err := strconv.Atoi(string(fields[0]))
 	if err != nil {
-		return fmt.Errorf("%w: count %q", ErrSyntax, fields[0])
+		return fmt.Errorf("%w: block count %q is not a number", ErrSyntax, fields[0])
 	}
 	sum, err := strconv.ParseUint(string(fields[1]), 16, 64)
 	if err != nil {
-		return fmt.Errorf("%w: checksum %q", ErrSyntax, fields[1])
+		return fmt.Errorf("%w: checksum %q is not a 64-bit hexadecimal number", ErrSyntax, fields[1])
 	}
 	if count != t.blocks {
-		return fmt.Errorf("%w: %d blocks, %d stated", ErrTruncated, t.blocks, count)
+		return fmt.Errorf("%w: source has %d blocks, the %q line states %d", ErrTruncated, t.blocks, endKeyword, count)
 	}
 	if got := t.sum.Sum64(); got != sum {
-		return fmt.Errorf("%w: checksum %016x, %016x stated", ErrTruncated, got, sum)
+		return fmt.Errorf("%w: source has checksum %016x, the %q line states %016x", ErrTruncated, got, endKeyword, sum)
 	}
 	t.endSeen = true
 	return nil
 }
 
-// Write writes t in the text form, in the order of Table.All.
+// Write writes t to w in the text form, in the order of Table.All.
 func Write(w io.Writer, t *Table) error {
 	sum := xxhash.New()
 	out := bufio.NewWriter(io.MultiWriter(w, sum))
--- a/decide/config/bench_test.go
+++ b/decide/config/bench_test.go
@@ -176,20 +176,20 @@
 
 // benchmarkPush applies a push of one entry and forwards it.
 func benchmarkPush(b *testing.B, n *network, v, from *testDaemon) {
-	held := v.st.current
+	current := v.st.current
 	for b.Loop() {
-		entry := held.cat.Shifts[7]
-		entry.Revision = held.cat.Revision + 1
-		d := &Delta{Format: Format, From: held.cat.Revision, To: entry.Revision, Age: Unknown}
+		entry := current.cat.Shifts[7]
+		entry.Revision = current.cat.Revision + 1
+		d := &Delta{Format: Format, From: current.cat.Revision, To: entry.Revision, Age: Unknown}
 		d.Shifts = []catalogue.Shift{entry}
-		next, err := newContentFrom(held, d)
+		next, err := newContentFrom(current, d)
 		if err != nil {
 			b.Fatal(err)
 		}
 		d.Hash = next.hash()
 		v.st.Step(n.now, &PeerMessage{From: from.id, Msg: &Push{Root: from.id, Delta: *d}}, &v.ready)
-		if held = v.st.current; held.cat.Revision != d.To {
-			b.Fatalf("push to revision %d was not applied: revision %d is in force", d.To, held.cat.Revision)
+		if current = v.st.current; current.cat.Revision != d.To {
+			b.Fatalf("push to revision %d was not applied: revision %d is in force", d.To, current.cat.Revision)
 		}
 	}
 }
--- a/decide/config/failure_test.go
+++ b/decide/config/failure_test.go
@@ -280,8 +280,8 @@
 	st := New(Config{Self: "a0", Domain: "a"})
 	var out Ready
 	st.Step(1, &Accepted{Catalogue: withShift(5, "x"), Confirmed: 1}, &out)
-	held := st.currentVersion()
-	st.Step(2, &PlatformRead{Result: ReadDocument, Catalogue: withShift(7, "y"), Lineage: []Point{{Revision: 4}, held}}, &out)
+	current := st.currentVersion()
+	st.Step(2, &PlatformRead{Result: ReadDocument, Catalogue: withShift(7, "y"), Lineage: []Point{{Revision: 4}, current}}, &out)
 	is.Equal(st.Counters().HistoryLost, uint64(0))
 	st.Step(3, &PlatformRead{Result: ReadDocument, Catalogue: withShift(9, "z"), Lineage: []Point{{Revision: 4}, {Revision: 8}}}, &out)
 	is.Equal(st.Counters().HistoryLost, uint64(1))
--- a/decide/config/net_test.go
+++ b/decide/config/net_test.go
@@ -119,21 +119,21 @@
 // deliverMembers sends every daemon the membership, after a delay: all members of
 // its own domain and some of the others.
 func (n *network) deliverMembers() {
-	whole := map[fleet.Domain][]Member{}
-	var rows []Member
+	membersByDomain := map[fleet.Domain][]Member{}
+	var sample []Member
 	for _, v := range n.daemons {
 		m := Member{ID: v.id, Domain: v.domain, Incarnation: v.incarnation}
 		if v.st == nil {
 			m.State = fleet.Dead
 		}
-		whole[v.domain] = append(whole[v.domain], m)
-		if len(whole[v.domain]) <= knownPerOtherDomain {
-			rows = append(rows, m)
+		membersByDomain[v.domain] = append(membersByDomain[v.domain], m)
+		if len(membersByDomain[v.domain]) <= knownPerOtherDomain {
+			sample = append(sample, m)
 		}
 	}
 	events := map[fleet.Domain]*Members{}
-	for d, own := range whole {
-		events[d] = &Members{Members: append(slices.Clone(own), rows...)}
+	for d, own := range membersByDomain {
+		events[d] = &Members{Members: append(slices.Clone(own), sample...)}
 	}
 	for _, v := range n.daemons {
 		if v.st != nil {
