--- a/decide/config/doc.go
+++ b/decide/config/doc.go
@@ -12,10 +12,10 @@
 // If every daemon watched the platform, each change would cost one platform
 // call per daemon. Instead the live members of a failure domain are ranked by a
 // hash of their ids (rendezvous hashing), and the first ReadersPerDomain of them
-// watch. A member of lower rank takes over when heartbeats have shown too few
-// successful readers of higher rank for some time. Its waiting time and the
-// interval between its attempts grow with its rank, so that during an outage of
-// the platform not all daemons become readers. Surplus readers only cost
+// watch. A member further down the ranking takes over when heartbeats have shown
+// too few successful readers before it for some time. Its waiting time and the
+// interval between its attempts grow with its position, so that during an outage
+// of the platform not all daemons become readers. Surplus readers only cost
 // additional platform calls.
 //
 // # Dissemination
--- a/decide/config/limits.go
+++ b/decide/config/limits.go
@@ -78,7 +78,7 @@
 	// never returns the document.
 	PlainReadEvery = 4
 	// TakeoverAfter is the age of a reader's last successful read above which
-	// the member of the next rank takes over.
+	// the next member in the ranking takes over.
 	TakeoverAfter = 15 * time.Second
 	// TakeoverStagger is the additional wait for each further rank.
 	TakeoverStagger = 2 * time.Second
--- a/decide/config/read.go
+++ b/decide/config/read.go
@@ -44,7 +44,7 @@
 	lastSuccess   clock.Time // time as of which the last successful read was current
 
 	lastReads   map[fleet.VMID]clock.Time // last successful read of other members
-	tooFewSince clock.Time                // since when too few members of higher rank read successfully
+	tooFewSince clock.Time                // since when too few members ranked before this one read successfully
 
 	platformBehind      bool
 	platformBehindSince clock.Time
@@ -99,8 +99,8 @@
 }
 
 // shouldRead decides whether this daemon should read the platform: because of its
-// rank, or because too few members of higher rank have read successfully for too
-// long.
+// rank, or because too few members ranked before it have read successfully for
+// too long.
 func (s *State) shouldRead() bool {
 	r, rank := &s.reader, s.view.rank
 	if rank < 0 {
@@ -123,8 +123,8 @@
 	return s.now.Sub(r.tooFewSince) >= wait
 }
 
-// isFirstReader reports whether no member of higher rank is known to read the
-// platform.
+// isFirstReader reports whether no member ranked before this one is known to read
+// the platform.
 func (s *State) isFirstReader() bool {
 	for _, id := range s.view.domain.ranked[:max(0, s.view.rank)] {
 		if s.reader.isReading(id, s.now) {
@@ -253,8 +253,8 @@
 	s.counters.Reads++
 }
 
-// recordReadFailure sets the time of the next attempt. The backoff grows with the
-// rank, so that during an outage the whole fleet does not call the platform.
+// recordReadFailure sets the time of the next attempt. The backoff grows
+// with the position in the ranking, so that during an outage the whole fleet does not call the platform.
 func (s *State) recordReadFailure() {
 	r := &s.reader
 	r.mode = readIdle
@@ -331,8 +331,8 @@
 
 // checkBehind detects a platform that returns older content than the content in
 // force, in an answer to a read that was sent after that came into force. If this
-// persists for RestoreDelay times the rank (from 1), it requests that the platform
-// be restored.
+// persists for RestoreDelay times the position in the ranking (from 1), it requests
+// that the platform be restored.
 func (s *State) checkBehind(p Point, asked clock.Time, out *Ready) {
 	r := &s.reader
 	if !s.current.version().supersedes(p) {
--- a/decide/config/ready.go
+++ b/decide/config/ready.go
@@ -101,7 +101,7 @@
 	PlatformBehind uint64 // platform reads that returned a lower revision
 	ReadsFailed    uint64
 	Reads          uint64 // successful
-	Takeovers      uint64 // times this daemon began to read in place of members of higher rank
+	Takeovers      uint64 // times this daemon began to read in place of members ranked before it
 	Restores       uint64
 	Pauses         uint64
 	MessagesOut    uint64
