--- a/decide/config/read.go
+++ b/decide/config/read.go
@@ -99,8 +99,8 @@
 }
 
 // shouldRead decides whether this daemon should read the platform: because of its
-// rank, or because too few members ranked before it have read successfully for
-// too long.
+// rank, or because too few members ranked before it have read successfully for too
+// long.
 func (s *State) shouldRead() bool {
 	r, rank := &s.reader, s.view.rank
 	if rank < 0 {
@@ -253,8 +253,9 @@
 	s.counters.Reads++
 }
 
-// recordReadFailure sets the time of the next attempt. The backoff grows
-// with the position in the ranking, so that during an outage the whole fleet does not call the platform.
+// recordReadFailure sets the time of the next attempt. The backoff grows with the
+// position in the ranking, so that during an outage the whole fleet does not call
+// the platform.
 func (s *State) recordReadFailure() {
 	r := &s.reader
 	r.mode = readIdle
