--- a/decide/change/apply.go
+++ b/decide/change/apply.go
@@ -40,17 +40,17 @@
 	return next, nil
 }
 
-func serviceAt(c *catalogue.Catalogue, n fleet.ServiceName) int {
+func serviceIndex(c *catalogue.Catalogue, n fleet.ServiceName) int {
 	return slices.IndexFunc(c.Services, func(s catalogue.Service) bool { return s.Name == n })
 }
 
-func shiftAt(c *catalogue.Catalogue, id string) int {
+func shiftIndex(c *catalogue.Catalogue, id string) int {
 	return slices.IndexFunc(c.Shifts, func(s catalogue.Shift) bool { return s.ID == id })
 }
 
-// replaced returns a copy of list with the element at i set to v; i of -1
+// withElement returns a copy of list with the element at i set to v; i of -1
 // appends.
-func replaced[T any](list []T, i int, v T) []T {
+func withElement[T any](list []T, i int, v T) []T {
 	out := make([]T, len(list), len(list)+1)
 	copy(out, list)
 	if i < 0 {
@@ -60,8 +60,8 @@
 	return out
 }
 
-// removed returns a copy of list without the element at i.
-func removed[T any](list []T, i int) []T {
+// withoutElement returns a copy of list without the element at i.
+func withoutElement[T any](list []T, i int) []T {
 	out := make([]T, 0, len(list)-1)
 	out = append(out, list[:i]...)
 	return append(out, list[i+1:]...)
@@ -69,18 +69,18 @@
 
 func putService(c *catalogue.Catalogue, op Operation) error {
 	s := op.PutService.Service
-	i := serviceAt(c, s.Name)
-	if err := expectService(c, i, op, op.PutService.Expect, &s); err != nil {
+	i := serviceIndex(c, s.Name)
+	if err := checkServiceRevision(c, i, op, op.PutService.Expect, &s); err != nil {
 		return err
 	}
 	s.Revision = c.Revision
-	c.Services = replaced(c.Services, i, s)
+	c.Services = withElement(c.Services, i, s)
 	return nil
 }
 
 func removeService(c *catalogue.Catalogue, op Operation) error {
 	n := op.RemoveService.Name
-	i := serviceAt(c, n)
+	i := serviceIndex(c, n)
 	if i < 0 || c.Services[i].Revision != op.RemoveService.Expect {
 		return serviceConflict(c, i, op, op.RemoveService.Expect, nil)
 	}
@@ -89,12 +89,12 @@
 			return refuse(InUse, "service", "shift %q names it", s.ID)
 		}
 	}
-	c.Services = removed(c.Services, i)
+	c.Services = withoutElement(c.Services, i)
 	return nil
 }
 
-// expectService checks a put: an absent service has revision 0.
-func expectService(c *catalogue.Catalogue, i int, op Operation, expect uint64, yours *catalogue.Service) error {
+// checkServiceRevision checks a put: an absent service has revision 0.
+func checkServiceRevision(c *catalogue.Catalogue, i int, op Operation, expect uint64, yours *catalogue.Service) error {
 	var found uint64
 	if i >= 0 {
 		found = c.Services[i].Revision
@@ -123,24 +123,24 @@
 	return e
 }
 
-// put stores s at index i as changed by this revision.
-func put(c *catalogue.Catalogue, i int, s catalogue.Shift) {
+// putShift stores s at index i as changed by this revision.
+func putShift(c *catalogue.Catalogue, i int, s catalogue.Shift) {
 	s.Revision = c.Revision
-	c.Shifts = replaced(c.Shifts, i, s)
+	c.Shifts = withElement(c.Shifts, i, s)
 }
 
 func addShift(c *catalogue.Catalogue, op Operation) error {
 	e := op.AddShift.Entry
-	if i := shiftAt(c, e.ID); i >= 0 {
+	if i := shiftIndex(c, e.ID); i >= 0 {
 		return shiftConflict(c, i, op, 0, &e)
 	}
-	put(c, -1, drafted(e, op.Operator, c.Revision))
+	putShift(c, -1, newDraft(e, op.Operator, c.Revision))
 	return nil
 }
 
 func changeShift(c *catalogue.Catalogue, op Operation) error {
 	e := op.ChangeShift.Entry
-	i := shiftAt(c, e.ID)
+	i := shiftIndex(c, e.ID)
 	if i < 0 || c.Shifts[i].Revision != op.ChangeShift.Expect {
 		return shiftConflict(c, i, op, op.ChangeShift.Expect, &e)
 	}
@@ -150,13 +150,13 @@
 	if old.State.Moves() {
 		return refuse(WrongState, "state", "a %s shift moves traffic; roll it back before changing it", old.State)
 	}
-	put(c, i, drafted(e, op.Operator, c.Revision))
+	putShift(c, i, newDraft(e, op.Operator, c.Revision))
 	return nil
 }
 
-// drafted returns the draft of e. The catalogue revision serves as generation:
+// newDraft returns the draft of e. The catalogue revision serves as generation:
 // it rises, and an entry removed and added again does not take an old one.
-func drafted(e Entry, author string, generation uint64) catalogue.Shift {
+func newDraft(e Entry, author string, generation uint64) catalogue.Shift {
 	return catalogue.Shift{
 		ID:         e.ID,
 		Owner:      e.Owner,
@@ -172,13 +172,13 @@
 }
 
 func removeShift(c *catalogue.Catalogue, op Operation) error {
-	i := shiftAt(c, op.Shift.ID)
+	i := shiftIndex(c, op.Shift.ID)
 	if i < 0 || c.Shifts[i].Revision != op.Shift.Expect {
 		return shiftConflict(c, i, op, op.Shift.Expect, nil)
 	}
 	if s := c.Shifts[i].State; s == catalogue.Running || s == catalogue.Paused {
 		return refuse(WrongState, "state", "a %s shift can't be removed; roll it back first", s)
 	}
-	c.Shifts = removed(c.Shifts, i)
+	c.Shifts = withoutElement(c.Shifts, i)
 	return nil
 }
--- a/decide/change/apply_test.go
+++ b/decide/change/apply_test.go
@@ -16,11 +16,11 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-var start0 = clock.FromWall(time.Date(2026, 3, 1, 22, 0, 0, 0, time.UTC))
+var startTime = clock.FromWall(time.Date(2026, 3, 1, 22, 0, 0, 0, time.UTC))
 
-// sample holds a service in use, one unused, and a shift in each state that
+// sampleCatalogue holds a service in use, one unused, and a shift in each state that
 // the refusals below need.
-func sample() catalogue.Catalogue {
+func sampleCatalogue() catalogue.Catalogue {
 	shift := func(id string, st catalogue.ShiftState, from, to fleet.Region, most catalogue.Share) catalogue.Shift {
 		return catalogue.Shift{
 			ID: id, Owner: "team", Author: "ana", Class: catalogue.Rehearsal, Service: "lookup",
@@ -28,9 +28,9 @@
 		}
 	}
 	ended := shift("ended", catalogue.Approved, "hye", "", 100)
-	ended.Limits.Window.End = start0.Wall()
+	ended.Limits.Window.End = startTime.Wall()
 	later := shift("later", catalogue.Running, "hye", "", 100)
-	later.Limits.Window.Start = start0.Wall().Add(time.Hour)
+	later.Limits.Window.Start = startTime.Wall().Add(time.Hour)
 	alarm := shift("alarm", catalogue.Approved, "kriti", "", 3000)
 	alarm.Class = catalogue.Emergency
 	return catalogue.Catalogue{
@@ -47,16 +47,16 @@
 	}
 }
 
-func ref(kind Kind, id string, expect uint64) Operation {
+func shiftOperation(kind Kind, id string, expect uint64) Operation {
 	return Operation{ID: "op", Operator: "ben", Kind: kind, Shift: &ShiftRef{ID: id, Expect: expect}}
 }
 
-func step(id string, share catalogue.Share) Operation {
-	return Operation{ID: "op", Operator: RunnerName, Kind: KindAdvance, Advance: &Advance{ID: id, Expect: 5, Share: share, SteppedAt: int64(start0)}}
+func advanceOperation(id string, share catalogue.Share) Operation {
+	return Operation{ID: "op", Operator: RunnerName, Kind: KindAdvance, Advance: &Advance{ID: id, Expect: 5, Share: share, SteppedAt: int64(startTime)}}
 }
 
 func TestApplyRefuses(t *testing.T) {
-	own := ref(KindApprove, "draft", 5)
+	own := shiftOperation(KindApprove, "draft", 5)
 	own.Operator = "ana"
 	remove := Operation{ID: "op", Operator: "ben", Kind: KindRemoveService, RemoveService: &RemoveService{Name: "lookup", Expect: 3}}
 	for _, c := range []struct {
@@ -66,22 +66,22 @@
 		field string
 	}{
 		{"approval by the author", own, OwnEntry, "approved_by"},
-		{"start of a draft", ref(KindStart, "draft", 5), WrongState, "state"},
-		{"resume of a running shift", ref(KindResume, "moving", 5), WrongState, "state"},
-		{"removal of a running shift", ref(KindRemove, "moving", 5), WrongState, "state"},
-		{"roll-back of a draft", ref(KindRollBack, "draft", 0), WrongState, "state"},
-		{"more than the whole region", ref(KindStart, "beside", 5), Overlap, "limits.max_share"},
-		{"into a region being emptied", ref(KindStart, "back", 5), Overlap, "to"},
-		{"out of a region being filled", ref(KindStart, "onward", 5), Overlap, "from"},
-		{"start after the window", ref(KindStart, "ended", 5), OutOfWindow, "limits.window.end"},
-		{"step before the window", step("later", 10), OutOfWindow, "limits.window"},
-		{"step above the cap", step("moving", 8001), OverCap, "share"},
-		{"step too large", step("moving", 501), OverStep, "share"},
+		{"start of a draft", shiftOperation(KindStart, "draft", 5), WrongState, "state"},
+		{"resume of a running shift", shiftOperation(KindResume, "moving", 5), WrongState, "state"},
+		{"removal of a running shift", shiftOperation(KindRemove, "moving", 5), WrongState, "state"},
+		{"roll-back of a draft", shiftOperation(KindRollBack, "draft", 0), WrongState, "state"},
+		{"more than the whole region", shiftOperation(KindStart, "beside", 5), Overlap, "limits.max_share"},
+		{"into a region being emptied", shiftOperation(KindStart, "back", 5), Overlap, "to"},
+		{"out of a region being filled", shiftOperation(KindStart, "onward", 5), Overlap, "from"},
+		{"start after the window", shiftOperation(KindStart, "ended", 5), OutOfWindow, "limits.window.end"},
+		{"step before the window", advanceOperation("later", 10), OutOfWindow, "limits.window"},
+		{"step above the cap", advanceOperation("moving", 8001), OverCap, "share"},
+		{"step too large", advanceOperation("moving", 501), OverStep, "share"},
 		{"service in use", remove, InUse, "service"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			_, err := Apply(sample(), c.op, start0)
+			_, err := Apply(sampleCatalogue(), c.op, startTime)
 			var r *Refused
 			is.True(errors.As(err, &r))
 			is.Equal(r.Code, c.code)
@@ -90,7 +90,7 @@
 	}
 	t.Run("an emergency may empty a region being filled", func(t *testing.T) {
 		is := is.New(t)
-		_, err := Apply(sample(), ref(KindStart, "alarm", 5), start0)
+		_, err := Apply(sampleCatalogue(), shiftOperation(KindStart, "alarm", 5), startTime)
 		is.NoErr(err)
 	})
 }
@@ -107,13 +107,13 @@
 		{"service there already", put("lookup", 0), 3},
 		{"service changed", put("lookup", 2), 3},
 		{"service gone", put("other", 2), 0},
-		{"shift changed", ref(KindApprove, "draft", 4), 5},
-		{"approval without a version", ref(KindApprove, "draft", 0), 5},
-		{"shift gone", ref(KindPause, "other", 0), 0},
+		{"shift changed", shiftOperation(KindApprove, "draft", 4), 5},
+		{"approval without a version", shiftOperation(KindApprove, "draft", 0), 5},
+		{"shift gone", shiftOperation(KindPause, "other", 0), 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			_, err := Apply(sample(), c.op, start0)
+			_, err := Apply(sampleCatalogue(), c.op, startTime)
 			var e *Conflict
 			is.True(errors.As(err, &e))
 			is.Equal(e.Found, c.found)
@@ -130,10 +130,10 @@
 		Limits: catalogue.Limits{
 			MaxShare: 10001, Step: 10002, MinHeadroom: 10001, MaxErrorShare: 10001,
 			Interval: catalogue.Duration(MaxInterval + 1), MaxP99: -1,
-			Window: catalogue.Window{Start: start0.Wall(), End: start0.Wall()},
+			Window: catalogue.Window{Start: startTime.Wall(), End: startTime.Wall()},
 		},
 	}}}
-	_, err := Apply(sample(), op, start0)
+	_, err := Apply(sampleCatalogue(), op, startTime)
 	var e *Invalid
 	is.True(errors.As(err, &e))
 	var paths []string
@@ -145,7 +145,7 @@
 
 	op.Shift = &ShiftRef{}
 	op.ID, op.Operator = "", long
-	_, err = Apply(sample(), op, start0)
+	_, err = Apply(sampleCatalogue(), op, startTime)
 	is.Equal(err.Error(), `invalid: id: must be 1 to 64 characters; operator: must be 1 to 64 characters; kind: "add-shift" needs its own payload and no other`)
 }
 
@@ -154,9 +154,9 @@
 // no share passes its cap, and only what a second operator approved moves.
 func TestApplyKeepsInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c := sample()
+		c := sampleCatalogue()
 		c.Shifts = nil
-		now := start0
+		now := startTime
 		for range 60 {
 			op := drawOperation(t, c)
 			before, _ := json.Marshal(c)
@@ -228,7 +228,7 @@
 
 func TestOperationSurvivesJSON(t *testing.T) {
 	is := is.New(t)
-	for _, op := range []Operation{ref(KindPause, "a", 3), step("a", 7)} {
+	for _, op := range []Operation{shiftOperation(KindPause, "a", 3), advanceOperation("a", 7)} {
 		raw, err := json.Marshal(op)
 		is.NoErr(err)
 		var back Operation
@@ -242,18 +242,18 @@
 // stepped_at, then a rise. Cause: the interval is counted from what it wrote.
 func TestStepTimeNeverFalls(t *testing.T) {
 	is := is.New(t)
-	first := step("moving", 300)
-	c, err := Apply(sample(), first, start0)
+	first := advanceOperation("moving", 300)
+	c, err := Apply(sampleCatalogue(), first, startTime)
 	is.NoErr(err)
-	hold := step("moving", 300)
+	hold := advanceOperation("moving", 300)
 	hold.Advance.Expect = c.Revision
 	hold.Advance.SteppedAt = 0
-	c, err = Apply(c, hold, start0)
+	c, err = Apply(c, hold, startTime)
 	is.NoErr(err)
-	rise := step("moving", 400)
+	rise := advanceOperation("moving", 400)
 	rise.Advance.Expect = c.Revision
 	rise.Advance.SteppedAt = first.Advance.SteppedAt + int64(time.Second)
-	_, err = Apply(c, rise, start0)
+	_, err = Apply(c, rise, startTime)
 	var r *Refused
 	is.True(errors.As(err, &r))
 	is.Equal(r.Code, TooSoon)
--- a/decide/change/session_test.go
+++ b/decide/change/session_test.go
@@ -50,12 +50,12 @@
 	case "show":
 		return s.show()
 	}
-	return s.write(operationOf(t, d, by))
+	return s.applyAndSwap(operationOf(t, d, by))
 }
 
-// write does what a daemon does with an operation: apply it to the catalogue
+// applyAndSwap does what a daemon does with an operation: apply it to the catalogue
 // it knows, swap, and on a lost swap apply it to the newest.
-func (s *session) write(op Operation) string {
+func (s *session) applyAndSwap(op Operation) string {
 	var out strings.Builder
 	base := s.store
 	if c, ok := s.read[op.Operator]; ok {
@@ -70,7 +70,7 @@
 	if err != nil {
 		fmt.Fprintln(&out, err)
 		if c, ok := err.(*Conflict); ok {
-			out.WriteString(versions(c))
+			out.WriteString(conflictVersions(c))
 		}
 		return out.String()
 	}
@@ -79,7 +79,7 @@
 	return out.String()
 }
 
-func versions(c *Conflict) string {
+func conflictVersions(c *Conflict) string {
 	var out strings.Builder
 	if y := c.YourShift; y != nil {
 		fmt.Fprintf(&out, "yours: to=%s max=%d\n", y.To, y.Limits.MaxShare)
--- a/decide/change/transition.go
+++ b/decide/change/transition.go
@@ -9,12 +9,12 @@
 
 // transition moves a shift through its life cycle.
 func transition(c *catalogue.Catalogue, op Operation, now clock.Time) error {
-	i := shiftAt(c, op.Shift.ID)
+	i := shiftIndex(c, op.Shift.ID)
 	if i < 0 {
 		return shiftConflict(c, i, op, op.Shift.Expect, nil)
 	}
 	s := c.Shifts[i]
-	if s.Revision != op.Shift.Expect && !anyVersion(op) {
+	if s.Revision != op.Shift.Expect && !acceptsAnyRevision(op) {
 		return shiftConflict(c, i, op, op.Shift.Expect, nil)
 	}
 	var err error
@@ -33,28 +33,28 @@
 	if err != nil {
 		return err
 	}
-	put(c, i, s)
+	putShift(c, i, s)
 	return nil
 }
 
-// anyVersion reports whether op applies to whatever version it finds. An
+// acceptsAnyRevision reports whether op applies to whatever version it finds. An
 // operator who stops a shift must not lose a race against the runner, which
 // writes the entry at every step.
-func anyVersion(op Operation) bool {
+func acceptsAnyRevision(op Operation) bool {
 	return op.Shift.Expect == 0 && (op.Kind == KindPause || op.Kind == KindRollBack)
 }
 
-// need refuses unless the shift is in one of the given states.
-func need(s *catalogue.Shift, op Kind, states ...catalogue.ShiftState) error {
+// requireState refuses unless the shift is in one of the given states.
+func requireState(s *catalogue.Shift, op Kind, states ...catalogue.ShiftState) error {
 	for _, st := range states {
 		if s.State == st {
 			return nil
 		}
 	}
-	return refuse(WrongState, "state", "%s needs a shift in state %s, and it is %s", op, list(states), s.State)
+	return refuse(WrongState, "state", "%s needs a shift in state %s, and it is %s", op, joinStates(states), s.State)
 }
 
-func list(states []catalogue.ShiftState) string {
+func joinStates(states []catalogue.ShiftState) string {
 	text := string(states[0])
 	for _, s := range states[1:] {
 		text += " or " + string(s)
@@ -63,7 +63,7 @@
 }
 
 func approve(s *catalogue.Shift, op Operation) error {
-	if err := need(s, op.Kind, catalogue.Draft); err != nil {
+	if err := requireState(s, op.Kind, catalogue.Draft); err != nil {
 		return err
 	}
 	if s.Class.NeedsSecondOperator() && s.Author == op.Operator {
@@ -75,13 +75,13 @@
 }
 
 func start(c *catalogue.Catalogue, s *catalogue.Shift, now clock.Time) error {
-	if err := need(s, KindStart, catalogue.Approved); err != nil {
+	if err := requireState(s, KindStart, catalogue.Approved); err != nil {
 		return err
 	}
 	if end := s.Limits.Window.End; !end.IsZero() && !now.Wall().Before(end) {
 		return refuse(OutOfWindow, "limits.window.end", "the window ended at %s", end.UTC().Format(time.RFC3339))
 	}
-	if err := overlap(c, s); err != nil {
+	if err := checkOverlap(c, s); err != nil {
 		return err
 	}
 	s.State = catalogue.Running
@@ -91,10 +91,10 @@
 	return nil
 }
 
-// overlap refuses a shift that contradicts one that moves already: together
+// checkOverlap refuses a shift that contradicts one that moves already: together
 // they would move more than the whole of a region's traffic, or move traffic
 // into a region that is being emptied.
-func overlap(c *catalogue.Catalogue, s *catalogue.Shift) error {
+func checkOverlap(c *catalogue.Catalogue, s *catalogue.Shift) error {
 	total := int(s.Limits.MaxShare)
 	for _, o := range c.Shifts {
 		if o.ID == s.ID || !o.State.Moves() || !sameService(o, *s) {
@@ -122,7 +122,7 @@
 }
 
 func pause(s *catalogue.Shift, op Operation) error {
-	if err := need(s, op.Kind, catalogue.Running); err != nil {
+	if err := requireState(s, op.Kind, catalogue.Running); err != nil {
 		return err
 	}
 	s.State = catalogue.Paused
@@ -131,7 +131,7 @@
 }
 
 func resume(s *catalogue.Shift) error {
-	if err := need(s, KindResume, catalogue.Paused); err != nil {
+	if err := requireState(s, KindResume, catalogue.Paused); err != nil {
 		return err
 	}
 	s.State = catalogue.Running
@@ -140,7 +140,7 @@
 }
 
 func rollBack(s *catalogue.Shift, op Operation) error {
-	if err := need(s, op.Kind, catalogue.Running, catalogue.Paused, catalogue.Done); err != nil {
+	if err := requireState(s, op.Kind, catalogue.Running, catalogue.Paused, catalogue.Done); err != nil {
 		return err
 	}
 	s.State = catalogue.RolledBack
@@ -157,15 +157,15 @@
 	if op.Operator != RunnerName {
 		return refuse(NotRunner, "operator", "only the shift runner advances a shift")
 	}
-	i := shiftAt(c, a.ID)
+	i := shiftIndex(c, a.ID)
 	if i < 0 || c.Shifts[i].Revision != a.Expect {
 		return shiftConflict(c, i, op, a.Expect, nil)
 	}
 	s := c.Shifts[i]
-	if err := mayAdvance(&s, op); err != nil {
+	if err := checkAdvanceState(&s, op); err != nil {
 		return err
 	}
-	if err := withinLimits(s, *a, now); err != nil {
+	if err := checkAdvanceLimits(s, *a, now); err != nil {
 		return err
 	}
 	s.Share = a.Share
@@ -176,21 +176,21 @@
 	if a.Done {
 		s.State = catalogue.Done
 	}
-	put(c, i, s)
+	putShift(c, i, s)
 	return nil
 }
 
-// mayAdvance refuses a step of a shift that is not running. A paused or finished
+// checkAdvanceState refuses a step of a shift that is not running. A paused or finished
 // one may be lowered all the same: when a client that it has moved grows, its
 // counted share passes the cap, and the runner must be able to bring it back.
-func mayAdvance(s *catalogue.Shift, op Operation) error {
+func checkAdvanceState(s *catalogue.Shift, op Operation) error {
 	if op.Advance.Share < s.Share && !op.Advance.Done {
-		return need(s, op.Kind, catalogue.Running, catalogue.Paused, catalogue.Done)
+		return requireState(s, op.Kind, catalogue.Running, catalogue.Paused, catalogue.Done)
 	}
-	return need(s, op.Kind, catalogue.Running)
+	return requireState(s, op.Kind, catalogue.Running)
 }
 
-func withinLimits(s catalogue.Shift, a Advance, now clock.Time) error {
+func checkAdvanceLimits(s catalogue.Shift, a Advance, now clock.Time) error {
 	l := s.Limits.WithDefaults()
 	switch {
 	case a.Share > l.MaxShare:
--- a/decide/change/validate.go
+++ b/decide/change/validate.go
@@ -17,29 +17,29 @@
 	MaxInterval  = 24 * time.Hour
 )
 
-// Known reports whether the catalogue has a service.
-type Known func(fleet.ServiceName) bool
+// ServiceExists reports whether the catalogue has a service.
+type ServiceExists func(fleet.ServiceName) bool
 
-// fields collects what is wrong.
-type fields []FieldError
+// fieldErrors collects what is wrong.
+type fieldErrors []FieldError
 
-func (f *fields) add(path, format string, args ...any) {
+func (f *fieldErrors) add(path, format string, args ...any) {
 	*f = append(*f, FieldError{Path: path, Message: fmt.Sprintf(format, args...)})
 }
 
-func (f *fields) name(path, s string) {
+func (f *fieldErrors) checkName(path, s string) {
 	if !isName(s) {
 		f.add(path, "must be 1 to %d characters of a-z, 0-9, '-', '_' and '.', starting with a letter or digit", MaxNameLen)
 	}
 }
 
-func (f *fields) share(path string, s catalogue.Share) {
+func (f *fieldErrors) checkShare(path string, s catalogue.Share) {
 	if s > catalogue.ShareUnit {
 		f.add(path, "must be at most %d", catalogue.ShareUnit)
 	}
 }
 
-func (f *fields) duration(path string, d catalogue.Duration, most time.Duration) {
+func (f *fieldErrors) checkDuration(path string, d catalogue.Duration, most time.Duration) {
 	if d < 0 || time.Duration(d) > most {
 		f.add(path, "must be between 0s and %s", most)
 	}
@@ -69,21 +69,21 @@
 
 // CheckService returns everything that is wrong with s.
 func CheckService(s catalogue.Service) []FieldError {
-	var f fields
-	f.name("name", string(s.Name))
+	var f fieldErrors
+	f.checkName("name", string(s.Name))
 	switch s.Priority {
 	case "", catalogue.Interactive, catalogue.Deferrable:
 	default:
 		f.add("priority", "must be %q or %q", catalogue.Interactive, catalogue.Deferrable)
 	}
-	f.duration("timeout", s.Timeout, MaxTimeout)
+	f.checkDuration("timeout", s.Timeout, MaxTimeout)
 	return f
 }
 
 // CheckEntry returns everything that is wrong with e.
-func CheckEntry(e Entry, known Known) []FieldError {
-	var f fields
-	f.name("id", e.ID)
+func CheckEntry(e Entry, known ServiceExists) []FieldError {
+	var f fieldErrors
+	f.checkName("id", e.ID)
 	if e.Owner == "" || len(e.Owner) > MaxNameLen {
 		f.add("owner", "must be 1 to %d characters", MaxNameLen)
 	}
@@ -95,18 +95,18 @@
 	if e.Service != "" && !known(e.Service) {
 		f.add("service", "no service %q in the catalogue", e.Service)
 	}
-	f.name("from", string(e.From))
+	f.checkName("from", string(e.From))
 	if e.To != "" {
-		f.name("to", string(e.To))
+		f.checkName("to", string(e.To))
 	}
 	if e.To != "" && e.To == e.From {
 		f.add("to", "must differ from \"from\"")
 	}
-	f.limits(e.Limits)
+	f.checkLimits(e.Limits)
 	return f
 }
 
-func (f *fields) limits(l catalogue.Limits) {
+func (f *fieldErrors) checkLimits(l catalogue.Limits) {
 	if l.MaxShare < 1 || l.MaxShare > catalogue.ShareUnit {
 		f.add("limits.max_share", "must be stated, from 1 to %d", catalogue.ShareUnit)
 	}
@@ -115,10 +115,10 @@
 	if l.Step > l.MaxShare {
 		f.add("limits.step", "must be at most max_share (%d)", l.MaxShare)
 	}
-	f.share("limits.min_headroom", l.MinHeadroom)
-	f.share("limits.max_error_share", l.MaxErrorShare)
-	f.duration("limits.interval", l.Interval, MaxInterval)
-	f.duration("limits.max_p99", l.MaxP99, MaxTimeout)
+	f.checkShare("limits.min_headroom", l.MinHeadroom)
+	f.checkShare("limits.max_error_share", l.MaxErrorShare)
+	f.checkDuration("limits.interval", l.Interval, MaxInterval)
+	f.checkDuration("limits.max_p99", l.MaxP99, MaxTimeout)
 	if w := l.Window; !w.Start.IsZero() && !w.End.IsZero() && !w.Start.Before(w.End) {
 		f.add("limits.window.end", "must be after limits.window.start")
 	}
@@ -127,14 +127,14 @@
 // checkOperation returns everything that is wrong with o's frame and with the
 // content it carries.
 func checkOperation(c *catalogue.Catalogue, o Operation) error {
-	var f fields
+	var f fieldErrors
 	if o.ID == "" || len(o.ID) > MaxNameLen {
 		f.add("id", "must be 1 to %d characters", MaxNameLen)
 	}
 	if o.Operator == "" || len(o.Operator) > MaxNameLen {
 		f.add("operator", "must be 1 to %d characters", MaxNameLen)
 	}
-	f.payload(o)
+	f.checkPayload(o)
 	if len(f) == 0 {
 		f = append(f, checkContent(c, o)...)
 	}
@@ -144,7 +144,7 @@
 	return nil
 }
 
-func (f *fields) payload(o Operation) {
+func (f *fieldErrors) checkPayload(o Operation) {
 	set := 0
 	for _, b := range []bool{
 		o.PutService != nil, o.RemoveService != nil, o.AddShift != nil,
--- a/decide/detect/compare_test.go
+++ b/decide/detect/compare_test.go
@@ -39,42 +39,42 @@
 		fixed("fixed-250ms", 250*ms), fixed("fixed-1s", time.Second), fixed("fixed-3s", hard),
 		phi("phi", classic), phi("phi-long-tail", long),
 		relative("relative", lag),
-		{"tail-3", func() detect.Detector { return newTail(3) }},
-		{"tail-6", func() detect.Detector { return newTail(6) }},
+		{"tail-3", func() detect.Detector { return newP99Multiple(3) }},
+		{"tail-6", func() detect.Detector { return newP99Multiple(6) }},
 		{"default", func() detect.Detector { return detect.ForAnswers(hard) }},
 	}
 }
 
-// tail is the rule that decide/dispatch had of its own before: silent for a
+// p99Multiple is the rule that decide/dispatch had of its own before: silent for a
 // multiple of the group's p99 latency, between 200 ms and 5 s, while a sibling
 // was heard since. Without such evidence it waits for the bound once more.
-type tail struct {
+type p99Multiple struct {
 	factor    int
 	quantiles target.Quantiles
-	last      clock.Time // when any member was heard
-	members   map[detect.ID]*tailMember
+	lastHeard clock.Time // when any member was heard
+	members   map[detect.ID]*p99MultipleMember
 }
 
-type tailMember struct {
-	since clock.Time // start of the silence
-	armed clock.Time // when the member is looked at next
-	owed  int
+type p99MultipleMember struct {
+	silentSince clock.Time // start of the silence
+	checkAt     clock.Time // when the member is looked at next
+	owed        int
 }
 
-func newTail(factor int) *tail {
-	return &tail{factor: factor, members: make(map[detect.ID]*tailMember)}
+func newP99Multiple(factor int) *p99Multiple {
+	return &p99Multiple{factor: factor, members: make(map[detect.ID]*p99MultipleMember)}
 }
 
-func (t *tail) member(id detect.ID) *tailMember {
+func (t *p99Multiple) member(id detect.ID) *p99MultipleMember {
 	m := t.members[id]
 	if m == nil {
-		m = new(tailMember)
+		m = new(p99MultipleMember)
 		t.members[id] = m
 	}
 	return m
 }
 
-func (t *tail) bound() time.Duration {
+func (t *p99Multiple) bound() time.Duration {
 	p99 := t.quantiles.P99()
 	if p99 == 0 {
 		return time.Second
@@ -82,50 +82,50 @@
 	return min(max(time.Duration(t.factor)*p99, time.Duration(t.factor)*200*ms/3), 5*time.Second)
 }
 
-func (t *tail) Sent(now clock.Time, id detect.ID) {
+func (t *p99Multiple) Sent(now clock.Time, id detect.ID) {
 	m := t.member(id)
 	if m.owed == 0 {
-		m.since, m.armed = now, now.Add(t.bound())
+		m.silentSince, m.checkAt = now, now.Add(t.bound())
 	}
 	m.owed++
 }
 
-func (t *tail) Heard(now clock.Time, id detect.ID) {
+func (t *p99Multiple) Heard(now clock.Time, id detect.ID) {
 	m := t.member(id)
 	if m.owed > 0 {
-		t.quantiles.Observe(now.Sub(m.since))
+		t.quantiles.Observe(now.Sub(m.silentSince))
 	}
-	m.since, m.armed = now, now.Add(t.bound())
-	t.last = now
+	m.silentSince, m.checkAt = now, now.Add(t.bound())
+	t.lastHeard = now
 }
 
-func (t *tail) Done(now clock.Time, id detect.ID) {
+func (t *p99Multiple) Done(now clock.Time, id detect.ID) {
 	t.Heard(now, id)
 	t.Abandoned(now, id)
 }
 
-func (t *tail) Abandoned(now clock.Time, id detect.ID) {
+func (t *p99Multiple) Abandoned(now clock.Time, id detect.ID) {
 	m := t.member(id)
 	m.owed = max(m.owed-1, 0)
 }
 
-func (t *tail) Suspect(now clock.Time, id detect.ID) bool {
+func (t *p99Multiple) Suspect(now clock.Time, id detect.ID) bool {
 	m := t.member(id)
-	return m.owed > 0 && now >= m.armed && t.last > m.since
+	return m.owed > 0 && now >= m.checkAt && t.lastHeard > m.silentSince
 }
 
-func (t *tail) Due(now clock.Time, id detect.ID) clock.Time {
+func (t *p99Multiple) Due(now clock.Time, id detect.ID) clock.Time {
 	m := t.member(id)
 	if m.owed == 0 {
 		return clock.Never
 	}
-	if now >= m.armed && !t.Suspect(now, id) {
-		m.armed = now.Add(t.bound())
+	if now >= m.checkAt && !t.Suspect(now, id) {
+		m.checkAt = now.Add(t.bound())
 	}
-	return max(m.armed, now)
+	return max(m.checkAt, now)
 }
 
-func (t *tail) Forget(id detect.ID) { delete(t.members, id) }
+func (t *p99Multiple) Forget(id detect.ID) { delete(t.members, id) }
 
 func peerCandidates() []candidate {
 	hard := 6 * time.Second
@@ -150,7 +150,7 @@
 	compare(b, detecttest.Connections(), answerCandidates())
 	compare(b, detecttest.Targets(), answerCandidates())
 	compare(b, detecttest.Peers(), peerCandidates())
-	for _, trace := range recorded(b) {
+	for _, trace := range readRecordedTraces(b) {
 		compareOn(b, []detecttest.Trace{trace}, answerCandidates())
 	}
 }
@@ -182,7 +182,7 @@
 	b.ReportMetric(0, "ns/op")
 	b.ReportMetric(float64(result.Quantile(0.5).Milliseconds()), "p50-ms")
 	b.ReportMetric(float64(result.Quantile(0.99).Milliseconds()), "p99-ms")
-	b.ReportMetric(float64(result.Open), "open")
+	b.ReportMetric(float64(result.Undetected), "open")
 	b.ReportMetric(result.FalsePerHour(), "false/h")
 	b.ReportMetric(result.FalsePerThousand(), "false/1000")
 }
--- a/decide/detect/detect.go
+++ b/decide/detect/detect.go
@@ -40,11 +40,11 @@
 // attempts until a sign of life. Without the adding up, a dead target whose
 // callers each give up before the bound would never be suspected.
 type member struct {
-	since  clock.Time    // start of the silence, as if it were unbroken; valid while owed > 0
-	silent time.Duration // silence so far; valid while owed == 0
-	mark   int64         // logical clock from which lag counts; valid while owed > 0
-	lag    int64         // lag so far; valid while owed == 0
-	owed   int32         // answers owed
+	silentSince        clock.Time    // start of the silence, as if it were unbroken; valid while owed > 0
+	accumulatedSilence time.Duration // silence so far; valid while owed == 0
+	lagStart           int64         // logical clock from which lag counts; valid while owed > 0
+	accumulatedLag     int64         // lag so far; valid while owed == 0
+	owed               int32         // answers owed
 }
 
 // group holds the members. What their lag is counted in is the detector's
@@ -68,9 +68,9 @@
 	}
 	m := &g.members[id]
 	if m.owed == 0 {
-		return m.silent
+		return m.accumulatedSilence
 	}
-	return now.Sub(m.since)
+	return now.Sub(m.silentSince)
 }
 
 // lag returns how far the siblings' progress, at tick, has run ahead of id.
@@ -80,36 +80,36 @@
 	}
 	m := &g.members[id]
 	if m.owed == 0 {
-		return m.lag
+		return m.accumulatedLag
 	}
-	return max(0, tick-m.mark)
+	return max(0, tick-m.lagStart)
 }
 
-// waiting reports whether id owes an answer.
-func (g *group) waiting(id ID) bool {
+// owesAnswer reports whether id owes an answer.
+func (g *group) owesAnswer(id ID) bool {
 	return int(id) < len(g.members) && g.members[id].owed > 0
 }
 
-// sent adds one answer owed; mark is where lag starts when id owed none.
-func (g *group) sent(now clock.Time, id ID, mark int64) {
+// addOwed adds one answer owed; mark is where lag starts when id owed none.
+func (g *group) addOwed(now clock.Time, id ID, mark int64) {
 	m := g.member(id)
 	if m.owed == 0 {
-		m.since = now.Add(-m.silent)
-		m.mark = mark - m.lag
+		m.silentSince = now.Add(-m.accumulatedSilence)
+		m.lagStart = mark - m.accumulatedLag
 	}
 	m.owed++
 	g.owed++
 }
 
-// heard ends the silence of id.
-func (g *group) heard(now clock.Time, id ID, mark int64) {
+// endSilence ends the silence of id.
+func (g *group) endSilence(now clock.Time, id ID, mark int64) {
 	m := g.member(id)
-	m.since, m.silent = now, 0
-	m.mark, m.lag = mark, 0
+	m.silentSince, m.accumulatedSilence = now, 0
+	m.lagStart, m.accumulatedLag = mark, 0
 }
 
-// settle takes one answer off what id owes. Silence and lag are kept.
-func (g *group) settle(now clock.Time, id ID, tick int64) {
+// removeOwed takes one answer off what id owes. Silence and lag are kept.
+func (g *group) removeOwed(now clock.Time, id ID, tick int64) {
 	m := g.member(id)
 	if m.owed == 0 {
 		return
@@ -118,7 +118,7 @@
 	m.owed--
 	g.owed--
 	if m.owed == 0 {
-		m.silent, m.lag = silent, lag
+		m.accumulatedSilence, m.accumulatedLag = silent, lag
 	}
 }
 
@@ -131,24 +131,24 @@
 	g.members[id] = member{}
 }
 
-// due returns when the silence of id will pass bound.
-func (g *group) due(now clock.Time, id ID, bound time.Duration) clock.Time {
-	if !g.waiting(id) {
+// boundPassedAt returns when the silence of id will pass bound.
+func (g *group) boundPassedAt(now clock.Time, id ID, bound time.Duration) clock.Time {
+	if !g.owesAnswer(id) {
 		return clock.Never
 	}
-	at := g.members[id].since.Add(bound + 1)
+	at := g.members[id].silentSince.Add(bound + 1)
 	if at < now {
 		return now
 	}
 	return at
 }
 
-// next returns when the silence of id will pass bound, or a poll from now if
+// nextCheck returns when the silence of id will pass bound, or a poll from now if
 // it has.
-func (g *group) next(now clock.Time, id ID, bound time.Duration) clock.Time {
-	return max(g.due(now, id, bound), now.Add(poll))
+func (g *group) nextCheck(now clock.Time, id ID, bound time.Duration) clock.Time {
+	return max(g.boundPassedAt(now, id, bound), now.Add(pollInterval))
 }
 
-// poll is how often a member that only its siblings' progress can bring under
+// pollInterval is how often a member that only its siblings' progress can bring under
 // suspicion is asked about. A suspicion is noticed that much late at most.
-const poll = 10 * time.Millisecond
+const pollInterval = 10 * time.Millisecond
--- a/decide/detect/detect_test.go
+++ b/decide/detect/detect_test.go
@@ -215,7 +215,7 @@
 		t.Run(name, rapid.MakeCheck(func(t *rapid.T) {
 			is := is.NewRelaxed(t)
 			d := make()
-			now := randomLife(t, d, start)
+			now := randomEvents(t, d, start)
 			if rapid.Bool().Draw(t, "fresh request") {
 				d.Sent(now, 0)
 			}
@@ -238,8 +238,8 @@
 	}
 }
 
-// randomLife lets three members live for a while, and returns when it ended.
-func randomLife(t *rapid.T, d detect.Detector, now clock.Time) clock.Time {
+// randomEvents lets three members live for a while, and returns when it ended.
+func randomEvents(t *rapid.T, d detect.Detector, now clock.Time) clock.Time {
 	for range rapid.IntRange(0, 60).Draw(t, "events") {
 		now = now.Add(time.Duration(rapid.Int64Range(0, int64(700*ms)).Draw(t, "gap")))
 		id := detect.ID(rapid.IntRange(0, 2).Draw(t, "id"))
--- a/decide/detect/detecttest/generate.go
+++ b/decide/detect/detecttest/generate.go
@@ -19,21 +19,21 @@
 
 // Requests describes requests to a group of connections or targets.
 type Requests struct {
-	Name       string
-	Members    int           // connections or targets
-	Capacity   int           // requests a member takes at once
-	Rate       float64       // requests a second, over the group
-	Length     time.Duration // of the trace
-	Median     time.Duration // of the latency
-	Sigma      float64       // of the logarithm of the latency
-	LongShare  float64       // share of requests with a Pareto tail instead
-	LongMost   time.Duration // longest latency of these
-	Stops      int           // members that stop, spread over the trace
-	Slow       float64       // latency factor in the second half, of all members; 0: 1
-	Cold       float64       // latency factor of member 0 for ColdLength from a third of the trace on; 0: 1
-	ColdLength time.Duration
-	PauseAll   Pause // holds back every answer
-	PauseOne   Pause // holds back the answers of one member
+	Name           string
+	Members        int           // connections or targets
+	Capacity       int           // requests a member takes at once
+	Rate           float64       // requests a second, over the group
+	Length         time.Duration // of the trace
+	Median         time.Duration // of the latency
+	Sigma          float64       // of the logarithm of the latency
+	LongShare      float64       // share of requests with a Pareto tail instead
+	MaxLongLatency time.Duration // longest latency of these
+	Stops          int           // members that stop, spread over the trace
+	SlowFactor     float64       // latency factor in the second half, of all members; 0: 1
+	ColdFactor     float64       // latency factor of member 0 for ColdLength from a third of the trace on; 0: 1
+	ColdLength     time.Duration
+	PauseAll       Pause // holds back every answer
+	PauseOne       Pause // holds back the answers of one member
 }
 
 // Heartbeats describes peers that each send heartbeats at one interval.
@@ -71,8 +71,8 @@
 	}
 }
 
-// after returns t, or the end of the pause that holds t.
-func (p pauses) after(t clock.Time) clock.Time {
+// endOfPause returns t, or the end of the pause that holds t.
+func (p pauses) endOfPause(t clock.Time) clock.Time {
 	for _, i := range p {
 		if i.from <= t && t < i.to {
 			return i.to
@@ -90,46 +90,46 @@
 // number takes its place.
 func (q Requests) Generate(seed uint64) Trace {
 	r := rand.New(rand.NewPCG(seed, uint64(len(q.Name))))
-	g := requestRun{Requests: q, rand: r, all: q.PauseAll.generate(r, q.Length)}
+	g := requestGenerator{Requests: q, rand: r, groupPauses: q.PauseAll.generate(r, q.Length)}
 	for id := range q.Members {
-		g.add(detect.ID(id))
+		g.addMember(detect.ID(id))
 	}
 	stops := stopTimes(r, q.Stops, q.Length)
 	end := start.Add(q.Length)
 	for at := start; at < end; at = at.Add(exponential(r, time.Duration(float64(time.Second)/q.Rate))) {
 		for len(stops) > 0 && stops[0] <= at {
-			g.stop(stops[0])
+			g.stopRandomMember(stops[0])
 			stops = stops[1:]
 		}
-		g.release(at)
-		g.send(at)
+		g.removeAnswered(at)
+		g.sendRequest(at)
 	}
-	return finish(q.Name, g.events, end)
+	return newTrace(q.Name, g.events, end)
 }
 
-type load struct {
-	id      detect.ID
-	stopped bool
-	busy    []clock.Time // when each request in flight will be answered
-	pauses  pauses
+type simulatedMember struct {
+	id          detect.ID
+	stopped     bool
+	answerTimes []clock.Time // when each request in flight will be answered
+	pauses      pauses
 }
 
-type requestRun struct {
+type requestGenerator struct {
 	Requests
-	rand    *rand.Rand
-	all     pauses
-	members []*load // live and stopped ones that still take requests
-	events  []Event
-	last    detect.ID
+	rand        *rand.Rand
+	groupPauses pauses
+	members     []*simulatedMember // live and stopped ones that still take requests
+	events      []Event
+	lastID      detect.ID
 }
 
-func (g *requestRun) add(id detect.ID) {
-	g.members = append(g.members, &load{id: id, pauses: g.PauseOne.generate(g.rand, g.Length)})
-	g.last = id
+func (g *requestGenerator) addMember(id detect.ID) {
+	g.members = append(g.members, &simulatedMember{id: id, pauses: g.PauseOne.generate(g.rand, g.Length)})
+	g.lastID = id
 }
 
-// stop stops a member drawn by lot. What it has not answered yet it never will.
-func (g *requestRun) stop(at clock.Time) {
+// stopRandomMember stops a member drawn by lot. What it has not answered yet it never will.
+func (g *requestGenerator) stopRandomMember(at clock.Time) {
 	m := g.members[g.rand.IntN(len(g.members))]
 	if m.stopped {
 		return
@@ -139,52 +139,52 @@
 		return e.ID == m.id && e.Kind == Done && e.At > at
 	})
 	g.events = append(g.events, Event{At: at, Kind: Stop, ID: m.id})
-	g.add(g.last + 1)
+	g.addMember(g.lastID + 1)
 }
 
-// release frees what has been answered by at.
-func (g *requestRun) release(at clock.Time) {
+// removeAnswered frees what has been answered by at.
+func (g *requestGenerator) removeAnswered(at clock.Time) {
 	for _, m := range g.members {
 		if !m.stopped {
-			m.busy = slices.DeleteFunc(m.busy, func(t clock.Time) bool { return t <= at })
+			m.answerTimes = slices.DeleteFunc(m.answerTimes, func(t clock.Time) bool { return t <= at })
 		}
 	}
-	g.members = slices.DeleteFunc(g.members, func(m *load) bool {
-		return m.stopped && len(m.busy) >= g.Capacity
+	g.members = slices.DeleteFunc(g.members, func(m *simulatedMember) bool {
+		return m.stopped && len(m.answerTimes) >= g.Capacity
 	})
 }
 
-// send gives a request to the less loaded of two members drawn by lot; with
+// sendRequest gives a request to the less loaded of two members drawn by lot; with
 // both full, the request is refused and leaves no event.
-func (g *requestRun) send(at clock.Time) {
+func (g *requestGenerator) sendRequest(at clock.Time) {
 	m := g.members[g.rand.IntN(len(g.members))]
-	if o := g.members[g.rand.IntN(len(g.members))]; len(o.busy) < len(m.busy) {
+	if o := g.members[g.rand.IntN(len(g.members))]; len(o.answerTimes) < len(m.answerTimes) {
 		m = o
 	}
-	if len(m.busy) >= g.Capacity {
+	if len(m.answerTimes) >= g.Capacity {
 		return
 	}
-	done := m.pauses.after(g.all.after(at.Add(g.latency(at, m.id))))
-	m.busy = append(m.busy, done)
+	done := m.pauses.endOfPause(g.groupPauses.endOfPause(at.Add(g.latency(at, m.id))))
+	m.answerTimes = append(m.answerTimes, done)
 	g.events = append(g.events, Event{At: at, Kind: Sent, ID: m.id})
 	if !m.stopped {
 		g.events = append(g.events, Event{At: done, Kind: Done, ID: m.id})
 	}
 }
 
-func (g *requestRun) latency(at clock.Time, id detect.ID) time.Duration {
+func (g *requestGenerator) latency(at clock.Time, id detect.ID) time.Duration {
 	seconds := g.Median.Seconds() * math.Exp(g.Sigma*g.rand.NormFloat64())
 	if g.rand.Float64() < g.LongShare {
 		pareto := g.Median.Seconds() * math.Pow(1-g.rand.Float64(), -1/1.1)
-		seconds = min(4*pareto, g.LongMost.Seconds())
+		seconds = min(4*pareto, g.MaxLongLatency.Seconds())
 	}
 	since := at.Sub(start)
-	if g.Slow > 0 && since > g.Length/2 {
-		seconds *= g.Slow
+	if g.SlowFactor > 0 && since > g.Length/2 {
+		seconds *= g.SlowFactor
 	}
 	cold := g.Length / 3
-	if g.Cold > 0 && id == 0 && since > cold && since < cold+g.ColdLength {
-		seconds *= g.Cold
+	if g.ColdFactor > 0 && id == 0 && since > cold && since < cold+g.ColdLength {
+		seconds *= g.ColdFactor
 	}
 	return time.Duration(seconds * float64(time.Second))
 }
@@ -205,15 +205,15 @@
 		own := h.PauseOne.generate(r, h.Length)
 		events = append(events, Event{At: start, Kind: Sent, ID: id})
 		phase := time.Duration(r.Float64() * float64(h.Interval))
-		for at := start.Add(phase); at < end; at = own.after(at).Add(h.Interval) {
+		for at := start.Add(phase); at < end; at = own.endOfPause(at).Add(h.Interval) {
 			if r.Float64() < h.Loss {
 				continue
 			}
-			arrival := all.after(own.after(at).Add(exponential(r, h.Jitter)))
+			arrival := all.endOfPause(own.endOfPause(at).Add(exponential(r, h.Jitter)))
 			events = append(events, Event{At: arrival, Kind: Heard, ID: id})
 		}
 	}
-	return finish(h.Name, events, start.Add(h.Length))
+	return newTrace(h.Name, events, start.Add(h.Length))
 }
 
 // stopTimes returns instants in the second to the last but one tenth of a trace.
@@ -226,8 +226,8 @@
 	return times
 }
 
-// finish sorts the events and cuts those after the end.
-func finish(name string, events []Event, end clock.Time) Trace {
+// newTrace sorts the events and cuts those after the end.
+func newTrace(name string, events []Event, end clock.Time) Trace {
 	events = slices.DeleteFunc(events, func(e Event) bool { return e.At > end })
 	slices.SortStableFunc(events, func(a, b Event) int { return cmp.Compare(a.At, b.At) })
 	return Trace{Name: name, Events: events}
--- a/decide/detect/detecttest/scenarios.go
+++ b/decide/detect/detecttest/scenarios.go
@@ -12,7 +12,7 @@
 func Connections() []Source {
 	base := Requests{
 		Name: "conn/normal", Members: 40, Capacity: 1, Rate: 150, Length: 2 * time.Minute,
-		Median: 8 * time.Millisecond, Sigma: 0.6, LongShare: 0.01, LongMost: 2 * time.Second, Stops: 10,
+		Median: 8 * time.Millisecond, Sigma: 0.6, LongShare: 0.01, MaxLongLatency: 2 * time.Second, Stops: 10,
 	}
 	return variants(base, "conn", 0.5)
 }
@@ -24,7 +24,7 @@
 func Targets() []Source {
 	base := Requests{
 		Name: "target/normal", Members: 8, Capacity: 3, Rate: 300, Length: 2 * time.Minute,
-		Median: 12 * time.Millisecond, Sigma: 0.6, LongShare: 0.01, LongMost: 2 * time.Second, Stops: 8,
+		Median: 12 * time.Millisecond, Sigma: 0.6, LongShare: 0.01, MaxLongLatency: 2 * time.Second, Stops: 8,
 	}
 	return variants(base, "target", 1)
 }
@@ -33,13 +33,13 @@
 func variants(base Requests, name string, lowRate float64) []Source {
 	uniform, slow, cold, low, all, one, long, large := base, base, base, base, base, base, base, base
 	uniform.Name, uniform.LongShare = name+"/no-tail", 0
-	slow.Name, slow.Slow = name+"/all-slow-5x", 5
-	cold.Name, cold.Cold, cold.ColdLength = name+"/one-cold-10x", 10, 20*time.Second
+	slow.Name, slow.SlowFactor = name+"/all-slow-5x", 5
+	cold.Name, cold.ColdFactor, cold.ColdLength = name+"/one-cold-10x", 10, 20*time.Second
 	low.Name, low.Rate, low.Length = name+"/low-traffic", lowRate, 20*time.Minute
 	all.Name, all.PauseAll = name+"/pause-all", Pause{Every: 10 * time.Second, Mean: 300 * time.Millisecond}
 	one.Name, one.PauseOne = name+"/pause-one", Pause{Every: 20 * time.Second, Mean: 300 * time.Millisecond}
 	long.Name, long.LongShare = name+"/long-tail", 0.05
-	large.Name, large.Median, large.Rate, large.LongMost = name+"/large", 50*base.Median, base.Rate/25, 5*time.Second
+	large.Name, large.Median, large.Rate, large.MaxLongLatency = name+"/large", 50*base.Median, base.Rate/25, 5*time.Second
 	return []Source{uniform, base, long, large, slow, cold, all, one, low}
 }
 
--- a/decide/detect/detecttest/score.go
+++ b/decide/detect/detecttest/score.go
@@ -10,20 +10,20 @@
 
 // Result is how a detector did on one or more traces.
 type Result struct {
-	Detections  []time.Duration // from the stop, or the first request after it, to the suspicion
-	Open        int             // stopped members that owed an answer and were not suspected by the end
-	LongestOpen time.Duration   // how long the one of them that stopped first had owed it
-	False       int             // suspicions that a later sign of life refuted
-	Sent        int             // requests, or heartbeats that came
-	Length      time.Duration   // of the traces
+	Detections        []time.Duration // from the stop, or the first request after it, to the suspicion
+	Undetected        int             // stopped members that owed an answer and were not suspected by the end
+	LongestUndetected time.Duration   // how long the one of them that stopped first had owed it
+	FalseSuspicions   int             // suspicions that a later sign of life refuted
+	Sent              int             // requests, or heartbeats that came
+	Length            time.Duration   // of the traces
 }
 
 // Add joins the result of another trace.
 func (r *Result) Add(o Result) {
 	r.Detections = append(r.Detections, o.Detections...)
-	r.Open += o.Open
-	r.LongestOpen = max(r.LongestOpen, o.LongestOpen)
-	r.False += o.False
+	r.Undetected += o.Undetected
+	r.LongestUndetected = max(r.LongestUndetected, o.LongestUndetected)
+	r.FalseSuspicions += o.FalseSuspicions
 	r.Sent += o.Sent
 	r.Length += o.Length
 }
@@ -38,24 +38,26 @@
 }
 
 // FalsePerHour returns the false suspicions in an hour of trace.
-func (r *Result) FalsePerHour() float64 { return float64(r.False) / r.Length.Hours() }
+func (r *Result) FalsePerHour() float64 { return float64(r.FalseSuspicions) / r.Length.Hours() }
 
 // FalsePerThousand returns the false suspicions in a thousand requests.
-func (r *Result) FalsePerThousand() float64 { return 1000 * float64(r.False) / float64(r.Sent) }
+func (r *Result) FalsePerThousand() float64 {
+	return 1000 * float64(r.FalseSuspicions) / float64(r.Sent)
+}
 
-type truth struct {
+type memberState struct {
 	waiting   int
 	suspected bool
 	stopped   bool
-	gone      bool
-	from      clock.Time // when a stopped member first owed an answer
-	due       clock.Time // when to ask the detector next
+	replaced  bool
+	owedSince clock.Time // when a stopped member first owed an answer
+	checkAt   clock.Time // when to ask the detector next
 }
 
 type scorer struct {
 	detector detect.Detector
-	members  []truth
-	asked    []detect.ID // members that owe an answer
+	members  []memberState
+	owing    []detect.ID // members that owe an answer
 	result   Result
 }
 
@@ -68,99 +70,99 @@
 		s.runTimers(e.At)
 		s.apply(e)
 	}
-	s.close(t.Events[len(t.Events)-1].At)
+	s.countUndetected(t.Events[len(t.Events)-1].At)
 	return s.result
 }
 
-// close counts what a stop shortly before the end of the trace left open.
-func (s *scorer) close(end clock.Time) {
+// countUndetected counts what a stop shortly before the end of the trace left open.
+func (s *scorer) countUndetected(end clock.Time) {
 	for _, m := range s.members {
-		if m.stopped && m.waiting > 0 && !m.gone {
-			s.result.Open++
-			s.result.LongestOpen = max(s.result.LongestOpen, end.Sub(m.from))
+		if m.stopped && m.waiting > 0 && !m.replaced {
+			s.result.Undetected++
+			s.result.LongestUndetected = max(s.result.LongestUndetected, end.Sub(m.owedSince))
 		}
 	}
 }
 
 func (s *scorer) apply(e Event) {
 	for int(e.ID) >= len(s.members) {
-		s.members = append(s.members, truth{})
+		s.members = append(s.members, memberState{})
 	}
 	m := &s.members[e.ID]
-	if m.gone {
+	if m.replaced {
 		return
 	}
-	defer s.arm(e.At, e.ID)
+	defer s.scheduleCheck(e.At, e.ID)
 	switch e.Kind {
 	case Sent:
 		s.detector.Sent(e.At, e.ID)
 		if m.waiting == 0 {
-			m.from = max(m.from, e.At)
-			s.asked = append(s.asked, e.ID)
+			m.owedSince = max(m.owedSince, e.At)
+			s.owing = append(s.owing, e.ID)
 		}
 		m.waiting++
 		s.result.Sent++
 	case Heard:
-		s.refute(m)
+		s.countIfRefuted(m)
 		s.detector.Heard(e.At, e.ID)
 		s.result.Sent++
 	case Done:
-		s.refute(m)
+		s.countIfRefuted(m)
 		s.detector.Done(e.At, e.ID)
 		m.waiting--
 		if m.waiting == 0 {
-			s.drop(e.ID)
+			s.removeOwing(e.ID)
 		}
 	case Stop:
 		m.stopped = true
-		m.from = e.At
+		m.owedSince = e.At
 	}
 }
 
-func (s *scorer) refute(m *truth) {
+func (s *scorer) countIfRefuted(m *memberState) {
 	if m.suspected {
-		s.result.False++
+		s.result.FalseSuspicions++
 	}
 	m.suspected = false
 }
 
-func (s *scorer) drop(id detect.ID) {
-	s.asked = slices.DeleteFunc(s.asked, func(o detect.ID) bool { return o == id })
+func (s *scorer) removeOwing(id detect.ID) {
+	s.owing = slices.DeleteFunc(s.owing, func(o detect.ID) bool { return o == id })
 }
 
-// arm sets the timer of a member after an event about it.
-func (s *scorer) arm(now clock.Time, id detect.ID) {
-	s.members[id].due = s.detector.Due(now, id)
+// scheduleCheck sets the timer of a member after an event about it.
+func (s *scorer) scheduleCheck(now clock.Time, id detect.ID) {
+	s.members[id].checkAt = s.detector.Due(now, id)
 }
 
 // runTimers asks about every member that is due before until, in order of time.
 func (s *scorer) runTimers(until clock.Time) {
 	for {
 		first, at := detect.ID(-1), until
-		for _, id := range s.asked {
-			if due := s.members[id].due; due < at {
+		for _, id := range s.owing {
+			if due := s.members[id].checkAt; due < at {
 				first, at = id, due
 			}
 		}
 		if first < 0 {
 			return
 		}
-		s.ask(at, first)
+		s.check(at, first)
 	}
 }
 
-func (s *scorer) ask(now clock.Time, id detect.ID) {
+func (s *scorer) check(now clock.Time, id detect.ID) {
 	m := &s.members[id]
 	if !s.detector.Suspect(now, id) {
-		m.due = s.detector.Due(now, id)
+		m.checkAt = s.detector.Due(now, id)
 		return
 	}
 	m.suspected = true
-	m.due = clock.Never
+	m.checkAt = clock.Never
 	if m.stopped {
-		s.result.Detections = append(s.result.Detections, now.Sub(m.from))
+		s.result.Detections = append(s.result.Detections, now.Sub(m.owedSince))
 		s.detector.Forget(id)
-		m.gone = true
-		s.drop(id)
+		m.replaced = true
+		s.removeOwing(id)
 	}
 }
--- a/decide/detect/detecttest/trace_test.go
+++ b/decide/detect/detecttest/trace_test.go
@@ -42,12 +42,12 @@
 	trace, err := detecttest.Decode(strings.NewReader(strings.TrimSpace(text)), "by hand")
 	is.NoErr(err)
 	r := detecttest.Score(detect.NewFixed(900*time.Millisecond), trace)
-	is.Equal(r.False, 2)                                                    // the first request, and member 1
+	is.Equal(r.FalseSuspicions, 2)                                          // the first request, and member 1
 	is.Equal(r.Quantile(0.5).Round(time.Microsecond), 700*time.Millisecond) // 2.9 s, from 2.2 s
-	is.Equal(r.Open, 0)
+	is.Equal(r.Undetected, 0)
 	is.Equal(r.Sent, 3)
 	r = detecttest.Score(detect.NewFixed(4*time.Second), trace)
-	is.Equal(r.False, 0)
-	is.Equal(r.Open, 1)
-	is.Equal(r.LongestOpen, 2800*time.Millisecond)
+	is.Equal(r.FalseSuspicions, 0)
+	is.Equal(r.Undetected, 1)
+	is.Equal(r.LongestUndetected, 2800*time.Millisecond)
 }
--- a/decide/detect/fixed.go
+++ b/decide/detect/fixed.go
@@ -17,19 +17,19 @@
 func NewFixed(timeout time.Duration) *Fixed { return &Fixed{timeout: timeout} }
 
 // Sent implements Detector.
-func (f *Fixed) Sent(now clock.Time, id ID) { f.group.sent(now, id, 0) }
+func (f *Fixed) Sent(now clock.Time, id ID) { f.group.addOwed(now, id, 0) }
 
 // Heard implements Detector.
-func (f *Fixed) Heard(now clock.Time, id ID) { f.group.heard(now, id, 0) }
+func (f *Fixed) Heard(now clock.Time, id ID) { f.group.endSilence(now, id, 0) }
 
 // Done implements Detector.
 func (f *Fixed) Done(now clock.Time, id ID) {
-	f.group.heard(now, id, 0)
-	f.group.settle(now, id, 0)
+	f.group.endSilence(now, id, 0)
+	f.group.removeOwed(now, id, 0)
 }
 
 // Abandoned implements Detector.
-func (f *Fixed) Abandoned(now clock.Time, id ID) { f.group.settle(now, id, 0) }
+func (f *Fixed) Abandoned(now clock.Time, id ID) { f.group.removeOwed(now, id, 0) }
 
 // Suspect implements Detector.
 func (f *Fixed) Suspect(now clock.Time, id ID) bool {
@@ -37,7 +37,9 @@
 }
 
 // Due implements Detector.
-func (f *Fixed) Due(now clock.Time, id ID) clock.Time { return f.group.due(now, id, f.timeout) }
+func (f *Fixed) Due(now clock.Time, id ID) clock.Time {
+	return f.group.boundPassedAt(now, id, f.timeout)
+}
 
 // Forget implements Detector.
 func (f *Fixed) Forget(id ID) { f.group.forget(id) }
--- a/decide/detect/phi.go
+++ b/decide/detect/phi.go
@@ -29,66 +29,66 @@
 // for a reason common to all would get many members suspected together, and
 // what they carried would be sent again when capacity is shortest.
 type Phi struct {
-	config   PhiConfig
-	group    group
-	active   int64      // logical clock: nanoseconds in which the group showed life
-	last     clock.Time // the last sign of life
-	z        float64    // Phi as a number of standard deviations
-	mean     float64    // of silences in seconds, or of their logarithm
-	variance float64
-	samples  int
-	bound    time.Duration
+	config     PhiConfig
+	group      group
+	activeTime int64      // logical clock: nanoseconds in which the group showed life
+	lastHeard  clock.Time // the last sign of life
+	zScore     float64    // Phi as a number of standard deviations
+	mean       float64    // of silences in seconds, or of their logarithm
+	variance   float64
+	samples    int
+	bound      time.Duration
 }
 
 const (
-	// phiMeanMemory is about how many silences the mean remembers. It is short,
+	// phiMeanSamples is about how many silences the mean remembers. It is short,
 	// so that a change of speed is soon the new mean and no deviation.
-	phiMeanMemory = 64
-	// phiMemory is about how many silences the deviation remembers. Much fewer
+	phiMeanSamples = 64
+	// phiVarianceSamples is about how many silences the deviation remembers. Much fewer
 	// would make the bound jump with each long answer.
-	phiMemory = 512
-	// phiWarm samples are taken before the fit is used.
-	phiWarm = 8
+	phiVarianceSamples = 512
+	// phiMinSamples samples are taken before the fit is used.
+	phiMinSamples = 8
 	// phiMinDeviation is the least standard deviation, as a share of the mean
 	// or in units of the logarithm: without it, a steady group would be
 	// suspected at the first jitter.
 	phiMinDeviation = 0.1
-	// phiShared is how many deviations above the mean a silence is learnt
+	// phiSharedDeviations is how many deviations above the mean a silence is learnt
 	// from in full though the group shared it.
-	phiShared = 2
-	// phiRecheck is the part of the bound after which Due has a silence
+	phiSharedDeviations = 2
+	// phiRecheckDivisor is the part of the bound after which Due has a silence
 	// looked at again, since the bound may have fallen meanwhile.
-	phiRecheck = 4
+	phiRecheckDivisor = 4
 )
 
 // NewPhi returns a detector for one group.
 func NewPhi(c PhiConfig) *Phi {
 	tail := math.Pow(10, -c.Phi)
 	z := math.Sqrt2 * math.Erfcinv(2*tail)
-	return &Phi{config: c, z: z, bound: c.MaxSilence}
+	return &Phi{config: c, zScore: z, bound: c.MaxSilence}
 }
 
 // Sent implements Detector.
-func (p *Phi) Sent(now clock.Time, id ID) { p.group.sent(now, id, p.tick(now)) }
+func (p *Phi) Sent(now clock.Time, id ID) { p.group.addOwed(now, id, p.activeTimeAt(now)) }
 
 // Heard implements Detector.
 func (p *Phi) Heard(now clock.Time, id ID) {
-	if p.group.waiting(id) {
-		p.learn(p.sample(now, id))
+	if p.group.owesAnswer(id) {
+		p.addSample(p.sampleSilence(now, id))
 	}
-	p.active = p.tick(now)
-	p.last = now
-	p.group.heard(now, id, p.active)
+	p.activeTime = p.activeTimeAt(now)
+	p.lastHeard = now
+	p.group.endSilence(now, id, p.activeTime)
 }
 
 // Done implements Detector.
 func (p *Phi) Done(now clock.Time, id ID) {
 	p.Heard(now, id)
-	p.group.settle(now, id, p.active)
+	p.group.removeOwed(now, id, p.activeTime)
 }
 
 // Abandoned implements Detector.
-func (p *Phi) Abandoned(now clock.Time, id ID) { p.group.settle(now, id, p.tick(now)) }
+func (p *Phi) Abandoned(now clock.Time, id ID) { p.group.removeOwed(now, id, p.activeTimeAt(now)) }
 
 // Suspect implements Detector.
 func (p *Phi) Suspect(now clock.Time, id ID) bool {
@@ -96,21 +96,21 @@
 	if silence > p.config.MaxSilence {
 		return true
 	}
-	return silence > p.bound && p.counted(now, id) > p.bound
+	return silence > p.bound && p.activeSilence(now, id) > p.bound
 }
 
 // Due implements Detector. A silence past Bound that waits for the Gate is
 // looked at again every poll, a shorter one as the bound may fall.
 func (p *Phi) Due(now clock.Time, id ID) clock.Time {
-	if !p.group.waiting(id) {
+	if !p.group.owesAnswer(id) {
 		return clock.Never
 	}
 	if p.Suspect(now, id) {
 		return now
 	}
-	latest := p.group.due(now, id, p.config.MaxSilence)
-	soon := clock.Min(p.group.due(now, id, p.bound), now.Add(p.bound/phiRecheck))
-	return clock.Min(latest, max(soon, now.Add(poll)))
+	latest := p.group.boundPassedAt(now, id, p.config.MaxSilence)
+	soon := clock.Min(p.group.boundPassedAt(now, id, p.bound), now.Add(p.bound/phiRecheckDivisor))
+	return clock.Min(latest, max(soon, now.Add(pollInterval)))
 }
 
 // Forget implements Detector.
@@ -120,34 +120,34 @@
 // answer meanwhile.
 func (p *Phi) Bound() time.Duration { return p.bound }
 
-// tick reads the logical clock.
-func (p *Phi) tick(now clock.Time) int64 {
-	since := now.Sub(p.last)
+// activeTimeAt reads the logical clock.
+func (p *Phi) activeTimeAt(now clock.Time) int64 {
+	since := now.Sub(p.lastHeard)
 	if p.config.Gate > 0 {
 		since = min(since, p.bound/time.Duration(p.config.Gate))
 	}
-	return p.active + int64(since)
+	return p.activeTime + int64(since)
 }
 
-// counted returns the silence of id in which the group showed life.
-func (p *Phi) counted(now clock.Time, id ID) time.Duration {
-	return time.Duration(p.group.lag(p.tick(now), id))
+// activeSilence returns the silence of id in which the group showed life.
+func (p *Phi) activeSilence(now clock.Time, id ID) time.Duration {
+	return time.Duration(p.group.lag(p.activeTimeAt(now), id))
 }
 
-// sample returns the silence of id that ends now, without the part that the
+// sampleSilence returns the silence of id that ends now, without the part that the
 // whole group shared beyond the usual. Otherwise one pause would raise the
 // bound to the maximum for hundreds of answers, and a connection lost meanwhile
 // would be detected late.
-func (p *Phi) sample(now clock.Time, id ID) time.Duration {
+func (p *Phi) sampleSilence(now clock.Time, id ID) time.Duration {
 	silence := p.group.silence(now, id)
-	if p.config.Gate == 0 || p.samples < phiWarm {
+	if p.config.Gate == 0 || p.samples < phiMinSamples {
 		return silence
 	}
-	return min(silence, max(p.counted(now, id), p.fit(phiShared)))
+	return min(silence, max(p.activeSilence(now, id), p.fittedSilence(phiSharedDeviations)))
 }
 
-// learn takes a silence that ended into the moments.
-func (p *Phi) learn(silence time.Duration) {
+// addSample takes a silence that ended into the moments.
+func (p *Phi) addSample(silence time.Duration) {
 	x := max(silence, time.Microsecond).Seconds()
 	if p.config.LogNormal {
 		x = math.Log(x)
@@ -155,19 +155,19 @@
 	p.samples++
 	first := 1 / float64(p.samples)
 	delta := x - p.mean
-	p.mean += float64(max(1.0/phiMeanMemory, first) * delta)
-	weight := max(1.0/phiMemory, first)
+	p.mean += float64(max(1.0/phiMeanSamples, first) * delta)
+	weight := max(1.0/phiVarianceSamples, first)
 	if delta >= 0 || !p.config.LogNormal {
 		p.variance = float64((1 - weight) * (p.variance + float64(weight*delta*delta)))
 	}
-	p.bound = p.fit(p.z)
+	p.bound = p.fittedSilence(p.zScore)
 }
 
-// fit returns the silence that is deviations above the mean.
+// fittedSilence returns the silence that is deviations above the mean.
 // The explicit conversions keep a compiler from fusing operations, so that
 // recorded sessions read the same on every machine.
-func (p *Phi) fit(deviations float64) time.Duration {
-	if p.samples < phiWarm {
+func (p *Phi) fittedSilence(deviations float64) time.Duration {
+	if p.samples < phiMinSamples {
 		return p.config.MaxSilence
 	}
 	deviation := math.Sqrt(p.variance)
--- a/decide/detect/record_test.go
+++ b/decide/detect/record_test.go
@@ -22,13 +22,13 @@
 	"github.com/azurethread/azurethread/decide/detect/detecttest"
 )
 
-var record = flag.Bool("record", false, "record testdata/traces anew over loopback TCP (half a minute)")
+var recordTraces = flag.Bool("record", false, "record testdata/traces anew over loopback TCP (half a minute)")
 
-// standIn is a target on loopback that answers a byte with a byte.
-type standIn struct {
-	mu     sync.RWMutex // held for writing while the process pauses
-	slow   float64
-	silent [recordConnections]bool // connections whose answers get lost
+// loopbackTarget is a target on loopback that answers a byte with a byte.
+type loopbackTarget struct {
+	mu             sync.RWMutex // held for writing while the process pauses
+	latencyFactor  float64
+	connectionLost [recordConnections]bool // connections whose answers get lost
 }
 
 const (
@@ -37,18 +37,18 @@
 	recordGap         = 6 * time.Millisecond
 )
 
-func (s *standIn) serve(c net.Conn, rng *rand.Rand) {
+func (s *loopbackTarget) serve(c net.Conn, rng *rand.Rand) {
 	var b [1]byte
 	for {
 		if _, err := c.Read(b[:]); err != nil {
 			return
 		}
 		s.mu.RLock()
-		slow := s.slow
+		slow := s.latencyFactor
 		s.mu.RUnlock()
 		time.Sleep(time.Duration(slow * 8e6 * math.Exp(0.6*rng.NormFloat64())))
 		s.mu.RLock()
-		if !s.silent[b[0]] {
+		if !s.connectionLost[b[0]] {
 			c.Write(b[:])
 		}
 		s.mu.RUnlock()
@@ -71,7 +71,7 @@
 	}
 }
 
-func (r *recorder) take() (detect.ID, bool) {
+func (r *recorder) takeIdle() (detect.ID, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(r.idle) == 0 {
@@ -85,7 +85,7 @@
 // TestMain records the traces first when asked to.
 func TestMain(m *testing.M) {
 	flag.Parse()
-	if *record {
+	if *recordTraces {
 		if err := recordAll(); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
@@ -95,17 +95,17 @@
 }
 
 func recordAll() error {
-	troubles := map[string]func(*standIn, time.Duration){
-		"silent": func(*standIn, time.Duration) {},
-		"pause": func(s *standIn, at time.Duration) {
+	troubles := map[string]func(*loopbackTarget, time.Duration){
+		"silent": func(*loopbackTarget, time.Duration) {},
+		"pause": func(s *loopbackTarget, at time.Duration) {
 			if at%(2*time.Second) < recordGap {
 				s.mu.Lock()
 				time.AfterFunc(400*ms, s.mu.Unlock)
 			}
 		},
-		"slow": func(s *standIn, at time.Duration) {
+		"slow": func(s *loopbackTarget, at time.Duration) {
 			if at > recordLength/2 && s.mu.TryLock() {
-				s.slow = 5
+				s.latencyFactor = 5
 				s.mu.Unlock()
 			}
 		},
@@ -118,13 +118,13 @@
 	return nil
 }
 
-func recordTrace(name string, trouble func(*standIn, time.Duration)) error {
+func recordTrace(name string, trouble func(*loopbackTarget, time.Duration)) error {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
 	}
 	defer listener.Close()
-	target := &standIn{slow: 1}
+	target := &loopbackTarget{latencyFactor: 1}
 	r := &recorder{start: time.Now()}
 	var connections [recordConnections]net.Conn
 	for i := range connections {
@@ -154,12 +154,12 @@
 	for at := time.Duration(0); at < recordLength; at = time.Since(r.start) {
 		trouble(target, at)
 		if at > time.Duration(stops+1)*recordLength/10 && target.mu.TryLock() {
-			target.silent[stops] = true
+			target.connectionLost[stops] = true
 			target.mu.Unlock()
 			r.add(detecttest.Stop, stops)
 			stops++
 		}
-		if id, ok := r.take(); ok {
+		if id, ok := r.takeIdle(); ok {
 			r.add(detecttest.Sent, id)
 			connections[id].Write([]byte{byte(id)})
 		}
@@ -176,8 +176,8 @@
 	return detecttest.Encode(file, detecttest.Trace{Name: name, Events: r.events})
 }
 
-// recorded reads the traces in testdata.
-func recorded(t testing.TB) []detecttest.Trace {
+// readRecordedTraces reads the traces in testdata.
+func readRecordedTraces(t testing.TB) []detecttest.Trace {
 	is := is.New(t)
 	paths, err := filepath.Glob("testdata/traces/*.trace")
 	is.NoErr(err)
@@ -199,13 +199,13 @@
 // and pauses too. Only stops just before the end of a trace may stay open.
 func TestDefaultOnRecordedTraces(t *testing.T) {
 	is := is.New(t)
-	for _, trace := range recorded(t) {
+	for _, trace := range readRecordedTraces(t) {
 		result := detecttest.Score(detect.ForAnswers(maxSilence), trace)
 		t.Logf("%s: %d found, p99 %v, %d open, longest %v, %d false of %d", trace.Name, len(result.Detections),
-			result.Quantile(0.99), result.Open, result.LongestOpen, result.False, result.Sent)
+			result.Quantile(0.99), result.Undetected, result.LongestUndetected, result.FalseSuspicions, result.Sent)
 		is.True(len(result.Detections) >= 5)
 		is.True(result.Quantile(0.99) < maxSilence/2)
-		is.True(result.LongestOpen < maxSilence/2)
+		is.True(result.LongestUndetected < maxSilence/2)
 		is.True(result.FalsePerThousand() <= 2)
 	}
 }
--- a/decide/detect/relative.go
+++ b/decide/detect/relative.go
@@ -33,11 +33,11 @@
 // bound. When no member progresses the lag of none grows, so a pause or a
 // slowdown of them all is suspected only at MaxSilence.
 type Relative struct {
-	config RelativeConfig
-	group  group
-	tick   int64      // logical clock, in answers or rounds
-	bound  int64      // the adaptive lag bound
-	ticked clock.Time // when the logical clock last advanced
+	config      RelativeConfig
+	group       group
+	logicalTime int64      // logical clock, in answers or rounds
+	bound       int64      // the adaptive lag bound
+	advancedAt  clock.Time // when the logical clock last advanced
 }
 
 // NewRelative returns a detector for one group.
@@ -46,38 +46,38 @@
 }
 
 // Sent implements Detector.
-func (r *Relative) Sent(now clock.Time, id ID) { r.group.sent(now, id, r.mark()) }
+func (r *Relative) Sent(now clock.Time, id ID) { r.group.addOwed(now, id, r.nextLagStart()) }
 
 // Heard implements Detector.
 func (r *Relative) Heard(now clock.Time, id ID) {
-	r.learn(now, id)
+	r.raiseBound(now, id)
 	r.advance(now, id)
-	r.group.heard(now, id, r.mark())
+	r.group.endSilence(now, id, r.nextLagStart())
 }
 
 // Done implements Detector.
 func (r *Relative) Done(now clock.Time, id ID) {
 	r.Heard(now, id)
-	r.group.settle(now, id, r.tick)
+	r.group.removeOwed(now, id, r.logicalTime)
 }
 
 // Abandoned implements Detector.
-func (r *Relative) Abandoned(now clock.Time, id ID) { r.group.settle(now, id, r.tick) }
+func (r *Relative) Abandoned(now clock.Time, id ID) { r.group.removeOwed(now, id, r.logicalTime) }
 
 // Suspect implements Detector.
 func (r *Relative) Suspect(now clock.Time, id ID) bool {
 	silence := r.group.silence(now, id)
-	return silence > r.config.MaxSilence || r.lags(silence, id)
+	return silence > r.config.MaxSilence || r.lagExceedsBound(silence, id)
 }
 
 // Due implements Detector. Progress of siblings can bring a suspicion forward
 // at any event, so a silence past MinSilence is asked about every poll.
 func (r *Relative) Due(now clock.Time, id ID) clock.Time {
-	if r.group.waiting(id) && r.Suspect(now, id) {
+	if r.group.owesAnswer(id) && r.Suspect(now, id) {
 		return now
 	}
-	latest := r.group.due(now, id, r.config.MaxSilence)
-	return clock.Min(latest, r.group.next(now, id, r.config.MinSilence))
+	latest := r.group.boundPassedAt(now, id, r.config.MaxSilence)
+	return clock.Min(latest, r.group.nextCheck(now, id, r.config.MinSilence))
 }
 
 // Forget implements Detector.
@@ -86,15 +86,15 @@
 // LagBound returns the current adaptive bound, in answers or rounds.
 func (r *Relative) LagBound() int64 { return r.bound }
 
-// lags reports whether id is behind its siblings by more than the bound.
-func (r *Relative) lags(silence time.Duration, id ID) bool {
-	return silence > r.config.MinSilence && r.group.lag(r.tick, id) > r.bound
+// lagExceedsBound reports whether id is behind its siblings by more than the bound.
+func (r *Relative) lagExceedsBound(silence time.Duration, id ID) bool {
+	return silence > r.config.MinSilence && r.group.lag(r.logicalTime, id) > r.bound
 }
 
-// learn raises the bound by one when a member that would have been suspected
+// raiseBound raises the bound by one when a member that would have been suspected
 // for its lag gives a sign of life.
-func (r *Relative) learn(now clock.Time, id ID) {
-	if r.lags(r.group.silence(now, id), id) {
+func (r *Relative) raiseBound(now clock.Time, id ID) {
+	if r.lagExceedsBound(r.group.silence(now, id), id) {
 		r.bound = min(r.bound+1, r.config.BoundMax)
 	}
 }
@@ -107,20 +107,20 @@
 // others would be suspected together.
 func (r *Relative) advance(now clock.Time, id ID) {
 	if r.config.Pace == ByRound {
-		if r.group.member(id).mark < r.tick || now.Sub(r.ticked) < r.config.MinRound {
+		if r.group.member(id).lagStart < r.logicalTime || now.Sub(r.advancedAt) < r.config.MinRound {
 			return
 		}
 	}
-	r.tick++
-	r.ticked = now
+	r.logicalTime++
+	r.advancedAt = now
 }
 
-// mark returns the logical instant from which the lag of id counts. Answers
+// nextLagStart returns the logical instant from which the lag of id counts. Answers
 // to requests that were sent before are no sign that id is being overtaken,
 // so with ByAnswer as many answers as are owed pass first.
-func (r *Relative) mark() int64 {
+func (r *Relative) nextLagStart() int64 {
 	if r.config.Pace == ByRound {
-		return r.tick
+		return r.logicalTime
 	}
-	return r.tick + r.group.owed
+	return r.logicalTime + r.group.owed
 }
--- a/decide/detect/session_test.go
+++ b/decide/detect/session_test.go
@@ -34,7 +34,7 @@
 					Bound: 2, BoundMax: 4, MinSilence: 20 * ms, MaxSilence: maxSilence})}
 			case "events":
 				for line := range strings.Lines(d.Input) {
-					s.play(t, line)
+					s.runLine(t, line)
 				}
 			default:
 				t.Fatalf("unknown command %q", d.Cmd)
@@ -44,9 +44,9 @@
 	})
 }
 
-// play runs one line: the instant, the verb, the member, and for "steady" the
+// runLine runs one line: the instant, the verb, the member, and for "steady" the
 // number of exchanges and the latency of each.
-func (s *session) play(t *testing.T, line string) {
+func (s *session) runLine(t *testing.T, line string) {
 	fields := strings.Fields(line)
 	at, err := time.ParseDuration(fields[0])
 	if err != nil {
@@ -69,7 +69,7 @@
 	case "steady":
 		s.steady(t, id, fields[3], fields[4])
 	case "ask":
-		s.ask(id)
+		s.printState(id)
 	default:
 		t.Fatalf("unknown event %q", verb)
 	}
@@ -87,7 +87,7 @@
 	}
 }
 
-func (s *session) ask(id detect.ID) {
+func (s *session) printState(id detect.ID) {
 	due := "never"
 	if at := s.detector.Due(s.now, id); at != clock.Never {
 		due = at.Sub(0).Round(time.Microsecond).String()
--- a/decide/purity_test.go
+++ b/decide/purity_test.go
@@ -36,9 +36,9 @@
 	"Sleep": true, "Tick": true, "NewTimer": true, "NewTicker": true,
 }
 
-// seededRand are the functions of math/rand/v2 that make a seeded generator;
+// allowedRand are the functions of math/rand/v2 that make a seeded generator;
 // every other function of it draws from a hidden global one.
-var seededRand = map[string]bool{"New": true, "NewPCG": true, "Rand": true, "PCG": true, "Source": true}
+var allowedRand = map[string]bool{"New": true, "NewPCG": true, "Rand": true, "PCG": true, "Source": true}
 
 // Symptom: the same session gives other effects in a second run, or a golden
 // file fails on another machine.
@@ -100,7 +100,7 @@
 	if x.Name == "time" && forbiddenTime[n.Sel.Name] {
 		t.Errorf("%s uses time.%s", path, n.Sel.Name)
 	}
-	if x.Name == "rand" && !seededRand[n.Sel.Name] {
+	if x.Name == "rand" && !allowedRand[n.Sel.Name] {
 		t.Errorf("%s uses rand.%s", path, n.Sel.Name)
 	}
 }
--- a/decide/tally/bench_test.go
+++ b/decide/tally/bench_test.go
@@ -8,8 +8,8 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// measureSpan is how long a benchmark counts messages.
-const measureSpan = 20 * time.Second
+// benchmarkTime is how long a benchmark counts messages.
+const benchmarkTime = 20 * time.Second
 
 // BenchmarkTraffic reports the messages and bytes sent, by an entry VM on
 // average and by the one that leads, while one shift of one service moves.
@@ -20,16 +20,16 @@
 		b.Run(fmt.Sprintf("domains=%d/members=%d", size[0], size[1]), func(b *testing.B) {
 			for range b.N {
 				n := newNetwork(1, size[0], size[1])
-				n.extra = 9 // with the one of the network, 100 requests/s
-				n.run(settle)
+				n.extraRequests = 9 // with the one of the network, 100 requests/s
+				n.run(settleTime)
 				n.measure(b)
 			}
 		})
 	}
 }
 
-// BenchmarkRest reports the same while no shift moves.
-func BenchmarkRest(b *testing.B) {
+// BenchmarkIdleTraffic reports the same while no shift moves.
+func BenchmarkIdleTraffic(b *testing.B) {
 	for range b.N {
 		n := newNetwork(1, 6, 8)
 		for _, v := range n.nodes {
@@ -37,27 +37,27 @@
 			empty.Shifts = nil
 			n.step(v, &Configured{Catalogue: empty})
 		}
-		n.run(settle)
+		n.run(settleTime)
 		n.measure(b)
 	}
 }
 
 func (n *network) measure(b *testing.B) {
 	n.messages, n.bytes = 0, 0
-	lead, leadBytes := n.led, n.ledBytes
+	lead, leadBytes := n.leaderMessages, n.leaderBytes
 	oldest := time.Duration(0)
-	for range int(measureSpan / requestGap) {
+	for range int(benchmarkTime / requestGap) {
 		n.run(requestGap)
 		if c := n.count(); c.Until > 0 {
 			oldest = max(oldest, n.now.Sub(c.Until))
 		}
 	}
-	seconds := measureSpan.Seconds()
+	seconds := benchmarkTime.Seconds()
 	all := float64(len(n.nodes)) * seconds
 	b.ReportMetric(float64(n.messages)/all, "msgs/s/daemon")
 	b.ReportMetric(float64(n.bytes)/all, "B/s/daemon")
-	b.ReportMetric(float64(n.led-lead)/seconds, "runner-msgs/s")
-	b.ReportMetric(float64(n.ledBytes-leadBytes)/seconds, "runner-B/s")
+	b.ReportMetric(float64(n.leaderMessages-lead)/seconds, "runner-msgs/s")
+	b.ReportMetric(float64(n.leaderBytes-leadBytes)/seconds, "runner-B/s")
 	b.ReportMetric(oldest.Seconds(), "oldest-s")
 	b.ReportMetric(float64(n.count().Missing), "missing")
 }
@@ -67,7 +67,7 @@
 	n := newNetwork(1, 2, 2)
 	b.ReportAllocs()
 	for b.Loop() {
-		n.leader.st.Served(testService, "r0", 7, "", time.Millisecond)
+		n.leader.state.Served(testService, "r0", 7, "", time.Millisecond)
 	}
 }
 
--- a/decide/tally/candidate.go
+++ b/decide/tally/candidate.go
@@ -37,10 +37,10 @@
 		}
 	}
 	slices.SortFunc(ids, func(a, b fleet.VMID) int {
-		return cmp.Or(cmp.Compare(rank(b), rank(a)), cmp.Compare(a, b))
+		return cmp.Or(cmp.Compare(runnerRank(b), runnerRank(a)), cmp.Compare(a, b))
 	})
 	ids = slices.Compact(ids)
 	return ids[:min(n, len(ids))]
 }
 
-func rank(id fleet.VMID) uint64 { return xxhash.Sum64String("shift-runner:" + string(id)) }
+func runnerRank(id fleet.VMID) uint64 { return xxhash.Sum64String("shift-runner:" + string(id)) }
--- a/decide/tally/codec.go
+++ b/decide/tally/codec.go
@@ -6,13 +6,13 @@
 	"math"
 )
 
-// maxNumber bounds one number in a packed list.
-const maxNumber = math.MaxUint64 >> 8
+// maxPackedNumber bounds one number in a packed list.
+const maxPackedNumber = math.MaxUint64 >> 8
 
-// pack appends numbers to out as varints, a run of zeros as a 0 and the number
+// appendPacked appends numbers to out as varints, a run of zeros as a 0 and the number
 // of further zeros. Most positions of one entry VM's window are 0, and those
 // of a whole region are not; both come out short.
-func pack(out []byte, numbers []uint64) []byte {
+func appendPacked(out []byte, numbers []uint64) []byte {
 	numbers = trimZeros(numbers)
 	for i := 0; i < len(numbers); i++ {
 		out = binary.AppendUvarint(out, numbers[i])
@@ -36,13 +36,13 @@
 	return numbers[:n]
 }
 
-// unpack adds packed numbers to those of into, and returns the sum of what it
+// addUnpacked adds packed numbers to those of into, and returns the sum of what it
 // has added.
-func unpack(packed []byte, into []uint64) (uint64, error) {
+func addUnpacked(packed []byte, into []uint64) (uint64, error) {
 	at, sum := 0, uint64(0)
 	for len(packed) > 0 {
 		v, n := binary.Uvarint(packed)
-		if n <= 0 || v > maxNumber || at >= len(into) {
+		if n <= 0 || v > maxPackedNumber || at >= len(into) {
 			return 0, fmt.Errorf("%w: packed numbers", ErrBounds)
 		}
 		packed = packed[n:]
--- a/decide/tally/domains.go
+++ b/decide/tally/domains.go
@@ -21,18 +21,18 @@
 	return d.unreachableSince != clock.Never && now.Sub(d.unreachableSince) >= after
 }
 
-// expected returns the entry VMs whose figures are needed.
-func (d *domain) expected(now clock.Time, after time.Duration) uint32 {
+// expectedVMs returns the entry VMs whose figures are needed.
+func (d *domain) expectedVMs(now clock.Time, after time.Duration) uint32 {
 	if d.lost(now, after) {
 		return 0
 	}
 	return uint32(d.Live)
 }
 
-// head returns whom to ask for the domain's figures in a round. Each round
+// headForRound returns whom to ask for the domain's figures in a round. Each round
 // takes another, so that one that has died, or can't be reached from here,
 // makes only its own round incomplete.
-func (d *domain) head(round uint64) (fleet.VMID, bool) {
+func (d *domain) headForRound(round uint64) (fleet.VMID, bool) {
 	if !d.Reachable || len(d.VMs) == 0 {
 		return "", false
 	}
@@ -42,8 +42,8 @@
 
 // domains are all known failure domains, in order of name.
 type domains struct {
-	all []domain
-	own []fleet.VMID // live entry VMs of the own domain
+	all    []domain
+	ownVMs []fleet.VMID // live entry VMs of the own domain
 }
 
 // update takes new views. It reports whether a domain has returned that was
@@ -54,14 +54,14 @@
 		v.VMs = slices.Clone(v.VMs)
 		d := domain{DomainView: v, unreachableSince: clock.Never}
 		if !v.Reachable {
-			d.unreachableSince = f.unreachableFrom(now, v.Domain)
+			d.unreachableSince = f.unreachableStart(now, v.Domain)
 		} else if old := f.find(v.Domain); old != nil && old.lost(now, lostAfter) {
 			returned = true
 		}
 		if v.Domain == own {
-			f.own = f.own[:0]
+			f.ownVMs = f.ownVMs[:0]
 			for i := range v.VMs {
-				f.own = append(f.own, v.VMs[i].ID)
+				f.ownVMs = append(f.ownVMs, v.VMs[i].ID)
 			}
 		}
 		next = append(next, d)
@@ -79,8 +79,8 @@
 	return nil
 }
 
-// unreachableFrom returns since when a domain that is unreachable now has been so.
-func (f *domains) unreachableFrom(now clock.Time, name fleet.Domain) clock.Time {
+// unreachableStart returns since when a domain that is unreachable now has been so.
+func (f *domains) unreachableStart(now clock.Time, name fleet.Domain) clock.Time {
 	if d := f.find(name); d != nil {
 		return clock.Min(d.unreachableSince, now)
 	}
--- a/decide/tally/job.go
+++ b/decide/tally/job.go
@@ -10,67 +10,67 @@
 
 // job is an Ask that is being answered, or a round that is being led.
 type job struct {
-	asker    fleet.VMID // who gets the answer; the own id for a round led here
-	runner   fleet.VMID
-	round    uint64
-	asked    clock.Time
-	deadline clock.Time
-	pending  []pending
-	totals   []regionTotal // of the regions; only a led round has several
+	asker      fleet.VMID // who gets the answer; the own id for a round led here
+	runner     fleet.VMID
+	round      uint64
+	askedAt    clock.Time
+	deadline   clock.Time
+	pending    []pendingAsk
+	aggregates []regionAggregate // of the regions; only a led round has several
 }
 
-// regionTotal is the sum of one region.
-type regionTotal struct {
+// regionAggregate is the sum of one region.
+type regionAggregate struct {
 	region fleet.Region
-	*total
+	*aggregate
 }
 
-// pending is an Ask of this job that has not been answered.
-type pending struct {
+// pendingAsk is an Ask of this job that has not been answered.
+type pendingAsk struct {
 	to     fleet.VMID
 	live   uint32 // entry VMs that it asks for, as known here
 	region fleet.Region
 }
 
-func (j *job) total(r fleet.Region) *total {
-	for i := range j.totals {
-		if j.totals[i].region == r {
-			return j.totals[i].total
+func (j *job) aggregateFor(r fleet.Region) *aggregate {
+	for i := range j.aggregates {
+		if j.aggregates[i].region == r {
+			return j.aggregates[i].aggregate
 		}
 	}
-	j.totals = append(j.totals, regionTotal{region: r, total: newTotal()})
-	return j.totals[len(j.totals)-1].total
+	j.aggregates = append(j.aggregates, regionAggregate{region: r, aggregate: newAggregate()})
+	return j.aggregates[len(j.aggregates)-1].aggregate
 }
 
-// asked begins to answer an Ask. The same Ask a second time, and one too many,
+// handleAsk begins to answer an Ask. The same Ask a second time, and one too many,
 // are dropped: the asker counts the entry VMs behind them as missing. So is one
 // for a round of this entry VM itself, which a stale view can cause; its partial
 // sum would be stored as a complete round.
-func (s *State) asked(from fleet.VMID, a *Ask, out *Ready) {
+func (s *State) handleAsk(from fleet.VMID, a *Ask, out *Ready) {
 	own := from == s.self.ID || a.Runner == s.self.ID
-	if own || len(s.jobs) >= maxJobs || s.job(a.Runner, a.Round) != nil {
+	if own || len(s.jobs) >= maxJobs || s.findJob(a.Runner, a.Round) != nil {
 		return
 	}
-	j := &job{asker: from, runner: a.Runner, round: a.Round, asked: s.now}
+	j := &job{asker: from, runner: a.Runner, round: a.Round, askedAt: s.now}
 	switch a.Scope {
 	case ScopeVM:
 		j.deadline = s.now
 	case ScopeGroup:
-		j.deadline = s.now.Add(s.o.GroupWait)
+		j.deadline = s.now.Add(s.options.GroupWait)
 		s.askMembers(j, a.Members, out)
 	case ScopeDomain:
-		j.deadline = s.now.Add(s.o.DomainWait)
+		j.deadline = s.now.Add(s.options.DomainWait)
 		s.askDomain(j, out)
 	case ScopeRegion:
-		j.deadline = s.now.Add(s.o.RegionWait)
+		j.deadline = s.now.Add(s.options.RegionWait)
 		s.askDomain(j, out)
 		s.askNeighbours(j, out)
 	}
-	j.total(s.self.Region).own(s.now, &s.own, s.meter)
+	j.aggregateFor(s.self.Region).addOwn(s.now, &s.local, s.meter)
 	s.jobs = append(s.jobs, j)
 }
 
-func (s *State) job(runner fleet.VMID, round uint64) *job {
+func (s *State) findJob(runner fleet.VMID, round uint64) *job {
 	for _, j := range s.jobs {
 		if j.runner == runner && j.round == round {
 			return j
@@ -79,16 +79,16 @@
 	return nil
 }
 
-func (s *State) ask(j *job, to fleet.VMID, live uint32, region fleet.Region, a *Ask, out *Ready) {
+func (s *State) sendAsk(j *job, to fleet.VMID, live uint32, region fleet.Region, a *Ask, out *Ready) {
 	a.Runner, a.Round = j.runner, j.round
-	j.pending = append(j.pending, pending{to: to, live: live, region: region})
+	j.pending = append(j.pending, pendingAsk{to: to, live: live, region: region})
 	out.Sends = append(out.Sends, Send{To: to, Msg: a})
 }
 
 func (s *State) askMembers(j *job, ids []fleet.VMID, out *Ready) {
 	for _, id := range ids {
 		if id != s.self.ID {
-			s.ask(j, id, 1, s.self.Region, &Ask{Scope: ScopeVM}, out)
+			s.sendAsk(j, id, 1, s.self.Region, &Ask{Scope: ScopeVM}, out)
 		}
 	}
 }
@@ -96,7 +96,7 @@
 // askDomain asks the other entry VMs of the own domain, by groups if there are
 // many. The first of each group leads it; groups differ between rounds.
 func (s *State) askDomain(j *job, out *Ready) {
-	others := rotated(s.fleet.own, j.round)
+	others := rotated(s.domains.ownVMs, j.round)
 	others = slices.DeleteFunc(others, func(id fleet.VMID) bool { return id == s.self.ID })
 	if len(others) <= groupSize {
 		s.askMembers(j, others, out)
@@ -104,7 +104,7 @@
 	}
 	for group := range slices.Chunk(others, groupSize) {
 		a := &Ask{Scope: ScopeGroup, Members: group[1:]}
-		s.ask(j, group[0], uint32(len(group)), s.self.Region, a, out)
+		s.sendAsk(j, group[0], uint32(len(group)), s.self.Region, a, out)
 	}
 }
 
@@ -118,8 +118,8 @@
 
 // askNeighbours asks the heads of the other domains of the own region.
 func (s *State) askNeighbours(j *job, out *Ready) {
-	for i := range s.fleet.all {
-		d := &s.fleet.all[i]
+	for i := range s.domains.all {
+		d := &s.domains.all[i]
 		if d.Region == s.self.Region && d.Domain != s.self.Domain {
 			s.askHead(j, d, out)
 		}
@@ -129,30 +129,30 @@
 // askHead asks the head of a domain. The entry VMs of a domain that has none
 // to ask are missing.
 func (s *State) askHead(j *job, d *domain, out *Ready) {
-	live := d.expected(s.now, s.o.LostAfter)
-	to, ok := d.head(j.round)
+	live := d.expectedVMs(s.now, s.options.LostAfter)
+	to, ok := d.headForRound(j.round)
 	if !ok {
-		j.total(d.Region).live += live
+		j.aggregateFor(d.Region).live += live
 		return
 	}
-	s.ask(j, to, live, d.Region, &Ask{Scope: ScopeDomain}, out)
+	s.sendAsk(j, to, live, d.Region, &Ask{Scope: ScopeDomain}, out)
 }
 
-// answered takes the answer to an Ask of this entry VM.
-func (s *State) answered(from fleet.VMID, m *Sum, out *Ready) {
-	j := s.job(m.Runner, m.Round)
+// handleSum takes the answer to an Ask of this entry VM.
+func (s *State) handleSum(from fleet.VMID, m *Sum, out *Ready) {
+	j := s.findJob(m.Runner, m.Round)
 	if j == nil {
 		return
 	}
-	at := slices.IndexFunc(j.pending, func(p pending) bool { return p.to == from })
+	at := slices.IndexFunc(j.pending, func(p pendingAsk) bool { return p.to == from })
 	if at < 0 {
 		return
 	}
 	p := j.pending[at]
 	j.pending = slices.Delete(j.pending, at, at+1)
-	t := j.total(p.region)
+	t := j.aggregateFor(p.region)
 	t.live += max(p.live, m.Live)
-	t.sum(j.asked, m)
+	t.addSum(j.askedAt, m)
 }
 
 // finishJobs answers the Asks that have all they wait for, or have waited long
@@ -163,19 +163,19 @@
 			return false
 		}
 		for _, p := range j.pending {
-			j.total(p.region).live += p.live
+			j.aggregateFor(p.region).live += p.live
 		}
-		s.finish(j, out)
+		s.finishJob(j, out)
 		return true
 	})
 }
 
-func (s *State) finish(j *job, out *Ready) {
+func (s *State) finishJob(j *job, out *Ready) {
 	if j.runner == s.self.ID {
 		s.finishRound(j, out)
 		return
 	}
-	m := j.total(s.self.Region).message(j.asked, &s.own)
+	m := j.aggregateFor(s.self.Region).toSum(j.askedAt, &s.local)
 	m.Runner, m.Round = j.runner, j.round
 	out.Sends = append(out.Sends, Send{To: j.asker, Msg: m})
 }
--- a/decide/tally/lead.go
+++ b/decide/tally/lead.go
@@ -12,16 +12,16 @@
 
 // lead is the state of the process that holds the runner's lease.
 type lead struct {
-	held   bool
-	moves  bool // whether any shift moves
-	next   clock.Time
-	round  uint64
-	counts map[Key]shift.Count
-	loads  map[place]shift.Load
+	held      bool
+	anyMoving bool // whether any shift moves
+	nextRound clock.Time
+	round     uint64
+	counts    map[Key]shift.Count
+	loads     map[regionService]shift.Load
 }
 
-// place is a service in a region.
-type place struct {
+// regionService is a service in a region.
+type regionService struct {
 	region  fleet.Region
 	service fleet.ServiceName
 }
@@ -32,41 +32,41 @@
 	if changed {
 		l.counts = nil
 	}
-	l.moves = false
+	l.anyMoving = false
 	for i := range c.Shifts {
-		l.moves = l.moves || c.Shifts[i].State.Moves()
+		l.anyMoving = l.anyMoving || c.Shifts[i].State.Moves()
 	}
 }
 
-// take takes or gives up the lead. Figures of an earlier lead are dropped, as
+// setHeld takes or gives up the lead. Figures of an earlier lead are dropped, as
 // they would be stale.
-func (l *lead) take(now clock.Time, held bool) {
+func (l *lead) setHeld(now clock.Time, held bool) {
 	if held == l.held {
 		return
 	}
 	l.held = held
-	l.forget()
-	l.next = now
+	l.dropFigures()
+	l.nextRound = now
 }
 
-func (l *lead) forget() { l.counts, l.loads = nil, nil }
+func (l *lead) dropFigures() { l.counts, l.loads = nil, nil }
 
-// restart drops all figures, with the round under way, and begins another.
+// restartRounds drops all figures, with the round under way, and begins another.
 // Figures from before a lost domain returned lack its entry VMs and would go on
 // counting as complete.
-func (s *State) restart() {
-	s.lead.forget()
+func (s *State) restartRounds() {
+	s.lead.dropFigures()
 	s.jobs = slices.DeleteFunc(s.jobs, func(j *job) bool { return j.runner == s.self.ID })
-	s.lead.next = s.now
+	s.lead.nextRound = s.now
 }
 
-// leads reports whether rounds are due.
-func (s *State) leads() bool { return s.lead.held && s.lead.moves }
+// leadsRounds reports whether rounds are due.
+func (s *State) leadsRounds() bool { return s.lead.held && s.lead.anyMoving }
 
 func (s *State) startRound(out *Ready) {
 	l := &s.lead
-	l.next = s.now.Add(s.o.RoundEvery)
-	if s.job(s.self.ID, l.round) != nil {
+	l.nextRound = s.now.Add(s.options.RoundEvery)
+	if s.findJob(s.self.ID, l.round) != nil {
 		return
 	}
 	l.round = roundNumber(s.now, l.round)
@@ -74,10 +74,10 @@
 		asker:    s.self.ID,
 		runner:   s.self.ID,
 		round:    l.round,
-		asked:    s.now,
-		deadline: s.now.Add(s.o.RoundWait),
+		askedAt:  s.now,
+		deadline: s.now.Add(s.options.RoundWait),
 	}
-	j.total(s.self.Region).own(s.now, &s.own, s.meter)
+	j.aggregateFor(s.self.Region).addOwn(s.now, &s.local, s.meter)
 	s.askDomain(j, out)
 	s.askNeighbours(j, out)
 	s.askRegions(j, out)
@@ -88,15 +88,15 @@
 // askRegions asks the other regions: each of their domains in a small fleet,
 // otherwise a head of each region.
 func (s *State) askRegions(j *job, out *Ready) {
-	if len(s.fleet.all) <= smallFleet {
-		for i := range s.fleet.all {
-			if d := &s.fleet.all[i]; d.Region != s.self.Region {
+	if len(s.domains.all) <= smallFleet {
+		for i := range s.domains.all {
+			if d := &s.domains.all[i]; d.Region != s.self.Region {
 				s.askHead(j, d, out)
 			}
 		}
 		return
 	}
-	for _, r := range s.fleet.regions() {
+	for _, r := range s.domains.regions() {
 		if r != s.self.Region {
 			s.askRegion(j, r, out)
 		}
@@ -107,47 +107,47 @@
 func (s *State) askRegion(j *job, r fleet.Region, out *Ready) {
 	live := uint32(0)
 	var reachable []*domain
-	for i := range s.fleet.all {
-		d := &s.fleet.all[i]
+	for i := range s.domains.all {
+		d := &s.domains.all[i]
 		if d.Region != r {
 			continue
 		}
-		live += d.expected(s.now, s.o.LostAfter)
-		if _, ok := d.head(j.round); ok {
+		live += d.expectedVMs(s.now, s.options.LostAfter)
+		if _, ok := d.headForRound(j.round); ok {
 			reachable = append(reachable, d)
 		}
 	}
 	if len(reachable) == 0 {
-		j.total(r).live += live
+		j.aggregateFor(r).live += live
 		return
 	}
-	to, _ := reachable[j.round%uint64(len(reachable))].head(j.round)
-	s.ask(j, to, live, r, &Ask{Scope: ScopeRegion}, out)
+	to, _ := reachable[j.round%uint64(len(reachable))].headForRound(j.round)
+	s.sendAsk(j, to, live, r, &Ask{Scope: ScopeRegion}, out)
 }
 
 // finishRound takes over the figures of a round that is over.
 func (s *State) finishRound(j *job, out *Ready) {
-	if !s.leads() {
+	if !s.leadsRounds() {
 		return
 	}
 	if s.lead.counts == nil {
 		s.lead.counts = make(map[Key]shift.Count)
 	}
 	if s.lead.loads == nil {
-		s.lead.loads = make(map[place]shift.Load)
+		s.lead.loads = make(map[regionService]shift.Load)
 	}
-	s.keepCounts(j)
-	for _, r := range s.fleet.regions() {
-		s.keepLoads(r, j.total(r))
+	s.storeCounts(j)
+	for _, r := range s.domains.regions() {
+		s.storeLoads(r, j.aggregateFor(r))
 	}
 	out.Evidence = true
 }
 
-// keepFor is how long a complete figure is preferred to an incomplete later
+// preferCompleteFor is how long a complete figure is preferred to an incomplete later
 // one. It stays fresh for as long, and one lost answer costs no step.
-const keepFor = shift.DefaultMaxAge - 500*time.Millisecond
+const preferCompleteFor = shift.DefaultMaxAge - 500*time.Millisecond
 
-// prefers reports whether a held figure is preferred to a later one.
-func prefers(now clock.Time, held shift.Span, heldMissing, missing int) bool {
-	return heldMissing == 0 && missing > 0 && held.Since < held.Until && now.Sub(held.Until) <= keepFor
+// prefersStored reports whether a held figure is preferred to a later one.
+func prefersStored(now clock.Time, held shift.Span, heldMissing, missing int) bool {
+	return heldMissing == 0 && missing > 0 && held.Since < held.Until && now.Sub(held.Until) <= preferCompleteFor
 }
--- a/decide/tally/message.go
+++ b/decide/tally/message.go
@@ -69,15 +69,15 @@
 
 // Sum answers an Ask. Its ages are in milliseconds, as of the Ask's arrival.
 type Sum struct {
-	Runner    fleet.VMID `json:"runner"`
-	Round     uint64     `json:"round"`
-	Live      uint32     `json:"live"`       // entry VMs that the Ask was for, with or without an answer
-	Age       uint32     `json:"age"`        // of the oldest end of a counted window
-	Since     uint32     `json:"since"`      // of the oldest begin of one
-	LoadAge   uint32     `json:"load_age"`   // of the oldest end of a measured window
-	LoadSince uint32     `json:"load_since"` // of the oldest begin of one
-	Counts    []CountRow `json:"counts"`
-	Loads     []LoadRow  `json:"loads"`
+	Runner        fleet.VMID `json:"runner"`
+	Round         uint64     `json:"round"`
+	Live          uint32     `json:"live"`       // entry VMs that the Ask was for, with or without an answer
+	CountEndAge   uint32     `json:"age"`        // of the oldest end of a counted window
+	CountStartAge uint32     `json:"since"`      // of the oldest begin of one
+	LoadEndAge    uint32     `json:"load_age"`   // of the oldest end of a measured window
+	LoadStartAge  uint32     `json:"load_since"` // of the oldest begin of one
+	Counts        []CountRow `json:"counts"`
+	Loads         []LoadRow  `json:"loads"`
 }
 
 // Key names a flow, which is a shift and a service, or a service.
@@ -169,7 +169,7 @@
 	if s.Live > maxVMs {
 		return fmt.Errorf("%w: %d entry VMs", ErrBounds, s.Live)
 	}
-	if s.Age > s.Since || s.Since > maxAge || s.LoadAge > s.LoadSince || s.LoadSince > maxAge {
+	if s.CountEndAge > s.CountStartAge || s.CountStartAge > maxAge || s.LoadEndAge > s.LoadStartAge || s.LoadStartAge > maxAge {
 		return fmt.Errorf("%w: window", ErrBounds)
 	}
 	if len(s.Counts) > MaxCounts || len(s.Loads) > MaxLoads {
@@ -199,7 +199,7 @@
 		return fmt.Errorf("%w: %d bytes of positions", ErrBounds, len(r.Positions))
 	}
 	var positions [shift.Positions]uint64
-	sum, err := unpack(r.Positions, positions[:])
+	sum, err := addUnpacked(r.Positions, positions[:])
 	if err == nil && sum != r.Total {
 		err = fmt.Errorf("%w: positions sum up to %d of %d", ErrBounds, sum, r.Total)
 	}
@@ -217,7 +217,7 @@
 		return fmt.Errorf("%w: %d bytes of latencies", ErrBounds, len(r.Latencies))
 	}
 	var buckets [latencyBuckets]uint64
-	sum, err := unpack(r.Latencies, buckets[:])
+	sum, err := addUnpacked(r.Latencies, buckets[:])
 	if err == nil && sum != r.Answers {
 		err = fmt.Errorf("%w: latencies of %d of %d answers", ErrBounds, sum, r.Answers)
 	}
--- a/decide/tally/meter.go
+++ b/decide/tally/meter.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	// cellLength is the time that one cell of a Meter covers.
-	cellLength = time.Second
-	// meterCells is the number of whole cells that rates and latencies are
+	// meterInterval is the time that one cell of a Meter covers.
+	meterInterval = time.Second
+	// meterIntervals is the number of whole cells that rates and latencies are
 	// taken over.
-	meterCells = 5
+	meterIntervals = 5
 	// LoadWindow is the window of the load in evidence. It is short, so that
 	// errors over their bound must last for several of them.
-	LoadWindow = 2 * cellLength
+	LoadWindow = 2 * meterInterval
 	// maxServices bounds the services that a Meter follows; the load of others
 	// is missing.
 	maxServices = 64
@@ -29,32 +29,32 @@
 // holds all above 24 s.
 const latencyBuckets = 72
 
-// bucketUnit is where the buckets begin.
-const bucketUnit = 125 * time.Microsecond
+// firstBucketBound is where the buckets begin.
+const firstBucketBound = 125 * time.Microsecond
 
-// bucketOf returns the bucket of a latency: four of equal width from each
+// latencyBucket returns the bucket of a latency: four of equal width from each
 // power of two to the next.
-func bucketOf(d time.Duration) int {
-	if d <= bucketUnit {
+func latencyBucket(d time.Duration) int {
+	if d <= firstBucketBound {
 		return 0
 	}
-	u := uint64(d-1) * 4 / uint64(bucketUnit) // quarters of the unit, at least 4
+	u := uint64(d-1) * 4 / uint64(firstBucketBound) // quarters of the unit, at least 4
 	exp := bits.Len64(u) - 3
 	b := 4*exp + int(u>>exp) - 4
 	return min(b+1, latencyBuckets-1)
 }
 
-// upperOf returns the upper bound of a bucket.
-func upperOf(b int) time.Duration {
+// bucketUpperBound returns the upper bound of a bucket.
+func bucketUpperBound(b int) time.Duration {
 	if b == 0 {
-		return bucketUnit
+		return firstBucketBound
 	}
 	exp, quarter := (b-1)/4, (b-1)%4
-	return bucketUnit * time.Duration(5+quarter) << exp / 4
+	return firstBucketBound * time.Duration(5+quarter) << exp / 4
 }
 
-// cell is what one service did in one cellLength.
-type cell struct {
+// intervalStats is what one service did in one cellLength.
+type intervalStats struct {
 	answers   uint64
 	failed    uint64
 	inFlight  uint64 // sum over samples
@@ -62,7 +62,7 @@
 	latencies [latencyBuckets]uint32
 }
 
-func (c *cell) add(o *cell) {
+func (c *intervalStats) add(o *intervalStats) {
 	c.answers += o.answers
 	c.failed += o.failed
 	c.inFlight += o.inFlight
@@ -72,43 +72,43 @@
 	}
 }
 
-// series is one service's recent cells, indexed by their number modulo its
+// serviceSeries is one service's recent cells, indexed by their number modulo its
 // length.
-type series struct {
-	last  Sample // latest; Capacity 0 without targets
-	cells [meterCells + 1]cell
+type serviceSeries struct {
+	last      Sample // latest; Capacity 0 without targets
+	intervals [meterIntervals + 1]intervalStats
 }
 
 // Meter measures rate, failures and latency of each service at one entry VM
 // over the last seconds. After the first request of a service it allocates
 // nothing. It is not safe for concurrent use.
 type Meter struct {
-	since    clock.Time
-	observed clock.Time // when load was last observed
-	current  int64      // number of the cell that is being filled
-	services map[fleet.ServiceName]*series
+	startedAt       clock.Time
+	observedAt      clock.Time // when load was last observed
+	currentInterval int64      // number of the cell that is being filled
+	services        map[fleet.ServiceName]*serviceSeries
 }
 
 // NewMeter returns a Meter that has seen nothing before now.
 func NewMeter(now clock.Time) *Meter {
-	return &Meter{since: now, current: cellOf(now), services: make(map[fleet.ServiceName]*series)}
+	return &Meter{startedAt: now, currentInterval: intervalOf(now), services: make(map[fleet.ServiceName]*serviceSeries)}
 }
 
-func cellOf(t clock.Time) int64 { return int64(t) / int64(cellLength) }
+func intervalOf(t clock.Time) int64 { return int64(t) / int64(meterInterval) }
 
 // advance empties the cells of the time since the last call.
 func (m *Meter) advance(now clock.Time) {
-	to := cellOf(now)
-	if to <= m.current {
+	to := intervalOf(now)
+	if to <= m.currentInterval {
 		return
 	}
-	from := max(m.current+1, to-meterCells)
+	from := max(m.currentInterval+1, to-meterIntervals)
 	for _, s := range m.services {
 		for n := from; n <= to; n++ {
-			*s.cell(n) = cell{}
+			*s.interval(n) = intervalStats{}
 		}
 	}
-	m.current = to
+	m.currentInterval = to
 	m.dropIdle()
 }
 
@@ -121,18 +121,20 @@
 		return
 	}
 	for name, s := range m.services {
-		if *s == (series{}) {
+		if *s == (serviceSeries{}) {
 			delete(m.services, name)
 		}
 	}
 }
 
-func (s *series) cell(n int64) *cell { return &s.cells[n%int64(len(s.cells))] }
+func (s *serviceSeries) interval(n int64) *intervalStats {
+	return &s.intervals[n%int64(len(s.intervals))]
+}
 
-func (m *Meter) series(name fleet.ServiceName) *series {
+func (m *Meter) series(name fleet.ServiceName) *serviceSeries {
 	s := m.services[name]
 	if s == nil && len(m.services) < maxServices {
-		s = &series{}
+		s = &serviceSeries{}
 		m.services[name] = s
 	}
 	return s
@@ -146,9 +148,9 @@
 	if s == nil {
 		return
 	}
-	c := s.cell(m.current)
+	c := s.interval(m.currentInterval)
 	c.answers++
-	c.latencies[bucketOf(latency)]++
+	c.latencies[latencyBucket(latency)]++
 	if !ok {
 		c.failed++
 	}
@@ -157,7 +159,7 @@
 // observe takes the present load of all services with targets.
 func (m *Meter) observe(now clock.Time, samples []Sample) {
 	m.advance(now)
-	m.observed = now
+	m.observedAt = now
 	for _, s := range m.services {
 		s.last = Sample{}
 	}
@@ -167,7 +169,7 @@
 			continue
 		}
 		s.last = sample
-		c := s.cell(m.current)
+		c := s.interval(m.currentInterval)
 		c.inFlight += uint64(sample.InFlight)
 		c.samples++
 	}
@@ -187,29 +189,29 @@
 	if s == nil {
 		return Rate{}
 	}
-	w := s.window(m.current, meterCells)
+	w := s.sumIntervals(m.currentInterval, meterIntervals)
 	if w.answers == 0 {
 		return Rate{}
 	}
 	return Rate{
-		Answers: uint32(math.Ceil(float64(w.answers) / m.covered(meterCells))),
-		Errors:  shareOf(w.failed, w.answers),
+		Answers: uint32(math.Ceil(float64(w.answers) / m.coveredSeconds(meterIntervals))),
+		Errors:  shareRoundedUp(w.failed, w.answers),
 		P99:     p99(w.latencies[:]),
 	}
 }
 
-// covered returns the seconds of the last n whole cells since the Meter began.
-func (m *Meter) covered(n int) float64 {
-	end := clock.Time(m.current * int64(cellLength))
-	length := min(end.Sub(m.since), time.Duration(n)*cellLength)
-	return max(length, cellLength).Seconds()
+// coveredSeconds returns the seconds of the last n whole cells since the Meter began.
+func (m *Meter) coveredSeconds(n int) float64 {
+	end := clock.Time(m.currentInterval * int64(meterInterval))
+	length := min(end.Sub(m.startedAt), time.Duration(n)*meterInterval)
+	return max(length, meterInterval).Seconds()
 }
 
-// window sums the last n whole cells before the one being filled.
-func (s *series) window(current int64, n int64) cell {
-	var w cell
+// sumIntervals sums the last n whole cells before the one being filled.
+func (s *serviceSeries) sumIntervals(current int64, n int64) intervalStats {
+	var w intervalStats
 	for i := max(current-n, 0); i < current; i++ {
-		w.add(s.cell(i))
+		w.add(s.interval(i))
 	}
 	return w
 }
@@ -220,7 +222,7 @@
 func (m *Meter) loads(now clock.Time, services []fleet.ServiceName, out []LoadRow) ([]LoadRow, bool) {
 	m.advance(now)
 	since, _ := m.loadSpan()
-	if since.Before(m.since) || m.observed.Before(since) {
+	if since.Before(m.startedAt) || m.observedAt.Before(since) {
 		return out, false
 	}
 	for _, name := range services {
@@ -232,44 +234,44 @@
 			out = append(out, LoadRow{Service: serviceKey(name), VMs: 1})
 			continue
 		}
-		w := s.window(m.current, int64(LoadWindow/cellLength))
-		out = append(out, s.row(name, &w))
+		w := s.sumIntervals(m.currentInterval, int64(LoadWindow/meterInterval))
+		out = append(out, s.loadRow(name, &w))
 	}
 	return out, true
 }
 
 // loadSpan returns the bounds of the last LoadWindow.
 func (m *Meter) loadSpan() (since, until clock.Time) {
-	until = clock.Time(m.current * int64(cellLength))
+	until = clock.Time(m.currentInterval * int64(meterInterval))
 	return until.Add(-LoadWindow), until
 }
 
-func (s *series) row(name fleet.ServiceName, w *cell) LoadRow {
+func (s *serviceSeries) loadRow(name fleet.ServiceName, w *intervalStats) LoadRow {
 	r := LoadRow{
 		Service:  serviceKey(name),
 		VMs:      1,
 		Capacity: s.last.Capacity,
-		InFlight: saturate(uint64(s.last.InFlight) * milli),
+		InFlight: saturateUint32(uint64(s.last.InFlight) * inFlightUnit),
 		Answers:  w.answers,
 		Failed:   w.failed,
 		Warming:  s.last.Warming,
 	}
 	if w.samples > 0 {
-		r.InFlight = saturate(w.inFlight * milli / w.samples)
+		r.InFlight = saturateUint32(w.inFlight * inFlightUnit / w.samples)
 	}
 	var buckets [latencyBuckets]uint64
 	for i, n := range w.latencies {
 		buckets[i] = uint64(n)
 	}
-	r.Latencies = pack(nil, buckets[:])
+	r.Latencies = appendPacked(nil, buckets[:])
 	return r
 }
 
-// milli is the unit of LoadRow.InFlight.
-const milli = 1000
+// inFlightUnit is the unit of LoadRow.InFlight.
+const inFlightUnit = 1000
 
-// shareOf returns n of total, rounded up so that a failure is never lost.
-func shareOf(n, total uint64) catalogue.Share {
+// shareRoundedUp returns n of total, rounded up so that a failure is never lost.
+func shareRoundedUp(n, total uint64) catalogue.Share {
 	if total == 0 {
 		return 0
 	}
@@ -289,8 +291,8 @@
 	for b, n := range buckets {
 		seen += uint64(n)
 		if seen*100 >= total*99 {
-			return upperOf(b)
+			return bucketUpperBound(b)
 		}
 	}
-	return upperOf(len(buckets) - 1)
+	return bucketUpperBound(len(buckets) - 1)
 }
--- a/decide/tally/net_test.go
+++ b/decide/tally/net_test.go
@@ -17,44 +17,44 @@
 
 // node is one entry VM, with a clock of its own.
 type node struct {
-	vm      fleet.VM
-	st      *State // nil while it is down
-	started clock.Time
-	offset  time.Duration // of its clock
-	out     Ready
-	wake    clock.Time    // on the clock of the network
-	slow    time.Duration // further delay of messages from it
-	deaf    bool          // gets no messages
-	served  []clock.Time  // of its requests, on the clock of the network
-	silent  bool          // measures no load
-	slots   uint32
+	vm            fleet.VM
+	state         *State // nil while it is down
+	started       clock.Time
+	offset        time.Duration // of its clock
+	out           Ready
+	wake          clock.Time    // on the clock of the network
+	sendDelay     time.Duration // further delay of messages from it
+	dropsIncoming bool          // gets no messages
+	served        []clock.Time  // of its requests, on the clock of the network
+	reportsNoLoad bool          // measures no load
+	slots         uint32
 }
 
 type delivery struct {
-	to *node
-	st *State // the process it is for
-	ev Event
+	to    *node
+	state *State // the process it is for
+	event Event
 }
 
 // network joins States by delayed messages. The first node leads.
 type network struct {
-	now      clock.Time
-	rng      *rand.Rand
-	nodes    []*node
-	byID     map[fleet.VMID]*node
-	queue    clocktest.Queue[delivery]
-	loss     float64
-	repeat   bool                  // deliver each message twice
-	cut      map[fleet.Domain]bool // domains that can't be reached from others
-	cat      *catalogue.Catalogue
-	leader   *node
-	extra    int            // further requests of each node and requestGap, of random blocks
-	blocks   map[int]uint64 // a block for each position
-	messages int
-	bytes    int
-	led      int // messages and bytes from and to the leader
-	ledBytes int
-	ended    clock.Time
+	now            clock.Time
+	rng            *rand.Rand
+	nodes          []*node
+	byID           map[fleet.VMID]*node
+	queue          clocktest.Queue[delivery]
+	loss           float64
+	repeat         bool                  // deliver each message twice
+	unreachable    map[fleet.Domain]bool // domains that can't be reached from others
+	catalogue      *catalogue.Catalogue
+	leader         *node
+	extraRequests  int            // further requests of each node and requestGap, of random blocks
+	blocks         map[int]uint64 // a block for each position
+	messages       int
+	bytes          int
+	leaderMessages int // messages and bytes from and to the leader
+	leaderBytes    int
+	roundEnded     clock.Time
 }
 
 const (
@@ -78,11 +78,11 @@
 // domains, and three or four in a large fleet: 77 domains are in 22 regions.
 func newNetwork(seed uint64, domainCount, perDomain int) *network {
 	n := &network{
-		now:  clock.Time(1000 * time.Hour),
-		rng:  rand.New(rand.NewPCG(seed, 1)),
-		byID: map[fleet.VMID]*node{},
-		cut:  map[fleet.Domain]bool{},
-		cat:  testCatalogue(1),
+		now:         clock.Time(1000 * time.Hour),
+		rng:         rand.New(rand.NewPCG(seed, 1)),
+		byID:        map[fleet.VMID]*node{},
+		unreachable: map[fleet.Domain]bool{},
+		catalogue:   testCatalogue(1),
 
 		blocks: map[int]uint64{},
 	}
@@ -109,8 +109,8 @@
 	}
 	n.leader = n.nodes[0]
 	for _, v := range n.nodes {
-		n.now = n.now.Add(sliceLength / time.Duration(len(n.nodes))) // slices end at any time
-		n.boot(v)
+		n.now = n.now.Add(countInterval / time.Duration(len(n.nodes))) // slices end at any time
+		n.startProcess(v)
 	}
 	n.announce()
 	return n
@@ -118,27 +118,27 @@
 
 func (n *network) clockOf(v *node) clock.Time { return n.now.Add(v.offset) }
 
-func (n *network) start(v *node) {
-	n.boot(v)
+func (n *network) startNode(v *node) {
+	n.startProcess(v)
 	n.announce()
 }
 
-func (n *network) boot(v *node) {
-	v.st = New(n.clockOf(v), v.vm, Options{})
+func (n *network) startProcess(v *node) {
+	v.state = New(n.clockOf(v), v.vm, Options{})
 	v.started = n.now
-	n.step(v, &Configured{Catalogue: n.cat})
+	n.step(v, &Configured{Catalogue: n.catalogue})
 	n.step(v, &Lead{Held: v == n.leader})
 }
 
-func (n *network) stop(v *node) {
-	v.st = nil
+func (n *network) stopNode(v *node) {
+	v.state = nil
 	n.announce()
 }
 
 // announce tells all nodes who is live, at once.
 func (n *network) announce() {
 	for _, v := range n.nodes {
-		if v.st != nil {
+		if v.state != nil {
 			n.step(v, &Fleet{Domains: n.views(v)})
 		}
 	}
@@ -149,10 +149,10 @@
 	for _, v := range n.nodes {
 		at := slices.IndexFunc(out, func(d member.DomainView) bool { return d.Domain == v.vm.Domain })
 		if at < 0 {
-			out = append(out, member.DomainView{Region: v.vm.Region, Domain: v.vm.Domain, Reachable: !n.parted(of, v)})
+			out = append(out, member.DomainView{Region: v.vm.Region, Domain: v.vm.Domain, Reachable: !n.disconnected(of, v)})
 			at = len(out) - 1
 		}
-		if v.st == nil && !n.cut[v.vm.Domain] {
+		if v.state == nil && !n.unreachable[v.vm.Domain] {
 			continue
 		}
 		out[at].Live++
@@ -163,19 +163,19 @@
 	return out
 }
 
-func (n *network) parted(a, b *node) bool {
-	return a.vm.Domain != b.vm.Domain && (n.cut[a.vm.Domain] || n.cut[b.vm.Domain])
+func (n *network) disconnected(a, b *node) bool {
+	return a.vm.Domain != b.vm.Domain && (n.unreachable[a.vm.Domain] || n.unreachable[b.vm.Domain])
 }
 
 func (n *network) step(v *node, ev Event) {
-	v.st.Step(n.clockOf(v), ev, &v.out)
+	v.state.Step(n.clockOf(v), ev, &v.out)
 	v.wake = clock.Never
 	if v.out.Wake != clock.Never {
 		v.wake = v.out.Wake.Add(-v.offset)
 		n.push(v.wake, v, &Tick{})
 	}
 	if v == n.leader && v.out.Evidence {
-		n.ended = n.now
+		n.roundEnded = n.now
 	}
 	for _, s := range v.out.Sends {
 		n.send(v, s)
@@ -188,17 +188,17 @@
 	n.bytes += size
 	to := n.byID[s.To]
 	if from == n.leader || to == n.leader {
-		n.led++
-		n.ledBytes += size
+		n.leaderMessages++
+		n.leaderBytes += size
 	}
-	if to.st == nil || to.deaf || n.parted(from, to) || n.rng.Float64() < n.loss {
+	if to.state == nil || to.dropsIncoming || n.disconnected(from, to) || n.rng.Float64() < n.loss {
 		return
 	}
 	delay := time.Millisecond
 	if from.vm.Region != to.vm.Region {
 		delay = 55 * time.Millisecond
 	}
-	at := n.now.Add(delay + from.slow + time.Duration(n.rng.Int64N(int64(time.Millisecond))))
+	at := n.now.Add(delay + from.sendDelay + time.Duration(n.rng.Int64N(int64(time.Millisecond))))
 	n.push(at, to, &PeerMessage{From: from.vm.ID, Msg: s.Msg})
 	if n.repeat {
 		n.push(at, to, &PeerMessage{From: from.vm.ID, Msg: s.Msg})
@@ -206,13 +206,13 @@
 }
 
 func (n *network) push(at clock.Time, to *node, ev Event) {
-	n.queue.Push(at, delivery{to: to, st: to.st, ev: ev})
+	n.queue.Push(at, delivery{to: to, state: to.state, event: ev})
 }
 
-// second returns the position that requests of an instant have, so that a count
+// positionAt returns the position that requests of an instant have, so that a count
 // tells when its requests were made. Successive seconds are far apart, or all
 // requests of a window would lie in one part of the shift.
-func (n *network) second(t clock.Time) int {
+func (n *network) positionAt(t clock.Time) int {
 	return int(t/clock.Time(time.Second)) * 37 % shift.Positions
 }
 
@@ -222,18 +222,18 @@
 	for until := n.now.Add(d); n.now < until; n.now = n.now.Add(requestGap) {
 		n.deliver(n.now.Add(requestGap))
 		for _, v := range n.nodes {
-			if v.st == nil {
+			if v.state == nil {
 				continue
 			}
 			v.served = append(v.served, n.now)
-			v.st.Served(testService, "r0", n.blocks[n.second(n.now)], "", 50*time.Millisecond)
-			for range n.extra {
-				v.st.Served(testService, "r0", n.rng.Uint64(), "", time.Millisecond)
+			v.state.Served(testService, "r0", n.blocks[n.positionAt(n.now)], "", 50*time.Millisecond)
+			for range n.extraRequests {
+				v.state.Served(testService, "r0", n.rng.Uint64(), "", time.Millisecond)
 				latency := time.Duration(n.rng.ExpFloat64() * float64(50*time.Millisecond))
-				v.st.Meter().Answered(n.clockOf(v), testService, latency, true)
+				v.state.Meter().Answered(n.clockOf(v), testService, latency, true)
 			}
-			v.st.Meter().Answered(n.clockOf(v), testService, 50*time.Millisecond, true)
-			if !v.silent {
+			v.state.Meter().Answered(n.clockOf(v), testService, 50*time.Millisecond, true)
+			if !v.reportsNoLoad {
 				n.step(v, &Measured{Samples: []Sample{{Service: testService, Capacity: v.slots, InFlight: 1}}})
 			}
 		}
@@ -244,9 +244,9 @@
 	begin := n.now
 	for at, x, ok := n.queue.Pop(until); ok; at, x, ok = n.queue.Pop(until) {
 		n.now = max(n.now, at)
-		_, tick := x.ev.(*Tick)
-		if x.to.st == x.st && (!tick || x.to.wake == at) {
-			n.step(x.to, x.ev)
+		_, tick := x.event.(*Tick)
+		if x.to.state == x.state && (!tick || x.to.wake == at) {
+			n.step(x.to, x.event)
 		}
 	}
 	n.now = begin
@@ -254,7 +254,7 @@
 
 // count returns the evidence's count, on the network's clock.
 func (n *network) count() shift.Count {
-	for _, c := range n.leader.st.Evidence(n.clockOf(n.leader)).Counts {
+	for _, c := range n.leader.state.Evidence(n.clockOf(n.leader)).Counts {
 		c.Since = c.Since.Add(-n.leader.offset)
 		c.Until = c.Until.Add(-n.leader.offset)
 		return c
@@ -265,8 +265,8 @@
 // plan returns what a plan of the shift says of the evidence now.
 func (n *network) plan() shift.Decision {
 	now := n.clockOf(n.leader)
-	e := n.leader.st.Evidence(now)
+	e := n.leader.state.Evidence(now)
 	return shift.Plan(shift.Options{}, shift.Input{
-		Now: now, Shift: n.cat.Shifts[0], Services: []fleet.ServiceName{testService}, Evidence: &e,
+		Now: now, Shift: n.catalogue.Shifts[0], Services: []fleet.ServiceName{testService}, Evidence: &e,
 	})
 }
--- a/decide/tally/state.go
+++ b/decide/tally/state.go
@@ -55,25 +55,25 @@
 // State is one entry VM's part in the aggregation. It isn't safe for
 // concurrent use.
 type State struct {
-	o     Options
-	self  fleet.VM
-	now   clock.Time
-	meter *Meter
-	own   counting
-	fleet domains
-	jobs  []*job
-	lead  lead
+	options Options
+	self    fleet.VM
+	now     clock.Time
+	meter   *Meter
+	local   localCounts
+	domains domains
+	jobs    []*job
+	lead    lead
 }
 
 // New returns the state of the entry VM self.
 func New(now clock.Time, self fleet.VM, o Options) *State {
 	s := &State{
-		o:     o.withDefaults(),
-		self:  self,
-		now:   now,
-		meter: NewMeter(now),
-		own:   counting{next: clock.Never},
-		lead:  lead{next: clock.Never},
+		options: o.withDefaults(),
+		self:    self,
+		now:     now,
+		meter:   NewMeter(now),
+		local:   localCounts{nextCut: clock.Never},
+		lead:    lead{nextRound: clock.Never},
 	}
 	return s
 }
@@ -85,8 +85,8 @@
 // once for each request of a caller, at its final answer, by the entry VM that
 // the caller asked, and not for requests that another entry VM has forwarded.
 func (s *State) Served(service fleet.ServiceName, home fleet.Region, block uint64, movedBy string, busy time.Duration) {
-	if s.own.counter != nil {
-		s.own.counter.Served(service, home, block, movedBy, busy)
+	if s.local.counter != nil {
+		s.local.counter.Served(service, home, block, movedBy, busy)
 	}
 }
 
@@ -94,53 +94,53 @@
 func (s *State) Step(now clock.Time, ev Event, out *Ready) {
 	out.reset()
 	s.now = max(s.now, now)
-	if s.own.next <= s.now {
-		s.own.take(s.now)
+	if s.local.nextCut <= s.now {
+		s.local.endInterval(s.now)
 	}
 	switch e := ev.(type) {
 	case *Configured:
-		changed := s.own.configure(s.now, e.Catalogue)
+		changed := s.local.configure(s.now, e.Catalogue)
 		s.lead.configure(e.Catalogue, changed)
 	case *Fleet:
-		if s.fleet.update(s.now, s.o.LostAfter, s.self.Domain, e.Domains) {
-			s.restart()
+		if s.domains.update(s.now, s.options.LostAfter, s.self.Domain, e.Domains) {
+			s.restartRounds()
 		}
 	case *Lead:
-		s.lead.take(s.now, e.Held)
+		s.lead.setHeld(s.now, e.Held)
 	case *Measured:
 		s.meter.observe(s.now, e.Samples)
 	case *PeerMessage:
-		s.message(e, out)
+		s.handleMessage(e, out)
 	case *Tick:
 	}
-	s.run(out)
-	out.Wake = s.wake()
+	s.runDue(out)
+	out.Wake = s.nextWake()
 }
 
-func (s *State) message(e *PeerMessage, out *Ready) {
+func (s *State) handleMessage(e *PeerMessage, out *Ready) {
 	if e.Msg.Validate() != nil {
 		return
 	}
 	switch m := e.Msg.(type) {
 	case *Ask:
-		s.asked(e.From, m, out)
+		s.handleAsk(e.From, m, out)
 	case *Sum:
-		s.answered(e.From, m, out)
+		s.handleSum(e.From, m, out)
 	}
 }
 
-// run does what is due.
-func (s *State) run(out *Ready) {
+// runDue does what is due.
+func (s *State) runDue(out *Ready) {
 	s.finishJobs(out)
-	if s.leads() && s.lead.next <= s.now {
+	if s.leadsRounds() && s.lead.nextRound <= s.now {
 		s.startRound(out)
 	}
 }
 
-func (s *State) wake() clock.Time {
-	w := s.own.next
-	if s.leads() {
-		w = clock.Min(w, s.lead.next)
+func (s *State) nextWake() clock.Time {
+	w := s.local.nextCut
+	if s.leadsRounds() {
+		w = clock.Min(w, s.lead.nextRound)
 	}
 	for _, j := range s.jobs {
 		w = clock.Min(w, j.deadline)
--- a/decide/tally/tally_test.go
+++ b/decide/tally/tally_test.go
@@ -14,22 +14,22 @@
 	"github.com/azurethread/azurethread/decide/shift"
 )
 
-// settle is the time until all entry VMs have whole windows.
-const settle = shift.CountWindow + 4*time.Second
+// settleTime is the time until all entry VMs have whole windows.
+const settleTime = shift.CountWindow + 4*time.Second
 
 // TestEvidence: all entry VMs answer, and a plan advances on what they report.
-func TestEvidence(t *testing.T) {
+func TestCompleteEvidenceAllowsAdvance(t *testing.T) {
 	for _, size := range [][2]int{{6, 1}, {6, 2}, {4, 43}, {20, 3}} {
 		t.Run(fmt.Sprintf("%dx%d", size[0], size[1]), func(t *testing.T) {
 			is := is.New(t)
 			n := newNetwork(1, size[0], size[1])
-			n.run(settle)
+			n.run(settleTime)
 			vms := len(n.nodes)
 			c := n.count()
 			is.Equal(c.Missing, 0)
 			is.True(c.Total >= uint64(99*vms)) // 10 requests a second for 10 s
 			is.True(c.Demand() > 0.49*float64(vms) && c.Demand() < 0.52*float64(vms))
-			e := n.leader.st.Evidence(n.now)
+			e := n.leader.state.Evidence(n.now)
 			is.Equal(len(e.Loads), size[0]/2)
 			l := e.Loads[1]
 			is.Equal(l.Region, fleet.Region("r1"))
@@ -43,12 +43,12 @@
 }
 
 // TestRest: no shift moves, so nothing is sent and no timer runs.
-func TestRest(t *testing.T) {
+func TestNoTrafficWithoutMovingShift(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork(1, 4, 3)
-	n.cat = &catalogue.Catalogue{Revision: 2}
+	n.catalogue = &catalogue.Catalogue{Revision: 2}
 	for _, v := range n.nodes {
-		n.step(v, &Configured{Catalogue: n.cat})
+		n.step(v, &Configured{Catalogue: n.catalogue})
 	}
 	n.run(3 * time.Second)
 	n.messages = 0
@@ -61,11 +61,11 @@
 // entry VM. Sequence: it stops answering, and membership still holds it live.
 // Cause: the sum is taken for the whole. The last complete round serves while
 // it is fresh; then the plan holds and names the number that is missing.
-func TestSilentReporter(t *testing.T) {
+func TestUnansweringVMIsCountedMissing(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork(1, 6, 2)
-	n.run(settle)
-	n.nodes[9].deaf = true
+	n.run(settleTime)
+	n.nodes[9].dropsIncoming = true
 	n.run(3 * time.Second)
 	is.Equal(n.plan().Action, shift.Advance)
 	n.run(5 * time.Second)
@@ -76,17 +76,17 @@
 		seen[n.count().Missing] = true
 	}
 	is.Equal(seen, map[int]bool{1: true, 2: true}) // alone, and as the head of the two of its domain
-	n.nodes[9].deaf = false
+	n.nodes[9].dropsIncoming = false
 	n.run(3 * time.Second)
 	is.Equal(n.plan().Action, shift.Advance)
 }
 
 // TestNoAnswers: symptom: steps rest on figures of long ago. Sequence: nothing
 // reaches the runner any more. Cause: old evidence kept in place of none.
-func TestNoAnswers(t *testing.T) {
+func TestEvidenceGoesStaleWithoutAnswers(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork(1, 6, 2)
-	n.run(settle)
+	n.run(settleTime)
 	n.loss = 1
 	n.run(7 * time.Second)
 	is.Equal(n.plan().Reason.Code, shift.StaleMeasurement)
@@ -99,22 +99,22 @@
 // Sequence: the shift starts, and one entry VM hears of it late. Cause: its
 // silence about the shift is taken for no requests and no capacity. As the head
 // of its domain it also drops what others say.
-func TestLaggingCatalogue(t *testing.T) {
+func TestVMWithOldCatalogueIsCountedMissing(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork(1, 4, 2)
 	late := n.nodes[5]
 	n.step(late, &Configured{Catalogue: &catalogue.Catalogue{Revision: 0}})
-	n.run(settle)
+	n.run(settleTime)
 	seen := map[[2]int]bool{}
 	for range 4 {
 		n.run(time.Second)
-		seen[[2]int{n.count().Missing, n.leader.st.Evidence(n.now).Loads[1].Missing}] = true
+		seen[[2]int{n.count().Missing, n.leader.state.Evidence(n.now).Loads[1].Missing}] = true
 	}
 	is.Equal(seen, map[[2]int]bool{{1, 1}: true, {2, 2}: true})
-	n.step(late, &Configured{Catalogue: n.cat})
+	n.step(late, &Configured{Catalogue: n.catalogue})
 	n.run(shift.CountWindow - 3*time.Second)
 	is.Equal(n.count().Missing, 1) // what it has isn't a whole window yet
-	is.Equal(n.leader.st.Evidence(n.now).Loads[1].Missing, 0)
+	is.Equal(n.leader.state.Evidence(n.now).Loads[1].Missing, 0)
 	n.run(6 * time.Second)
 	is.Equal(n.count().Missing, 0)
 }
@@ -122,14 +122,14 @@
 // TestWrongClocks: symptom: old figures pass for new ones, or new ones are
 // never fresh. Sequence: the machines' clocks differ by hours. Cause: instants
 // of one machine compared with those of another.
-func TestWrongClocks(t *testing.T) {
+func TestClockOffsetsDoNotMatter(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork(1, 6, 2)
 	for i, v := range n.nodes {
 		v.offset = time.Duration(i%5-2) * time.Hour
-		n.start(v)
+		n.startNode(v)
 	}
-	n.run(settle)
+	n.run(settleTime)
 	is.Equal(n.count().Missing, 0)
 	is.True(n.now.Sub(n.count().Until) < 4*time.Second)
 	is.Equal(n.plan().Action, shift.Advance)
@@ -138,39 +138,39 @@
 // TestSlowAnswers: symptom: a step is judged by figures from before it.
 // Sequence: answers of one domain take 400 ms. Cause: the receiver takes the
 // time of arrival for the time of measurement.
-func TestSlowAnswers(t *testing.T) {
+func TestAgesIncludeTransitTime(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork(1, 6, 1)
-	n.run(settle)
+	n.run(settleTime)
 	const slow = 600 * time.Millisecond
 	for _, v := range n.nodes[2:] {
-		v.slow = slow
+		v.sendDelay = slow
 		n.run(4 * time.Second)
 		c := n.count()
 		is.Equal(c.Missing, 0)
 		sent := clock.Time(0) // end of the window that v has sent
-		for _, s := range v.st.own.flows[0].slices {
-			if s.Until <= n.ended.Add(-slow) {
+		for _, s := range v.state.local.flows[0].intervals {
+			if s.Until <= n.roundEnded.Add(-slow) {
 				sent = s.Until
 			}
 		}
 		is.True(c.Until <= sent)
-		v.slow = 0
+		v.sendDelay = 0
 	}
 }
 
 // TestDomainReturns: symptom: a step rests on counts that lack a whole domain.
 // Sequence: a domain is cut off for so long that it isn't waited for, and
 // returns. Cause: the last figures without it still count as complete.
-func TestDomainReturns(t *testing.T) {
+func TestReturnedDomainInvalidatesEvidence(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork(1, 6, 2)
-	n.run(settle)
-	n.cut["d05"] = true
+	n.run(settleTime)
+	n.unreachable["d05"] = true
 	n.announce()
 	n.run(DefaultLostAfter + 4*time.Second)
 	is.Equal(n.plan().Action, shift.Advance)
-	delete(n.cut, "d05")
+	delete(n.unreachable, "d05")
 	n.announce()
 	is.Equal(n.plan().Reason.Code, shift.StaleMeasurement)
 	n.run(3 * time.Second)
@@ -181,12 +181,12 @@
 // TestRegionLost: symptom: a shift into a dead region never recedes. Sequence:
 // the receiver is lost as a whole in the middle of a rehearsal. Cause: the
 // counts lack its entry VMs for ever, and no plan acts on incomplete counts.
-func TestRegionLost(t *testing.T) {
+func TestLostReceiverRegionMakesShiftRecede(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork(1, 6, 2)
-	n.run(settle)
+	n.run(settleTime)
 	for _, v := range n.nodes[4:8] {
-		n.cut[v.vm.Domain] = true
+		n.unreachable[v.vm.Domain] = true
 	}
 	n.announce()
 	n.run(10 * time.Second)
@@ -200,10 +200,10 @@
 // TestUnknownTargets: symptom: a shift recedes from a healthy region. Sequence:
 // the entry VMs of the receiver have restarted and don't know their targets
 // yet. Cause: no figures taken for no capacity.
-func TestUnknownTargets(t *testing.T) {
+func TestUnknownCapacityIsNotZeroCapacity(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork(1, 4, 2)
-	n.run(settle)
+	n.run(settleTime)
 	watch := func(disturb func(i int, v *node)) {
 		for i, v := range n.nodes[4:] {
 			disturb(i, v)
@@ -215,24 +215,24 @@
 		is.Equal(n.plan().Reason.Code, shift.StaleMeasurement)
 	}
 	watch(func(_ int, v *node) {
-		v.silent = true
-		n.start(v)
+		v.reportsNoLoad = true
+		n.startNode(v)
 	})
 	watch(func(i int, v *node) {
-		v.silent, v.slots = i > 0, 0 // one knows that it has none, the others nothing
+		v.reportsNoLoad, v.slots = i > 0, 0 // one knows that it has none, the others nothing
 	})
 }
 
 // TestCandidate: all views of one fleet name the same candidate, though each
 // names all VMs of its own domain only, and a lost one is followed by the next.
-func TestCandidate(t *testing.T) {
+func TestAllViewsAgreeOnCandidate(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork(1, 6, 20)
 	first := Candidates(n.views(n.nodes[0]), 2)
 	for _, v := range n.nodes {
 		is.Equal(Candidate(n.views(v)), first[0])
 	}
-	n.stop(n.byID[first[0]])
+	n.stopNode(n.byID[first[0]])
 	for _, v := range n.nodes {
 		is.Equal(Candidate(n.views(v)), first[1])
 	}
@@ -242,7 +242,7 @@
 // TestValidate: messages that don't agree with themselves are refused.
 func TestValidate(t *testing.T) {
 	good := func() *Sum {
-		return &Sum{Runner: "a", Live: 1, Age: 1, Since: 9,
+		return &Sum{Runner: "a", Live: 1, CountEndAge: 1, CountStartAge: 9,
 			Counts: []CountRow{{VMs: 1, Total: 3, Moved: 1, Positions: []byte{0, 4, 3}}},
 			Loads:  []LoadRow{{VMs: 1, Answers: 2, Failed: 1, Latencies: []byte{2}}},
 		}
@@ -250,8 +250,8 @@
 	bad := map[string]func(*Sum){
 		"runner":    func(s *Sum) { s.Runner = "" },
 		"loaded":    func(s *Sum) { s.Loads[0].VMs = 2 },
-		"window":    func(s *Sum) { s.Since = 0 },
-		"old":       func(s *Sum) { s.Since = maxAge + 1 },
+		"window":    func(s *Sum) { s.CountStartAge = 0 },
+		"old":       func(s *Sum) { s.CountStartAge = maxAge + 1 },
 		"counts":    func(s *Sum) { s.Counts = make([]CountRow, MaxCounts+1) },
 		"vms":       func(s *Sum) { s.Counts[0].VMs = 2 },
 		"moved":     func(s *Sum) { s.Counts[0].Moved = 4 },
@@ -298,8 +298,8 @@
 	is.Equal(m.Rate(at.Add(10*time.Second), testService), Rate{})
 	is.Equal(testing.AllocsPerRun(100, func() { m.Answered(at, testService, time.Second, true) }), 0.0)
 	for b := 1; b < latencyBuckets-1; b++ {
-		is.Equal(bucketOf(upperOf(b)), b)
-		is.Equal(bucketOf(upperOf(b)+1), b+1)
+		is.Equal(latencyBucket(bucketUpperBound(b)), b)
+		is.Equal(latencyBucket(bucketUpperBound(b)+1), b+1)
 	}
 }
 
@@ -315,8 +315,8 @@
 		samples = append(samples, Sample{Service: fleet.ServiceName(fmt.Sprintf("old-%d", i)), Capacity: 1})
 	}
 	m.observe(now, samples)
-	for range 2 * meterCells {
-		now = now.Add(cellLength)
+	for range 2 * meterIntervals {
+		now = now.Add(meterInterval)
 		m.observe(now, []Sample{{Service: testService, Capacity: 3}})
 	}
 	rows, ok := m.loads(now, []fleet.ServiceName{testService}, nil)
@@ -329,10 +329,10 @@
 // the runner has moved to another domain under its id, and a head whose view is
 // older asks it for its own round. Cause: the answer to that Ask is taken for
 // the whole round.
-func TestRunnerIsAskedForItsOwnRound(t *testing.T) {
+func TestAskForOwnRoundIsIgnored(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork(1, 6, 2)
-	n.run(settle)
+	n.run(settleTime)
 	total := n.count().Total
 	is.True(total > 0)
 	n.step(n.leader, &PeerMessage{From: n.nodes[5].vm.ID, Msg: &Ask{Runner: n.leader.vm.ID, Round: 1, Scope: ScopeVM}})
--- a/decide/token/expiry.go
+++ b/decide/token/expiry.go
@@ -2,25 +2,25 @@
 
 import "github.com/azurethread/azurethread/decide/clock"
 
-// due is one record's place in the order of dropping.
-type due struct {
-	at   clock.Time
-	slot int32
+// expiryEntry is one record's place in the order of dropping.
+type expiryEntry struct {
+	dropAt clock.Time
+	slot   int32
 }
 
 // expiryHeap is a binary min-heap by instant and then slot, so that the order
 // of dropping depends on nothing but the events.
-type expiryHeap []due
+type expiryHeap []expiryEntry
 
 func (h expiryHeap) less(i, j int) bool {
-	if h[i].at != h[j].at {
-		return h[i].at < h[j].at
+	if h[i].dropAt != h[j].dropAt {
+		return h[i].dropAt < h[j].dropAt
 	}
 	return h[i].slot < h[j].slot
 }
 
 // push adds d.
-func (h *expiryHeap) push(d due) {
+func (h *expiryHeap) push(d expiryEntry) {
 	*h = append(*h, d)
 	s := *h
 	for i := len(s) - 1; i > 0; {
@@ -34,7 +34,7 @@
 }
 
 // pop removes and returns the earliest; the heap must not be empty.
-func (h *expiryHeap) pop() due {
+func (h *expiryHeap) pop() expiryEntry {
 	s := *h
 	first := s[0]
 	last := len(s) - 1
--- a/decide/token/ledger.go
+++ b/decide/token/ledger.go
@@ -99,10 +99,10 @@
 	pendingAskAfter  = 250 * time.Millisecond
 )
 
-// dropsPerCall bounds the records dropped by one call, so that a call after a
+// maxDropsPerCall bounds the records dropped by one call, so that a call after a
 // long pause stays short. Each call adds one record at most, so the backlog
 // still shrinks.
-const dropsPerCall = 32
+const maxDropsPerCall = 32
 
 // Ledger records the tokens admitted by one entry VM process. It is not safe
 // for concurrent use.
@@ -112,12 +112,12 @@
 	incarnation fleet.Incarnation
 	opts        Options
 
-	slots   map[ID]int32 // only looked up, never ranged over
-	records []record
-	free    []int32
-	drops   expiryHeap
-	now     clock.Time // highest instant seen
-	floor   clock.Time // highest expiry refused without a record
+	slots         map[ID]int32 // only looked up, never ranged over
+	records       []record
+	free          []int32
+	expiries      expiryHeap
+	now           clock.Time // highest instant seen
+	refusedExpiry clock.Time // highest expiry refused without a record
 }
 
 // record is what is known of one token.
@@ -152,11 +152,11 @@
 // Admit judges one send of tok. If the Status is New, this send may run, it is
 // recorded, and the caller must Finish it; any other send must not run.
 func (l *Ledger) Admit(now clock.Time, tok string) Admission {
-	a, expiry := l.judge(now, tok)
+	a, expiry := l.check(now, tok)
 	if a.Status != New {
 		return a
 	}
-	l.add(a.ID, expiry, record{id: a.ID})
+	l.addRecord(a.ID, expiry, record{id: a.ID})
 	return a
 }
 
@@ -165,11 +165,11 @@
 // calls it before it says NotRun: without it, another copy of the request that
 // is still on its way could be admitted afterwards. The Status is never New.
 func (l *Ledger) Refuse(now clock.Time, tok string) Admission {
-	a, expiry := l.judge(now, tok)
+	a, expiry := l.check(now, tok)
 	if a.Status != New {
 		return a
 	}
-	l.add(a.ID, expiry, record{id: a.ID, verdict: verdict.NotRun, finished: true})
+	l.addRecord(a.ID, expiry, record{id: a.ID, verdict: verdict.NotRun, finished: true})
 	return Admission{Status: Duplicate, Verdict: verdict.NotRun, ID: a.ID}
 }
 
@@ -185,7 +185,7 @@
 // NotRun and Ran are final. It reports whether it was recorded: it is not once
 // the record was dropped or a final verdict stands.
 func (l *Ledger) Finish(now clock.Time, id ID, v verdict.Verdict, answer int) bool {
-	l.advance(now)
+	l.advanceClock(now)
 	i, ok := l.slots[id]
 	if !ok {
 		return false
@@ -200,27 +200,27 @@
 	return true
 }
 
-// judge returns what is known of tok without recording anything but, when the
+// check returns what is known of tok without recording anything but, when the
 // Ledger is full, the floor. For New it also returns the token's expiry.
-func (l *Ledger) judge(now clock.Time, tok string) (Admission, clock.Time) {
-	l.advance(now)
+func (l *Ledger) check(now clock.Time, tok string) (Admission, clock.Time) {
+	l.advanceClock(now)
 	b, ok := l.minter.verify(tok)
 	if !ok {
 		return Admission{Status: Invalid, Verdict: verdict.NotRun}, 0
 	}
 	p := partsOf(b)
 	if string(p.vm) != string(l.self) || p.incarnation != l.incarnation {
-		return l.elsewhere(p), 0
+		return l.elsewhereAdmission(p), 0
 	}
 	id := idOf(b)
 	if i, held := l.slots[id]; held {
-		return l.duplicate(l.records[i]), 0
+		return l.duplicateAdmission(l.records[i]), 0
 	}
-	return l.unrecorded(id, p.expiry), p.expiry
+	return l.checkUnrecorded(id, p.expiry), p.expiry
 }
 
-// unrecorded judges an authentic token of this process without a record.
-func (l *Ledger) unrecorded(id ID, expiry clock.Time) Admission {
+// checkUnrecorded judges an authentic token of this process without a record.
+func (l *Ledger) checkUnrecorded(id ID, expiry clock.Time) Admission {
 	switch {
 	case l.now >= expiry.Add(l.opts.Retention):
 		return Admission{Status: Expired, Verdict: verdict.MayHaveRun}
@@ -233,22 +233,22 @@
 		// What goes wrong: this refusal says NotRun and leaves no record, so
 		// a second copy of the request, read once there is room, would run
 		// after the caller was told otherwise. The floor refuses that copy.
-		l.floor = max(l.floor, expiry)
-		return l.full()
-	case expiry <= l.floor:
-		return l.full()
+		l.refusedExpiry = max(l.refusedExpiry, expiry)
+		return l.fullAdmission()
+	case expiry <= l.refusedExpiry:
+		return l.fullAdmission()
 	default:
 		return Admission{Status: New, ID: id}
 	}
 }
 
-func (l *Ledger) full() Admission {
+func (l *Ledger) fullAdmission() Admission {
 	return Admission{Status: Full, Verdict: verdict.NotRun, RetryAfter: fullRetryAfter}
 }
 
-// elsewhere answers for a token of another process. Earlier sends may have
+// elsewhereAdmission answers for a token of another process. Earlier sends may have
 // reached that process, so this one cannot say more than MayHaveRun.
-func (l *Ledger) elsewhere(p parts) Admission {
+func (l *Ledger) elsewhereAdmission(p tokenParts) Admission {
 	a := Admission{Status: Elsewhere, Verdict: verdict.MayHaveRun, Incarnation: p.incarnation}
 	if string(p.vm) != string(l.self) {
 		a.VM = fleet.VMID(p.vm)
@@ -259,8 +259,8 @@
 	return a
 }
 
-// duplicate answers for a token that has a record.
-func (l *Ledger) duplicate(r record) Admission {
+// duplicateAdmission answers for a token that has a record.
+func (l *Ledger) duplicateAdmission(r record) Admission {
 	a := Admission{Status: Duplicate, ID: r.id, Verdict: r.verdict, Answer: int(r.answer)}
 	if !r.finished {
 		a.Pending = true // and the record's verdict is still MayHaveRun
@@ -269,16 +269,16 @@
 	return a
 }
 
-// add stores a record until its token's expiry and the retention have passed.
-func (l *Ledger) add(id ID, expiry clock.Time, r record) {
-	i := l.slot()
+// addRecord stores a record until its token's expiry and the retention have passed.
+func (l *Ledger) addRecord(id ID, expiry clock.Time, r record) {
+	i := l.allocateSlot()
 	l.records[i] = r
 	l.slots[id] = i
-	l.drops.push(due{at: expiry.Add(l.opts.Retention), slot: i})
+	l.expiries.push(expiryEntry{dropAt: expiry.Add(l.opts.Retention), slot: i})
 }
 
-// slot returns an unused index of records.
-func (l *Ledger) slot() int32 {
+// allocateSlot returns an unused index of records.
+func (l *Ledger) allocateSlot() int32 {
 	if n := len(l.free); n > 0 {
 		i := l.free[n-1]
 		l.free = l.free[:n-1]
@@ -288,13 +288,13 @@
 	return int32(len(l.records) - 1)
 }
 
-// advance takes the instant of a call and drops records that are due. Events
+// advanceClock takes the instant of a call and drops records that are due. Events
 // may arrive out of order. If the Ledger's time fell, a token whose record was
 // already dropped as expired would be admitted as new.
-func (l *Ledger) advance(now clock.Time) {
+func (l *Ledger) advanceClock(now clock.Time) {
 	l.now = max(l.now, now)
-	for n := 0; n < dropsPerCall && len(l.drops) > 0 && l.drops[0].at <= l.now; n++ {
-		d := l.drops.pop()
+	for n := 0; n < maxDropsPerCall && len(l.expiries) > 0 && l.expiries[0].dropAt <= l.now; n++ {
+		d := l.expiries.pop()
 		delete(l.slots, l.records[d.slot].id)
 		l.records[d.slot] = record{}
 		l.free = append(l.free, d.slot)
--- a/decide/token/ledger_test.go
+++ b/decide/token/ledger_test.go
@@ -26,7 +26,7 @@
 // did not, and again under a fresh token. Sequence: two sends of one token are
 // on the way; the second is read first and refused; then the first is read.
 // Cause: a token that became free again after NotRun.
-func TestSpentByNotRun(t *testing.T) {
+func TestNotRunSpendsToken(t *testing.T) {
 	is := is.New(t)
 	l := NewLedger(testKey, "vm-1", 1, Options{})
 	tok := Mint(testKey, "vm-1", 1, nonce(1), at(time.Minute))
@@ -41,7 +41,7 @@
 // TestRefusedWhileFull: symptom: a fee is posted after the answer "overloaded,
 // not run". Sequence: the ledger is full and refuses a token; room appears; a
 // second copy of the request arrives. Cause: a refusal that left no trace.
-func TestRefusedWhileFull(t *testing.T) {
+func TestRefusalWhileFullIsFinal(t *testing.T) {
 	is := is.New(t)
 	l := NewLedger(testKey, "vm-1", 1, Options{Capacity: 1, Retention: time.Second})
 	is.Equal(l.Admit(0, Mint(testKey, "vm-1", 1, nonce(1), at(time.Second))).Status, New)
@@ -58,7 +58,7 @@
 // TestAskedBeforeSeen: symptom: as above, after a caller asked for the outcome
 // and heard "not run". Sequence: the question overtakes the request. Cause: an
 // answer about the past taken for one about the future.
-func TestAskedBeforeSeen(t *testing.T) {
+func TestOutcomeOfUnseenTokenIsFinal(t *testing.T) {
 	is := is.New(t)
 	l := NewLedger(testKey, "vm-1", 1, Options{})
 	tok := Mint(testKey, "vm-1", 1, nonce(1), at(time.Minute))
@@ -69,7 +69,7 @@
 // TestClockBack: symptom: a posting runs twice. Sequence: a token is used and
 // its record dropped after expiry; an event with an earlier instant brings the
 // token again. Cause: judging expiry by the event's instant alone.
-func TestClockBack(t *testing.T) {
+func TestExpiredTokenStaysExpiredWhenClockFallsBack(t *testing.T) {
 	is := is.New(t)
 	l := NewLedger(testKey, "vm-1", 1, Options{Retention: time.Second})
 	tok := Mint(testKey, "vm-1", 1, nonce(1), at(time.Minute))
@@ -94,7 +94,7 @@
 	is.Equal(a.Verdict, verdict.MayHaveRun)
 }
 
-func TestFinishKnowledgeOnlyGrows(t *testing.T) {
+func TestFinalVerdictIsKept(t *testing.T) {
 	is := is.New(t)
 	l := NewLedger(testKey, "vm-1", 1, Options{})
 	tok := Mint(testKey, "vm-1", 1, nonce(1), at(time.Minute))
@@ -121,20 +121,20 @@
 	is.True(!ok)
 }
 
-// model is what the randomised run knows of one token, apart from the Ledger.
-type model struct {
-	text   string
-	vm     int
-	inc    fleet.Incarnation
-	id     ID
-	ran    bool // decided by the model when the token is admitted
-	opened int  // times admitted, over all processes
-	denied bool // a caller was told NotRun
+// tokenModel is what the randomised run knows of one token, apart from the Ledger.
+type tokenModel struct {
+	text       string
+	vm         int
+	inc        fleet.Incarnation
+	id         ID
+	ran        bool // decided by the model when the token is admitted
+	admissions int  // times admitted, over all processes
+	toldNotRun bool // a caller was told NotRun
 }
 
-// TestNeverTwice runs random sends, refusals, questions, finishes, clock steps
+// TestTokenRunsAtMostOnce runs random sends, refusals, questions, finishes, clock steps
 // back and forth, and restarts at two entry VMs with tiny ledgers.
-func TestNeverTwice(t *testing.T) {
+func TestTokenRunsAtMostOnce(t *testing.T) {
 	events, admitted := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
 		opts := Options{Capacity: rapid.IntRange(1, 4).Draw(t, "capacity"), Retention: 2 * time.Second}
@@ -142,23 +142,23 @@
 		incs := []fleet.Incarnation{1, 1}
 		ledgers := []*Ledger{NewLedger(testKey, vms[0], 1, opts), NewLedger(testKey, vms[1], 1, opts)}
 		now := at(time.Hour)
-		var tokens []*model
-		told := func(m *model, a Admission) {
+		var tokens []*tokenModel
+		told := func(m *tokenModel, a Admission) {
 			if a.Status == New || a.Verdict != verdict.NotRun {
 				return
 			}
-			m.denied = true
+			m.toldNotRun = true
 			if m.ran {
 				t.Fatalf("told not-run (%v), yet it ran", a.Status)
 			}
 		}
-		pick := func(t *rapid.T) *model {
+		pick := func(t *rapid.T) *tokenModel {
 			if len(tokens) == 0 {
 				t.Skip("no token yet")
 			}
 			return tokens[rapid.IntRange(max(0, len(tokens)-8), len(tokens)-1).Draw(t, "token")]
 		}
-		place := func(t *rapid.T, m *model) *Ledger {
+		place := func(t *rapid.T, m *tokenModel) *Ledger {
 			if rapid.IntRange(0, 9).Draw(t, "elsewhere") == 0 {
 				return ledgers[1-m.vm]
 			}
@@ -169,7 +169,7 @@
 				vm := rapid.IntRange(0, 1).Draw(t, "vm")
 				skew := time.Duration(rapid.IntRange(-2, 6).Draw(t, "expiry")) * time.Second
 				text := Mint(testKey, vms[vm], incs[vm], nonce(uint64(len(tokens))), now.Add(skew))
-				tokens = append(tokens, &model{text: text, vm: vm, inc: incs[vm]})
+				tokens = append(tokens, &tokenModel{text: text, vm: vm, inc: incs[vm]})
 			},
 			"admit": func(t *rapid.T) {
 				m := pick(t)
@@ -178,17 +178,17 @@
 				if a.Status != New {
 					return
 				}
-				m.opened++
+				m.admissions++
 				admitted++
-				if m.opened > 1 || m.denied {
-					t.Fatalf("admitted %d times, told not-run before: %v", m.opened, m.denied)
+				if m.admissions > 1 || m.toldNotRun {
+					t.Fatalf("admitted %d times, told not-run before: %v", m.admissions, m.toldNotRun)
 				}
 				m.id = a.ID
 				m.ran = rapid.Bool().Draw(t, "ran")
 			},
 			"finish": func(t *rapid.T) {
 				m := pick(t)
-				if m.opened == 0 {
+				if m.admissions == 0 {
 					t.Skip("not admitted")
 				}
 				v := verdict.NotRun
@@ -212,8 +212,8 @@
 			"": func(t *rapid.T) {
 				events++
 				for _, l := range ledgers {
-					if l.Len() > opts.Capacity || len(l.drops) != l.Len() || len(l.records) > opts.Capacity {
-						t.Fatalf("%d records, %d drops, %d slots, capacity %d", l.Len(), len(l.drops), len(l.records), opts.Capacity)
+					if l.Len() > opts.Capacity || len(l.expiries) != l.Len() || len(l.records) > opts.Capacity {
+						t.Fatalf("%d records, %d drops, %d slots, capacity %d", l.Len(), len(l.expiries), len(l.records), opts.Capacity)
 					}
 				}
 			},
--- a/decide/token/token.go
+++ b/decide/token/token.go
@@ -145,8 +145,8 @@
 	return b, true
 }
 
-// parts are the contents of a token, in place.
-type parts struct {
+// tokenParts are the contents of a token, in place.
+type tokenParts struct {
 	vm          []byte
 	incarnation fleet.Incarnation
 	nonce       []byte
@@ -154,10 +154,10 @@
 }
 
 // partsOf splits verified bytes.
-func partsOf(b []byte) parts {
+func partsOf(b []byte) tokenParts {
 	vmEnd := headSize + int(b[1])
 	nonceEnd := vmEnd + 8 + NonceSize
-	return parts{
+	return tokenParts{
 		vm:          b[headSize:vmEnd],
 		incarnation: fleet.Incarnation(binary.BigEndian.Uint64(b[vmEnd:])),
 		nonce:       b[vmEnd+8 : nonceEnd],
--- a/operate/entryfile/file.go
+++ b/operate/entryfile/file.go
@@ -57,7 +57,7 @@
 // Parse reads a file and checks its content. Services of the file count as
 // known; known says which others exist, and nil trusts every name. The error
 // is an Errors.
-func Parse(data []byte, known change.Known) (File, error) {
+func Parse(data []byte, known change.ServiceExists) (File, error) {
 	var d decoder
 	f := d.file(data)
 	if !d.unreadable {
@@ -70,7 +70,7 @@
 }
 
 // check applies the catalogue's rules, and those that hold within a file.
-func (d *decoder) check(f File, known change.Known) {
+func (d *decoder) check(f File, known change.ServiceExists) {
 	services := make(map[fleet.ServiceName]bool, len(f.Services))
 	for i, s := range f.Services {
 		path := fmt.Sprintf("services[%d]", i)
