--- a/decide/tally/accumulate.go
+++ b/decide/tally/accumulate.go
@@ -8,10 +8,10 @@
 	"github.com/azurethread/azurethread/decide/shift"
 )
 
-// span is a window on the own clock; the zero value covers nothing yet.
+// span is a window on the local clock; the zero value is empty.
 type span struct{ since, until clock.Time }
 
-// mergeOldest makes s as old as the older of the two.
+// mergeOldest moves each bound of s to the earlier one of s and o.
 func (s *span) mergeOldest(o span) {
 	if s.until == 0 {
 		*s = o
@@ -21,7 +21,7 @@
 	s.until = clock.Min(s.until, o.until)
 }
 
-// flowCounts is the sum of one flow.
+// flowCounts is the sum of one flow's counts over some entry VMs.
 type flowCounts struct {
 	vms       uint32
 	total     uint64
@@ -40,7 +40,7 @@
 	}
 }
 
-// serviceLoad is the sum of one service's load.
+// serviceLoad is the sum of one service's load over some entry VMs.
 type serviceLoad struct {
 	vms       uint32
 	capacity  uint64
@@ -58,15 +58,15 @@
 	s.answers += r.Answers
 	s.failed += r.Failed
 	s.warming = s.warming || r.Warming
-	_, _ = addUnpacked(r.Latencies, s.latencies[:]) // Validate has unpacked it before
+	_, _ = addUnpacked(r.Latencies, s.latencies[:]) // Validate has checked that it unpacks
 }
 
 // demandUnit is the unit of CountRow.Demand.
 const demandUnit = 1e6
 
-// aggregate is the sum of the figures of some entry VMs of one region.
+// aggregate adds up the figures of some entry VMs of one region.
 type aggregate struct {
-	live      uint32 // entry VMs that were asked for
+	live      uint32 // live entry VMs that the sum should cover
 	countSpan span
 	loadSpan  span
 	counts    map[Key]*flowCounts
@@ -101,7 +101,7 @@
 	for i := range n.flows[:min(len(n.flows), MaxCounts)] {
 		c, ok := n.flows[i].window()
 		if !ok || now.Sub(c.Since) > maxAge*time.Millisecond {
-			continue // its age exceeds maxAge; capped, it would seem newer
+			continue // an age capped at maxAge would make the window appear newer
 		}
 		t.countSpan.mergeOldest(span{c.Since, c.Until})
 		t.countsOf(n.flows[i].key).add(&flowCounts{
@@ -123,9 +123,9 @@
 	}
 }
 
-// addSum adds the answer to an Ask that was sent at the instant asked. Its ages
-// are as of the Ask's arrival, which was later, so the figures are at least
-// as new as they are taken to be.
+// addSum adds the answer to an Ask that was sent at the instant asked. The ages
+// in s count back from the Ask's arrival, which was later, so the figures are
+// at least as new as recorded here.
 func (t *aggregate) addSum(asked clock.Time, s *Sum) {
 	if len(s.Counts) > 0 {
 		t.countSpan.mergeOldest(span{millisBefore(asked, s.CountStartAge), millisBefore(asked, s.CountEndAge)})
@@ -140,7 +140,7 @@
 		c.total += r.Total
 		c.moved += r.Moved
 		c.demand += r.Demand
-		_, _ = addUnpacked(r.Positions, c.positions[:]) // Validate has unpacked it before
+		_, _ = addUnpacked(r.Positions, c.positions[:]) // Validate has checked that it unpacks
 	}
 	for i := range s.Loads {
 		t.loadOf(s.Loads[i].Service).add(&s.Loads[i])
@@ -151,8 +151,8 @@
 	return t.Add(-time.Duration(ms) * time.Millisecond)
 }
 
-// toSum makes the answer to an Ask that arrived at the instant asked. Flows
-// and services that this entry VM's catalogue doesn't hold are left out.
+// toSum returns the answer to an Ask that arrived at the instant asked. Flows
+// and services that are not in this entry VM's catalogue are left out.
 func (t *aggregate) toSum(asked clock.Time, n *localCounts) *Sum {
 	s := &Sum{Live: t.live}
 	s.CountStartAge, s.CountEndAge = spanAges(asked, t.countSpan)
@@ -181,8 +181,9 @@
 
 func saturateUint32(n uint64) uint32 { return uint32(min(n, math.MaxUint32)) }
 
-// spanAges returns the ages of a window's bounds, rounded up. A window that ends
-// after the instant, since it was cut while answers were awaited, has age 0.
+// spanAges returns the ages of a window's bounds at t in milliseconds, rounded
+// up. A bound after t has age 0: the window may have ended while answers were
+// awaited.
 func spanAges(t clock.Time, s span) (since, until uint32) {
 	if s.until == 0 {
 		return 0, 0
--- a/decide/tally/candidate.go
+++ b/decide/tally/candidate.go
@@ -10,7 +10,8 @@
 	"github.com/azurethread/azurethread/decide/member"
 )
 
-// DefaultCandidates is the number of entry VMs that may try for the lease.
+// DefaultCandidates is the number of entry VMs that may try to acquire the
+// runner's lease.
 const DefaultCandidates = 2
 
 // Candidate returns the entry VM that should run the shifts, or an empty id if
@@ -23,9 +24,10 @@
 	return ids[0]
 }
 
-// Candidates returns the first n entry VMs by rank for running the shifts. Of
-// each domain only the VMs that its row names to all count: the own domain's
-// view names more, and counting those would make each domain prefer its own.
+// Candidates returns the n entry VMs of highest rank for running the shifts.
+// Of each domain only the first member.RowVMs are ranked, which every view
+// holds. The view of the own domain holds more; ranking those too would make
+// each domain prefer its own.
 func Candidates(domains []member.DomainView, n int) []fleet.VMID {
 	var ids []fleet.VMID
 	for i := range domains {
--- a/decide/tally/domains.go
+++ b/decide/tally/domains.go
@@ -12,16 +12,16 @@
 // domain is a failure domain as membership sees it.
 type domain struct {
 	member.DomainView
-	unreachableSince clock.Time // since when it has been unreachable; Never while it isn't
+	unreachableSince clock.Time // clock.Never while the domain is reachable
 }
 
-// lost reports whether the domain has been unreachable for so long that its
-// entry VMs aren't waited for.
+// lost reports whether the domain has been unreachable for at least after, so
+// that its entry VMs are no longer waited for.
 func (d *domain) lost(now clock.Time, after time.Duration) bool {
 	return d.unreachableSince != clock.Never && now.Sub(d.unreachableSince) >= after
 }
 
-// expectedVMs returns the entry VMs whose figures are needed.
+// expectedVMs returns the number of entry VMs whose figures are needed.
 func (d *domain) expectedVMs(now clock.Time, after time.Duration) uint32 {
 	if d.lost(now, after) {
 		return 0
@@ -29,9 +29,9 @@
 	return uint32(d.Live)
 }
 
-// headForRound returns whom to ask for the domain's figures in a round. Each round
-// takes another, so that one that has died, or can't be reached from here,
-// makes only its own round incomplete.
+// headForRound returns the entry VM to ask for the domain's figures in a round.
+// Each round takes another one, so that a head that has died, or can't be
+// reached from here, makes only its own round incomplete.
 func (d *domain) headForRound(round uint64) (fleet.VMID, bool) {
 	if !d.Reachable || len(d.VMs) == 0 {
 		return "", false
@@ -40,14 +40,14 @@
 	return d.VMs[round%uint64(n)].ID, true
 }
 
-// domains are all known failure domains, in order of name.
+// domains holds all known failure domains, in order of name.
 type domains struct {
 	all    []domain
 	ownVMs []fleet.VMID // live entry VMs of the own domain
 }
 
-// update takes new views. It reports whether a domain has returned that was
-// lost before.
+// update replaces the views. It reports whether a lost domain is reachable
+// again.
 func (f *domains) update(now clock.Time, lostAfter time.Duration, own fleet.Domain, views []member.DomainView) (returned bool) {
 	next := make([]domain, 0, len(views))
 	for _, v := range views {
@@ -79,7 +79,7 @@
 	return nil
 }
 
-// unreachableStart returns since when a domain that is unreachable now has been so.
+// unreachableStart returns when a domain that is unreachable now became so.
 func (f *domains) unreachableStart(now clock.Time, name fleet.Domain) clock.Time {
 	if d := f.find(name); d != nil {
 		return clock.Min(d.unreachableSince, now)
@@ -97,9 +97,10 @@
 	return slices.Compact(out)
 }
 
-// regionState returns what membership says of a region: live if a reachable
-// domain has live entry VMs; dead once all of them are lost. In between
-// nothing is known, and it reports false.
+// regionState derives the state of a region from membership: live if a
+// reachable domain of it has live entry VMs, otherwise leaving or dead. It
+// reports false if that isn't known, since a domain of it is unreachable but
+// not yet lost.
 func (f *domains) regionState(now clock.Time, lostAfter time.Duration, r fleet.Region) (fleet.State, bool) {
 	state, known := fleet.Dead, true
 	for i := range f.all {
--- a/decide/tally/event.go
+++ b/decide/tally/event.go
@@ -11,18 +11,18 @@
 // *PeerMessage or *Tick.
 type Event interface{ isEvent() }
 
-// Configured brings a catalogue that is in force.
+// Configured delivers a catalogue that has come into force.
 type Configured struct{ Catalogue *catalogue.Catalogue }
 
-// Fleet replaces what is known of all failure domains. The own one names all
-// its live entry VMs.
+// Fleet replaces the views of all failure domains. The view of the own domain
+// lists all its live entry VMs.
 type Fleet struct{ Domains []member.DomainView }
 
-// Lead says whether this process holds the lease of the runner.
+// Lead reports whether this process holds the runner's lease.
 type Lead struct{ Held bool }
 
-// Measured brings the load of the services that have targets here, several
-// times a second. Services that it leaves out have no targets any more.
+// Measured delivers the load of the services that have targets here, several
+// times a second. Services that are not in it have no targets.
 type Measured struct{ Samples []Sample }
 
 // Sample is the load of one service at this entry VM.
@@ -39,7 +39,7 @@
 	Msg  Message
 }
 
-// Tick passes time; it is due at Ready.Wake.
+// Tick only advances the time; it is due at Ready.Wake.
 type Tick struct{}
 
 func (*Configured) isEvent()  {}
@@ -49,9 +49,9 @@
 func (*PeerMessage) isEvent() {}
 func (*Tick) isEvent()        {}
 
-// Send passes Msg to an entry VM; it may be lost. An answer can only go to an
-// entry VM of another domain on a connection which that one has opened, if
-// membership doesn't name its address.
+// Send asks the caller of Step to send Msg to an entry VM; it may be lost. If
+// membership doesn't hold the address of an entry VM of another domain, an
+// answer can reach it only on a connection that it has opened.
 type Send struct {
 	To  fleet.VMID
 	Msg Message
@@ -60,9 +60,10 @@
 // Ready holds the effects of one step. Step empties and refills it.
 type Ready struct {
 	Sends []Send
-	// Evidence says that State.Evidence has something new.
+	// Evidence reports that State.Evidence has changed.
 	Evidence bool
-	// Wake is when the next Tick is due; clock.Never while nothing moves.
+	// Wake is when the next Tick is due; clock.Never while no shift moves
+	// traffic.
 	Wake clock.Time
 }
 
--- a/decide/tally/evidence.go
+++ b/decide/tally/evidence.go
@@ -8,7 +8,7 @@
 	"github.com/azurethread/azurethread/decide/shift"
 )
 
-// storeCounts stores the counts of a round.
+// storeCounts adds up a round's counts over all regions and stores them.
 func (s *State) storeCounts(j *job) {
 	var all aggregate
 	sums := make(map[Key]*flowCounts)
@@ -44,15 +44,16 @@
 		c.Total, c.Moved, c.ByPosition = sum.total, sum.moved, sum.positions
 		c.Busy = busyTime(sum.demand, c.Span)
 	}
-	if held, ok := s.lead.counts[f.key]; ok && prefersStored(s.now, held.Span, held.Missing, c.Missing) {
+	if stored, ok := s.lead.counts[f.key]; ok && prefersStored(s.now, stored.Span, stored.Missing, c.Missing) {
 		return
 	}
 	s.lead.counts[f.key] = c
 }
 
-// busyTime returns the busy time of a demand. The windows of the entry VMs differ
-// a little in length, and the span covers them all; dividing their summed busy
-// time by it would understate the demand.
+// busyTime converts a demand to the busy time over s. Demands are summed rather
+// than busy times because the windows of the entry VMs differ a little in
+// length: dividing their summed busy time by the span that covers them all
+// would understate the demand.
 func busyTime(demand uint64, s shift.Span) time.Duration {
 	return time.Duration(float64(demand) / demandUnit * float64(s.Until.Sub(s.Since)))
 }
@@ -66,7 +67,7 @@
 		if v == nil {
 			v = &serviceLoad{}
 		}
-		gone := missingVMs(t.live, v.vms)
+		missing := missingVMs(t.live, v.vms)
 		l := shift.Load{
 			Region:     r,
 			Service:    name,
@@ -76,23 +77,23 @@
 			ErrorShare: shareRoundedUp(v.failed, v.answers),
 			P99:        p99(v.latencies[:]),
 			Warming:    v.warming,
-			Missing:    gone,
+			Missing:    missing,
 		}
-		// Without any capacity a region counts as failing. While reports
-		// are missing that isn't known: the figures stay without a window.
-		if v.vms > 0 && (gone == 0 || l.Capacity > 0) {
+		// A region without capacity counts as failing. While reports are
+		// missing its capacity isn't known, so the load gets no window.
+		if v.vms > 0 && (missing == 0 || l.Capacity > 0) {
 			l.Span = shift.Span{Since: t.loadSpan.since, Until: t.loadSpan.until}
 		}
 		at := regionService{region: r, service: name}
-		if held, ok := s.lead.loads[at]; ok && prefersStored(s.now, held.Span, held.Missing, gone) {
+		if stored, ok := s.lead.loads[at]; ok && prefersStored(s.now, stored.Span, stored.Missing, missing) {
 			continue
 		}
 		s.lead.loads[at] = l
 	}
 }
 
-// Evidence returns the input of plans now. It is empty where this process
-// doesn't lead, and holds no figures before the first round.
+// Evidence returns the evidence for plans at now. It is empty if this process
+// runs no rounds, and holds no figures before the end of the first one.
 func (s *State) Evidence(now clock.Time) shift.Evidence {
 	var e shift.Evidence
 	if !s.leadsRounds() {
@@ -112,8 +113,8 @@
 	return e
 }
 
-// currentLoad returns the load of a region. Membership knows now, without a
-// round, that a region isn't live.
+// currentLoad returns the load of a service in a region. If membership shows
+// that the region isn't live, that replaces the figures of the last round.
 func (s *State) currentLoad(now clock.Time, at regionService, state fleet.State, known bool) shift.Load {
 	l := s.lead.loads[at]
 	l.Region, l.Service = at.region, at.service
--- a/decide/tally/job.go
+++ b/decide/tally/job.go
@@ -8,18 +8,18 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// job is an Ask that is being answered, or a round that is being led.
+// job is an Ask that is being answered, or a round that this process runs.
 type job struct {
-	asker      fleet.VMID // who gets the answer; the own id for a round led here
+	asker      fleet.VMID // receiver of the answer; the own id for an own round
 	runner     fleet.VMID
 	round      uint64
 	askedAt    clock.Time
 	deadline   clock.Time
 	pending    []pendingAsk
-	aggregates []regionAggregate // of the regions; only a led round has several
+	aggregates []regionAggregate // by region; only an own round has several
 }
 
-// regionAggregate is the sum of one region.
+// regionAggregate is the aggregate of one region.
 type regionAggregate struct {
 	region fleet.Region
 	*aggregate
@@ -28,7 +28,7 @@
 // pendingAsk is an Ask of this job that has not been answered.
 type pendingAsk struct {
 	to     fleet.VMID
-	live   uint32 // entry VMs that it asks for, as known here
+	live   uint32 // entry VMs that it covers, by the local view
 	region fleet.Region
 }
 
@@ -42,10 +42,10 @@
 	return j.aggregates[len(j.aggregates)-1].aggregate
 }
 
-// handleAsk begins to answer an Ask. The same Ask a second time, and one too many,
-// are dropped: the asker counts the entry VMs behind them as missing. So is one
-// for a round of this entry VM itself, which a stale view can cause; its partial
-// sum would be stored as a complete round.
+// handleAsk begins to answer an Ask. Repeated Asks and those beyond maxJobs are
+// dropped, and the asker counts the entry VMs they cover as missing. An Ask for
+// a round of this entry VM itself is dropped too: a stale view can cause one,
+// and its partial sum would be stored as a complete round.
 func (s *State) handleAsk(from fleet.VMID, a *Ask, out *Ready) {
 	own := from == s.self.ID || a.Runner == s.self.ID
 	if own || len(s.jobs) >= maxJobs || s.findJob(a.Runner, a.Round) != nil {
@@ -93,8 +93,9 @@
 	}
 }
 
-// askDomain asks the other entry VMs of the own domain, by groups if there are
-// many. The first of each group leads it; groups differ between rounds.
+// askDomain asks the other entry VMs of the own domain, in groups if there are
+// more than groupSize. The first VM of a group leads it; each round forms other
+// groups.
 func (s *State) askDomain(j *job, out *Ready) {
 	others := rotated(s.domains.ownVMs, j.round)
 	others = slices.DeleteFunc(others, func(id fleet.VMID) bool { return id == s.self.ID })
@@ -126,8 +127,8 @@
 	}
 }
 
-// askHead asks the head of a domain. The entry VMs of a domain that has none
-// to ask are missing.
+// askHead asks the head of a domain. If the domain has no head, its entry VMs
+// count as missing.
 func (s *State) askHead(j *job, d *domain, out *Ready) {
 	live := d.expectedVMs(s.now, s.options.LostAfter)
 	to, ok := d.headForRound(j.round)
@@ -138,7 +139,7 @@
 	s.sendAsk(j, to, live, d.Region, &Ask{Scope: ScopeDomain}, out)
 }
 
-// handleSum takes the answer to an Ask of this entry VM.
+// handleSum adds the answer to an Ask of this entry VM to its job.
 func (s *State) handleSum(from fleet.VMID, m *Sum, out *Ready) {
 	j := s.findJob(m.Runner, m.Round)
 	if j == nil {
@@ -155,8 +156,8 @@
 	t.addSum(j.askedAt, m)
 }
 
-// finishJobs answers the Asks that have all they wait for, or have waited long
-// enough.
+// finishJobs ends the jobs that have all their answers or have reached their
+// deadline.
 func (s *State) finishJobs(out *Ready) {
 	s.jobs = slices.DeleteFunc(s.jobs, func(j *job) bool {
 		if len(j.pending) > 0 && s.now.Before(j.deadline) {
@@ -180,9 +181,10 @@
 	out.Sends = append(out.Sends, Send{To: j.asker, Msg: m})
 }
 
-// roundNumber returns the number of the round after last. It starts from the
-// clock, so that it rises across a restart of the process under the same id.
-// From then on it rises by 1, so that heads, chosen by it, take turns.
+// roundNumber returns the number of the round after last. The first one is
+// taken from the clock, so that numbers rise across a restart of the process
+// under the same id. Later ones rise by 1, so that the heads, which are chosen
+// by round number, take turns.
 func roundNumber(now clock.Time, last uint64) uint64 {
 	if last == 0 {
 		return uint64(now / clock.Time(time.Millisecond))
--- a/decide/tally/lead.go
+++ b/decide/tally/lead.go
@@ -13,21 +13,21 @@
 // lead is the state of the process that holds the runner's lease.
 type lead struct {
 	held      bool
-	anyMoving bool // whether any shift moves
+	anyMoving bool // whether any shift moves traffic
 	nextRound clock.Time
 	round     uint64
 	counts    map[Key]shift.Count
 	loads     map[regionService]shift.Load
 }
 
-// regionService is a service in a region.
+// regionService identifies a service in a region.
 type regionService struct {
 	region  fleet.Region
 	service fleet.ServiceName
 }
 
-// configure takes a catalogue. When the flows change, what was counted is
-// dropped: a shift recreated under its old id may have another sender.
+// configure applies a catalogue. If the flows have changed, the stored counts
+// are dropped: a shift recreated under its old id may have another sender.
 func (l *lead) configure(c *catalogue.Catalogue, changed bool) {
 	if changed {
 		l.counts = nil
@@ -38,8 +38,8 @@
 	}
 }
 
-// setHeld takes or gives up the lead. Figures of an earlier lead are dropped, as
-// they would be stale.
+// setHeld records whether the lease is held. When that changes, the stored
+// figures are dropped, since they would be stale by the next time it is held.
 func (l *lead) setHeld(now clock.Time, held bool) {
 	if held == l.held {
 		return
@@ -51,16 +51,17 @@
 
 func (l *lead) dropFigures() { l.counts, l.loads = nil, nil }
 
-// restartRounds drops all figures, with the round under way, and begins another.
-// Figures from before a lost domain returned lack its entry VMs and would go on
-// counting as complete.
+// restartRounds drops all figures and the round under way, and makes a new
+// round due. It is called when a lost domain returns: figures from before lack
+// the domain's entry VMs and would still count as complete.
 func (s *State) restartRounds() {
 	s.lead.dropFigures()
 	s.jobs = slices.DeleteFunc(s.jobs, func(j *job) bool { return j.runner == s.self.ID })
 	s.lead.nextRound = s.now
 }
 
-// leadsRounds reports whether rounds are due.
+// leadsRounds reports whether this process runs rounds: it holds the lease, and
+// a shift moves traffic.
 func (s *State) leadsRounds() bool { return s.lead.held && s.lead.anyMoving }
 
 func (s *State) startRound(out *Ready) {
@@ -103,7 +104,8 @@
 	}
 }
 
-// askRegion asks the head of one of a region's domains, each round another.
+// askRegion asks the head of one of a region's domains, another domain each
+// round.
 func (s *State) askRegion(j *job, r fleet.Region, out *Ready) {
 	live := uint32(0)
 	var reachable []*domain
@@ -125,7 +127,7 @@
 	s.sendAsk(j, to, live, r, &Ask{Scope: ScopeRegion}, out)
 }
 
-// finishRound takes over the figures of a round that is over.
+// finishRound stores the figures of a round that has ended.
 func (s *State) finishRound(j *job, out *Ready) {
 	if !s.leadsRounds() {
 		return
@@ -143,11 +145,12 @@
 	out.Evidence = true
 }
 
-// preferCompleteFor is how long a complete figure is preferred to an incomplete later
-// one. It stays fresh for as long, and one lost answer costs no step.
+// preferCompleteFor is how long a complete figure is preferred to a later
+// incomplete one. It is below the age limit of plans, so the figure is still
+// fresh, and a single lost answer doesn't delay a step.
 const preferCompleteFor = shift.DefaultMaxAge - 500*time.Millisecond
 
-// prefersStored reports whether a held figure is preferred to a later one.
-func prefersStored(now clock.Time, held shift.Span, heldMissing, missing int) bool {
-	return heldMissing == 0 && missing > 0 && held.Since < held.Until && now.Sub(held.Until) <= preferCompleteFor
+// prefersStored reports whether a stored figure is preferred to a later one.
+func prefersStored(now clock.Time, stored shift.Span, storedMissing, missing int) bool {
+	return storedMissing == 0 && missing > 0 && stored.Since < stored.Until && now.Sub(stored.Until) <= preferCompleteFor
 }
--- a/decide/tally/meter.go
+++ b/decide/tally/meter.go
@@ -11,34 +11,34 @@
 )
 
 const (
-	// meterInterval is the time that one cell of a Meter covers.
-	meterInterval = time.Second
-	// meterIntervals is the number of whole cells that rates and latencies are
-	// taken over.
+	// meterIntervalLength is the length of the intervals of a Meter.
+	meterIntervalLength = time.Second
+	// meterIntervals is the number of whole intervals that rates and latencies
+	// are taken over.
 	meterIntervals = 5
 	// LoadWindow is the window of the load in evidence. It is short, so that
-	// errors over their bound must last for several of them.
-	LoadWindow = 2 * meterInterval
-	// maxServices bounds the services that a Meter follows; the load of others
-	// is missing.
+	// errors above their limit must last for several windows to have an effect.
+	LoadWindow = 2 * meterIntervalLength
+	// maxServices bounds the services that a Meter tracks; the load of others
+	// counts as missing.
 	maxServices = 64
 )
 
-// latencyBuckets is the number of latency buckets. Bucket 0 reaches to
-// 0.125 ms, each further one 14% to 25% above the one before, and the last one
-// holds all above 24 s.
+// latencyBuckets is the number of latency buckets. Bucket 0 ends at 0.125 ms,
+// each further one ends 14% to 25% above the one before, and the last one holds
+// all latencies above 24 s.
 const latencyBuckets = 72
 
-// firstBucketBound is where the buckets begin.
+// firstBucketBound is the upper bound of bucket 0.
 const firstBucketBound = 125 * time.Microsecond
 
-// latencyBucket returns the bucket of a latency: four of equal width from each
-// power of two to the next.
+// latencyBucket returns the bucket of a latency. There are four buckets of equal
+// width from each power of two times firstBucketBound to the next.
 func latencyBucket(d time.Duration) int {
 	if d <= firstBucketBound {
 		return 0
 	}
-	u := uint64(d-1) * 4 / uint64(firstBucketBound) // quarters of the unit, at least 4
+	u := uint64(d-1) * 4 / uint64(firstBucketBound) // quarters of firstBucketBound, at least 4
 	exp := bits.Len64(u) - 3
 	b := 4*exp + int(u>>exp) - 4
 	return min(b+1, latencyBuckets-1)
@@ -53,7 +53,7 @@
 	return firstBucketBound * time.Duration(5+quarter) << exp / 4
 }
 
-// intervalStats is what one service did in one cellLength.
+// intervalStats holds the figures of one service in one interval.
 type intervalStats struct {
 	answers   uint64
 	failed    uint64
@@ -72,31 +72,31 @@
 	}
 }
 
-// serviceSeries is one service's recent cells, indexed by their number modulo its
-// length.
+// serviceSeries holds the recent intervals of one service, in a ring indexed by
+// the number of the interval.
 type serviceSeries struct {
-	last      Sample // latest; Capacity 0 without targets
+	last      Sample // the latest; zero without targets
 	intervals [meterIntervals + 1]intervalStats
 }
 
 // Meter measures rate, failures and latency of each service at one entry VM
-// over the last seconds. After the first request of a service it allocates
-// nothing. It is not safe for concurrent use.
+// over the last seconds. It allocates only at the first request of a service.
+// It is not safe for concurrent use.
 type Meter struct {
 	startedAt       clock.Time
 	observedAt      clock.Time // when load was last observed
-	currentInterval int64      // number of the cell that is being filled
+	currentInterval int64      // number of the interval that is being filled
 	services        map[fleet.ServiceName]*serviceSeries
 }
 
-// NewMeter returns a Meter that has seen nothing before now.
+// NewMeter returns a Meter that starts at now.
 func NewMeter(now clock.Time) *Meter {
 	return &Meter{startedAt: now, currentInterval: intervalOf(now), services: make(map[fleet.ServiceName]*serviceSeries)}
 }
 
-func intervalOf(t clock.Time) int64 { return int64(t) / int64(meterInterval) }
+func intervalOf(t clock.Time) int64 { return int64(t) / int64(meterIntervalLength) }
 
-// advance empties the cells of the time since the last call.
+// advance clears the intervals that have begun since the last call.
 func (m *Meter) advance(now clock.Time) {
 	to := intervalOf(now)
 	if to <= m.currentInterval {
@@ -112,10 +112,9 @@
 	m.dropIdle()
 }
 
-// dropIdle makes room, once maxServices are followed, by dropping services with
-// neither targets nor answers. Without it a process that outlives many services
-// could not follow new ones: their load would be missing, and shifts would
-// hold.
+// dropIdle drops services with neither targets nor answers once maxServices are
+// tracked. Otherwise a process that outlives many services could not track new
+// ones: their load would be missing, and shifts would hold.
 func (m *Meter) dropIdle() {
 	if len(m.services) < maxServices {
 		return
@@ -140,8 +139,8 @@
 	return s
 }
 
-// Answered counts the final answer of a request that was served by targets of
-// the own failure domain, or refused here. ok says that it was not a failure.
+// Answered counts the final answer to a request that was served by targets of
+// the own failure domain, or refused here. ok is false for a failure.
 func (m *Meter) Answered(now clock.Time, service fleet.ServiceName, latency time.Duration, ok bool) {
 	m.advance(now)
 	s := m.series(service)
@@ -156,7 +155,7 @@
 	}
 }
 
-// observe takes the present load of all services with targets.
+// observe records the current load of all services with targets.
 func (m *Meter) observe(now clock.Time, samples []Sample) {
 	m.advance(now)
 	m.observedAt = now
@@ -182,7 +181,8 @@
 	P99     time.Duration
 }
 
-// Rate returns the figures of the last seconds; zero if there were no answers.
+// Rate returns the figures of the last meterIntervals seconds; zero if there
+// were no answers.
 func (m *Meter) Rate(now clock.Time, service fleet.ServiceName) Rate {
 	m.advance(now)
 	s := m.services[service]
@@ -200,14 +200,15 @@
 	}
 }
 
-// coveredSeconds returns the seconds of the last n whole cells since the Meter began.
+// coveredSeconds returns the seconds of the last n whole intervals, without the
+// time before the Meter started.
 func (m *Meter) coveredSeconds(n int) float64 {
-	end := clock.Time(m.currentInterval * int64(meterInterval))
-	length := min(end.Sub(m.startedAt), time.Duration(n)*meterInterval)
-	return max(length, meterInterval).Seconds()
+	end := clock.Time(m.currentInterval * int64(meterIntervalLength))
+	length := min(end.Sub(m.startedAt), time.Duration(n)*meterIntervalLength)
+	return max(length, meterIntervalLength).Seconds()
 }
 
-// sumIntervals sums the last n whole cells before the one being filled.
+// sumIntervals adds up the last n whole intervals before the current one.
 func (s *serviceSeries) sumIntervals(current int64, n int64) intervalStats {
 	var w intervalStats
 	for i := max(current-n, 0); i < current; i++ {
@@ -218,7 +219,8 @@
 
 // loads appends the load of the given services over the last LoadWindow. It
 // reports false if the Meter doesn't cover that window, or has observed no load
-// in it: a region whose targets aren't known yet would seem to have none.
+// in it: otherwise a region that doesn't know its targets yet would appear to
+// have none.
 func (m *Meter) loads(now clock.Time, services []fleet.ServiceName, out []LoadRow) ([]LoadRow, bool) {
 	m.advance(now)
 	since, _ := m.loadSpan()
@@ -228,13 +230,13 @@
 	for _, name := range services {
 		s := m.services[name]
 		if s == nil && len(m.services) == maxServices {
-			continue // it may have targets that aren't followed
+			continue // it may have targets that aren't tracked
 		}
 		if s == nil {
 			out = append(out, LoadRow{Service: serviceKey(name), VMs: 1})
 			continue
 		}
-		w := s.sumIntervals(m.currentInterval, int64(LoadWindow/meterInterval))
+		w := s.sumIntervals(m.currentInterval, int64(LoadWindow/meterIntervalLength))
 		out = append(out, s.loadRow(name, &w))
 	}
 	return out, true
@@ -242,7 +244,7 @@
 
 // loadSpan returns the bounds of the last LoadWindow.
 func (m *Meter) loadSpan() (since, until clock.Time) {
-	until = clock.Time(m.currentInterval * int64(meterInterval))
+	until = clock.Time(m.currentInterval * int64(meterIntervalLength))
 	return until.Add(-LoadWindow), until
 }
 
@@ -270,7 +272,8 @@
 // inFlightUnit is the unit of LoadRow.InFlight.
 const inFlightUnit = 1000
 
-// shareRoundedUp returns n of total, rounded up so that a failure is never lost.
+// shareRoundedUp returns n as a share of total, rounded up so that a single
+// failure doesn't become 0.
 func shareRoundedUp(n, total uint64) catalogue.Share {
 	if total == 0 {
 		return 0
@@ -278,8 +281,7 @@
 	return catalogue.Share((n*catalogue.ShareUnit + total - 1) / total)
 }
 
-// p99 returns the upper bound of the bucket that 99% of the answers don't
-// exceed.
+// p99 returns the upper bound of the bucket that holds the 99th percentile.
 func p99[T uint32 | uint64](buckets []T) time.Duration {
 	var total, seen uint64
 	for _, n := range buckets {
--- a/decide/tally/net_test.go
+++ b/decide/tally/net_test.go
@@ -109,7 +109,7 @@
 	}
 	n.leader = n.nodes[0]
 	for _, v := range n.nodes {
-		n.now = n.now.Add(countInterval / time.Duration(len(n.nodes))) // slices end at any time
+		n.now = n.now.Add(countIntervalLength / time.Duration(len(n.nodes))) // slices end at any time
 		n.startProcess(v)
 	}
 	n.announce()
--- a/decide/tally/state.go
+++ b/decide/tally/state.go
@@ -10,14 +10,14 @@
 
 // Options are the settings. A zero field takes its default.
 type Options struct {
-	// RoundEvery is the time between two rounds of the process that leads.
+	// RoundEvery is the time between the starts of two rounds.
 	RoundEvery time.Duration
-	// LostAfter is how long a domain must have been unreachable for its entry
-	// VMs no longer to be waited for. By then callers elsewhere hold no
+	// LostAfter is how long a domain must be unreachable before its entry VMs
+	// are no longer waited for. By then callers in other domains hold no
 	// look-up answer that names them.
 	LostAfter time.Duration
 	// GroupWait, DomainWait, RegionWait and RoundWait bound the wait for the
-	// answers to Asks, each longer than the one below.
+	// answers to Asks. Each is longer than the wait of the level below it.
 	GroupWait, DomainWait, RegionWait, RoundWait time.Duration
 }
 
@@ -32,13 +32,13 @@
 )
 
 const (
-	// groupSize is the number of entry VMs that one asks for their own
-	// figures; a larger domain is asked by groups.
+	// groupSize is the number of entry VMs that one entry VM asks directly; a
+	// larger domain is asked in groups.
 	groupSize = 8
-	// smallFleet is the number of domains up to which their heads are asked
-	// by whoever leads, without heads of regions between.
+	// smallFleet is the number of domains up to which the runner asks the
+	// head of each domain, without heads of regions in between.
 	smallFleet = 16
-	// maxJobs bounds the Asks that are being answered at once.
+	// maxJobs bounds the Asks that are answered at the same time.
 	maxJobs = 8
 )
 
@@ -52,7 +52,7 @@
 	return o
 }
 
-// State is one entry VM's part in the aggregation. It isn't safe for
+// State is the aggregation's state at one entry VM. It isn't safe for
 // concurrent use.
 type State struct {
 	options Options
@@ -72,7 +72,7 @@
 		self:    self,
 		now:     now,
 		meter:   NewMeter(now),
-		local:   localCounts{nextCut: clock.Never},
+		local:   localCounts{intervalEnd: clock.Never},
 		lead:    lead{nextRound: clock.Never},
 	}
 	return s
@@ -81,20 +81,20 @@
 // Meter returns the meter of this entry VM's services.
 func (s *State) Meter() *Meter { return s.meter }
 
-// Served counts one request for shifts: see shift.Counter.Served. It is called
-// once for each request of a caller, at its final answer, by the entry VM that
-// the caller asked, and not for requests that another entry VM has forwarded.
+// Served counts one request for shifts; see shift.Counter.Served. The entry VM
+// that received a request from its caller calls it once, at the final answer.
+// It is not called for requests that another entry VM has forwarded.
 func (s *State) Served(service fleet.ServiceName, home fleet.Region, block uint64, movedBy string, busy time.Duration) {
 	if s.local.counter != nil {
 		s.local.counter.Served(service, home, block, movedBy, busy)
 	}
 }
 
-// Step takes one event and fills out with its effects.
+// Step applies one event and fills out with its effects.
 func (s *State) Step(now clock.Time, ev Event, out *Ready) {
 	out.reset()
 	s.now = max(s.now, now)
-	if s.local.nextCut <= s.now {
+	if s.local.intervalEnd <= s.now {
 		s.local.endInterval(s.now)
 	}
 	switch e := ev.(type) {
@@ -129,7 +129,7 @@
 	}
 }
 
-// runDue does what is due.
+// runDue ends the jobs that are due and starts a round if one is due.
 func (s *State) runDue(out *Ready) {
 	s.finishJobs(out)
 	if s.leadsRounds() && s.lead.nextRound <= s.now {
@@ -138,7 +138,7 @@
 }
 
 func (s *State) nextWake() clock.Time {
-	w := s.local.nextCut
+	w := s.local.intervalEnd
 	if s.leadsRounds() {
 		w = clock.Min(w, s.lead.nextRound)
 	}
--- a/decide/tally/tally_test.go
+++ b/decide/tally/tally_test.go
@@ -316,7 +316,7 @@
 	}
 	m.observe(now, samples)
 	for range 2 * meterIntervals {
-		now = now.Add(meterInterval)
+		now = now.Add(meterIntervalLength)
 		m.observe(now, []Sample{{Service: testService, Capacity: 3}})
 	}
 	rows, ok := m.loads(now, []fleet.ServiceName{testService}, nil)
--- a/decide/tally/window.go
+++ b/decide/tally/window.go
@@ -9,10 +9,11 @@
 	"github.com/azurethread/azurethread/decide/shift"
 )
 
-// countInterval is the time between two cuts of the own counts.
-const countInterval = time.Second
+// countIntervalLength is the length of the intervals of the local counts.
+const countIntervalLength = time.Second
 
-// flow is what one shift moves of one service, as counted here.
+// flow is the part of one service's traffic that one shift moves, with the local
+// counts of it.
 type flow struct {
 	key       Key
 	shift     string
@@ -21,16 +22,16 @@
 	intervals []shift.Count // oldest first, each beginning where the last ends
 }
 
-// localCounts is the own count of all moving shifts.
+// localCounts holds this entry VM's counts of all shifts that move traffic.
 type localCounts struct {
-	counter     *shift.Counter // nil while nothing moves
+	counter     *shift.Counter // nil while no shift moves traffic
 	flows       []flow
 	takenCounts []shift.Count // reused
-	nextCut     clock.Time    // of the next cut
+	intervalEnd clock.Time    // end of the current interval
 }
 
-// movingFlows returns the flows of c in the order in which shift.Counter counts
-// them, without their slices.
+// movingFlows returns a counter for c, and the flows of c in the order in which
+// that counter counts them, without intervals.
 func movingFlows(now clock.Time, c *catalogue.Catalogue) (*shift.Counter, []flow) {
 	k := shift.NewCounter(now, c)
 	var flows []flow
@@ -44,9 +45,9 @@
 	return k, flows
 }
 
-// configure takes the shifts of a catalogue. Flows that go on keep their
-// slices: a step of one shift must not cost all others their windows. It
-// reports whether the flows have changed.
+// configure applies the shifts of a catalogue, and reports whether the flows
+// have changed. Flows that continue keep their intervals: a step of one shift
+// must not empty the windows of all others.
 func (n *localCounts) configure(now clock.Time, c *catalogue.Catalogue) (changed bool) {
 	counter, flows := movingFlows(now, c)
 	if sameFlows(flows, n.flows) {
@@ -61,15 +62,15 @@
 		}
 	}
 	n.counter, n.flows = counter, flows
-	n.nextCut = clock.Never
+	n.intervalEnd = clock.Never
 	if counter != nil {
-		n.nextCut = now.Add(countInterval)
+		n.intervalEnd = now.Add(countIntervalLength)
 	}
 	return true
 }
 
-// sameFlow compares the sender as well: a shift that was removed and recreated
-// under its old id counts other clients.
+// sameFlow compares the sender as well, because a shift that was removed and
+// recreated under its old id may count other clients.
 func sameFlow(a, b *flow) bool { return a.key == b.key && a.from == b.from }
 
 func sameFlows(a, b []flow) bool {
@@ -84,7 +85,7 @@
 	return true
 }
 
-// endInterval ends the slice that is being counted.
+// endInterval ends the current interval and starts the next.
 func (n *localCounts) endInterval(now clock.Time) {
 	if n.counter == nil {
 		return
@@ -93,15 +94,15 @@
 	for i := range n.takenCounts {
 		n.flows[i].addInterval(n.takenCounts[i])
 	}
-	n.nextCut = now.Add(countInterval)
+	n.intervalEnd = now.Add(countIntervalLength)
 }
 
-// addInterval appends a slice and drops those that the window doesn't need. A slice
-// that follows a short one joins it, so that many changes of the catalogue in
-// a row don't make many slices.
+// addInterval appends an interval and drops those that the window doesn't need.
+// If the last interval is short, it is extended instead, so that many changes
+// of the catalogue in a row don't create many intervals.
 func (f *flow) addInterval(c shift.Count) {
 	last := len(f.intervals) - 1
-	if last >= 0 && f.intervals[last].Until.Sub(f.intervals[last].Since) < countInterval/2 {
+	if last >= 0 && f.intervals[last].Until.Sub(f.intervals[last].Since) < countIntervalLength/2 {
 		f.intervals[last].Extend(&c)
 	} else {
 		f.intervals = append(f.intervals, c)
@@ -109,8 +110,8 @@
 	f.intervals = f.intervals[f.windowStart():]
 }
 
-// windowStart returns the first of the fewest latest slices that cover a whole
-// window, or 0 if all of them don't.
+// windowStart returns the index of the latest interval from which on a whole
+// window is covered, or 0 if all intervals together don't cover one.
 func (f *flow) windowStart() int {
 	for i := len(f.intervals) - 1; i > 0; i-- {
 		if f.coversWindow(i) {
@@ -120,14 +121,15 @@
 	return 0
 }
 
-// coversWindow reports whether the slices from i on make a whole window.
+// coversWindow reports whether the intervals from index i on cover a whole
+// window.
 func (f *flow) coversWindow(i int) bool {
 	return f.intervals[len(f.intervals)-1].Until.Sub(f.intervals[i].Since) >= shift.CountWindow
 }
 
 // window returns the count of the last whole window. It reports false if this
-// process hasn't counted the flow for that long: what it has would pass for a
-// whole window, and a busy flow for an idle one.
+// process hasn't counted the flow for that long: a shorter count taken for a
+// whole window would make a busy flow appear idle.
 func (f *flow) window() (shift.Count, bool) {
 	if len(f.intervals) == 0 || !f.coversWindow(f.windowStart()) {
 		return shift.Count{}, false
