--- a/decide/tally/bench_test.go
+++ b/decide/tally/bench_test.go
@@ -11,16 +11,16 @@
 // benchmarkTime is how long a benchmark counts messages.
 const benchmarkTime = 20 * time.Second
 
-// BenchmarkTraffic reports the messages and bytes sent, by an entry VM on
-// average and by the one that leads, while one shift of one service moves.
-// Each entry VM serves 100 requests/s of random blocks.
-// Frames, acknowledgements and TCP come on top of the bytes.
+// BenchmarkTraffic reports the messages and bytes sent by an entry VM on
+// average, and from and to the one that runs the rounds, while one shift of one
+// service moves traffic. Each entry VM serves 100 requests/s of random blocks.
+// Frames, acknowledgements and TCP headers are not included in the bytes.
 func BenchmarkTraffic(b *testing.B) {
 	for _, size := range [][2]int{{2, 4}, {2, 8}, {2, 16}, {2, 43}, {2, 86}, {6, 2}, {20, 2}, {77, 2}, {77, 8}, {77, 43}} {
 		b.Run(fmt.Sprintf("domains=%d/members=%d", size[0], size[1]), func(b *testing.B) {
 			for range b.N {
 				n := newNetwork(1, size[0], size[1])
-				n.extraRequests = 9 // with the one of the network, 100 requests/s
+				n.extraRequests = 9 // with the one that run serves, 100 requests/s
 				n.run(settleTime)
 				n.measure(b)
 			}
@@ -28,7 +28,7 @@
 	}
 }
 
-// BenchmarkIdleTraffic reports the same while no shift moves.
+// BenchmarkIdleTraffic reports the same figures while no shift moves traffic.
 func BenchmarkIdleTraffic(b *testing.B) {
 	for range b.N {
 		n := newNetwork(1, 6, 8)
@@ -62,7 +62,7 @@
 	b.ReportMetric(float64(n.count().Missing), "missing")
 }
 
-// BenchmarkServed is the cost of counting one request.
+// BenchmarkServed measures counting one request.
 func BenchmarkServed(b *testing.B) {
 	n := newNetwork(1, 2, 2)
 	b.ReportAllocs()
@@ -71,7 +71,7 @@
 	}
 }
 
-// BenchmarkAnswered is the cost of measuring one answer.
+// BenchmarkAnswered measures recording one answer.
 func BenchmarkAnswered(b *testing.B) {
 	m := NewMeter(0)
 	for i := range 10 {
--- a/decide/tally/net_test.go
+++ b/decide/tally/net_test.go
@@ -15,28 +15,28 @@
 	"github.com/azurethread/azurethread/decide/tally/tallytest"
 )
 
-// node is one entry VM, with a clock of its own.
+// node is one simulated entry VM, with its own clock.
 type node struct {
 	vm            fleet.VM
-	state         *State // nil while it is down
+	state         *State // nil while the node is down
 	started       clock.Time
-	offset        time.Duration // of its clock
+	offset        time.Duration // of its clock from the network's
 	out           Ready
-	wake          clock.Time    // on the clock of the network
-	sendDelay     time.Duration // further delay of messages from it
-	dropsIncoming bool          // gets no messages
-	served        []clock.Time  // of its requests, on the clock of the network
-	reportsNoLoad bool          // measures no load
+	wake          clock.Time    // on the network's clock
+	sendDelay     time.Duration // additional delay of messages that it sends
+	dropsIncoming bool          // receives no messages
+	served        []clock.Time  // instants of its requests, on the network's clock
+	reportsNoLoad bool          // sends no Measured events
 	slots         uint32
 }
 
 type delivery struct {
 	to    *node
-	state *State // the process it is for
+	state *State // the process that it is addressed to
 	event Event
 }
 
-// network joins States by delayed messages. The first node leads.
+// network connects nodes by delayed messages. The first node holds the lease.
 type network struct {
 	now            clock.Time
 	rng            *rand.Rand
@@ -45,16 +45,16 @@
 	queue          clocktest.Queue[delivery]
 	loss           float64
 	repeat         bool                  // deliver each message twice
-	unreachable    map[fleet.Domain]bool // domains that can't be reached from others
+	unreachable    map[fleet.Domain]bool // domains that are cut off from the others
 	catalogue      *catalogue.Catalogue
 	leader         *node
-	extraRequests  int            // further requests of each node and requestGap, of random blocks
+	extraRequests  int            // additional requests with random blocks by each node every requestGap
 	blocks         map[int]uint64 // a block for each position
 	messages       int
 	bytes          int
-	leaderMessages int // messages and bytes from and to the leader
-	leaderBytes    int
-	roundEnded     clock.Time
+	leaderMessages int        // from and to the leader
+	leaderBytes    int        // of these messages
+	roundEnded     clock.Time // when the evidence last changed
 }
 
 const (
@@ -75,7 +75,8 @@
 }
 
 // newNetwork starts perDomain entry VMs in each domain. A region has two
-// domains, and three or four in a large fleet: 77 domains are in 22 regions.
+// domains, or three or four with more than 20 domains, so that 77 domains are
+// in 22 regions.
 func newNetwork(seed uint64, domainCount, perDomain int) *network {
 	n := &network{
 		now:         clock.Time(1000 * time.Hour),
@@ -109,7 +110,7 @@
 	}
 	n.leader = n.nodes[0]
 	for _, v := range n.nodes {
-		n.now = n.now.Add(countIntervalLength / time.Duration(len(n.nodes))) // slices end at any time
+		n.now = n.now.Add(countIntervalLength / time.Duration(len(n.nodes))) // intervals of different nodes end at different times
 		n.startProcess(v)
 	}
 	n.announce()
@@ -135,7 +136,7 @@
 	n.announce()
 }
 
-// announce tells all nodes who is live, at once.
+// announce updates the domain views of all nodes at the same instant.
 func (n *network) announce() {
 	for _, v := range n.nodes {
 		if v.state != nil {
@@ -209,15 +210,15 @@
 	n.queue.Push(at, delivery{to: to, state: to.state, event: ev})
 }
 
-// positionAt returns the position that requests of an instant have, so that a count
-// tells when its requests were made. Successive seconds are far apart, or all
-// requests of a window would lie in one part of the shift.
+// positionAt returns the position of the requests of an instant, so that a count
+// shows when its requests were made. Successive seconds have distant positions;
+// otherwise all requests of a window would be in one part of the shift.
 func (n *network) positionAt(t clock.Time) int {
 	return int(t/clock.Time(time.Second)) * 37 % shift.Positions
 }
 
-// run passes time. Each node serves a request and measures its load every
-// requestGap.
+// run advances the time by d. Each node serves a request and measures its load
+// every requestGap.
 func (n *network) run(d time.Duration) {
 	for until := n.now.Add(d); n.now < until; n.now = n.now.Add(requestGap) {
 		n.deliver(n.now.Add(requestGap))
@@ -252,7 +253,7 @@
 	n.now = begin
 }
 
-// count returns the evidence's count, on the network's clock.
+// count returns the count in the evidence, with instants on the network's clock.
 func (n *network) count() shift.Count {
 	for _, c := range n.leader.state.Evidence(n.clockOf(n.leader)).Counts {
 		c.Since = c.Since.Add(-n.leader.offset)
@@ -262,7 +263,7 @@
 	return shift.Count{}
 }
 
-// plan returns what a plan of the shift says of the evidence now.
+// plan returns the decision for the shift on the current evidence.
 func (n *network) plan() shift.Decision {
 	now := n.clockOf(n.leader)
 	e := n.leader.state.Evidence(now)
--- a/decide/tally/random_test.go
+++ b/decide/tally/random_test.go
@@ -10,11 +10,10 @@
 	"github.com/azurethread/azurethread/decide/shift"
 )
 
-// TestRandomFaults: symptom: a step rests on counts that lack or repeat
-// requests, or that are older than they seem. Sequence: any mix of lost and
-// slow messages, restarts, cut-off domains, wrong clocks and changes of the
-// catalogue. Cause: whatever rule of this package the mix breaks. After each
-// disturbance the evidence is compared with the requests that were made.
+// TestRandomFaults injects random lost, repeated and slow messages, restarts,
+// unreachable domains, clock offsets and changes of the catalogue. After each
+// fault it compares the evidence with the requests that were made: a complete
+// count must neither lack nor repeat requests, nor be older than it claims.
 func TestRandomFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		domains := rapid.SampledFrom([]int{1, 2, 3, 6, smallFleet + 2}).Draw(t, "domains")
@@ -31,7 +30,7 @@
 		n.run(settleTime)
 		n.checkCount(t)
 		if c := n.count(); c.Missing > 0 || n.now.Sub(c.Until) > shift.DefaultMaxAge {
-			t.Fatalf("not settled: %d missing, %s old", c.Missing, n.now.Sub(c.Until))
+			t.Fatalf("evidence after the end of all faults: %d entry VMs missing, %s old", c.Missing, n.now.Sub(c.Until))
 		}
 	})
 }
@@ -81,13 +80,13 @@
 	n.announce()
 }
 
-// checkCount compares a complete count with the requests of the entry VMs that the
-// leader's domain can reach. All windows lie within its span and the last
-// slice; all of them cover the last CountWindow up to the end of the span.
+// checkCount compares a complete count with the requests of the entry VMs that
+// the leader's domain can reach. Each window starts no earlier than the count's
+// span and covers at least the last CountWindow up to the span's end.
 func (n *network) checkCount(t *rapid.T) {
 	c := n.count()
 	if c.Until > n.now {
-		t.Fatalf("the window ends %s in the future", c.Until.Sub(n.now))
+		t.Fatalf("the count's window ends %s in the future", c.Until.Sub(n.now))
 	}
 	if c.Missing > 0 || c.Since >= c.Until {
 		return
@@ -96,7 +95,8 @@
 	for _, v := range n.nodes {
 		whole := v.state != nil && !n.disconnected(n.leader, v) && !n.unreachable[v.vm.Domain] && v.started < c.Since
 		for _, at := range v.served {
-			// Requests of one instant fall on either side of a cut there.
+			// Requests at the instant at which an interval ends may be
+			// counted before or after that end.
 			if at >= c.Since.Add(-requestGap) && at <= n.now {
 				most[n.positionAt(at)]++
 			}
@@ -107,7 +107,7 @@
 	}
 	for i, got := range c.ByPosition {
 		if got < least[i] || got > most[i] {
-			t.Fatalf("second %d: %d requests counted, %d to %d made; now is %d, the window from %s to %s before",
+			t.Fatalf("position %d: %d requests counted, %d to %d made; the current position is %d, the window lasts from %s to %s ago",
 				i, got, least[i], most[i], n.positionAt(n.now), n.now.Sub(c.Since), n.now.Sub(c.Until))
 		}
 	}
--- a/decide/tally/tally_test.go
+++ b/decide/tally/tally_test.go
@@ -14,10 +14,10 @@
 	"github.com/azurethread/azurethread/decide/shift"
 )
 
-// settleTime is the time until all entry VMs have whole windows.
+// settleTime is how long it takes until all entry VMs have whole windows.
 const settleTime = shift.CountWindow + 4*time.Second
 
-// TestEvidence: all entry VMs answer, and a plan advances on what they report.
+// All entry VMs answer, the evidence is complete, and a plan advances on it.
 func TestCompleteEvidenceAllowsAdvance(t *testing.T) {
 	for _, size := range [][2]int{{6, 1}, {6, 2}, {4, 43}, {20, 3}} {
 		t.Run(fmt.Sprintf("%dx%d", size[0], size[1]), func(t *testing.T) {
@@ -42,7 +42,7 @@
 	}
 }
 
-// TestRest: no shift moves, so nothing is sent and no timer runs.
+// While no shift moves traffic, nothing is sent and no timer runs.
 func TestNoTrafficWithoutMovingShift(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork(1, 4, 3)
@@ -57,10 +57,10 @@
 	is.Equal(n.leader.out.Wake, clock.Never)
 }
 
-// TestSilentReporter: symptom: a step rests on counts that lack the busiest
-// entry VM. Sequence: it stops answering, and membership still holds it live.
-// Cause: the sum is taken for the whole. The last complete round serves while
-// it is fresh; then the plan holds and names the number that is missing.
+// An entry VM stops answering while membership still lists it as live. Guards
+// against a step based on counts that lack it: the last complete round is used
+// while it is fresh; then the plan holds, and the evidence gives the number of
+// entry VMs missing.
 func TestUnansweringVMIsCountedMissing(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork(1, 6, 2)
@@ -75,14 +75,14 @@
 		n.run(time.Second)
 		seen[n.count().Missing] = true
 	}
-	is.Equal(seen, map[int]bool{1: true, 2: true}) // alone, and as the head of the two of its domain
+	is.Equal(seen, map[int]bool{1: true, 2: true}) // 2 in rounds where it is the head of its domain of two
 	n.nodes[9].dropsIncoming = false
 	n.run(3 * time.Second)
 	is.Equal(n.plan().Action, shift.Advance)
 }
 
-// TestNoAnswers: symptom: steps rest on figures of long ago. Sequence: nothing
-// reaches the runner any more. Cause: old evidence kept in place of none.
+// All messages are lost. Guards against steps based on old evidence, which is
+// kept as long as no answers arrive.
 func TestEvidenceGoesStaleWithoutAnswers(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork(1, 6, 2)
@@ -95,10 +95,10 @@
 	is.Equal(n.plan().Action, shift.Advance)
 }
 
-// TestLaggingCatalogue: symptom: the first step of a shift passes its cap.
-// Sequence: the shift starts, and one entry VM hears of it late. Cause: its
-// silence about the shift is taken for no requests and no capacity. As the head
-// of its domain it also drops what others say.
+// One entry VM gets the catalogue with a new shift late. Guards against taking
+// its missing rows for no requests and no capacity, which would let the first
+// step pass the cap. As the head of its domain it also leaves out the other
+// VM's rows, since it doesn't know the flow.
 func TestVMWithOldCatalogueIsCountedMissing(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork(1, 4, 2)
@@ -113,15 +113,15 @@
 	is.Equal(seen, map[[2]int]bool{{1, 1}: true, {2, 2}: true})
 	n.step(late, &Configured{Catalogue: n.catalogue})
 	n.run(shift.CountWindow - 3*time.Second)
-	is.Equal(n.count().Missing, 1) // what it has isn't a whole window yet
+	is.Equal(n.count().Missing, 1) // it doesn't have a whole window yet
 	is.Equal(n.leader.state.Evidence(n.now).Loads[1].Missing, 0)
 	n.run(6 * time.Second)
 	is.Equal(n.count().Missing, 0)
 }
 
-// TestWrongClocks: symptom: old figures pass for new ones, or new ones are
-// never fresh. Sequence: the machines' clocks differ by hours. Cause: instants
-// of one machine compared with those of another.
+// The machines' clocks differ by hours. Guards against comparing instants of
+// one machine with those of another, which would make old figures appear fresh
+// or fresh ones old.
 func TestClockOffsetsDoNotMatter(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork(1, 6, 2)
@@ -135,9 +135,9 @@
 	is.Equal(n.plan().Action, shift.Advance)
 }
 
-// TestSlowAnswers: symptom: a step is judged by figures from before it.
-// Sequence: answers of one domain take 400 ms. Cause: the receiver takes the
-// time of arrival for the time of measurement.
+// Messages from one entry VM are delayed by 600 ms. Guards against dating
+// figures by their arrival instead of their measurement, so that a step would
+// be judged by figures from before it.
 func TestAgesIncludeTransitTime(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork(1, 6, 1)
@@ -148,7 +148,7 @@
 		n.run(4 * time.Second)
 		c := n.count()
 		is.Equal(c.Missing, 0)
-		sent := clock.Time(0) // end of the window that v has sent
+		sent := clock.Time(0) // end of the last window that v can have sent
 		for _, s := range v.state.local.flows[0].intervals {
 			if s.Until <= n.roundEnded.Add(-slow) {
 				sent = s.Until
@@ -159,9 +159,9 @@
 	}
 }
 
-// TestDomainReturns: symptom: a step rests on counts that lack a whole domain.
-// Sequence: a domain is cut off for so long that it isn't waited for, and
-// returns. Cause: the last figures without it still count as complete.
+// A domain is unreachable for so long that it is no longer waited for, and
+// returns. Guards against a step on the last figures without it, which would
+// still count as complete.
 func TestReturnedDomainInvalidatesEvidence(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork(1, 6, 2)
@@ -178,9 +178,9 @@
 	is.True(n.count().Total >= uint64(99*len(n.nodes)))
 }
 
-// TestRegionLost: symptom: a shift into a dead region never recedes. Sequence:
-// the receiver is lost as a whole in the middle of a rehearsal. Cause: the
-// counts lack its entry VMs for ever, and no plan acts on incomplete counts.
+// The whole receiver region is lost while a shift runs. Guards against a shift
+// into a dead region that never recedes: the counts lack the region's entry VMs
+// permanently, and no plan acts on incomplete counts.
 func TestLostReceiverRegionMakesShiftRecede(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork(1, 6, 2)
@@ -190,16 +190,16 @@
 	}
 	n.announce()
 	n.run(10 * time.Second)
-	is.Equal(n.plan().Reason.Code, shift.StaleMeasurement) // it may only be cut off for a moment
+	is.Equal(n.plan().Reason.Code, shift.StaleMeasurement) // the region may only be cut off briefly
 	n.run(DefaultLostAfter - 8*time.Second)
 	d := n.plan()
 	is.Equal(d.Action, shift.Recede)
 	is.Equal(d.Reason.Code, shift.ReceiverNotLive)
 }
 
-// TestUnknownTargets: symptom: a shift recedes from a healthy region. Sequence:
-// the entry VMs of the receiver have restarted and don't know their targets
-// yet. Cause: no figures taken for no capacity.
+// The receiver's entry VMs have restarted and don't know their targets yet.
+// Guards against taking missing figures for no capacity, which would make a
+// shift recede from a healthy region.
 func TestUnknownCapacityIsNotZeroCapacity(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork(1, 4, 2)
@@ -219,12 +219,12 @@
 		n.startNode(v)
 	})
 	watch(func(i int, v *node) {
-		v.reportsNoLoad, v.slots = i > 0, 0 // one knows that it has none, the others nothing
+		v.reportsNoLoad, v.slots = i > 0, 0 // one reports that it has no capacity, the others nothing
 	})
 }
 
-// TestCandidate: all views of one fleet name the same candidate, though each
-// names all VMs of its own domain only, and a lost one is followed by the next.
+// All views of one fleet give the same candidate, though each lists all entry
+// VMs of its own domain only. If the candidate is lost, the next one follows.
 func TestAllViewsAgreeOnCandidate(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork(1, 6, 20)
@@ -239,7 +239,7 @@
 	is.Equal(Candidate([]member.DomainView{{Domain: "d0"}}), fleet.VMID(""))
 }
 
-// TestValidate: messages that don't agree with themselves are refused.
+// Messages that are inconsistent or out of bounds are refused.
 func TestValidate(t *testing.T) {
 	good := func() *Sum {
 		return &Sum{Runner: "a", Live: 1, CountEndAge: 1, CountStartAge: 9,
@@ -265,11 +265,11 @@
 	}
 	is := is.New(t)
 	is.NoErr(good().Validate())
-	for name, spoil := range bad {
+	for name, breakSum := range bad {
 		s := good()
-		spoil(s)
+		breakSum(s)
 		if s.Validate() == nil {
-			t.Errorf("%s: accepted", name)
+			t.Errorf("Validate accepted a sum with a wrong %q", name)
 		}
 	}
 	is.True((&Ask{Runner: "a", Scope: ScopeRegion + 1}).Validate() != nil)
@@ -278,7 +278,8 @@
 	is.True(err != nil)
 }
 
-// TestMeter: figures cover the last whole seconds, and nothing is allocated.
+// Rates cover the last whole intervals, and recording an answer allocates
+// nothing.
 func TestMeter(t *testing.T) {
 	is := is.New(t)
 	m := NewMeter(0)
@@ -303,9 +304,9 @@
 	}
 }
 
-// Symptom: a shift holds for ever since load reports are missing. Sequence: a
-// long-lived process has measured maxServices services, which were removed
-// from the catalogue; a new one is added. Cause: the meter has no room for it.
+// A long-lived process has measured maxServices services that were then removed
+// from the catalogue, and a new one is added. Guards against a meter without
+// room for it: its load would be missing, and a shift would hold indefinitely.
 func TestMeterForgetsRemovedServices(t *testing.T) {
 	is := is.New(t)
 	now := clock.Time(time.Hour)
@@ -325,10 +326,9 @@
 	is.Equal(rows[0].Capacity, uint32(3))
 }
 
-// Symptom: a plan takes the counts of one entry VM for those of all. Sequence:
-// the runner has moved to another domain under its id, and a head whose view is
-// older asks it for its own round. Cause: the answer to that Ask is taken for
-// the whole round.
+// The runner has moved to another domain under its id, and a head with an older
+// view asks it for figures in its own round. Guards against storing the answer
+// to that Ask, the counts of one entry VM, as the whole round.
 func TestAskForOwnRoundIsIgnored(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork(1, 6, 2)
--- a/decide/tally/tallytest/size.go
+++ b/decide/tally/tallytest/size.go
@@ -4,7 +4,7 @@
 import "reflect"
 
 // Size returns the length of v as the peer protocol encodes it: msgpack, with
-// structs as arrays and numbers in their shortest form. Frames add to that.
+// structs as arrays and numbers in their shortest form. Frames are not included.
 func Size(v any) int { return sizeOf(reflect.ValueOf(v)) }
 
 func sizeOf(v reflect.Value) int {
@@ -15,7 +15,7 @@
 		}
 		return sizeOf(v.Elem())
 	case reflect.Struct:
-		n := header(v.NumField())
+		n := headerSize(v.NumField())
 		for i := range v.NumField() {
 			n += sizeOf(v.Field(i))
 		}
@@ -23,7 +23,7 @@
 	case reflect.Slice:
 		return sizeOfSlice(v)
 	case reflect.String:
-		return headerOfText(v.Len()) + v.Len()
+		return textHeaderSize(v.Len()) + v.Len()
 	case reflect.Int, reflect.Int64:
 		return sizeOfNumber(uint64(v.Int()))
 	case reflect.Uint8, reflect.Uint32, reflect.Uint64:
@@ -38,23 +38,23 @@
 		return 1
 	}
 	if v.Type().Elem().Kind() == reflect.Uint8 {
-		return max(2, headerOfText(v.Len())) + v.Len()
+		return max(2, textHeaderSize(v.Len())) + v.Len()
 	}
-	n := header(v.Len())
+	n := headerSize(v.Len())
 	for i := range v.Len() {
 		n += sizeOf(v.Index(i))
 	}
 	return n
 }
 
-func header(elements int) int {
+func headerSize(elements int) int {
 	if elements < 16 {
 		return 1
 	}
 	return 3
 }
 
-func headerOfText(bytes int) int {
+func textHeaderSize(bytes int) int {
 	switch {
 	case bytes < 32:
 		return 1
