--- a/decide/detect/compare_test.go
+++ b/decide/detect/compare_test.go
@@ -30,34 +30,35 @@
 }
 
 func answerCandidates() []candidate {
-	hard := 3 * time.Second
-	classic := detect.PhiConfig{Phi: 8, MinSilence: 20 * ms, MaxSilence: hard}
+	maxSilence := 3 * time.Second
+	classic := detect.PhiConfig{Phi: 8, MinSilence: 20 * ms, MaxSilence: maxSilence}
 	long := classic
 	long.LogNormal = true
-	lag := detect.RelativeConfig{Bound: 8, BoundMax: 256, MinSilence: 20 * ms, MaxSilence: hard}
+	lag := detect.RelativeConfig{Bound: 8, BoundMax: 256, MinSilence: 20 * ms, MaxSilence: maxSilence}
 	return []candidate{
-		fixed("fixed-250ms", 250*ms), fixed("fixed-1s", time.Second), fixed("fixed-3s", hard),
+		fixed("fixed-250ms", 250*ms), fixed("fixed-1s", time.Second), fixed("fixed-3s", maxSilence),
 		phi("phi", classic), phi("phi-long-tail", long),
 		relative("relative", lag),
 		{"tail-3", func() detect.Detector { return newP99Multiple(3) }},
 		{"tail-6", func() detect.Detector { return newP99Multiple(6) }},
-		{"default", func() detect.Detector { return detect.ForAnswers(hard) }},
+		{"default", func() detect.Detector { return detect.ForAnswers(maxSilence) }},
 	}
 }
 
-// p99Multiple is the rule that decide/dispatch had of its own before: silent for a
-// multiple of the group's p99 latency, between 200 ms and 5 s, while a sibling
-// was heard since. Without such evidence it waits for the bound once more.
+// p99Multiple suspects a member that is silent for a multiple of the group's p99
+// latency, between 200 ms (at a factor of 3) and 5 s, if a sibling was heard
+// since. Otherwise it waits for the bound once more. decide/dispatch used this
+// rule before package detect; it is scored for comparison.
 type p99Multiple struct {
 	factor    int
 	quantiles target.Quantiles
-	lastHeard clock.Time // when any member was heard
+	lastHeard clock.Time // last sign of life of any member
 	members   map[detect.ID]*p99MultipleMember
 }
 
 type p99MultipleMember struct {
 	silentSince clock.Time // start of the silence
-	checkAt     clock.Time // when the member is looked at next
+	checkAt     clock.Time // when the member is checked next
 	owed        int
 }
 
@@ -128,20 +129,20 @@
 func (t *p99Multiple) Forget(id detect.ID) { delete(t.members, id) }
 
 func peerCandidates() []candidate {
-	hard := 6 * time.Second
-	rounds := detect.RelativeConfig{Pace: detect.ByRound, Bound: 3, BoundMax: 8, MinSilence: 500 * ms, MaxSilence: hard}
-	classic := detect.PhiConfig{Phi: 8, MinSilence: 500 * ms, MaxSilence: hard}
+	maxSilence := 6 * time.Second
+	rounds := detect.RelativeConfig{Pace: detect.ByRound, Bound: 3, BoundMax: 8, MinSilence: 500 * ms, MaxSilence: maxSilence}
+	classic := detect.PhiConfig{Phi: 8, MinSilence: 500 * ms, MaxSilence: maxSilence}
 	gated := classic
 	gated.Gate = 16
 	return []candidate{
-		fixed("fixed-1.5s", 1500*ms), fixed("fixed-2.5s", 2500*ms), fixed("fixed-6s", hard),
+		fixed("fixed-1.5s", 1500*ms), fixed("fixed-2.5s", 2500*ms), fixed("fixed-6s", maxSilence),
 		phi("phi", classic), phi("phi-gate", gated),
 		relative("relative", rounds),
 		{"default", func() detect.Detector { return detect.ForHeartbeats(500 * ms) }},
 	}
 }
 
-// seeds is how many traces each scenario is scored on.
+// seeds is the number of traces on which each scenario is scored.
 const seeds = 5
 
 // BenchmarkCompare scores every candidate on the same traces:
@@ -187,7 +188,7 @@
 	b.ReportMetric(result.FalsePerThousand(), "false/1000")
 }
 
-// BenchmarkRequest measures what one answered request costs: Sent, Due, Done.
+// BenchmarkRequest measures the cost of one answered request: Sent, Due, Done.
 func BenchmarkRequest(b *testing.B) {
 	for _, c := range answerCandidates() {
 		b.Run(c.name, func(b *testing.B) {
@@ -205,7 +206,7 @@
 	}
 }
 
-// BenchmarkHeartbeat measures what one heartbeat of 940 peers costs.
+// BenchmarkHeartbeat measures the cost of one heartbeat among 940 peers.
 func BenchmarkHeartbeat(b *testing.B) {
 	for _, c := range peerCandidates() {
 		b.Run(c.name, func(b *testing.B) {
--- a/decide/detect/default.go
+++ b/decide/detect/default.go
@@ -4,24 +4,26 @@
 
 // The settings that measured best; docs/design/detection.md has the figures.
 const (
-	// answerPhi sets how improbable a silence must be.
+	// answerPhi is the suspicion level at which a silence is improbable enough.
 	answerPhi = 8
 	// answerGate is how many signs of life of siblings a silence must outlast.
 	answerGate = 4
-	// answerMinSilence is above the jitter of the machine's own scheduling.
+	// answerMinSilence is above the scheduling jitter of the local machine.
 	answerMinSilence = 20 * time.Millisecond
 
-	// heartbeatBound and heartbeatBoundMax are rounds missed: the first is
-	// passed by chance once in 10,000 at a loss of a tenth.
+	// heartbeatBound and heartbeatBoundMax are numbers of missed rounds. With
+	// a tenth of the heartbeats lost, the first is exceeded by chance once in
+	// 10,000.
 	heartbeatBound    = 3
 	heartbeatBoundMax = 8
-	// heartbeatMaxIntervals bounds a silence in which nobody was heard.
+	// heartbeatMaxIntervals bounds a silence during which no peer was heard.
 	heartbeatMaxIntervals = 12
 )
 
 // ForAnswers returns the default detector for connections to one target, or
-// for the targets of one service. A silence past maxSilence is suspected even
-// if no sibling answers; it should be above the longest honest answer.
+// for the targets of one service. A member that is silent for longer than
+// maxSilence is suspected even if no sibling answers; maxSilence should exceed
+// the longest regular latency.
 func ForAnswers(maxSilence time.Duration) *Phi {
 	return NewPhi(PhiConfig{
 		Phi:        answerPhi,
--- a/decide/detect/detect.go
+++ b/decide/detect/detect.go
@@ -6,49 +6,51 @@
 	"github.com/azurethread/azurethread/decide/clock"
 )
 
-// ID numbers a member of a group: a connection to one target, a target of one
-// service, or an entry VM. The caller gives numbers out from zero, densely,
-// and may reuse a number after Forget.
+// ID identifies a member of a group: a connection to one target, a target of
+// one service, or an entry VM. The caller assigns IDs from zero without gaps,
+// and may reuse an ID after Forget.
 type ID int32
 
-// Detector finds the members of a group that have gone silent. Implementations
-// are deterministic, single-threaded and keep no clock.
+// Detector finds the members of a group that have stopped answering.
+// Implementations are deterministic, not safe for concurrent use, and read no
+// clock.
 type Detector interface {
 	// Sent records that id owes one more answer. A member that sends
-	// heartbeats unasked owes one answer for as long as it is watched.
+	// heartbeats owes one answer for as long as it is monitored.
 	Sent(now clock.Time, id ID)
 	// Heard records a sign of life, such as part of an answer or a heartbeat,
-	// after which id still owes what it owed.
+	// which leaves the number of answers owed unchanged.
 	Heard(now clock.Time, id ID)
 	// Done records a complete answer: a sign of life, and one answer fewer owed.
 	Done(now clock.Time, id ID)
-	// Abandoned records that the caller stopped waiting for one answer. It is
-	// no sign of life: the silence so far counts against the next attempt.
+	// Abandoned records that the caller stopped waiting for one answer. That
+	// is no sign of life: the silence so far is added to that of the next
+	// request.
 	Abandoned(now clock.Time, id ID)
 	// Suspect reports whether id has been silent for too long.
 	Suspect(now clock.Time, id ID) bool
-	// Due returns when to ask Suspect about id again: Never if it owes
-	// nothing, now if it is already suspected.
+	// Due returns when to call Suspect for id again: clock.Never if id owes
+	// no answer, now if it is already suspected.
 	Due(now clock.Time, id ID) clock.Time
-	// Forget drops what is known of id.
+	// Forget removes all state of id.
 	Forget(id ID)
 }
 
-// member is what every detector knows about one ID.
+// member is the state that every detector keeps for one ID.
 //
-// Silence is counted only while an answer is owed, and adds up over abandoned
-// attempts until a sign of life. Without the adding up, a dead target whose
-// callers each give up before the bound would never be suspected.
+// Silence is counted only while an answer is owed, and accumulates over
+// abandoned requests until a sign of life. Otherwise a dead target whose
+// callers all give up before the bound would never be suspected.
 type member struct {
-	silentSince        clock.Time    // start of the silence, as if it were unbroken; valid while owed > 0
+	silentSince        clock.Time    // start of the silence as if it were uninterrupted; valid while owed > 0
 	accumulatedSilence time.Duration // silence so far; valid while owed == 0
-	lagStart           int64         // logical clock from which lag counts; valid while owed > 0
+	lagStart           int64         // logical time from which lag counts; valid while owed > 0
 	accumulatedLag     int64         // lag so far; valid while owed == 0
 	owed               int32         // answers owed
 }
 
-// group holds the members. What their lag is counted in is the detector's
-// matter: it passes in the reading of its logical clock.
+// group holds the members. The detector defines the unit of lag, and passes in
+// the current reading of its logical clock.
 type group struct {
 	members []member
 	owed    int64 // answers owed by all members
@@ -73,7 +75,7 @@
 	return now.Sub(m.silentSince)
 }
 
-// lag returns how far the siblings' progress, at tick, has run ahead of id.
+// lag returns how far the logical clock, now at tick, is ahead of id.
 func (g *group) lag(tick int64, id ID) int64 {
 	if int(id) >= len(g.members) {
 		return 0
@@ -90,7 +92,8 @@
 	return int(id) < len(g.members) && g.members[id].owed > 0
 }
 
-// addOwed adds one answer owed; mark is where lag starts when id owed none.
+// addOwed adds one answer owed. If id owed none, its lag counts from mark, less
+// the lag accumulated before.
 func (g *group) addOwed(now clock.Time, id ID, mark int64) {
 	m := g.member(id)
 	if m.owed == 0 {
@@ -101,14 +104,15 @@
 	g.owed++
 }
 
-// endSilence ends the silence of id.
+// endSilence ends the silence of id; its lag counts from mark.
 func (g *group) endSilence(now clock.Time, id ID, mark int64) {
 	m := g.member(id)
 	m.silentSince, m.accumulatedSilence = now, 0
 	m.lagStart, m.accumulatedLag = mark, 0
 }
 
-// removeOwed takes one answer off what id owes. Silence and lag are kept.
+// removeOwed subtracts one answer from those that id owes. Silence and lag are
+// kept.
 func (g *group) removeOwed(now clock.Time, id ID, tick int64) {
 	m := g.member(id)
 	if m.owed == 0 {
@@ -122,7 +126,7 @@
 	}
 }
 
-// forget drops id.
+// forget removes the state of id.
 func (g *group) forget(id ID) {
 	if int(id) >= len(g.members) {
 		return
@@ -131,7 +135,8 @@
 	g.members[id] = member{}
 }
 
-// boundPassedAt returns when the silence of id will pass bound.
+// boundPassedAt returns when the silence of id will exceed bound: clock.Never if
+// it owes no answer, now if it already does.
 func (g *group) boundPassedAt(now clock.Time, id ID, bound time.Duration) clock.Time {
 	if !g.owesAnswer(id) {
 		return clock.Never
@@ -143,12 +148,12 @@
 	return at
 }
 
-// nextCheck returns when the silence of id will pass bound, or a poll from now if
-// it has.
+// nextCheck returns when the silence of id will exceed bound, but no earlier than
+// pollInterval from now.
 func (g *group) nextCheck(now clock.Time, id ID, bound time.Duration) clock.Time {
 	return max(g.boundPassedAt(now, id, bound), now.Add(pollInterval))
 }
 
-// pollInterval is how often a member that only its siblings' progress can bring under
-// suspicion is asked about. A suspicion is noticed that much late at most.
+// pollInterval is how often a member is checked if only progress of its siblings
+// can make it suspected. It is the longest delay of such a suspicion.
 const pollInterval = 10 * time.Millisecond
--- a/decide/detect/detect_test.go
+++ b/decide/detect/detect_test.go
@@ -17,7 +17,8 @@
 	interval   = 500 * ms
 )
 
-// exchange sends one request on id and has it answered after latency.
+// exchange sends one request to id, answers it after latency, and returns the
+// instant of the answer.
 func exchange(d detect.Detector, now clock.Time, id detect.ID, latency time.Duration) clock.Time {
 	d.Sent(now, id)
 	now = now.Add(latency)
@@ -25,10 +26,9 @@
 	return now
 }
 
-// Symptom: requests on one connection hang while the target answers others.
-// Sequence: connection 1 takes a request and nothing comes back; connection 0
-// goes on at 10 ms a request.
-// Cause: a middlebox dropped its entry for connection 1.
+// A middlebox has dropped its entry for connection 1: a request on it gets no
+// answer, while connection 0 continues at 10 ms a request. Guards against
+// requests that hang on the lost connection until maxSilence.
 func TestSilentConnectionAmongAnsweringOnes(t *testing.T) {
 	is := is.New(t)
 	d := detect.ForAnswers(maxSilence)
@@ -45,10 +45,9 @@
 	is.True(now.Sub(sent) < 100*ms) // far below maxSilence
 }
 
-// Symptom: every connection to a target is replaced at once under load.
-// Sequence: ten requests are in flight when all answers stop for two seconds.
-// Cause: the target pauses (collects garbage); it is neither dead nor are its
-// connections lost.
+// The target pauses for two seconds (garbage collection) with ten requests in
+// flight. Guards against replacing every connection at the same time under
+// load, though neither the target nor its connections have failed.
 func TestPauseOfAllSuspectsNobodyBeforeMaxSilence(t *testing.T) {
 	is := is.New(t)
 	d := detect.ForAnswers(maxSilence)
@@ -61,14 +60,13 @@
 	}
 	for id := range detect.ID(10) {
 		is.True(!d.Suspect(now.Add(2*time.Second), id))
-		is.True(d.Suspect(now.Add(maxSilence+1), id)) // a pause has an end
+		is.True(d.Suspect(now.Add(maxSilence+1), id)) // too long for a pause
 	}
 }
 
-// Symptom: a dead target goes on taking requests for minutes.
-// Sequence: each caller gives up after one second, below the bound, and the
-// next request starts the silence anew.
-// Cause: an abandoned attempt was taken for an end of the silence.
+// Each caller of a dead target gives up after one second, which is below the
+// bound. Guards against an abandoned request that ends the silence, so that the
+// target would still get requests for minutes.
 func TestAbandonedAttemptsAddUp(t *testing.T) {
 	is := is.New(t)
 	d := detect.ForAnswers(maxSilence)
@@ -77,23 +75,22 @@
 		d.Sent(now, 0)
 		now = now.Add(time.Second)
 		d.Abandoned(now, 0)
-		now = now.Add(time.Minute) // idle time is no silence
+		now = now.Add(time.Minute) // idle time doesn't count as silence
 		is.True(!d.Suspect(now, 0))
 	}
 	d.Sent(now, 0)
 	now = now.Add(2 * ms)
 	is.True(d.Suspect(now, 0))
 	d.Abandoned(now, 0)
-	is.True(d.Suspect(now.Add(time.Hour), 0)) // stays until a sign of life
+	is.True(d.Suspect(now.Add(time.Hour), 0)) // suspected until a sign of life
 	exchange(d, now, 0, ms)
 	is.True(!d.Suspect(now.Add(time.Hour), 0))
 }
 
-// Symptom: a target that has answered again is still avoided, or suspected
-// during the next pause of the group.
-// Sequence: an attempt is abandoned after a long silence; its answer comes
-// late; a new attempt is sent and the whole group pauses.
-// Cause: the late answer did not end the silence and the lag counted so far.
+// A request is abandoned after a long silence, its answer arrives late, a new
+// request is sent, and the whole group pauses. Guards against a late answer
+// that doesn't reset the silence and the lag: the target would still be
+// avoided, or suspected during the pause.
 func TestLateAnswerEndsTheSilence(t *testing.T) {
 	is := is.New(t)
 	d := detect.ForAnswers(maxSilence)
@@ -111,9 +108,9 @@
 	is.True(d.Suspect(now.Add(maxSilence+1), 1))
 }
 
-// Symptom: connections are replaced one after another though nothing is wrong.
-// Sequence: all requests take 100 ms; one takes 150 ms.
-// Cause: a group without deviation so far made any deviation improbable.
+// All requests take 100 ms, then one takes 150 ms. Guards against replacing
+// healthy connections one after another: in a group without any deviation so
+// far, every deviation would be improbable.
 func TestFirstJitterOfSteadyGroup(t *testing.T) {
 	is := is.New(t)
 	d := detect.ForAnswers(maxSilence)
@@ -135,10 +132,10 @@
 	is.True(d.Suspect(start.Add(100*step), siblings))
 }
 
-// Symptom: peers that lost two heartbeats are suspected, the more often the
-// more peers there are.
-// Sequence: eight peers send their heartbeats at different phases.
-// Cause: each heartbeat was counted as a round, not one of the fastest peer.
+// Eight peers send their heartbeats at different phases, and two of three
+// heartbeats of one peer are lost. Guards against counting each heartbeat as a
+// round, instead of those of the fastest peer: a peer that lost two heartbeats
+// would be suspected, and more often the more peers there are.
 func TestStaggeredHeartbeatsMakeOneRound(t *testing.T) {
 	is := is.New(t)
 	d := detect.ForHeartbeats(interval)
@@ -156,9 +153,9 @@
 	}
 }
 
-// Symptom: after months of rare losses dead peers are found late.
-// Sequence: one peer is suspected for its lag and comes back, many times.
-// Cause: the bound rose with every false suspicion without an end.
+// One peer is suspected for its lag and returns, many times. Guards against a
+// bound that rises with every false suspicion without limit, so that after
+// months of rare losses dead peers would be detected late.
 func TestLagBoundHasMaximum(t *testing.T) {
 	is := is.New(t)
 	d := detect.ForHeartbeats(interval)
@@ -175,10 +172,10 @@
 	is.Equal(d.LagBound(), int64(8))
 }
 
-// Symptom: an entry VM declares all its peers dead, and takes over their duties.
-// Sequence: it pauses for four seconds, then reads each peer's waiting
-// heartbeats in turn, eight of the first before one of the second.
-// Cause: heartbeats that were read together were counted as rounds apart.
+// An entry VM pauses for four seconds, then reads each peer's waiting heartbeats
+// in turn, eight of the first before one of the second. Guards against counting
+// heartbeats read in the same instant as separate rounds: the entry VM would
+// declare all its peers dead and take over their duties.
 func TestObserverPauseSuspectsNobody(t *testing.T) {
 	is := is.New(t)
 	d := detect.ForHeartbeats(interval)
@@ -203,8 +200,9 @@
 	}
 }
 
-// Completeness: whatever siblings do, one that stops is suspected within the
-// maximum, by a caller that asks only when Due says so.
+// Completeness: whatever its siblings do, a member that stops is suspected
+// within maxSilence, even if it is checked only at the instants that Due
+// returns.
 func TestStoppedIsSuspectedWithinMaximum(t *testing.T) {
 	detectors := map[string]func() detect.Detector{
 		"answers":    func() detect.Detector { return detect.ForAnswers(maxSilence) },
@@ -220,12 +218,12 @@
 				d.Sent(now, 0)
 			}
 			if d.Due(now, 0) == clock.Never {
-				return // owes nothing
+				return // owes no answer
 			}
 			end := now.Add(maxSilence + 1)
 			for due := d.Due(now, 0); !d.Suspect(now, 0); due = d.Due(now, 0) {
-				is.True(due > now)  // a timer that stands still would spin
-				is.True(due <= end) // suspected in time
+				is.True(due > now)  // otherwise the timer would fire in an endless loop
+				is.True(due <= end) // suspected within maxSilence
 				if due <= now || due > end {
 					return
 				}
@@ -238,7 +236,8 @@
 	}
 }
 
-// randomEvents lets three members live for a while, and returns when it ended.
+// randomEvents reports random events of three members, and returns the instant
+// of the last one.
 func randomEvents(t *rapid.T, d detect.Detector, now clock.Time) clock.Time {
 	for range rapid.IntRange(0, 60).Draw(t, "events") {
 		now = now.Add(time.Duration(rapid.Int64Range(0, int64(700*ms)).Draw(t, "gap")))
@@ -259,8 +258,9 @@
 	return now
 }
 
-// Accuracy of heartbeats: while no gap is longer than the bound's maximum in
-// shortest rounds, there are no more false suspicions than steps of the bound.
+// Accuracy of heartbeats: while no gap exceeds the maximum bound, counted in
+// rounds of minimum length, there are no more false suspicions than steps from
+// the initial to the maximum bound.
 func TestFalseSuspicionsOfHeartbeatsAreBounded(t *testing.T) {
 	const peers, steps, longestGap = 4, 8 - 3, 8 * interval / 2
 	rapid.Check(t, func(t *rapid.T) {
@@ -286,7 +286,7 @@
 			next[first] = now.Add(time.Duration(rapid.Int64Range(int64(interval/2), int64(longestGap)).Draw(t, "gap")))
 		}
 		if refuted > steps {
-			t.Fatalf("%d false suspicions", refuted)
+			t.Fatalf("%d false suspicions, more than %d", refuted, steps)
 		}
 	})
 }
@@ -306,7 +306,7 @@
 				now = clock.Min(done, exchange(d, now, 1, least))
 			}
 			if d.Suspect(done, 0) {
-				t.Fatalf("suspected with bound %v", d.Bound())
+				t.Fatalf("member 0 suspected %v after the start, with bound %v", done.Sub(start), d.Bound())
 			}
 			d.Done(done, 0)
 		}
--- a/decide/detect/detecttest/generate.go
+++ b/decide/detect/detecttest/generate.go
@@ -11,42 +11,42 @@
 	"github.com/azurethread/azurethread/decide/detect"
 )
 
-// Pause is an interval in which answers or heartbeats are held back.
+// Pause describes random pauses in which answers or heartbeats are delayed.
 type Pause struct {
 	Every time.Duration // mean time between pauses; 0: none
 	Mean  time.Duration // mean length, exponentially distributed
 }
 
-// Requests describes requests to a group of connections or targets.
+// Requests describes a trace of requests to a group of connections or targets.
 type Requests struct {
 	Name           string
 	Members        int           // connections or targets
-	Capacity       int           // requests a member takes at once
+	Capacity       int           // concurrent requests of a member
 	Rate           float64       // requests a second, over the group
 	Length         time.Duration // of the trace
 	Median         time.Duration // of the latency
 	Sigma          float64       // of the logarithm of the latency
-	LongShare      float64       // share of requests with a Pareto tail instead
+	LongShare      float64       // share of requests whose latency is drawn from a Pareto tail instead
 	MaxLongLatency time.Duration // longest latency of these
-	Stops          int           // members that stop, spread over the trace
+	Stops          int           // number of members that stop, spread over the trace
 	SlowFactor     float64       // latency factor in the second half, of all members; 0: 1
 	ColdFactor     float64       // latency factor of member 0 for ColdLength from a third of the trace on; 0: 1
 	ColdLength     time.Duration
-	PauseAll       Pause // holds back every answer
-	PauseOne       Pause // holds back the answers of one member
+	PauseAll       Pause // delays the answers of all members
+	PauseOne       Pause // delays the answers of one member; drawn for each
 }
 
-// Heartbeats describes peers that each send heartbeats at one interval.
+// Heartbeats describes a trace of peers that send heartbeats at one interval.
 type Heartbeats struct {
 	Name     string
 	Members  int
 	Interval time.Duration
 	Jitter   time.Duration // mean extra delay, exponentially distributed
-	Loss     float64       // share lost
+	Loss     float64       // share of heartbeats lost
 	Length   time.Duration
 	Stops    int
-	PauseAll Pause // the observer pauses
-	PauseOne Pause // one peer pauses
+	PauseAll Pause // pauses of the observer
+	PauseOne Pause // pauses of one peer; drawn for each
 }
 
 // start is the first instant of every generated trace.
@@ -71,7 +71,7 @@
 	}
 }
 
-// endOfPause returns t, or the end of the pause that holds t.
+// endOfPause returns the end of the pause that contains t, or t if there is none.
 func (p pauses) endOfPause(t clock.Time) clock.Time {
 	for _, i := range p {
 		if i.from <= t && t < i.to {
@@ -85,9 +85,9 @@
 	return time.Duration(r.ExpFloat64() * float64(mean))
 }
 
-// Generate returns the trace for a seed. A stopped connection or target takes
-// requests until it is full and answers none; a fresh member with a new
-// number takes its place.
+// Generate returns the trace for a seed. A stopped connection or target accepts
+// requests until it is full and answers none; a new member with a new ID
+// replaces it.
 func (q Requests) Generate(seed uint64) Trace {
 	r := rand.New(rand.NewPCG(seed, uint64(len(q.Name))))
 	g := requestGenerator{Requests: q, rand: r, groupPauses: q.PauseAll.generate(r, q.Length)}
@@ -118,7 +118,7 @@
 	Requests
 	rand        *rand.Rand
 	groupPauses pauses
-	members     []*simulatedMember // live and stopped ones that still take requests
+	members     []*simulatedMember // all that accept requests, stopped ones included
 	events      []Event
 	lastID      detect.ID
 }
@@ -128,7 +128,8 @@
 	g.lastID = id
 }
 
-// stopRandomMember stops a member drawn by lot. What it has not answered yet it never will.
+// stopRandomMember stops a random member. Its requests in flight are never
+// answered.
 func (g *requestGenerator) stopRandomMember(at clock.Time) {
 	m := g.members[g.rand.IntN(len(g.members))]
 	if m.stopped {
@@ -142,7 +143,8 @@
 	g.addMember(g.lastID + 1)
 }
 
-// removeAnswered frees what has been answered by at.
+// removeAnswered frees the capacity of requests that have been answered by at,
+// and removes stopped members that are full.
 func (g *requestGenerator) removeAnswered(at clock.Time) {
 	for _, m := range g.members {
 		if !m.stopped {
@@ -154,8 +156,8 @@
 	})
 }
 
-// sendRequest gives a request to the less loaded of two members drawn by lot; with
-// both full, the request is refused and leaves no event.
+// sendRequest assigns a request to the less loaded of two random members. If
+// both are full, the request is refused and adds no event.
 func (g *requestGenerator) sendRequest(at clock.Time) {
 	m := g.members[g.rand.IntN(len(g.members))]
 	if o := g.members[g.rand.IntN(len(g.members))]; len(o.answerTimes) < len(m.answerTimes) {
@@ -216,7 +218,8 @@
 	return newTrace(h.Name, events, start.Add(h.Length))
 }
 
-// stopTimes returns instants in the second to the last but one tenth of a trace.
+// stopTimes returns n random instants, none in the first or last tenth of a
+// trace.
 func stopTimes(r *rand.Rand, n int, length time.Duration) []clock.Time {
 	times := make([]clock.Time, n)
 	for i := range times {
@@ -226,7 +229,7 @@
 	return times
 }
 
-// newTrace sorts the events and cuts those after the end.
+// newTrace returns a trace of the events up to end, in order of time.
 func newTrace(name string, events []Event, end clock.Time) Trace {
 	events = slices.DeleteFunc(events, func(e Event) bool { return e.At > end })
 	slices.SortStableFunc(events, func(a, b Event) int { return cmp.Compare(a.At, b.At) })
--- a/decide/detect/detecttest/scenarios.go
+++ b/decide/detect/detecttest/scenarios.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Source makes a trace from a seed.
+// Source generates a trace from a seed.
 type Source interface {
 	Generate(seed uint64) Trace
 }
@@ -18,9 +18,9 @@
 }
 
 // Targets returns the scenarios of the targets of one service in a failure
-// domain. A stop stands for a crashed machine, whose answers simply end, and
-// for a link that loses one direction: the observer sees the same. A crashed
-// process resets its connections, which needs no detector.
+// domain. A stop represents a crashed machine, which sends no more answers, and
+// a link that fails in one direction; the observer can't tell them apart. A
+// crashed process resets its connections, which needs no detector.
 func Targets() []Source {
 	base := Requests{
 		Name: "target/normal", Members: 8, Capacity: 3, Rate: 300, Length: 2 * time.Minute,
@@ -29,7 +29,7 @@
 	return variants(base, "target", 1)
 }
 
-// variants returns base and base with each of the troubles that isn't a stop.
+// variants returns base, and base with one other latency, load or pause in each.
 func variants(base Requests, name string, lowRate float64) []Source {
 	uniform, slow, cold, low, all, one, long, large := base, base, base, base, base, base, base, base
 	uniform.Name, uniform.LongShare = name+"/no-tail", 0
--- a/decide/detect/detecttest/score.go
+++ b/decide/detect/detecttest/score.go
@@ -8,17 +8,17 @@
 	"github.com/azurethread/azurethread/decide/detect"
 )
 
-// Result is how a detector did on one or more traces.
+// Result holds the measurements of a detector on one or more traces.
 type Result struct {
 	Detections        []time.Duration // from the stop, or the first request after it, to the suspicion
 	Undetected        int             // stopped members that owed an answer and were not suspected by the end
-	LongestUndetected time.Duration   // how long the one of them that stopped first had owed it
-	FalseSuspicions   int             // suspicions that a later sign of life refuted
-	Sent              int             // requests, or heartbeats that came
+	LongestUndetected time.Duration   // longest time for which one of them had owed an answer
+	FalseSuspicions   int             // suspicions refuted by a later sign of life
+	Sent              int             // requests sent, or heartbeats received
 	Length            time.Duration   // of the traces
 }
 
-// Add joins the result of another trace.
+// Add adds the result of another trace.
 func (r *Result) Add(o Result) {
 	r.Detections = append(r.Detections, o.Detections...)
 	r.Undetected += o.Undetected
@@ -37,10 +37,10 @@
 	return r.Detections[min(len(r.Detections)-1, int(q*float64(len(r.Detections))))]
 }
 
-// FalsePerHour returns the false suspicions in an hour of trace.
+// FalsePerHour returns the number of false suspicions per hour of trace.
 func (r *Result) FalsePerHour() float64 { return float64(r.FalseSuspicions) / r.Length.Hours() }
 
-// FalsePerThousand returns the false suspicions in a thousand requests.
+// FalsePerThousand returns the number of false suspicions per thousand requests.
 func (r *Result) FalsePerThousand() float64 {
 	return 1000 * float64(r.FalseSuspicions) / float64(r.Sent)
 }
@@ -50,8 +50,8 @@
 	suspected bool
 	stopped   bool
 	replaced  bool
-	owedSince clock.Time // when a stopped member first owed an answer
-	checkAt   clock.Time // when to ask the detector next
+	owedSince clock.Time // since when a stopped member has owed an answer
+	checkAt   clock.Time // when to call Suspect next
 }
 
 type scorer struct {
@@ -61,9 +61,9 @@
 	result   Result
 }
 
-// Score replays a trace. A stopped member is forgotten once it is suspected,
-// as a caller would replace it. The detector is asked about a member only when
-// Due says so, as a caller would set its timers.
+// Score replays a trace. A stopped member is forgotten once it is suspected, as
+// a user of the detector would replace it. A member is checked only at the
+// instants that Due returns, as a user would set its timers.
 func Score(d detect.Detector, t Trace) Result {
 	s := scorer{detector: d, result: Result{Length: t.Duration()}}
 	for _, e := range t.Events {
@@ -74,7 +74,8 @@
 	return s.result
 }
 
-// countUndetected counts what a stop shortly before the end of the trace left open.
+// countUndetected counts the stopped members that were not suspected by the end
+// of the trace.
 func (s *scorer) countUndetected(end clock.Time) {
 	for _, m := range s.members {
 		if m.stopped && m.waiting > 0 && !m.replaced {
@@ -130,12 +131,12 @@
 	s.owing = slices.DeleteFunc(s.owing, func(o detect.ID) bool { return o == id })
 }
 
-// scheduleCheck sets the timer of a member after an event about it.
+// scheduleCheck sets the timer of a member after an event of it.
 func (s *scorer) scheduleCheck(now clock.Time, id detect.ID) {
 	s.members[id].checkAt = s.detector.Due(now, id)
 }
 
-// runTimers asks about every member that is due before until, in order of time.
+// runTimers checks the members that are due before until, in order of time.
 func (s *scorer) runTimers(until clock.Time) {
 	for {
 		first, at := detect.ID(-1), until
--- a/decide/detect/detecttest/trace.go
+++ b/decide/detect/detecttest/trace.go
@@ -1,10 +1,10 @@
-// Package detecttest holds traces of what a group of connections, targets or
-// entry VMs did, and scores failure detectors on them.
+// Package detecttest provides traces of the events of a group of connections,
+// targets or entry VMs, and scores failure detectors on them.
 //
-// A trace is a list of events with the truth about which members stopped. It
-// does not react to the detector, so every detector sees the same events.
-// Generate makes traces from a seed; Decode reads recorded ones. Score replays
-// a trace and measures detection times and false suspicions.
+// A trace is a list of events, among them the actual stops of members. It does
+// not depend on the detector, so every detector gets the same events. Generate
+// creates traces from a seed; Decode reads recorded ones. Score replays a trace
+// and measures detection times and false suspicions.
 package detecttest
 
 import (
@@ -17,15 +17,15 @@
 	"github.com/azurethread/azurethread/decide/detect"
 )
 
-// Kind says what an event tells.
+// Kind is the kind of an event.
 type Kind byte
 
-// The kinds of events, by the letters that stand for them in a trace file.
+// The kinds of events. Their values are the letters used in trace files.
 const (
-	Sent  Kind = 's' // a request went out; the member owes an answer
-	Heard Kind = 'h' // a heartbeat or part of an answer came
-	Done  Kind = 'd' // a complete answer came
-	Stop  Kind = 'x' // truth: the member answers nothing from here on
+	Sent  Kind = 's' // a request was sent; the member owes an answer
+	Heard Kind = 'h' // a heartbeat or part of an answer was received
+	Done  Kind = 'd' // a complete answer was received
+	Stop  Kind = 'x' // the member stops answering; hidden from the detector
 )
 
 // Event is one entry of a trace.
@@ -49,7 +49,7 @@
 	return t.Events[len(t.Events)-1].At.Sub(t.Events[0].At)
 }
 
-// Encode writes one line an event: microseconds, kind, member.
+// Encode writes one line per event: microseconds, kind, member.
 func Encode(w io.Writer, t Trace) error {
 	b := bufio.NewWriter(w)
 	for _, e := range t.Events {
@@ -61,7 +61,7 @@
 	return nil
 }
 
-// Decode reads what Encode wrote.
+// Decode reads a trace written by Encode.
 func Decode(r io.Reader, name string) (Trace, error) {
 	t := Trace{Name: name}
 	lines := bufio.NewScanner(r)
--- a/decide/detect/detecttest/trace_test.go
+++ b/decide/detect/detecttest/trace_test.go
@@ -29,7 +29,8 @@
 	is.True(strings.Contains(err.Error(), "line 2"))
 }
 
-// A fixed timeout's scores can be told by hand, so they check the scorer.
+// Checks the scorer with a fixed timeout, for which the expected scores can be
+// calculated by hand.
 func TestScoreByHand(t *testing.T) {
 	is := is.New(t)
 	const text = `
--- a/decide/detect/fixed.go
+++ b/decide/detect/fixed.go
@@ -6,8 +6,8 @@
 	"github.com/azurethread/azurethread/decide/clock"
 )
 
-// Fixed suspects every member that is silent for longer than one timeout. It
-// is the baseline that the other detectors are measured against.
+// Fixed suspects every member that is silent for longer than a fixed timeout.
+// It is the baseline for measurements of the other detectors.
 type Fixed struct {
 	timeout time.Duration
 	group   group
--- a/decide/detect/phi.go
+++ b/decide/detect/phi.go
@@ -7,32 +7,32 @@
 	"github.com/azurethread/azurethread/decide/clock"
 )
 
-// PhiConfig sets a Phi detector.
+// PhiConfig configures a Phi detector.
 type PhiConfig struct {
-	Phi        float64       // suspicion level: minus the decimal logarithm of the chance of a longer silence
+	Phi        float64       // suspicion level: minus the decimal logarithm of the probability of a longer silence
 	LogNormal  bool          // fit the logarithm of the silences and the deviation above its mean, for long tails
 	Gate       int64         // signs of life of the group that a silence must outlast; 0: none
 	MinSilence time.Duration // shorter silences are never suspected
-	MaxSilence time.Duration // longer silences are suspected whatever the fit
+	MaxSilence time.Duration // longer silences are always suspected
 }
 
-// Phi suspects a member whose silence is improbable given the silences that
-// the group has shown. It is phi accrual with exponentially weighted moments
-// in place of a window, and one distribution for the whole group: connections
-// to one target, and targets of one service, are alike.
+// Phi suspects a member whose silence is improbable given the past silences of
+// the group. It is phi accrual with exponentially weighted moments instead of
+// a window, and with one distribution for the whole group, since connections
+// to one target, and targets of one service, behave alike.
 //
 // With a Gate, silence is counted on a clock that runs only while the group
-// shows signs of life: the time between two of them counts as the Gate's part
-// of the bound at most. A pause or a slowdown of the whole group then raises no
-// suspicion before MaxSilence, nor does its end for a member that answers a
-// little after its siblings. Without a Gate, the first answers that are late
-// for a reason common to all would get many members suspected together, and
-// what they carried would be sent again when capacity is shortest.
+// shows signs of life: the time between two of them counts for at most the
+// bound divided by Gate. A pause or a slowdown of the whole group then causes
+// no suspicion before MaxSilence; nor does its end, for a member that answers
+// a little after its siblings. Without a Gate, the first answers that are late
+// for a common reason would make many members suspected at the same time, and
+// their requests would be sent again when capacity is lowest.
 type Phi struct {
 	config     PhiConfig
 	group      group
-	activeTime int64      // logical clock: nanoseconds in which the group showed life
-	lastHeard  clock.Time // the last sign of life
+	activeTime int64      // logical clock: nanoseconds in which the group showed signs of life
+	lastHeard  clock.Time // last sign of life of any member
 	zScore     float64    // Phi as a number of standard deviations
 	mean       float64    // of silences in seconds, or of their logarithm
 	variance   float64
@@ -41,23 +41,24 @@
 }
 
 const (
-	// phiMeanSamples is about how many silences the mean remembers. It is short,
-	// so that a change of speed is soon the new mean and no deviation.
+	// phiMeanSamples is about how many silences the mean covers. It is small,
+	// so that a change of speed soon changes the mean instead of counting as
+	// a deviation.
 	phiMeanSamples = 64
-	// phiVarianceSamples is about how many silences the deviation remembers. Much fewer
-	// would make the bound jump with each long answer.
+	// phiVarianceSamples is about how many silences the variance covers. With
+	// much fewer the bound would jump with each long answer.
 	phiVarianceSamples = 512
-	// phiMinSamples samples are taken before the fit is used.
+	// phiMinSamples is the number of samples from which on the fit is used.
 	phiMinSamples = 8
-	// phiMinDeviation is the least standard deviation, as a share of the mean
-	// or in units of the logarithm: without it, a steady group would be
-	// suspected at the first jitter.
+	// phiMinDeviation is the minimum standard deviation, as a share of the
+	// mean or in units of the logarithm. Without it, members of a group with
+	// constant latency would be suspected at the first jitter.
 	phiMinDeviation = 0.1
-	// phiSharedDeviations is how many deviations above the mean a silence is learnt
-	// from in full though the group shared it.
+	// phiSharedDeviations limits the samples of a silence that the whole group
+	// shared, in standard deviations above the mean.
 	phiSharedDeviations = 2
-	// phiRecheckDivisor is the part of the bound after which Due has a silence
-	// looked at again, since the bound may have fallen meanwhile.
+	// phiRecheckDivisor divides the bound into the time after which Due has a
+	// silence checked again, since the bound may have fallen meanwhile.
 	phiRecheckDivisor = 4
 )
 
@@ -99,8 +100,9 @@
 	return silence > p.bound && p.activeSilence(now, id) > p.bound
 }
 
-// Due implements Detector. A silence past Bound that waits for the Gate is
-// looked at again every poll, a shorter one as the bound may fall.
+// Due implements Detector. A silence that exceeds the bound but not yet the Gate
+// is checked again every pollInterval. A shorter one is checked again before it
+// reaches the bound, since the bound may fall.
 func (p *Phi) Due(now clock.Time, id ID) clock.Time {
 	if !p.group.owesAnswer(id) {
 		return clock.Never
@@ -116,11 +118,11 @@
 // Forget implements Detector.
 func (p *Phi) Forget(id ID) { p.group.forget(id) }
 
-// Bound returns the silence from which a member is suspected, if its siblings
+// Bound returns the silence above which a member is suspected if its siblings
 // answer meanwhile.
 func (p *Phi) Bound() time.Duration { return p.bound }
 
-// activeTimeAt reads the logical clock.
+// activeTimeAt returns the reading of the logical clock at now.
 func (p *Phi) activeTimeAt(now clock.Time) int64 {
 	since := now.Sub(p.lastHeard)
 	if p.config.Gate > 0 {
@@ -129,15 +131,17 @@
 	return p.activeTime + int64(since)
 }
 
-// activeSilence returns the silence of id in which the group showed life.
+// activeSilence returns the part of id's silence in which the group showed signs
+// of life.
 func (p *Phi) activeSilence(now clock.Time, id ID) time.Duration {
 	return time.Duration(p.group.lag(p.activeTimeAt(now), id))
 }
 
-// sampleSilence returns the silence of id that ends now, without the part that the
-// whole group shared beyond the usual. Otherwise one pause would raise the
-// bound to the maximum for hundreds of answers, and a connection lost meanwhile
-// would be detected late.
+// sampleSilence returns the silence of id that ends now as a sample for the fit.
+// If the whole group shared the silence, it counts only up to
+// phiSharedDeviations above the mean. Otherwise one pause would raise the bound
+// to the maximum for hundreds of answers, and a connection lost meanwhile would
+// be detected late.
 func (p *Phi) sampleSilence(now clock.Time, id ID) time.Duration {
 	silence := p.group.silence(now, id)
 	if p.config.Gate == 0 || p.samples < phiMinSamples {
@@ -163,9 +167,10 @@
 	p.bound = p.fittedSilence(p.zScore)
 }
 
-// fittedSilence returns the silence that is deviations above the mean.
-// The explicit conversions keep a compiler from fusing operations, so that
-// recorded sessions read the same on every machine.
+// fittedSilence returns the silence that is the given number of standard
+// deviations above the mean. The explicit conversions keep the compiler from
+// fusing operations, so that golden sessions give the same output on every
+// machine.
 func (p *Phi) fittedSilence(deviations float64) time.Duration {
 	if p.samples < phiMinSamples {
 		return p.config.MaxSilence
--- a/decide/detect/record_test.go
+++ b/decide/detect/record_test.go
@@ -22,13 +22,13 @@
 	"github.com/azurethread/azurethread/decide/detect/detecttest"
 )
 
-var recordTraces = flag.Bool("record", false, "record testdata/traces anew over loopback TCP (half a minute)")
+var recordTraces = flag.Bool("record", false, "record testdata/traces again over loopback TCP (takes half a minute)")
 
-// loopbackTarget is a target on loopback that answers a byte with a byte.
+// loopbackTarget is a target on loopback that answers each byte with a byte.
 type loopbackTarget struct {
 	mu             sync.RWMutex // held for writing while the process pauses
 	latencyFactor  float64
-	connectionLost [recordConnections]bool // connections whose answers get lost
+	connectionLost [recordConnections]bool // whether the connection's answers are lost
 }
 
 const (
@@ -82,7 +82,7 @@
 	return id, true
 }
 
-// TestMain records the traces first when asked to.
+// TestMain records the traces first if -record is given.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if *recordTraces {
@@ -95,7 +95,7 @@
 }
 
 func recordAll() error {
-	troubles := map[string]func(*loopbackTarget, time.Duration){
+	faults := map[string]func(*loopbackTarget, time.Duration){
 		"silent": func(*loopbackTarget, time.Duration) {},
 		"pause": func(s *loopbackTarget, at time.Duration) {
 			if at%(2*time.Second) < recordGap {
@@ -110,15 +110,15 @@
 			}
 		},
 	}
-	for name, trouble := range troubles {
-		if err := recordTrace(name, trouble); err != nil {
+	for name, fault := range faults {
+		if err := recordTrace(name, fault); err != nil {
 			return fmt.Errorf("record %s: %w", name, err)
 		}
 	}
 	return nil
 }
 
-func recordTrace(name string, trouble func(*loopbackTarget, time.Duration)) error {
+func recordTrace(name string, fault func(*loopbackTarget, time.Duration)) error {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
@@ -152,7 +152,7 @@
 	}
 	stops := detect.ID(0)
 	for at := time.Duration(0); at < recordLength; at = time.Since(r.start) {
-		trouble(target, at)
+		fault(target, at)
 		if at > time.Duration(stops+1)*recordLength/10 && target.mu.TryLock() {
 			target.connectionLost[stops] = true
 			target.mu.Unlock()
@@ -194,14 +194,15 @@
 	return traces
 }
 
-// On traces recorded over real connections, the default finds the silent
-// connections well before the maximum and suspects few others, in slow times
-// and pauses too. Only stops just before the end of a trace may stay open.
+// On traces recorded over real connections, the default detector finds the
+// silent connections well before the maximum and suspects few others, also
+// during slow periods and pauses. Only stops just before the end of a trace may
+// remain undetected.
 func TestDefaultOnRecordedTraces(t *testing.T) {
 	is := is.New(t)
 	for _, trace := range readRecordedTraces(t) {
 		result := detecttest.Score(detect.ForAnswers(maxSilence), trace)
-		t.Logf("%s: %d found, p99 %v, %d open, longest %v, %d false of %d", trace.Name, len(result.Detections),
+		t.Logf("%s: %d detected, p99 %v, %d undetected, longest %v, %d false suspicions of %d requests", trace.Name, len(result.Detections),
 			result.Quantile(0.99), result.Undetected, result.LongestUndetected, result.FalseSuspicions, result.Sent)
 		is.True(len(result.Detections) >= 5)
 		is.True(result.Quantile(0.99) < maxSilence/2)
--- a/decide/detect/relative.go
+++ b/decide/detect/relative.go
@@ -6,7 +6,7 @@
 	"github.com/azurethread/azurethread/decide/clock"
 )
 
-// Pace says what moves the logical clock of a group.
+// Pace selects what advances the logical clock of a group.
 type Pace uint8
 
 const (
@@ -14,24 +14,24 @@
 	// members that are used in turn, such as connections and targets.
 	ByAnswer Pace = iota
 	// ByRound advances the clock at a member's second heartbeat within one
-	// round, so that the fastest member sets the pace. It suits members that
-	// all report at one interval.
+	// round, so that the fastest member determines the rounds. It suits
+	// members that all send at the same interval.
 	ByRound
 )
 
-// RelativeConfig sets a Relative detector.
+// RelativeConfig configures a Relative detector.
 type RelativeConfig struct {
 	Pace       Pace
-	MinRound   time.Duration // with ByRound, rounds are at least this long
-	Bound      int64         // lag tolerated at first, in answers or rounds
-	BoundMax   int64         // the lag bound never rises above this
+	MinRound   time.Duration // minimum length of a round with ByRound
+	Bound      int64         // initial lag bound, in answers or rounds
+	BoundMax   int64         // maximum lag bound
 	MinSilence time.Duration // shorter silences are never suspected
-	MaxSilence time.Duration // longer silences are suspected whatever the lag
+	MaxSilence time.Duration // longer silences are always suspected
 }
 
-// Relative suspects a member whose lag behind its siblings passes an adaptive
-// bound. When no member progresses the lag of none grows, so a pause or a
-// slowdown of them all is suspected only at MaxSilence.
+// Relative suspects a member whose lag behind its siblings exceeds an adaptive
+// bound. While no member progresses no lag grows, so a pause or a slowdown of
+// all members causes suspicions only after MaxSilence.
 type Relative struct {
 	config      RelativeConfig
 	group       group
@@ -70,8 +70,8 @@
 	return silence > r.config.MaxSilence || r.lagExceedsBound(silence, id)
 }
 
-// Due implements Detector. Progress of siblings can bring a suspicion forward
-// at any event, so a silence past MinSilence is asked about every poll.
+// Due implements Detector. Any event of a sibling can make a silent member
+// suspected, so a silence above MinSilence is checked every pollInterval.
 func (r *Relative) Due(now clock.Time, id ID) clock.Time {
 	if r.group.owesAnswer(id) && r.Suspect(now, id) {
 		return now
@@ -99,12 +99,12 @@
 	}
 }
 
-// advance moves the logical clock for a sign of life of id.
+// advance advances the logical clock for a sign of life of id.
 //
-// After the observer itself has paused, it reads the heartbeats of the pause
-// all at once, those of one peer before those of the next. Without MinRound
-// the first peer would run several rounds ahead in one instant, and the
-// others would be suspected together.
+// After a pause of the observer itself, it reads all heartbeats sent during the
+// pause at the same time, those of one peer before those of the next. Without
+// MinRound the first peer would complete several rounds in one instant, and all
+// others would be suspected.
 func (r *Relative) advance(now clock.Time, id ID) {
 	if r.config.Pace == ByRound {
 		if r.group.member(id).lagStart < r.logicalTime || now.Sub(r.advancedAt) < r.config.MinRound {
@@ -115,9 +115,10 @@
 	r.advancedAt = now
 }
 
-// nextLagStart returns the logical instant from which the lag of id counts. Answers
-// to requests that were sent before are no sign that id is being overtaken,
-// so with ByAnswer as many answers as are owed pass first.
+// nextLagStart returns the logical time from which the lag of a member counts if
+// its silence starts now. Answers to requests that were sent before don't
+// overtake that member, so with ByAnswer the lag starts only after as many
+// answers as the group owes.
 func (r *Relative) nextLagStart() int64 {
 	if r.config.Pace == ByRound {
 		return r.logicalTime
--- a/decide/detect/session_test.go
+++ b/decide/detect/session_test.go
@@ -12,7 +12,7 @@
 	"github.com/azurethread/azurethread/decide/detect"
 )
 
-// session plays the lines of a golden file to one detector.
+// session applies the lines of a golden file to one detector.
 type session struct {
 	detector detect.Detector
 	now      clock.Time
@@ -44,8 +44,8 @@
 	})
 }
 
-// runLine runs one line: the instant, the verb, the member, and for "steady" the
-// number of exchanges and the latency of each.
+// runLine applies one line: the instant, the event, the member, and for "steady"
+// the number of exchanges and the latency of each.
 func (s *session) runLine(t *testing.T, line string) {
 	fields := strings.Fields(line)
 	at, err := time.ParseDuration(fields[0])
@@ -55,7 +55,7 @@
 	var id detect.ID
 	fmt.Sscan(fields[2], &id)
 	s.now = clock.Time(at)
-	switch verb := fields[1]; verb {
+	switch event := fields[1]; event {
 	case "sent":
 		s.detector.Sent(s.now, id)
 	case "heard":
@@ -71,7 +71,7 @@
 	case "ask":
 		s.printState(id)
 	default:
-		t.Fatalf("unknown event %q", verb)
+		t.Fatalf("unknown event %q", event)
 	}
 }
 
