--- a/decide/change/apply.go
+++ b/decide/change/apply.go
@@ -8,9 +8,9 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// Apply returns c with op carried out, at the next revision. It never changes
-// c or anything that c refers to. The error is an *Invalid, a *Conflict or a
-// *Refused, and the returned catalogue is then c itself.
+// Apply returns c with op applied, at the next revision. It never modifies c or
+// anything that c refers to. An error is an *Invalid, a *Conflict or a *Refused,
+// and the returned catalogue is then c itself.
 func Apply(c catalogue.Catalogue, op Operation, now clock.Time) (catalogue.Catalogue, error) {
 	if err := checkOperation(&c, op); err != nil {
 		return c, err
@@ -48,8 +48,8 @@
 	return slices.IndexFunc(c.Shifts, func(s catalogue.Shift) bool { return s.ID == id })
 }
 
-// withElement returns a copy of list with the element at i set to v; i of -1
-// appends.
+// withElement returns a copy of list with the element at i set to v, or with v
+// appended if i is -1.
 func withElement[T any](list []T, i int, v T) []T {
 	out := make([]T, len(list), len(list)+1)
 	copy(out, list)
@@ -93,7 +93,8 @@
 	return nil
 }
 
-// checkServiceRevision checks a put: an absent service has revision 0.
+// checkServiceRevision checks the revision expected by a put; 0 expects that the
+// service doesn't exist.
 func checkServiceRevision(c *catalogue.Catalogue, i int, op Operation, expect uint64, yours *catalogue.Service) error {
 	var found uint64
 	if i >= 0 {
@@ -123,7 +124,8 @@
 	return e
 }
 
-// putShift stores s at index i as changed by this revision.
+// putShift stores s at index i, or appends it if i is -1, with the catalogue's
+// revision.
 func putShift(c *catalogue.Catalogue, i int, s catalogue.Shift) {
 	s.Revision = c.Revision
 	c.Shifts = withElement(c.Shifts, i, s)
@@ -145,8 +147,8 @@
 		return shiftConflict(c, i, op, op.ChangeShift.Expect, &e)
 	}
 	old := c.Shifts[i]
-	// A moving shift under changed limits would run what nobody approved,
-	// and falling back to draft would return its whole share in one step.
+	// If a moving shift kept running, it would do so under limits that nobody
+	// approved; if it became a draft, its whole share would return in one step.
 	if old.State.Moves() {
 		return refuse(WrongState, "state", "a %s shift moves traffic; roll it back before changing it", old.State)
 	}
@@ -154,8 +156,9 @@
 	return nil
 }
 
-// newDraft returns the draft of e. The catalogue revision serves as generation:
-// it rises, and an entry removed and added again does not take an old one.
+// newDraft returns a draft with the content of e. Its generation is the catalogue
+// revision, which only rises, so an entry that is removed and added again
+// doesn't reuse an old generation.
 func newDraft(e Entry, author string, generation uint64) catalogue.Shift {
 	return catalogue.Shift{
 		ID:         e.ID,
--- a/decide/change/apply_test.go
+++ b/decide/change/apply_test.go
@@ -18,8 +18,8 @@
 
 var startTime = clock.FromWall(time.Date(2026, 3, 1, 22, 0, 0, 0, time.UTC))
 
-// sampleCatalogue holds a service in use, one unused, and a shift in each state that
-// the refusals below need.
+// sampleCatalogue returns a catalogue with a service in use, an unused one, and
+// shifts in the states that the tests below need.
 func sampleCatalogue() catalogue.Catalogue {
 	shift := func(id string, st catalogue.ShiftState, from, to fleet.Region, most catalogue.Share) catalogue.Shift {
 		return catalogue.Shift{
@@ -149,9 +149,10 @@
 	is.Equal(err.Error(), `invalid: id: must be 1 to 64 characters; operator: must be 1 to 64 characters; kind: "add-shift" needs its own payload and no other`)
 }
 
-// TestApplyKeepsInvariants runs random operations and asserts what must hold
-// after each: the input is untouched, accepted changes take the next revision,
-// no share passes its cap, and only what a second operator approved moves.
+// TestApplyKeepsInvariants applies random operations and checks after each that
+// the input is unmodified, that an accepted change has the next revision, that
+// no share exceeds its cap, and that only shifts with the required approval move
+// traffic.
 func TestApplyKeepsInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := sampleCatalogue()
@@ -166,10 +167,10 @@
 				t.Fatalf("%+v changed its input:\n%s\n%s", op, before, after)
 			}
 			if err != nil && !reflect.DeepEqual(next, c) {
-				t.Fatalf("a failed operation returned another catalogue")
+				t.Fatalf("%+v failed with %v and returned another catalogue than its input", op, err)
 			}
 			if err == nil && next.Revision != c.Revision+1 {
-				t.Fatalf("revision %d follows %d", next.Revision, c.Revision)
+				t.Fatalf("revision %d follows revision %d, not the next one", next.Revision, c.Revision)
 			}
 			c = next
 			for _, s := range c.Shifts {
@@ -182,17 +183,18 @@
 
 func checkShift(t *rapid.T, s catalogue.Shift) {
 	if s.Share > s.Limits.MaxShare || (s.Share > 0 && !s.State.Moves()) {
-		t.Fatalf("%s moves %d of at most %d in state %s", s.ID, s.Share, s.Limits.MaxShare, s.State)
+		t.Fatalf("shift %s in state %s has share %d, max_share is %d", s.ID, s.State, s.Share, s.Limits.MaxShare)
 	}
 	if s.State == catalogue.Draft {
 		return
 	}
 	if s.ApprovedBy == "" || (s.Class.NeedsSecondOperator() && s.ApprovedBy == s.Author) {
-		t.Fatalf("%s is %s, written by %q, approved by %q", s.ID, s.State, s.Author, s.ApprovedBy)
+		t.Fatalf("shift %s is %s, with author %q and approval by %q", s.ID, s.State, s.Author, s.ApprovedBy)
 	}
 }
 
-// drawOperation draws an operation that often, not always, fits the catalogue.
+// drawOperation draws an operation that the catalogue often, but not always,
+// accepts.
 func drawOperation(t *rapid.T, c catalogue.Catalogue) Operation {
 	id := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "id")
 	op := Operation{ID: "op", Operator: rapid.SampledFrom([]string{"ana", "ben"}).Draw(t, "by")}
@@ -237,9 +239,9 @@
 	}
 }
 
-// Symptom: two rises follow each other sooner than the interval allows.
-// Sequence: a runner with a fault writes an unchanged share with an earlier
-// stepped_at, then a rise. Cause: the interval is counted from what it wrote.
+// A faulty runner writes an unchanged share with an earlier stepped_at, then a
+// rise. Guards against counting the interval from that earlier time, which would
+// allow two rises within one interval.
 func TestStepTimeNeverFalls(t *testing.T) {
 	is := is.New(t)
 	first := advanceOperation("moving", 300)
--- a/decide/change/doc.go
+++ b/decide/change/doc.go
@@ -1,14 +1,14 @@
 // Package change applies operators' and the shift runner's operations to a
 // catalogue.
 //
-// An Operation names what is to change and the entry revision it was based
-// on. Apply is a pure function of the newest catalogue and one operation: it
-// returns a new catalogue at the next revision and leaves the given one as it
-// was. Whoever stores the result does so by compare-and-swap on the catalogue
-// revision, and on a lost swap reads the newest catalogue and applies the same
-// operation again. Two operators on different entries therefore both succeed.
-// Two on the same entry do not: the second finds that the entry's revision is
-// no longer the one it expects, and gets a *Conflict with both versions.
+// An Operation states a change and the entry revision on which it is based.
+// Apply is a pure function of the newest catalogue and one operation: it
+// returns a new catalogue at the next revision and doesn't modify the given
+// one. The result is stored by compare-and-swap on the catalogue revision. If
+// the swap fails, the newest catalogue is read and the same operation applied
+// again. Two operators who change different entries therefore both succeed. If
+// they change the same entry, the second one's expected revision no longer
+// matches, and it gets a *Conflict with both versions.
 //
 // # Life cycle of a traffic shift
 //
@@ -16,18 +16,19 @@
 //	                     running -> done
 //	running, paused, done -> rolled-back
 //
-// Content (owner, class, service, regions, limits) changes only while no
-// traffic is moved. A change returns the entry to draft and clears its
-// approval, so that what runs is always what was approved; a rolled-back
-// entry is used again in the same way. Approval by the author is refused where
-// the class asks for a second operator.
+// The content (owner, class, service, regions, limits) can be changed only while
+// the shift moves no traffic. A change returns the entry to draft and clears its
+// approval, so that a shift always runs as it was approved; a rolled-back entry
+// is reused in the same way. Approval by the author is refused if the class
+// requires a second operator.
 //
-// Pause and RollBack only lower risk, and the runner's own steps raise the
-// entry's revision every few seconds; with Expect zero these two apply to
-// whatever version they find. All other operations must match.
+// Pause and RollBack only lower the risk, and the runner's steps raise the
+// entry's revision every few seconds. With Expect zero these two therefore
+// apply to any revision. All other operations must state the current one.
 //
 // # Errors
 //
-// *Invalid lists every field that is wrong; *Conflict is a lost race; *Refused
-// is a well-formed operation that the entry's state or limits forbid.
+// *Invalid lists every invalid field; *Conflict reports that the entry was
+// changed concurrently; *Refused reports a valid operation that the entry's
+// state or limits forbid.
 package change
--- a/decide/change/errors.go
+++ b/decide/change/errors.go
@@ -7,7 +7,7 @@
 	"github.com/azurethread/azurethread/decide/catalogue"
 )
 
-// FieldError says what is wrong with one field.
+// FieldError describes why one field is invalid.
 type FieldError struct {
 	Path    string `json:"path"` // dotted, such as "limits.max_share"
 	Message string `json:"message"`
@@ -16,7 +16,7 @@
 // Error implements error.
 func (f FieldError) Error() string { return f.Path + ": " + f.Message }
 
-// Invalid lists every field of an operation that is wrong.
+// Invalid lists every invalid field of an operation.
 type Invalid struct {
 	Fields []FieldError
 }
@@ -30,10 +30,10 @@
 	return "invalid: " + strings.Join(parts, "; ")
 }
 
-// Conflict reports that the entry is no longer, or not yet, at the revision
-// the operation was based on. Of the two pairs, only the one of the entry's
-// type is set; a nil Yours stands for an operation without content, and a nil
-// Current for an entry that does not exist.
+// Conflict reports that the entry is not at the revision on which the operation
+// was based. Only the pair of fields for the entry's type is set. In it, Your is
+// nil for an operation without content, and Current for an entry that doesn't
+// exist.
 type Conflict struct {
 	Kind    Kind   `json:"kind"`
 	Subject string `json:"subject"`
@@ -58,23 +58,23 @@
 	}
 }
 
-// Code names a refusal; it goes to operators and scripts.
+// Code identifies the reason of a refusal. Operators and scripts read it.
 type Code string
 
 // The refusals.
 const (
 	WrongState  Code = "wrong-state"   // the life cycle has no such transition
-	OwnEntry    Code = "own-entry"     // the class asks for a second operator
-	InUse       Code = "in-use"        // a shift names the service
+	OwnEntry    Code = "own-entry"     // the class requires a second operator
+	InUse       Code = "in-use"        // a shift refers to the service
 	Overlap     Code = "overlap"       // contradicts another moving shift
 	OverCap     Code = "over-cap"      // share above Limits.MaxShare
 	OverStep    Code = "over-step"     // rise above Limits.Step
 	TooSoon     Code = "too-soon"      // rise before Limits.Interval has passed
 	OutOfWindow Code = "out-of-window" // outside Limits.Window
-	NotRunner   Code = "not-runner"    // the operation is kept for the runner
+	NotRunner   Code = "not-runner"    // the operation is reserved for the runner
 )
 
-// Refused reports a well-formed operation that the catalogue forbids.
+// Refused reports a valid operation that the entry's state or limits forbid.
 type Refused struct {
 	Code   Code
 	Field  string // field that the refusal is about, such as "state"
--- a/decide/change/operation.go
+++ b/decide/change/operation.go
@@ -5,10 +5,10 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// Kind names an operation.
+// Kind identifies what an operation does.
 type Kind string
 
-// The kinds of operation. Each states the payload field it uses.
+// The kinds of operation, each with the payload field that it uses.
 const (
 	KindPutService    Kind = "put-service"    // PutService
 	KindRemoveService Kind = "remove-service" // RemoveService
@@ -23,14 +23,14 @@
 	KindAdvance       Kind = "advance"        // Advance; only the runner sends it
 )
 
-// Operation is one change of the catalogue. Exactly one payload is set, the
-// one its Kind uses.
+// Operation is one change of the catalogue. Only the payload field of its Kind
+// is set.
 type Operation struct {
-	// ID is a UUID in text form, made once by whoever starts the operation
-	// and kept across retries. After a lost answer it shows whether the write
-	// took effect.
+	// ID is a UUID in text form. The client generates it once for each
+	// operation and reuses it for retries. After a lost answer it shows
+	// whether the write took effect.
 	ID       string `json:"id"`
-	Operator string `json:"operator"` // operator, or RunnerName
+	Operator string `json:"operator"` // name of the operator, or RunnerName
 	Kind     Kind   `json:"kind"`
 
 	PutService    *PutService    `json:"put_service,omitempty"`
@@ -41,24 +41,24 @@
 	Advance       *Advance       `json:"advance,omitempty"`
 }
 
-// RunnerName is the operator name of the shift runner. No operator may be
-// configured under it.
+// RunnerName is the operator name of the shift runner. No operator can be
+// configured with this name.
 const RunnerName = "azurethreadd"
 
 // PutService adds a service, or replaces the one of the same name.
 type PutService struct {
 	Service catalogue.Service `json:"service"` // its Revision is ignored
-	Expect  uint64            `json:"expect"`  // revision replaced; 0: must not exist
+	Expect  uint64            `json:"expect"`  // revision to replace; 0: must not exist
 }
 
-// RemoveService removes a service that no shift names.
+// RemoveService removes a service that no shift refers to.
 type RemoveService struct {
 	Name   fleet.ServiceName `json:"name"`
 	Expect uint64            `json:"expect"`
 }
 
-// Entry is what operators write of a traffic shift; the rest of a
-// catalogue.Shift is the system's.
+// Entry is the part of a catalogue.Shift that operators write. The system sets
+// the rest.
 type Entry struct {
 	ID      string            `json:"id" yaml:"id"`
 	Owner   string            `json:"owner" yaml:"owner"`
@@ -87,38 +87,38 @@
 	Entry Entry `json:"entry"`
 }
 
-// ChangeShift replaces the content of a traffic shift that moves nothing.
+// ChangeShift replaces the content of a traffic shift that moves no traffic.
 type ChangeShift struct {
 	Entry  Entry  `json:"entry"`
 	Expect uint64 `json:"expect"`
 }
 
-// ShiftRef names the traffic shift that a life-cycle operation is for.
+// ShiftRef identifies the traffic shift of a life-cycle operation.
 type ShiftRef struct {
 	ID string `json:"id"`
-	// Expect is the entry revision that the operator saw. Zero stands for
-	// any version in Pause and RollBack, and matches nothing elsewhere.
+	// Expect is the entry revision on which the operation is based. Zero
+	// matches any revision for Pause and RollBack, and none otherwise.
 	Expect uint64 `json:"expect"`
-	// Reason is shown as the shift's Hold after Pause and RollBack.
+	// Reason becomes the shift's Hold after Pause and RollBack.
 	Reason string `json:"reason,omitempty"`
 }
 
-// Advance is the runner's report of a step, or of why it holds.
+// Advance is the runner's report of a step, or of the reason why it holds.
 type Advance struct {
 	ID     string `json:"id"`
 	Expect uint64 `json:"expect"`
-	// Share to move from now on. It may fall by any amount, and rise by at
-	// most Limits.Step, inside the window and no sooner than Limits.Interval
-	// after the last step.
+	// Share is the share to move from now on. It may fall by any amount. It
+	// may rise by at most Limits.Step, only within the window, and no sooner
+	// than Limits.Interval after the last step.
 	Share     catalogue.Share `json:"share"`
 	Hold      string          `json:"hold,omitempty"` // why the share is held; empty while it advances
-	SteppedAt int64           `json:"stepped_at"`     // Unix ns of the last step; never falls
+	SteppedAt int64           `json:"stepped_at"`     // instant of the last step in Unix ns; never falls
 	// Done finishes the shift; the share must be at its cap. The runner sets
-	// it once the receiver is seen to have absorbed the last step.
+	// it once the evidence shows that the receiver has absorbed the last step.
 	Done bool `json:"done,omitempty"`
 }
 
-// Subject returns the shift id or service name that o is about, for logs.
+// Subject returns the shift id or service name that o changes, for logs.
 func (o Operation) Subject() string {
 	switch {
 	case o.PutService != nil:
--- a/decide/change/session_test.go
+++ b/decide/change/session_test.go
@@ -13,8 +13,8 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// session is a golden session: one store with compare-and-swap, and what each
-// operator read from it last.
+// session is the state of a golden session: one store with compare-and-swap, and
+// the catalogue that each operator has read from it last.
 type session struct {
 	store catalogue.Catalogue
 	read  map[string]catalogue.Catalogue
@@ -53,8 +53,9 @@
 	return s.applyAndSwap(operationOf(t, d, by))
 }
 
-// applyAndSwap does what a daemon does with an operation: apply it to the catalogue
-// it knows, swap, and on a lost swap apply it to the newest.
+// applyAndSwap handles an operation as the daemon does: it applies it to the
+// catalogue that it has read and swaps, and if the swap fails, applies the
+// operation to the newest catalogue.
 func (s *session) applyAndSwap(op Operation) string {
 	var out strings.Builder
 	base := s.store
--- a/decide/change/transition.go
+++ b/decide/change/transition.go
@@ -7,7 +7,7 @@
 	"github.com/azurethread/azurethread/decide/clock"
 )
 
-// transition moves a shift through its life cycle.
+// transition applies a life-cycle operation to a shift.
 func transition(c *catalogue.Catalogue, op Operation, now clock.Time) error {
 	i := shiftIndex(c, op.Shift.ID)
 	if i < 0 {
@@ -37,14 +37,14 @@
 	return nil
 }
 
-// acceptsAnyRevision reports whether op applies to whatever version it finds. An
-// operator who stops a shift must not lose a race against the runner, which
-// writes the entry at every step.
+// acceptsAnyRevision reports whether op applies to any revision of the entry.
+// The runner writes the entry at every step, and an operator who stops a shift
+// must not fail because of that.
 func acceptsAnyRevision(op Operation) bool {
 	return op.Shift.Expect == 0 && (op.Kind == KindPause || op.Kind == KindRollBack)
 }
 
-// requireState refuses unless the shift is in one of the given states.
+// requireState refuses op unless the shift is in one of the given states.
 func requireState(s *catalogue.Shift, op Kind, states ...catalogue.ShiftState) error {
 	for _, st := range states {
 		if s.State == st {
@@ -91,8 +91,8 @@
 	return nil
 }
 
-// checkOverlap refuses a shift that contradicts one that moves already: together
-// they would move more than the whole of a region's traffic, or move traffic
+// checkOverlap refuses a shift that contradicts one that already moves traffic:
+// together they would move more than all of a region's traffic, or move traffic
 // into a region that is being emptied.
 func checkOverlap(c *catalogue.Catalogue, s *catalogue.Shift) error {
 	total := int(s.Limits.MaxShare)
@@ -103,7 +103,8 @@
 		if o.From == s.To {
 			return refuse(Overlap, "to", "shift %q empties region %q", o.ID, s.To)
 		}
-		// In an emergency the receiver itself may have to be emptied.
+		// In an emergency, a region that receives traffic may have to be
+		// emptied itself.
 		if o.To == s.From && s.Class != catalogue.Emergency {
 			return refuse(Overlap, "from", "shift %q moves traffic into region %q", o.ID, s.From)
 		}
@@ -149,9 +150,9 @@
 	return nil
 }
 
-// advance records a step of the runner. The runner's own plan keeps the limits
-// too; they are checked again here because this is the last point before the
-// write, and a runner that was paused or has a fault must not get past it.
+// advance records a step of the runner. The runner's plan already respects the
+// limits. They are checked again here, at the last point before the write, to
+// stop a runner that was paused or is faulty.
 func advance(c *catalogue.Catalogue, op Operation, now clock.Time) error {
 	a := op.Advance
 	if op.Operator != RunnerName {
@@ -169,8 +170,8 @@
 		return err
 	}
 	s.Share = a.Share
-	// Were the time of the last step to fall, a runner with a fault could raise
-	// the share again before the interval is over.
+	// If the time of the last step could fall, a faulty runner could raise the
+	// share again before the interval is over.
 	s.SteppedAt = max(s.SteppedAt, a.SteppedAt)
 	s.Hold = a.Hold
 	if a.Done {
@@ -180,9 +181,10 @@
 	return nil
 }
 
-// checkAdvanceState refuses a step of a shift that is not running. A paused or finished
-// one may be lowered all the same: when a client that it has moved grows, its
-// counted share passes the cap, and the runner must be able to bring it back.
+// checkAdvanceState refuses a step of a shift that is not running, unless the step
+// lowers the share of a paused or finished one: if the traffic of a client that
+// the shift has moved grows, the counted share can exceed the cap, and the
+// runner must be able to lower it.
 func checkAdvanceState(s *catalogue.Shift, op Operation) error {
 	if op.Advance.Share < s.Share && !op.Advance.Done {
 		return requireState(s, op.Kind, catalogue.Running, catalogue.Paused, catalogue.Done)
--- a/decide/change/validate.go
+++ b/decide/change/validate.go
@@ -8,8 +8,8 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// Bounds on text and times, chosen so that no single entry can fill the
-// platform's 1 MB value or stall a caller for good.
+// Bounds on texts and times. They keep a single entry from filling the
+// platform's 1 MB value or blocking a caller indefinitely.
 const (
 	MaxNameLen   = 64
 	MaxReasonLen = 512
@@ -17,10 +17,10 @@
 	MaxInterval  = 24 * time.Hour
 )
 
-// ServiceExists reports whether the catalogue has a service.
+// ServiceExists reports whether a service is in the catalogue.
 type ServiceExists func(fleet.ServiceName) bool
 
-// fieldErrors collects what is wrong.
+// fieldErrors collects the invalid fields of one check.
 type fieldErrors []FieldError
 
 func (f *fieldErrors) add(path, format string, args ...any) {
@@ -67,7 +67,7 @@
 	return false
 }
 
-// CheckService returns everything that is wrong with s.
+// CheckService returns all invalid fields of s.
 func CheckService(s catalogue.Service) []FieldError {
 	var f fieldErrors
 	f.checkName("name", string(s.Name))
@@ -80,8 +80,9 @@
 	return f
 }
 
-// CheckEntry returns everything that is wrong with e.
-func CheckEntry(e Entry, known ServiceExists) []FieldError {
+// CheckEntry returns all invalid fields of e. exists reports which services it
+// may refer to.
+func CheckEntry(e Entry, exists ServiceExists) []FieldError {
 	var f fieldErrors
 	f.checkName("id", e.ID)
 	if e.Owner == "" || len(e.Owner) > MaxNameLen {
@@ -92,7 +93,7 @@
 	default:
 		f.add("class", "must be %q, %q or %q", catalogue.Rehearsal, catalogue.Maintenance, catalogue.Emergency)
 	}
-	if e.Service != "" && !known(e.Service) {
+	if e.Service != "" && !exists(e.Service) {
 		f.add("service", "no service %q in the catalogue", e.Service)
 	}
 	f.checkName("from", string(e.From))
@@ -110,8 +111,8 @@
 	if l.MaxShare < 1 || l.MaxShare > catalogue.ShareUnit {
 		f.add("limits.max_share", "must be stated, from 1 to %d", catalogue.ShareUnit)
 	}
-	// An unset step takes a default that may exceed a small cap; the cap
-	// bounds it then. Only a stated one is compared.
+	// An unset step gets a default, which may exceed a small cap; the cap then
+	// limits it. Only a step that is set is compared with the cap.
 	if l.Step > l.MaxShare {
 		f.add("limits.step", "must be at most max_share (%d)", l.MaxShare)
 	}
@@ -124,8 +125,8 @@
 	}
 }
 
-// checkOperation returns everything that is wrong with o's frame and with the
-// content it carries.
+// checkOperation returns an *Invalid with all invalid fields of o. Its payload is
+// checked only if the other fields are valid.
 func checkOperation(c *catalogue.Catalogue, o Operation) error {
 	var f fieldErrors
 	if o.ID == "" || len(o.ID) > MaxNameLen {
@@ -178,7 +179,7 @@
 }
 
 func checkContent(c *catalogue.Catalogue, o Operation) []FieldError {
-	known := func(n fleet.ServiceName) bool {
+	exists := func(n fleet.ServiceName) bool {
 		_, ok := c.Service(n)
 		return ok
 	}
@@ -186,9 +187,9 @@
 	case o.PutService != nil:
 		return CheckService(o.PutService.Service)
 	case o.AddShift != nil:
-		return CheckEntry(o.AddShift.Entry, known)
+		return CheckEntry(o.AddShift.Entry, exists)
 	case o.ChangeShift != nil:
-		return CheckEntry(o.ChangeShift.Entry, known)
+		return CheckEntry(o.ChangeShift.Entry, exists)
 	case o.Shift != nil && len(o.Shift.Reason) > MaxReasonLen:
 		return []FieldError{{Path: "reason", Message: fmt.Sprintf("must be at most %d characters", MaxReasonLen)}}
 	case o.Advance != nil && len(o.Advance.Hold) > MaxReasonLen:
--- a/decide/detect/compare_test.go
+++ b/decide/detect/compare_test.go
@@ -30,18 +30,18 @@
 }
 
 func answerCandidates() []candidate {
-	maxSilence := 3 * time.Second
-	classic := detect.PhiConfig{Phi: 8, MinSilence: 20 * ms, MaxSilence: maxSilence}
+	maxAnswerSilence := 3 * time.Second
+	classic := detect.PhiConfig{Phi: 8, MinSilence: 20 * ms, MaxSilence: maxAnswerSilence}
 	long := classic
 	long.LogNormal = true
-	lag := detect.RelativeConfig{Bound: 8, BoundMax: 256, MinSilence: 20 * ms, MaxSilence: maxSilence}
+	lag := detect.RelativeConfig{Bound: 8, BoundMax: 256, MinSilence: 20 * ms, MaxSilence: maxAnswerSilence}
 	return []candidate{
-		fixed("fixed-250ms", 250*ms), fixed("fixed-1s", time.Second), fixed("fixed-3s", maxSilence),
+		fixed("fixed-250ms", 250*ms), fixed("fixed-1s", time.Second), fixed("fixed-3s", maxAnswerSilence),
 		phi("phi", classic), phi("phi-long-tail", long),
 		relative("relative", lag),
 		{"tail-3", func() detect.Detector { return newP99Multiple(3) }},
 		{"tail-6", func() detect.Detector { return newP99Multiple(6) }},
-		{"default", func() detect.Detector { return detect.ForAnswers(maxSilence) }},
+		{"default", func() detect.Detector { return detect.ForAnswers(maxAnswerSilence) }},
 	}
 }
 
@@ -129,13 +129,13 @@
 func (t *p99Multiple) Forget(id detect.ID) { delete(t.members, id) }
 
 func peerCandidates() []candidate {
-	maxSilence := 6 * time.Second
-	rounds := detect.RelativeConfig{Pace: detect.ByRound, Bound: 3, BoundMax: 8, MinSilence: 500 * ms, MaxSilence: maxSilence}
-	classic := detect.PhiConfig{Phi: 8, MinSilence: 500 * ms, MaxSilence: maxSilence}
+	maxPeerSilence := 6 * time.Second
+	rounds := detect.RelativeConfig{Pace: detect.ByRound, Bound: 3, BoundMax: 8, MinSilence: 500 * ms, MaxSilence: maxPeerSilence}
+	classic := detect.PhiConfig{Phi: 8, MinSilence: 500 * ms, MaxSilence: maxPeerSilence}
 	gated := classic
 	gated.Gate = 16
 	return []candidate{
-		fixed("fixed-1.5s", 1500*ms), fixed("fixed-2.5s", 2500*ms), fixed("fixed-6s", maxSilence),
+		fixed("fixed-1.5s", 1500*ms), fixed("fixed-2.5s", 2500*ms), fixed("fixed-6s", maxPeerSilence),
 		phi("phi", classic), phi("phi-gate", gated),
 		relative("relative", rounds),
 		{"default", func() detect.Detector { return detect.ForHeartbeats(500 * ms) }},
