--- a/decide/purity_test.go
+++ b/decide/purity_test.go
@@ -13,7 +13,7 @@
 	"github.com/matryer/is"
 )
 
-// forbidden are the packages by which a decision could reach outside.
+// forbidden lists the packages that allow I/O, concurrency or hidden state.
 // net/netip only holds addresses and is not among them.
 var forbidden = map[string]bool{
 	"crypto/rand":   true,
@@ -30,20 +30,19 @@
 	"path/filepath": true,
 }
 
-// forbiddenTime are the functions of package time that read a clock or wait.
+// forbiddenTime lists the functions of package time that read a clock or wait.
 var forbiddenTime = map[string]bool{
 	"Now": true, "Since": true, "Until": true, "After": true, "AfterFunc": true,
 	"Sleep": true, "Tick": true, "NewTimer": true, "NewTicker": true,
 }
 
-// allowedRand are the functions of math/rand/v2 that make a seeded generator;
-// every other function of it draws from a hidden global one.
+// allowedRand lists the functions and types of math/rand/v2 for a seeded
+// generator; its other functions draw from a hidden global one.
 var allowedRand = map[string]bool{"New": true, "NewPCG": true, "Rand": true, "PCG": true, "Source": true}
 
-// Symptom: the same session gives other effects in a second run, or a golden
-// file fails on another machine.
-// Sequence: a decision reads the clock, a file, or a global generator.
-// Cause: an import that looked harmless.
+// Guards against an import or call by which a decision reads a clock, a file or a
+// global generator: the same session would then have other effects in a second
+// run, or a golden file would fail on another machine.
 func TestDecisionsArePure(t *testing.T) {
 	is := is.New(t)
 	files := 0
@@ -52,7 +51,7 @@
 			return err
 		}
 		if e.IsDir() && strings.HasSuffix(e.Name(), "test") {
-			return filepath.SkipDir // harnesses, which only tests import
+			return filepath.SkipDir // test harnesses, imported by tests only
 		}
 		if !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
 			return nil
@@ -62,7 +61,7 @@
 		return nil
 	})
 	is.NoErr(err)
-	is.True(files > 50) // the walk has found the packages
+	is.True(files > 50) // otherwise the walk has missed the packages
 }
 
 func checkFile(t *testing.T, path string) {
--- a/decide/token/expiry.go
+++ b/decide/token/expiry.go
@@ -2,14 +2,14 @@
 
 import "github.com/azurethread/azurethread/decide/clock"
 
-// expiryEntry is one record's place in the order of dropping.
+// expiryEntry is the entry of one record in an expiryHeap.
 type expiryEntry struct {
 	dropAt clock.Time
 	slot   int32
 }
 
-// expiryHeap is a binary min-heap by instant and then slot, so that the order
-// of dropping depends on nothing but the events.
+// expiryHeap is a binary min-heap by instant and then slot, so that the order in
+// which records are dropped is a function of the events.
 type expiryHeap []expiryEntry
 
 func (h expiryHeap) less(i, j int) bool {
@@ -33,7 +33,7 @@
 	}
 }
 
-// pop removes and returns the earliest; the heap must not be empty.
+// pop removes and returns the earliest entry; the heap must not be empty.
 func (h *expiryHeap) pop() expiryEntry {
 	s := *h
 	first := s[0]
--- a/decide/token/ledger.go
+++ b/decide/token/ledger.go
@@ -8,10 +8,10 @@
 	"github.com/azurethread/azurethread/decide/verdict"
 )
 
-// Status says what a Ledger made of a token.
+// Status is the result of a Ledger's check of a token.
 type Status uint8
 
-// The statuses; the package comment says what each means to the caller.
+// The statuses; the package comment describes their meaning for the caller.
 const (
 	Invalid Status = iota
 	New
@@ -40,7 +40,7 @@
 	return "unknown"
 }
 
-// Reason returns the reason to give to the caller; New has none.
+// Reason returns the reason that is sent to the caller; New has none.
 func (s Status) Reason() verdict.Reason {
 	switch s {
 	case New:
@@ -64,34 +64,35 @@
 	// Verdict covers every send of the token, this one included. It has no
 	// meaning for New.
 	Verdict verdict.Verdict
-	// ID names the token to Finish; set for New and Duplicate.
+	// ID identifies the token for Finish; set for New and Duplicate.
 	ID ID
-	// Pending says that the first send is still at work; for Duplicate.
+	// Pending is true while the first send is in progress; for Duplicate.
 	Pending bool
-	// Answer is the HTTP status that the first send was answered with, 0 if
-	// there was none; for Duplicate.
+	// Answer is the HTTP status of the answer to the first send, 0 if there
+	// was none; for Duplicate.
 	Answer int
-	// VM and Incarnation name the process that holds the record; for Elsewhere.
+	// VM and Incarnation identify the process that holds the record; for
+	// Elsewhere.
 	VM          fleet.VMID
 	Incarnation fleet.Incarnation
-	// Lost says that the process that held the record has ended, so that
-	// nobody can tell the outcome; for Elsewhere.
+	// Lost is true if the process that held the record has ended, so that the
+	// outcome can't be found out; for Elsewhere.
 	Lost bool
-	// RetryAfter is how long to wait before asking or sending again; for Full
+	// RetryAfter is how long to wait before the next query or send; for Full
 	// and for a Duplicate that is Pending.
 	RetryAfter time.Duration
 }
 
-// Options bound a Ledger. Zero values take the defaults.
+// Options bounds a Ledger. A zero field takes its default.
 type Options struct {
-	// Capacity is the most records held; default DefaultCapacity.
+	// Capacity is the maximum number of records; default DefaultCapacity.
 	Capacity int
-	// Retention is how long a record outlives its token's expiry, so that
-	// the outcome can still be asked for; default DefaultRetention.
+	// Retention is how long a record is kept after its token's expiry, so
+	// that the outcome can still be queried; default DefaultRetention.
 	Retention time.Duration
 }
 
-// The defaults of Options, and the waits that callers are asked for.
+// The defaults of Options, and the values of Admission.RetryAfter.
 const (
 	DefaultCapacity  = 1 << 18
 	DefaultRetention = 2 * time.Minute
@@ -100,8 +101,8 @@
 )
 
 // maxDropsPerCall bounds the records dropped by one call, so that a call after a
-// long pause stays short. Each call adds one record at most, so the backlog
-// still shrinks.
+// long pause stays short. A call adds at most one record, so the backlog still
+// shrinks.
 const maxDropsPerCall = 32
 
 // Ledger records the tokens admitted by one entry VM process. It is not safe
@@ -112,15 +113,15 @@
 	incarnation fleet.Incarnation
 	opts        Options
 
-	slots         map[ID]int32 // only looked up, never ranged over
+	slots         map[ID]int32 // indexes of records; never ranged over, for determinism
 	records       []record
 	free          []int32
 	expiries      expiryHeap
-	now           clock.Time // highest instant seen
+	now           clock.Time // latest instant of all calls
 	refusedExpiry clock.Time // highest expiry refused without a record
 }
 
-// record is what is known of one token.
+// record is the state of one token.
 type record struct {
 	id       ID
 	answer   uint16
@@ -128,8 +129,8 @@
 	finished bool
 }
 
-// NewLedger returns an empty Ledger of the process (self, inc). No other
-// process may ever run under the same pair.
+// NewLedger returns an empty Ledger of the process (self, inc). No other process
+// may ever run with the same pair.
 func NewLedger(key []byte, self fleet.VMID, inc fleet.Incarnation, o Options) *Ledger {
 	if o.Capacity <= 0 {
 		o.Capacity = DefaultCapacity
@@ -149,8 +150,9 @@
 // Len returns the number of records held.
 func (l *Ledger) Len() int { return len(l.slots) }
 
-// Admit judges one send of tok. If the Status is New, this send may run, it is
-// recorded, and the caller must Finish it; any other send must not run.
+// Admit checks one send of tok. If the Status is New, the send is recorded and
+// may run, and the user of the Ledger must call Finish for it. With any other
+// Status the send must not run.
 func (l *Ledger) Admit(now clock.Time, tok string) Admission {
 	a, expiry := l.check(now, tok)
 	if a.Status != New {
@@ -160,10 +162,10 @@
 	return a
 }
 
-// Refuse settles tok so that no send of it will run from now on, and reports
-// what became of earlier ones. An entry VM that refuses a request with a token
-// calls it before it says NotRun: without it, another copy of the request that
-// is still on its way could be admitted afterwards. The Status is never New.
+// Refuse records that no send of tok may run from now on, and returns the outcome
+// of earlier ones. An entry VM that refuses a request with a token calls it
+// before it answers NotRun: otherwise another copy of the request that is still
+// in transit could be admitted afterwards. The Status is never New.
 func (l *Ledger) Refuse(now clock.Time, tok string) Admission {
 	a, expiry := l.check(now, tok)
 	if a.Status != New {
@@ -173,17 +175,17 @@
 	return Admission{Status: Duplicate, Verdict: verdict.NotRun, ID: a.ID}
 }
 
-// Outcome answers a caller that asks what became of tok. It settles a token
-// never seen, as Refuse does: "not run" must stay true if the request is still
-// on its way.
+// Outcome returns the outcome of tok for a caller's query. It refuses a token
+// that was never seen, as Refuse does: NotRun must stay true even if the request
+// is still in transit.
 func (l *Ledger) Outcome(now clock.Time, tok string) Admission {
 	return l.Refuse(now, tok)
 }
 
-// Finish records how the send admitted under id ended; answer is the HTTP
-// status given, or 0. A later, more certain verdict replaces MayHaveRun;
-// NotRun and Ran are final. It reports whether it was recorded: it is not once
-// the record was dropped or a final verdict stands.
+// Finish records the verdict of the send admitted under id; answer is the HTTP
+// status of its answer, or 0. A later verdict replaces MayHaveRun; NotRun and
+// Ran are final. It reports whether the verdict was recorded, which it is not if
+// the record was dropped or has a final verdict.
 func (l *Ledger) Finish(now clock.Time, id ID, v verdict.Verdict, answer int) bool {
 	l.advanceClock(now)
 	i, ok := l.slots[id]
@@ -200,8 +202,8 @@
 	return true
 }
 
-// check returns what is known of tok without recording anything but, when the
-// Ledger is full, the floor. For New it also returns the token's expiry.
+// check returns the Admission of tok, and for New the token's expiry. It adds no
+// record, but raises refusedExpiry if the Ledger is full.
 func (l *Ledger) check(now clock.Time, tok string) (Admission, clock.Time) {
 	l.advanceClock(now)
 	b, ok := l.minter.verify(tok)
@@ -219,20 +221,20 @@
 	return l.checkUnrecorded(id, p.expiry), p.expiry
 }
 
-// checkUnrecorded judges an authentic token of this process without a record.
+// checkUnrecorded checks an authentic token of this process that has no record.
 func (l *Ledger) checkUnrecorded(id ID, expiry clock.Time) Admission {
 	switch {
 	case l.now >= expiry.Add(l.opts.Retention):
 		return Admission{Status: Expired, Verdict: verdict.MayHaveRun}
 	case l.now >= expiry:
-		// A record would still be held, so no send was ever admitted.
+		// If a send had been admitted, its record would still be held.
 		return Admission{Status: Expired, Verdict: verdict.NotRun}
 	case expiry > l.now.Add(MaxLifetime):
 		return Admission{Status: Premature, Verdict: verdict.MayHaveRun}
 	case len(l.slots) >= l.opts.Capacity:
-		// What goes wrong: this refusal says NotRun and leaves no record, so
-		// a second copy of the request, read once there is room, would run
-		// after the caller was told otherwise. The floor refuses that copy.
+		// This refusal answers NotRun without a record. A second copy of the
+		// request, read once there is room, would run in spite of that
+		// answer. refusedExpiry makes the Ledger refuse that copy.
 		l.refusedExpiry = max(l.refusedExpiry, expiry)
 		return l.fullAdmission()
 	case expiry <= l.refusedExpiry:
@@ -246,8 +248,8 @@
 	return Admission{Status: Full, Verdict: verdict.NotRun, RetryAfter: fullRetryAfter}
 }
 
-// elsewhereAdmission answers for a token of another process. Earlier sends may have
-// reached that process, so this one cannot say more than MayHaveRun.
+// elsewhereAdmission returns the Admission of a token of another process. Earlier
+// sends may have reached that process, so the verdict is MayHaveRun.
 func (l *Ledger) elsewhereAdmission(p tokenParts) Admission {
 	a := Admission{Status: Elsewhere, Verdict: verdict.MayHaveRun, Incarnation: p.incarnation}
 	if string(p.vm) != string(l.self) {
@@ -259,17 +261,18 @@
 	return a
 }
 
-// duplicateAdmission answers for a token that has a record.
+// duplicateAdmission returns the Admission of a token that has a record.
 func (l *Ledger) duplicateAdmission(r record) Admission {
 	a := Admission{Status: Duplicate, ID: r.id, Verdict: r.verdict, Answer: int(r.answer)}
 	if !r.finished {
-		a.Pending = true // and the record's verdict is still MayHaveRun
+		a.Pending = true // an unfinished record has the zero verdict, MayHaveRun
 		a.RetryAfter = pendingAskAfter
 	}
 	return a
 }
 
-// addRecord stores a record until its token's expiry and the retention have passed.
+// addRecord stores a record until the retention after its token's expiry has
+// passed.
 func (l *Ledger) addRecord(id ID, expiry clock.Time, r record) {
 	i := l.allocateSlot()
 	l.records[i] = r
@@ -277,7 +280,7 @@
 	l.expiries.push(expiryEntry{dropAt: expiry.Add(l.opts.Retention), slot: i})
 }
 
-// allocateSlot returns an unused index of records.
+// allocateSlot returns a free index of records.
 func (l *Ledger) allocateSlot() int32 {
 	if n := len(l.free); n > 0 {
 		i := l.free[n-1]
@@ -288,9 +291,10 @@
 	return int32(len(l.records) - 1)
 }
 
-// advanceClock takes the instant of a call and drops records that are due. Events
-// may arrive out of order. If the Ledger's time fell, a token whose record was
-// already dropped as expired would be admitted as new.
+// advanceClock advances the Ledger's time to the instant of a call and drops
+// records that are due. Events may arrive out of order, and an earlier instant
+// leaves the time unchanged: if it fell, a token whose record was dropped after
+// expiry would be admitted as new.
 func (l *Ledger) advanceClock(now clock.Time) {
 	l.now = max(l.now, now)
 	for n := 0; n < maxDropsPerCall && len(l.expiries) > 0 && l.expiries[0].dropAt <= l.now; n++ {
--- a/decide/token/ledger_test.go
+++ b/decide/token/ledger_test.go
@@ -22,10 +22,10 @@
 
 func at(d time.Duration) clock.Time { return clock.Time(0).Add(d) }
 
-// TestSpentByNotRun: symptom: a permit runs after its caller was told that it
-// did not, and again under a fresh token. Sequence: two sends of one token are
-// on the way; the second is read first and refused; then the first is read.
-// Cause: a token that became free again after NotRun.
+// Two sends of one token are in transit; the second is read first and refused,
+// then the first is read. Guards against a token that can be admitted again
+// after NotRun: a permit would run after its caller was told that it did not,
+// and again under a fresh token.
 func TestNotRunSpendsToken(t *testing.T) {
 	is := is.New(t)
 	l := NewLedger(testKey, "vm-1", 1, Options{})
@@ -38,9 +38,9 @@
 	is.Equal(first.Verdict, verdict.NotRun)
 }
 
-// TestRefusedWhileFull: symptom: a fee is posted after the answer "overloaded,
-// not run". Sequence: the ledger is full and refuses a token; room appears; a
-// second copy of the request arrives. Cause: a refusal that left no trace.
+// The ledger is full and refuses a token, then has room again, and a second copy
+// of the request arrives. Guards against a refusal that isn't recorded: a fee
+// would be posted after the answer "overloaded, not run".
 func TestRefusalWhileFullIsFinal(t *testing.T) {
 	is := is.New(t)
 	l := NewLedger(testKey, "vm-1", 1, Options{Capacity: 1, Retention: time.Second})
@@ -50,14 +50,14 @@
 	is.Equal(a.Status, Full)
 	is.Equal(a.Verdict, verdict.NotRun)
 	is.True(a.RetryAfter > 0)
-	is.Equal(l.Admit(at(3*time.Second), refused).Status, Full) // room, yet refused
+	is.Equal(l.Admit(at(3*time.Second), refused).Status, Full) // refused although there is room
 	fresh := Mint(testKey, "vm-1", 1, nonce(3), at(time.Minute+time.Second))
 	is.Equal(l.Admit(at(3*time.Second), fresh).Status, New)
 }
 
-// TestAskedBeforeSeen: symptom: as above, after a caller asked for the outcome
-// and heard "not run". Sequence: the question overtakes the request. Cause: an
-// answer about the past taken for one about the future.
+// A caller's query for the outcome overtakes its request. Guards against running
+// the request after the query was answered with "not run", which must hold for
+// later sends as well.
 func TestOutcomeOfUnseenTokenIsFinal(t *testing.T) {
 	is := is.New(t)
 	l := NewLedger(testKey, "vm-1", 1, Options{})
@@ -66,9 +66,9 @@
 	is.Equal(l.Admit(at(time.Second), tok).Status, Duplicate)
 }
 
-// TestClockBack: symptom: a posting runs twice. Sequence: a token is used and
-// its record dropped after expiry; an event with an earlier instant brings the
-// token again. Cause: judging expiry by the event's instant alone.
+// A token is used, its record is dropped after expiry, and an event with an
+// earlier instant contains the token again. Guards against checking expiry by
+// the event's instant alone: a posting would run twice.
 func TestExpiredTokenStaysExpiredWhenClockFallsBack(t *testing.T) {
 	is := is.New(t)
 	l := NewLedger(testKey, "vm-1", 1, Options{Retention: time.Second})
@@ -121,19 +121,19 @@
 	is.True(!ok)
 }
 
-// tokenModel is what the randomised run knows of one token, apart from the Ledger.
+// tokenModel is the expected state of one token in the randomised test.
 type tokenModel struct {
 	text       string
 	vm         int
 	inc        fleet.Incarnation
 	id         ID
-	ran        bool // decided by the model when the token is admitted
+	ran        bool // whether its work ran; drawn when the token is admitted
 	admissions int  // times admitted, over all processes
 	toldNotRun bool // a caller was told NotRun
 }
 
-// TestTokenRunsAtMostOnce runs random sends, refusals, questions, finishes, clock steps
-// back and forth, and restarts at two entry VMs with tiny ledgers.
+// TestTokenRunsAtMostOnce runs random sends, refusals, finishes, forward and
+// backward clock steps, and restarts at two entry VMs with tiny ledgers.
 func TestTokenRunsAtMostOnce(t *testing.T) {
 	events, admitted := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -143,22 +143,22 @@
 		ledgers := []*Ledger{NewLedger(testKey, vms[0], 1, opts), NewLedger(testKey, vms[1], 1, opts)}
 		now := at(time.Hour)
 		var tokens []*tokenModel
-		told := func(m *tokenModel, a Admission) {
+		checkVerdict := func(m *tokenModel, a Admission) {
 			if a.Status == New || a.Verdict != verdict.NotRun {
 				return
 			}
 			m.toldNotRun = true
 			if m.ran {
-				t.Fatalf("told not-run (%v), yet it ran", a.Status)
+				t.Fatalf("status %v with verdict not-run for a token that ran", a.Status)
 			}
 		}
-		pick := func(t *rapid.T) *tokenModel {
+		pickToken := func(t *rapid.T) *tokenModel {
 			if len(tokens) == 0 {
 				t.Skip("no token yet")
 			}
 			return tokens[rapid.IntRange(max(0, len(tokens)-8), len(tokens)-1).Draw(t, "token")]
 		}
-		place := func(t *rapid.T, m *tokenModel) *Ledger {
+		pickLedger := func(t *rapid.T, m *tokenModel) *Ledger {
 			if rapid.IntRange(0, 9).Draw(t, "elsewhere") == 0 {
 				return ledgers[1-m.vm]
 			}
@@ -172,22 +172,22 @@
 				tokens = append(tokens, &tokenModel{text: text, vm: vm, inc: incs[vm]})
 			},
 			"admit": func(t *rapid.T) {
-				m := pick(t)
-				a := place(t, m).Admit(now, m.text)
-				told(m, a)
+				m := pickToken(t)
+				a := pickLedger(t, m).Admit(now, m.text)
+				checkVerdict(m, a)
 				if a.Status != New {
 					return
 				}
 				m.admissions++
 				admitted++
 				if m.admissions > 1 || m.toldNotRun {
-					t.Fatalf("admitted %d times, told not-run before: %v", m.admissions, m.toldNotRun)
+					t.Fatalf("token admitted %d times; answered with not-run before: %v", m.admissions, m.toldNotRun)
 				}
 				m.id = a.ID
 				m.ran = rapid.Bool().Draw(t, "ran")
 			},
 			"finish": func(t *rapid.T) {
-				m := pick(t)
+				m := pickToken(t)
 				if m.admissions == 0 {
 					t.Skip("not admitted")
 				}
@@ -198,8 +198,8 @@
 				ledgers[m.vm].Finish(now, m.id, v, 200)
 			},
 			"refuse": func(t *rapid.T) {
-				m := pick(t)
-				told(m, place(t, m).Refuse(now, m.text))
+				m := pickToken(t)
+				checkVerdict(m, pickLedger(t, m).Refuse(now, m.text))
 			},
 			"clock": func(t *rapid.T) {
 				now = now.Add(time.Duration(rapid.IntRange(-1000, 3000).Draw(t, "ms")) * time.Millisecond)
@@ -225,8 +225,8 @@
 	}
 }
 
-// FuzzParse: text from anybody never panics, and nothing but a minted token
-// in its one spelling is taken.
+// FuzzParse checks that no text causes a panic, and that only minted tokens in
+// their one valid text are accepted.
 func FuzzParse(f *testing.F) {
 	m := NewMinter(testKey)
 	good := m.Mint(Fields{VM: "vm-1", Incarnation: 1, Nonce: nonce(1), Expiry: 99})
@@ -241,7 +241,7 @@
 	f.Fuzz(func(t *testing.T, s string) {
 		got, ok := m.Parse(s)
 		if ok && m.Mint(got) != s {
-			t.Fatalf("%q is a second spelling of %+v", s, got)
+			t.Fatalf("accepted %q as another text of the token %+v", s, got)
 		}
 	})
 }
@@ -256,8 +256,8 @@
 	}
 }
 
-// BenchmarkAdmitFinish is one request's cost at a ledger in steady state: a
-// token per 1.5 ms (667 a second), each held 30 s.
+// BenchmarkAdmitFinish measures one request at a ledger in steady state: a token
+// per 1.5 ms (667 a second), each held for 30 s.
 func BenchmarkAdmitFinish(b *testing.B) {
 	l := NewLedger(testKey, "attiki-1-a", 1, Options{Retention: time.Second})
 	m := NewMinter(testKey)
--- a/decide/token/main_test.go
+++ b/decide/token/main_test.go
@@ -6,11 +6,11 @@
 	"testing"
 )
 
-// The randomised runs of CI are repeatable and take seconds. Long runs give
-// -rapid.seed, -rapid.steps and -rapid.checks themselves.
+// Defaults for the randomised tests, so that CI runs are repeatable and take
+// seconds. Long runs set -rapid.seed, -rapid.steps and -rapid.checks themselves.
 const (
 	fixedSeed  = "20261202"
-	fixedSteps = "200" // actions a run, on average
+	fixedSteps = "200" // mean number of actions per run
 )
 
 func TestMain(m *testing.M) {
--- a/decide/token/session_test.go
+++ b/decide/token/session_test.go
@@ -13,7 +13,7 @@
 	"github.com/azurethread/azurethread/decide/verdict"
 )
 
-// session is a golden session: ledgers by VMID and tokens by name.
+// session is the state of a golden session: ledgers by VMID, tokens by name.
 type session struct {
 	ledgers map[fleet.VMID]*Ledger
 	tokens  map[string]string
--- a/decide/token/token.go
+++ b/decide/token/token.go
@@ -16,18 +16,19 @@
 // that issue a fresh one.
 const Header = "Azurethread-Token"
 
-// MaxLifetime is the longest time a token is accepted ahead of its expiry.
-// It bounds how long a record is held when a minter's clock runs ahead.
+// MaxLifetime is the longest time before its expiry at which a token is
+// accepted. It bounds how long a record is held if a minter's clock is ahead.
 const MaxLifetime = 10 * time.Minute
 
-// MaxVMID is the longest VMID, in bytes, that a token can name.
+// MaxVMID is the maximum length in bytes of a VMID in a token.
 const MaxVMID = 64
 
 // NonceSize is the size in bytes of the random part of a token.
 const NonceSize = 16
 
-// The layout of a token before base64url: version, length of the VMID, VMID,
-// incarnation, nonce, expiry in nanoseconds, truncated HMAC-SHA256 of it all.
+// The layout of a token before base64url encoding: version, length of the VMID,
+// VMID, incarnation, nonce, expiry in nanoseconds, and the truncated HMAC-SHA256
+// of all these.
 const (
 	version     = 1
 	macSize     = 16
@@ -41,30 +42,30 @@
 
 var encoding = base64.RawURLEncoding.Strict()
 
-// ID identifies a token. It is the token's MAC, so two tokens that differ in
-// any field differ in ID, even if a minter repeats a nonce.
+// ID identifies a token. It is the token's MAC, so tokens that differ in any
+// field have different IDs, even if a minter repeats a nonce.
 type ID [macSize]byte
 
 // Fields are the contents of a token.
 type Fields struct {
 	VM          fleet.VMID        // entry VM that may admit the token
 	Incarnation fleet.Incarnation // process of that entry VM
-	Nonce       [NonceSize]byte   // random, given by the caller of Mint
-	Expiry      clock.Time        // from here on the token is not admitted
+	Nonce       [NonceSize]byte   // random, provided by the caller of Mint
+	Expiry      clock.Time        // from this instant on the token is not admitted
 }
 
-// Minter makes and checks tokens under one key, reusing its buffers. It is
+// Minter mints and verifies tokens with one key. It reuses its buffers and is
 // not safe for concurrent use.
 type Minter struct {
 	mac  hash.Hash
-	head []byte // macDomain, kept as bytes to spare an allocation a token
+	head []byte // macDomain as bytes, which saves an allocation per token
 	raw  [maxRaw]byte
 	text [maxEncoded]byte
 	sum  [sha256.Size]byte
 }
 
-// NewMinter returns a Minter for the key that all entry VMs share. A key
-// shorter than 16 bytes is the caller's mistake; settings are checked before.
+// NewMinter returns a Minter for the key that all entry VMs share. The caller
+// must make sure that the key has at least 16 bytes; see KeyLongEnough.
 func NewMinter(key []byte) *Minter {
 	return &Minter{mac: hmac.New(sha256.New, key), head: []byte(macDomain)}
 }
@@ -72,15 +73,15 @@
 // KeyLongEnough reports whether key may be used to mint tokens.
 func KeyLongEnough(key []byte) bool { return len(key) >= minKeyBytes }
 
-// Mint returns a token as text. Randomness is an input: the nonce must come
-// from a source that callers cannot guess and that does not repeat. It returns
-// "", which no Ledger admits, if vm is empty or longer than MaxVMID.
+// Mint returns a token as text. The nonce must come from a random source that
+// callers can't guess and that doesn't repeat. If vm is empty or longer than
+// MaxVMID, Mint returns "", which no Ledger admits.
 func Mint(key []byte, vm fleet.VMID, inc fleet.Incarnation, nonce [NonceSize]byte, expiry clock.Time) string {
 	f := Fields{VM: vm, Incarnation: inc, Nonce: nonce, Expiry: expiry}
 	return NewMinter(key).Mint(f)
 }
 
-// Mint returns the token of the given fields, as the function Mint does.
+// Mint returns the token with the given fields, as the function Mint does.
 func (m *Minter) Mint(f Fields) string {
 	if len(f.VM) == 0 || len(f.VM) > MaxVMID {
 		return ""
@@ -94,7 +95,7 @@
 	return string(encoding.AppendEncode(m.text[:0], b))
 }
 
-// ID returns the identity of a token, and false if this key did not make it.
+// ID returns the ID of a token, and false if it was not minted with this key.
 func (m *Minter) ID(tok string) (ID, bool) {
 	b, ok := m.verify(tok)
 	if !ok {
@@ -103,7 +104,8 @@
 	return idOf(b), true
 }
 
-// Parse returns the contents of a token, and false if this key did not make it.
+// Parse returns the fields of a token, and false if it was not minted with this
+// key.
 func (m *Minter) Parse(tok string) (Fields, bool) {
 	b, ok := m.verify(tok)
 	if !ok {
@@ -123,14 +125,14 @@
 	return m.mac.Sum(m.sum[:0])[:macSize]
 }
 
-// verify returns the bytes of an authentic token; they are valid until the
-// next call. Anybody can send any text here.
+// verify returns the bytes of an authentic token; they are valid until the next
+// call. tok is untrusted input.
 func (m *Minter) verify(tok string) ([]byte, bool) {
 	if len(tok) > maxEncoded {
 		return nil, false
 	}
 	n, err := encoding.Decode(m.raw[:], m.text[:copy(m.text[:], tok)])
-	// The decoder skips line breaks; a token has one spelling only.
+	// The decoder skips line breaks, but a token has exactly one valid text.
 	if err != nil || encoding.EncodedLen(n) != len(tok) {
 		return nil, false
 	}
@@ -145,7 +147,7 @@
 	return b, true
 }
 
-// tokenParts are the contents of a token, in place.
+// tokenParts holds the fields of a token as slices of its bytes.
 type tokenParts struct {
 	vm          []byte
 	incarnation fleet.Incarnation
@@ -153,7 +155,7 @@
 	expiry      clock.Time
 }
 
-// partsOf splits verified bytes.
+// partsOf returns the fields of a verified token.
 func partsOf(b []byte) tokenParts {
 	vmEnd := headSize + int(b[1])
 	nonceEnd := vmEnd + 8 + NonceSize
@@ -165,7 +167,7 @@
 	}
 }
 
-// idOf returns the ID of verified bytes.
+// idOf returns the ID of a verified token.
 func idOf(b []byte) ID {
 	return ID(b[len(b)-macSize:])
 }
