--- a/decide/detect/phi.go
+++ b/decide/detect/phi.go
@@ -150,7 +150,7 @@
 	return min(silence, max(p.activeSilence(now, id), p.fittedSilence(phiSharedDeviations)))
 }
 
-// addSample takes a silence that ended into the moments.
+// addSample adds an ended silence to the moments and updates the bound.
 func (p *Phi) addSample(silence time.Duration) {
 	x := max(silence, time.Microsecond).Seconds()
 	if p.config.LogNormal {
--- a/decide/tally/message.go
+++ b/decide/tally/message.go
@@ -10,9 +10,10 @@
 	"github.com/azurethread/azurethread/decide/shift"
 )
 
-// Message is what entry VMs send each other: *Ask or *Sum.
+// Message is a message between entry VMs: *Ask or *Sum.
 type Message interface {
-	// Validate refuses messages beyond the documented bounds.
+	// Validate reports an error if the message is out of bounds or
+	// inconsistent.
 	Validate() error
 }
 
@@ -51,7 +52,7 @@
 // Scope selects the entry VMs that the answer to an Ask covers.
 type Scope uint8
 
-// The scopes.
+// The scopes of an Ask.
 const (
 	ScopeVM     Scope = iota + 1 // the receiver alone
 	ScopeGroup                   // the receiver and Ask.Members
@@ -59,7 +60,7 @@
 	ScopeRegion                  // the receiver's region
 )
 
-// Ask asks for a Sum.
+// Ask requests a Sum.
 type Ask struct {
 	Runner  fleet.VMID   `json:"runner"` // entry VM that started the round
 	Round   uint64       `json:"round"`  // rises with each round of Runner
--- a/decide/tally/meter.go
+++ b/decide/tally/meter.go
@@ -174,10 +174,10 @@
 	}
 }
 
-// Rate is what a Meter has measured of one service.
+// Rate holds the figures that a Meter has measured for one service.
 type Rate struct {
-	Answers uint32          // a second
-	Errors  catalogue.Share // failed part of the answers
+	Answers uint32          // per second
+	Errors  catalogue.Share // failed share of the answers
 	P99     time.Duration
 }
 
--- a/decide/tally/state.go
+++ b/decide/tally/state.go
@@ -8,7 +8,7 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// Options are the settings. A zero field takes its default.
+// Options configures a State. A zero field takes its default.
 type Options struct {
 	// RoundEvery is the time between the starts of two rounds.
 	RoundEvery time.Duration
