--- a/decide/change/session_test.go
+++ b/decide/change/session_test.go
@@ -13,8 +13,8 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// session is a golden session: one store with compare-and-swap, and what each
-// operator read from it last.
+// session is the state of a golden session: one store with compare-and-swap, and
+// the catalogue that each operator has read from it last.
 type session struct {
 	store catalogue.Catalogue
 	read  map[string]catalogue.Catalogue
@@ -50,12 +50,13 @@
 	case "show":
 		return s.show()
 	}
-	return s.write(operationOf(t, d, by))
+	return s.applyAndSwap(operationOf(t, d, by))
 }
 
-// write does what a daemon does with an operation: apply it to the catalogue
-// it knows, swap, and on a lost swap apply it to the newest.
-func (s *session) write(op Operation) string {
+// applyAndSwap handles an operation as the daemon does: it applies it to the
+// catalogue that it has read and swaps, and if the swap fails, applies the
+// operation to the newest catalogue.
+func (s *session) applyAndSwap(op Operation) string {
 	var out strings.Builder
 	base := s.store
 	if c, ok := s.read[op.Operator]; ok {
@@ -70,7 +71,7 @@
 	if err != nil {
 		fmt.Fprintln(&out, err)
 		if c, ok := err.(*Conflict); ok {
-			out.WriteString(versions(c))
+			out.WriteString(conflictVersions(c))
 		}
 		return out.String()
 	}
@@ -79,7 +80,7 @@
 	return out.String()
 }
 
-func versions(c *Conflict) string {
+func conflictVersions(c *Conflict) string {
 	var out strings.Builder
 	if y := c.YourShift; y != nil {
 		fmt.Fprintf(&out, "yours: to=%s max=%d\n", y.To, y.Limits.MaxShare)
--- a/decide/detect/detecttest/trace_test.go
+++ b/decide/detect/detecttest/trace_test.go
@@ -29,7 +29,8 @@
 	is.True(strings.Contains(err.Error(), "line 2"))
 }
 
-// A fixed timeout's scores can be told by hand, so they check the scorer.
+// Checks the scorer with a fixed timeout, for which the expected scores can be
+// calculated by hand.
 func TestScoreByHand(t *testing.T) {
 	is := is.New(t)
 	const text = `
@@ -42,12 +43,12 @@
 	trace, err := detecttest.Decode(strings.NewReader(strings.TrimSpace(text)), "by hand")
 	is.NoErr(err)
 	r := detecttest.Score(detect.NewFixed(900*time.Millisecond), trace)
-	is.Equal(r.False, 2)                                                    // the first request, and member 1
+	is.Equal(r.FalseSuspicions, 2)                                          // the first request, and member 1
 	is.Equal(r.Quantile(0.5).Round(time.Microsecond), 700*time.Millisecond) // 2.9 s, from 2.2 s
-	is.Equal(r.Open, 0)
+	is.Equal(r.Undetected, 0)
 	is.Equal(r.Sent, 3)
 	r = detecttest.Score(detect.NewFixed(4*time.Second), trace)
-	is.Equal(r.False, 0)
-	is.Equal(r.Open, 1)
-	is.Equal(r.LongestOpen, 2800*time.Millisecond)
+	is.Equal(r.FalseSuspicions, 0)
+	is.Equal(r.Undetected, 1)
+	is.Equal(r.LongestUndetected, 2800*time.Millisecond)
 }
