--- a/serve/core/core.go
+++ b/serve/core/core.go
@@ -26,15 +26,15 @@
 	step  Step
 	tick  any // the event that lets time pass
 
-	mu      sync.Mutex
-	queue   []any
-	spare   []any
-	running bool
-	closed  bool
-	stopped chan struct{}
+	mu         sync.Mutex
+	queue      []any
+	spareQueue []any
+	running    bool
+	closed     bool
+	stopped    chan struct{}
 
-	timer *time.Timer
-	due   clock.Time // touched only by the goroutine that is running
+	timer    *time.Timer
+	timerDue clock.Time // touched only by the goroutine that is running
 
 	crash func(v any) // ends the process; replaced in tests
 }
@@ -44,7 +44,7 @@
 func New[T any](now func() clock.Time, state T, step Step, tick any) *Core[T] {
 	c := &Core[T]{
 		now: now, state: state, step: step, tick: tick,
-		due: clock.Never, stopped: make(chan struct{}), crash: crash,
+		timerDue: clock.Never, stopped: make(chan struct{}), crash: crash,
 	}
 	c.timer = time.AfterFunc(time.Hour, func() { c.Post(c.tick) })
 	return c
@@ -92,47 +92,47 @@
 			c.mu.Unlock()
 			return
 		}
-		c.queue = c.spare[:0]
+		c.queue = c.spareQueue[:0]
 		c.mu.Unlock()
 		for i, ev := range batch {
-			c.take(ev)
+			c.handle(ev)
 			batch[i] = nil
 		}
-		c.spare = batch[:0]
+		c.spareQueue = batch[:0]
 	}
 }
 
-func (c *Core[T]) take(ev any) {
+func (c *Core[T]) handle(ev any) {
 	now := c.now()
-	if q, ok := ev.(*question[T]); ok {
+	if q, ok := ev.(*query[T]); ok {
 		q.answer(now, c.state)
 		return
 	}
-	c.arm(now, c.step(now, ev))
+	c.armTimer(now, c.step(now, ev))
 }
 
-// arm sets the timer for the engine's next tick. A wake that is due already is
+// armTimer sets the timer for the engine's next tick. A wake that is due already is
 // always armed anew: the timer for it has fired, and a process that waited for
 // it without a timer would never tick again.
-func (c *Core[T]) arm(now, wake clock.Time) {
-	if wake == clock.Never || (wake == c.due && wake.After(now)) {
+func (c *Core[T]) armTimer(now, wake clock.Time) {
+	if wake == clock.Never || (wake == c.timerDue && wake.After(now)) {
 		return
 	}
-	c.due = wake
+	c.timerDue = wake
 	c.timer.Reset(max(wake.Sub(now), 0))
 }
 
-// question is put to the state between two steps.
-type question[T any] struct {
-	ask   func(now clock.Time, state T)
-	taken atomic.Bool // run, or given up
-	done  chan struct{}
+// query is put to the state between two steps.
+type query[T any] struct {
+	ask     func(now clock.Time, state T)
+	claimed atomic.Bool // run, or given up
+	done    chan struct{}
 }
 
 // claim reports whether the question is still to be run or given up.
-func (q *question[T]) claim() bool { return q.taken.CompareAndSwap(false, true) }
+func (q *query[T]) claim() bool { return q.claimed.CompareAndSwap(false, true) }
 
-func (q *question[T]) answer(now clock.Time, state T) {
+func (q *query[T]) answer(now clock.Time, state T) {
 	if q.claim() {
 		q.ask(now, state)
 		close(q.done)
@@ -144,7 +144,7 @@
 // variables may be in use again. It must not be called while an effect is
 // carried out: it would wait for itself.
 func (c *Core[T]) Ask(f func(now clock.Time, state T)) bool {
-	q := &question[T]{ask: f, done: make(chan struct{})}
+	q := &query[T]{ask: f, done: make(chan struct{})}
 	c.Post(q)
 	select {
 	case <-q.done:
--- a/serve/heads/heads.go
+++ b/serve/heads/heads.go
@@ -33,23 +33,23 @@
 	Length int64
 }
 
-var headEnd = []byte("\r\n\r\n")
+var emptyLine = []byte("\r\n\r\n")
 
 // End returns the length of the head at the start of b, its empty line
 // included, and 0 when it is not complete. Searched is the number of bytes
 // that an earlier call has seen.
 func End(b []byte, searched int) int {
-	from := max(0, searched-len(headEnd)+1)
-	i := bytes.Index(b[from:], headEnd)
+	from := max(0, searched-len(emptyLine)+1)
+	i := bytes.Index(b[from:], emptyLine)
 	if i < 0 {
 		return 0
 	}
-	return from + i + len(headEnd)
+	return from + i + len(emptyLine)
 }
 
 // Request checks the complete head of a request.
 func Request(head []byte) (Framing, error) {
-	line, fields, err := split(head)
+	line, fields, err := splitHead(head)
 	if err != nil {
 		return Framing{}, err
 	}
@@ -69,7 +69,7 @@
 
 // Response checks the complete head of a response and returns its status.
 func Response(head []byte) (Framing, int, error) {
-	line, fields, err := split(head)
+	line, fields, err := splitHead(head)
 	if err != nil {
 		return Framing{}, 0, err
 	}
@@ -86,11 +86,11 @@
 	return status >= http.StatusOK && status != http.StatusNoContent && status != http.StatusNotModified
 }
 
-// Readable returns what can be read of a head that is incomplete or malformed:
+// ParsePartial returns what can be read of a head that is incomplete or malformed:
 // the first line's first two words, and every field line that is well-formed.
-func Readable(head []byte) (method, target string, fields http.Header) {
+func ParsePartial(head []byte) (method, target string, fields http.Header) {
 	fields = make(http.Header)
-	line, rest, _ := bytes.Cut(head, headEnd[:2])
+	line, rest, _ := bytes.Cut(head, emptyLine[:2])
 	words := bytes.SplitN(line, []byte(" "), 3)
 	method = string(words[0])
 	if len(words) > 1 {
@@ -98,8 +98,8 @@
 	}
 	for len(rest) > 0 {
 		var l []byte
-		l, rest, _ = bytes.Cut(rest, headEnd[:2])
-		name, value, err := field(l)
+		l, rest, _ = bytes.Cut(rest, emptyLine[:2])
+		name, value, err := parseField(l)
 		if err == nil {
 			fields.Add(string(name), string(value))
 		}
@@ -107,10 +107,10 @@
 	return method, target, fields
 }
 
-// split separates the first line from the fields.
-func split(head []byte) (line, fields []byte, err error) {
-	i := bytes.Index(head, headEnd[:2])
-	if i < 0 || !bytes.HasSuffix(head, headEnd) {
+// splitHead separates the first line from the fields.
+func splitHead(head []byte) (line, fields []byte, err error) {
+	i := bytes.Index(head, emptyLine[:2])
+	if i < 0 || !bytes.HasSuffix(head, emptyLine) {
 		return nil, nil, ErrLineEnd
 	}
 	return head[:i], head[i+2 : len(head)-2], nil
@@ -153,16 +153,16 @@
 func checkFields(fields []byte) (f Framing, hosts int, err error) {
 	f.Length = -1
 	for len(fields) > 0 {
-		i := bytes.Index(fields, headEnd[:2])
+		i := bytes.Index(fields, emptyLine[:2])
 		if i < 0 {
 			return f, 0, ErrLineEnd
 		}
-		name, value, err := field(fields[:i])
+		name, value, err := parseField(fields[:i])
 		if err != nil {
 			return f, 0, err
 		}
 		fields = fields[i+2:]
-		if err := f.note(name, value); err != nil {
+		if err := f.apply(name, value); err != nil {
 			return f, 0, err
 		}
 		if equalFold(name, "host") {
@@ -172,8 +172,8 @@
 	return f, hosts, nil
 }
 
-// field separates one field line.
-func field(line []byte) (name, value []byte, err error) {
+// parseField separates one field line.
+func parseField(line []byte) (name, value []byte, err error) {
 	if len(line) > 0 && (line[0] == ' ' || line[0] == '\t') {
 		return nil, nil, ErrFolded
 	}
@@ -188,11 +188,11 @@
 	return name, value, nil
 }
 
-// note takes a field that says how the body ends.
-func (f *Framing) note(name, value []byte) error {
+// apply takes a field that says how the body ends.
+func (f *Framing) apply(name, value []byte) error {
 	switch {
 	case equalFold(name, "content-length"):
-		n, ok := length(value)
+		n, ok := parseLength(value)
 		if !ok || f.Length >= 0 {
 			return ErrLength
 		}
@@ -209,9 +209,9 @@
 	return nil
 }
 
-// length reads a Content-Length: digits alone, so that no sign or separator is
+// parseLength reads a Content-Length: digits alone, so that no sign or separator is
 // read differently elsewhere.
-func length(value []byte) (int64, bool) {
+func parseLength(value []byte) (int64, bool) {
 	for _, c := range value {
 		if c < '0' || c > '9' {
 			return 0, false
--- a/serve/inbound/conn.go
+++ b/serve/inbound/conn.go
@@ -23,32 +23,32 @@
 	parser *nbhttp.Parser
 	remote netip.Addr
 
-	// built is set by the accepting goroutine and read by the poller's. The
+	// initialized is set by the accepting goroutine and read by the poller's. The
 	// kernel's poll set orders the two, which the race detector cannot see.
-	built atomic.Bool
+	initialized atomic.Bool
 
 	// Parsing state, touched only while the parser runs.
-	heard  bool // bytes have come
-	req    *Exchange
-	head   []byte // of the next message, as far as it has come
-	inBody bool
-	left   int64 // of a body with a length
+	sawData  bool // bytes have come
+	req      *Exchange
+	head     []byte // of the next message, as far as it has come
+	inBody   bool
+	bodyLeft int64 // of a body with a length
 	// inChunks says that the parser is being fed a body in chunks, and unchecked
 	// that it has found its end and begun a head behind it, which nobody has
 	// checked.
-	inChunks  bool
-	unchecked bool
+	inChunks      bool
+	uncheckedHead bool
 
 	mu        sync.Mutex
-	begun     bool // heard, for armIdleTimeout
+	active    bool // heard, for armIdleTimeout
 	pipeline  pipeline
 	closing   bool        // close once what is in flight is answered
 	readTimer *time.Timer // bounds the message being received; nil: none
 	closed    bool
 
 	receiving atomic.Bool // part of a message has come
-	// unfinished counts the bytes held for a body that has not come whole.
-	unfinished atomic.Int64
+	// partialBody counts the bytes held for a body that has not come whole.
+	partialBody atomic.Int64
 
 	queued   atomic.Int64 // bytes handed to nbio
 	written  atomic.Int64 // bytes that nbio has handed to the kernel
@@ -62,11 +62,11 @@
 
 // onData takes what has come and answers a message that is refused.
 func (c *conn) onData(_ *nbio.Conn, data []byte) {
-	if !c.built.Load() {
+	if !c.initialized.Load() {
 		return
 	}
-	c.begin()
-	defer c.noteMessage()
+	c.markActive()
+	defer c.updateReceiving()
 	for len(data) > 0 && !c.discard.Load() {
 		n, status := c.takeData(data)
 		if status != 0 {
@@ -84,13 +84,13 @@
 	switch {
 	case !c.inBody:
 		return c.takeHead(data)
-	case c.left > 0 && int64(len(data)) >= c.left:
-		n := int(c.left)
-		c.left = 0
+	case c.bodyLeft > 0 && int64(len(data)) >= c.bodyLeft:
+		n := int(c.bodyLeft)
+		c.bodyLeft = 0
 		return n, c.parse(data[:n])
 	default:
-		c.inChunks = c.left == 0
-		c.left = max(0, c.left-int64(len(data)))
+		c.inChunks = c.bodyLeft == 0
+		c.bodyLeft = max(0, c.bodyLeft-int64(len(data)))
 		status := c.parse(data)
 		c.inChunks = false
 		return len(data), status
@@ -108,7 +108,7 @@
 	end := heads.End(c.head, seen)
 	status = c.checkHead(end)
 	if status != 0 {
-		c.req = c.unread(c.head)
+		c.req = c.unparsedExchange(c.head)
 		return 0, status
 	}
 	if end == 0 {
@@ -133,18 +133,18 @@
 	if err != nil {
 		return http.StatusBadRequest
 	}
-	c.left = max(f.Length, 0)
+	c.bodyLeft = max(f.Length, 0)
 	if timeout := c.s.limits().BodyTimeout; timeout > 0 && (f.Chunked || f.Length > 0) {
 		c.armReadTimer(timeout)
 	}
 	return 0
 }
 
-// unread makes an exchange of a head that the parser does not get. A message
+// unparsedExchange makes an exchange of a head that the parser does not get. A message
 // that may have been sent before is told from its fields.
-func (c *conn) unread(head []byte) *Exchange {
+func (c *conn) unparsedExchange(head []byte) *Exchange {
 	x := &Exchange{c: c}
-	x.Method, x.URI, x.Header = heads.Readable(head)
+	x.Method, x.URI, x.Header = heads.ParsePartial(head)
 	x.Remote = c.remote
 	return x
 }
@@ -157,29 +157,29 @@
 		return 0 // refused already
 	case errors.Is(err, nbhttp.ErrTooLong):
 		return http.StatusRequestEntityTooLarge
-	case err != nil || c.unchecked:
+	case err != nil || c.uncheckedHead:
 		return http.StatusBadRequest
 	default:
 		return 0
 	}
 }
 
-// noteMessage notes whether the parser is within a message.
-func (c *conn) noteMessage() {
+// updateReceiving notes whether the parser is within a message.
+func (c *conn) updateReceiving() {
 	c.receiving.Store(len(c.head) > 0 || c.req != nil)
 }
 
 // inMessage reports whether part of a message has come that will be taken.
 func (c *conn) inMessage() bool { return c.receiving.Load() && !c.discard.Load() }
 
-// begin notes the first bytes.
-func (c *conn) begin() {
-	if c.heard {
+// markActive notes the first bytes.
+func (c *conn) markActive() {
+	if c.sawData {
 		return
 	}
-	c.heard = true
+	c.sawData = true
 	c.mu.Lock()
-	c.begun = true
+	c.active = true
 	c.mu.Unlock()
 }
 
@@ -189,7 +189,7 @@
 func (c *conn) armIdleTimeout() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.begun {
+	if !c.active {
 		c.armIdle()
 	}
 }
@@ -211,7 +211,7 @@
 	}
 	c.stopReadTimer()
 	c.readTimer = time.AfterFunc(timeout, c.readTimedOut)
-	_ = c.nbc.SetReadDeadline(time.Now().Add(timeout + lingerTime))
+	_ = c.nbc.SetReadDeadline(time.Now().Add(timeout + lingerTimeout))
 }
 
 // readTimedOut answers a message that has not ended in time. nbio's own
@@ -237,8 +237,8 @@
 	_ = c.nbc.SetReadDeadline(time.Now().Add(c.s.limits().IdleTimeout))
 }
 
-// free reports whether nothing is under way on the connection.
-func (c *conn) free() bool {
+// isIdle reports whether nothing is under way on the connection.
+func (c *conn) isIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.pipeline.empty() && !c.closing && !c.inMessage() && !c.pending()
@@ -256,7 +256,7 @@
 // While an earlier exchange is in flight its answer must come first, so only
 // the closing is noted.
 func (c *conn) refuse(status int) {
-	x := c.refused(status)
+	x := c.refusedExchange(status)
 	c.mu.Lock()
 	if c.closed || c.closing {
 		c.mu.Unlock()
@@ -268,7 +268,7 @@
 		return
 	}
 	if x.Refused != 0 {
-		c.take(x)
+		c.startExchange(x)
 	}
 	c.mu.Unlock()
 	c.discard.Store(true)
@@ -281,10 +281,10 @@
 	c.linger()
 }
 
-// refused returns the exchange of a refused message. If the message may have
+// refusedExchange returns the exchange of a refused message. If the message may have
 // been sent before, its Refused is set, and it is for the handler. The parser
 // may go on with the message, so the fields are copied.
-func (c *conn) refused(status int) *Exchange {
+func (c *conn) refusedExchange(status int) *Exchange {
 	x := &Exchange{c: c}
 	x.close = true
 	known := c.s.opts.Known
@@ -299,8 +299,8 @@
 	return x
 }
 
-// lingerTime is how long a caller may take to read the last answer and close.
-const lingerTime = time.Second
+// lingerTimeout is how long a caller may take to read the last answer and close.
+const lingerTimeout = time.Second
 
 // linger drops what the caller still sends and closes a little later. Closing
 // at once with unread data in the receive buffer would make the kernel send a
@@ -308,7 +308,7 @@
 // caller would then see a broken connection in place of a verdict.
 func (c *conn) linger() {
 	c.discard.Store(true)
-	_ = c.nbc.SetReadDeadline(time.Now().Add(lingerTime))
+	_ = c.nbc.SetReadDeadline(time.Now().Add(lingerTimeout))
 }
 
 // dispatch takes a parsed request: it is served at once, or waits behind those
@@ -333,11 +333,11 @@
 // maxPipelined bounds the requests that wait behind those in flight.
 const maxPipelined = 16
 
-// take adds x to the exchanges in flight, which no read timeout bounds. It must
+// startExchange adds x to the exchanges in flight, which no read timeout bounds. It must
 // be called with mu held. The timeout is changed together with the pipeline:
 // set after it, the idle timeout of the exchange before could come last and
 // close the connection under x.
-func (c *conn) take(x *Exchange) {
+func (c *conn) startExchange(x *Exchange) {
 	c.pipeline.inFlight = append(c.pipeline.inFlight, x)
 	c.stopReadTimer()
 	_ = c.nbc.SetReadDeadline(time.Time{})
@@ -350,7 +350,7 @@
 }
 
 func (c *conn) serve(x *Exchange) {
-	c.s.begin()
+	c.s.exchangeStarted()
 	x.counted = true
 	c.s.handler.Serve(x)
 }
@@ -414,22 +414,22 @@
 	}
 }
 
-// dropUnfinished gives the room of a body back that has not come whole.
-func (c *conn) dropUnfinished() {
-	if n := c.unfinished.Swap(0); n > 0 {
-		c.s.held.Add(-n)
+// releasePartialBody gives the room of a body back that has not come whole.
+func (c *conn) releasePartialBody() {
+	if n := c.partialBody.Swap(0); n > 0 {
+		c.s.bodyBytes.Add(-n)
 	}
 }
 
 // onClose is called once when the connection has gone.
 func (c *conn) onClose() {
-	c.dropUnfinished()
+	c.releasePartialBody()
 	c.mu.Lock()
 	c.closed = true
 	c.stopReadTimer()
-	left := c.pipeline.end()
+	left := c.pipeline.abort()
 	c.mu.Unlock()
 	for _, x := range left {
-		x.abandon()
+		x.setCallerGone()
 	}
 }
--- a/serve/inbound/exchange.go
+++ b/serve/inbound/exchange.go
@@ -30,12 +30,12 @@
 
 	c *conn
 
-	mu       sync.Mutex
-	gone     bool
-	answered bool
-	onGone   func()
-	held     int64 // bytes of the body counted by Server.hold
-	counted  bool  // included in the server's count of exchanges in flight
+	mu         sync.Mutex
+	callerGone bool
+	answered   bool
+	onGone     func()
+	bodyBytes  int64 // bytes of the body counted by Server.hold
+	counted    bool  // included in the server's count of exchanges in flight
 
 	answer *answer // guarded by the connection's mu; nil: none yet
 }
@@ -44,7 +44,7 @@
 // before the answer. It is called at once if that has happened already.
 func (x *Exchange) OnGone(f func()) {
 	x.mu.Lock()
-	gone := x.gone
+	gone := x.callerGone
 	x.onGone = f
 	x.mu.Unlock()
 	if gone {
@@ -63,10 +63,10 @@
 		return false
 	}
 	x.answered = true
-	gone := x.gone
+	gone := x.callerGone
 	x.mu.Unlock()
-	x.release()
-	x.c.answered(x, answer{status, h, body})
+	x.releaseBody()
+	x.c.queueAnswer(x, answer{status, h, body})
 	return !gone
 }
 
@@ -77,45 +77,45 @@
 // statusCallerGone stands for the answer to a caller that has gone.
 const statusCallerGone = 499
 
-// processing is the interim answer of Acknowledge.
-var processing = []byte("HTTP/1.1 102 Processing\r\n\r\n")
+// interimProcessing is the interim answer of Acknowledge.
+var interimProcessing = []byte("HTTP/1.1 102 Processing\r\n\r\n")
 
 // Acknowledge tells the caller, before the answer, that the whole request has
 // come. Only a handler may call it, before Serve returns, and only on connections
 // that carry one request at a time.
-func (x *Exchange) Acknowledge() { _ = x.c.send(processing) } // its failure is that of the connection
+func (x *Exchange) Acknowledge() { _ = x.c.send(interimProcessing) } // its failure is that of the connection
 
-// hasGone reports whether the caller has gone before the answer.
-func (x *Exchange) hasGone() bool {
+// isCallerGone reports whether the caller has gone before the answer.
+func (x *Exchange) isCallerGone() bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return x.gone
+	return x.callerGone
 }
 
-// release gives the room of the body back.
-func (x *Exchange) release() {
-	x.c.s.held.Add(-x.held)
-	x.held = 0
+// releaseBody gives the room of the body back.
+func (x *Exchange) releaseBody() {
+	x.c.s.bodyBytes.Add(-x.bodyBytes)
+	x.bodyBytes = 0
 }
 
-// abandon marks the caller as gone.
-func (x *Exchange) abandon() {
+// setCallerGone marks the caller as gone.
+func (x *Exchange) setCallerGone() {
 	x.mu.Lock()
-	if x.gone || x.answered {
+	if x.callerGone || x.answered {
 		x.mu.Unlock()
 		return
 	}
-	x.gone = true
+	x.callerGone = true
 	f := x.onGone
 	x.mu.Unlock()
-	x.release()
+	x.releaseBody()
 	if f != nil {
 		f()
 	}
 }
 
-// skipped are the response fields that this package writes itself.
-var skipped = map[string]bool{
+// ownHeaders are the response fields that this package writes itself.
+var ownHeaders = map[string]bool{
 	"Connection":        true,
 	"Content-Length":    true,
 	"Transfer-Encoding": true,
@@ -138,7 +138,7 @@
 	}
 	b.WriteString(text)
 	b.WriteString("\r\n")
-	_ = h.WriteSubset(b, skipped) // a bytes.Buffer does not fail
+	_ = h.WriteSubset(b, ownHeaders) // a bytes.Buffer does not fail
 	if heads.BodyAllowed(status) {
 		b.WriteString("Content-Length: ")
 		b.Write(strconv.AppendInt(b.AvailableBuffer(), int64(length), 10))
--- a/serve/inbound/inbound_test.go
+++ b/serve/inbound/inbound_test.go
@@ -252,7 +252,7 @@
 // again, with a further header field or another body, over a limit.
 // Cause: this package refused the message itself, and only the handler knows
 // what became of an earlier send.
-func TestRefusalOfAKnownRequest(t *testing.T) {
+func TestRefusalOfPossibleRepeat(t *testing.T) {
 	for name, c := range map[string]struct {
 		send   string
 		status int
@@ -304,7 +304,7 @@
 	}
 	stopped := make(chan error, 1)
 	go func() { stopped <- s.Stop(t.Context()) }()
-	time.Sleep(3 * flushPause) // the server has had time to close
+	time.Sleep(3 * flushPollInterval) // the server has had time to close
 	_, err = io.WriteString(conn, "lf")
 	is.NoErr(err)
 	res, body := read(t, r, http.MethodPost)
@@ -316,7 +316,7 @@
 // Symptom: an entry VM ends while an operator looks at a page.
 // Sequence: the page's handler panics.
 // Cause: a goroutine without recovery, as net/http has it.
-func TestStandardSurvivesAPanic(t *testing.T) {
+func TestHTTPHandlerPanic(t *testing.T) {
 	is := is.New(t)
 	got := make(chan any, 1)
 	h := Standard(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -345,7 +345,7 @@
 // Symptom: a process is ended for its memory while callers send large bodies.
 // Sequence: several bodies, each within the limit, are on their way at once.
 // Cause: only single bodies were bounded.
-func TestHeldBodiesAreBounded(t *testing.T) {
+func TestBodyMemoryIsBounded(t *testing.T) {
 	is := is.New(t)
 	var waiting []*Exchange
 	arrived := make(chan *Exchange, 4)
@@ -373,15 +373,15 @@
 	waiting[0].Respond(http.StatusOK, nil, nil)
 	res, _ := read(t, firstReader, http.MethodPost)
 	is.Equal(res.StatusCode, http.StatusOK)
-	is.Equal(s.held.Load(), int64(0))
+	is.Equal(s.bodyBytes.Load(), int64(0))
 	half, _ := dial(t, s)
 	_, err = io.WriteString(half, whole[:len(whole)/2])
 	is.NoErr(err)
-	for s.held.Load() == 0 {
+	for s.bodyBytes.Load() == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	is.NoErr(half.Close()) // its room must come back
-	for s.held.Load() != 0 {
+	for s.bodyBytes.Load() != 0 {
 		time.Sleep(time.Millisecond)
 	}
 }
--- a/serve/inbound/pipeline.go
+++ b/serve/inbound/pipeline.go
@@ -19,9 +19,9 @@
 
 func (p *pipeline) empty() bool { return len(p.inFlight) == 0 }
 
-// end drops what waits and returns all exchanges without an answer. Those in
+// abort drops what waits and returns all exchanges without an answer. Those in
 // flight stay until their handler answers them.
-func (p *pipeline) end() []*Exchange {
+func (p *pipeline) abort() []*Exchange {
 	left := slices.Concat(p.inFlight, p.waiting)
 	p.waiting = nil
 	return left
@@ -34,19 +34,19 @@
 // now, and returns them. It must be called with mu held.
 func (c *conn) admit() (started []*Exchange) {
 	p := &c.pipeline
-	for len(p.waiting) > 0 && c.mayStart(p.waiting[0]) {
+	for len(p.waiting) > 0 && c.canStart(p.waiting[0]) {
 		x := p.waiting[0]
 		p.waiting = p.waiting[1:]
-		c.take(x)
+		c.startExchange(x)
 		started = append(started, x)
 	}
 	return started
 }
 
-// mayStart reports whether x may be served beside what is in flight. Only
+// canStart reports whether x may be served beside what is in flight. Only
 // requests that may be repeated are: if the connection ends early, their caller
 // sends them again.
-func (c *conn) mayStart(x *Exchange) bool {
+func (c *conn) canStart(x *Exchange) bool {
 	p := &c.pipeline
 	if p.empty() {
 		return true
@@ -65,9 +65,9 @@
 	return s.opts.Overlaps != nil && s.opts.Overlaps(&x.Request)
 }
 
-// answered takes the answer of x and writes the answers whose turn it is. Only
+// queueAnswer takes the answer of x and writes the answers whose turn it is. Only
 // one goroutine writes at a time; the others leave their answers to it.
-func (c *conn) answered(x *Exchange, a answer) {
+func (c *conn) queueAnswer(x *Exchange, a answer) {
 	c.mu.Lock()
 	x.answer = &a
 	if c.pipeline.writing {
@@ -96,17 +96,17 @@
 	last := len(p.inFlight) == 1 && (c.closing || x.close || c.s.stopping.Load())
 	c.closing = c.closing || last
 	c.mu.Unlock()
-	if a := x.answer; !x.hasGone() {
+	if a := x.answer; !x.isCallerGone() {
 		c.write(x, last, a.status, a.header, a.body)
 	}
-	c.finished(x, last)
+	c.finishExchange(x, last)
 	return true
 }
 
-// finished ends the oldest exchange and starts those behind it.
-func (c *conn) finished(x *Exchange, last bool) {
+// finishExchange ends the oldest exchange and starts those behind it.
+func (c *conn) finishExchange(x *Exchange, last bool) {
 	if x.counted {
-		c.s.end()
+		c.s.exchangeEnded()
 	}
 	c.mu.Lock()
 	p := &c.pipeline
--- a/serve/inbound/pipeline_test.go
+++ b/serve/inbound/pipeline_test.go
@@ -18,32 +18,32 @@
 // A caller of these tests sends GETs to /1, /2 and so on in one write; GETs may
 // overlap. heldHandler keeps all exchanges until the test answers them.
 type heldHandler struct {
-	mu   sync.Mutex
-	held map[string]*Exchange
-	came chan string
+	mu        sync.Mutex
+	exchanges map[string]*Exchange
+	arrived   chan string
 }
 
 func newHeldHandler() *heldHandler {
-	return &heldHandler{held: make(map[string]*Exchange), came: make(chan string, 100)}
+	return &heldHandler{exchanges: make(map[string]*Exchange), arrived: make(chan string, 100)}
 }
 
 func (h *heldHandler) Serve(x *Exchange) {
 	h.mu.Lock()
-	h.held[x.URI] = x
+	h.exchanges[x.URI] = x
 	h.mu.Unlock()
-	h.came <- x.URI
+	h.arrived <- x.URI
 }
 
 func (h *heldHandler) answer(uri string) {
 	h.mu.Lock()
-	x := h.held[uri]
+	x := h.exchanges[uri]
 	h.mu.Unlock()
 	echo(x)
 }
 
 func isGet(r *Request) bool { return r.Method == http.MethodGet }
 
-func getAhead(t *testing.T, conn net.Conn, n int) {
+func sendGets(t *testing.T, conn net.Conn, n int) {
 	t.Helper()
 	var b strings.Builder
 	for i := range n {
@@ -58,14 +58,14 @@
 // Sequence: a caller sends three requests ahead on one connection; each takes as
 // long as the others.
 // Cause: each was served only after the answer to the one before.
-func TestRequestsSentAheadAreServedTogether(t *testing.T) {
+func TestPipelinedRequestsAreServedConcurrently(t *testing.T) {
 	is := is.New(t)
 	h := newHeldHandler()
 	s := listenOverlapping(t, isGet, h.Serve)
 	conn, r := dial(t, s)
-	getAhead(t, conn, 3)
+	sendGets(t, conn, 3)
 	for _, want := range []string{"/1", "/2", "/3"} {
-		is.Equal(<-h.came, want)
+		is.Equal(<-h.arrived, want)
 	}
 	for _, uri := range []string{"/3", "/1", "/2"} { // in any order
 		h.answer(uri)
@@ -74,8 +74,8 @@
 		_, b := read(t, r, http.MethodGet)
 		is.Equal(b, want) // in the order of the requests
 	}
-	getAhead(t, conn, 1)
-	is.Equal(<-h.came, "/1") // the connection goes on
+	sendGets(t, conn, 1)
+	is.Equal(<-h.arrived, "/1") // the connection goes on
 	h.answer("/1")
 	_, b := read(t, r, http.MethodGet)
 	is.Equal(b, "/1 ")
@@ -93,13 +93,13 @@
 	conn, r := dial(t, s)
 	_, err := io.WriteString(conn, "GET /1 HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\nPOST /2 HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n")
 	is.NoErr(err)
-	is.Equal(<-h.came, "/1")
+	is.Equal(<-h.arrived, "/1")
 	h.answer("/1")
 	res, _ := read(t, r, http.MethodGet)
 	is.True(res.Close)
 	_, err = r.ReadByte()
 	is.Equal(err, io.EOF)
-	is.Equal(len(h.came), 0) // the posting was passed on by nobody
+	is.Equal(len(h.arrived), 0) // the posting was passed on by nobody
 }
 
 // Symptom: a caller sees its connection end without an answer to requests that
@@ -113,9 +113,9 @@
 	h := newHeldHandler()
 	s := listenOverlapping(t, isGet, h.Serve)
 	conn, r := dial(t, s)
-	getAhead(t, conn, maxOverlap+2)
+	sendGets(t, conn, maxOverlap+2)
 	for range maxOverlap {
-		<-h.came
+		<-h.arrived
 	}
 	s.Leave()
 	for i := maxOverlap; i >= 1; i-- {
@@ -128,13 +128,13 @@
 	}
 	_, err := r.ReadByte()
 	is.Equal(err, io.EOF)
-	is.Equal(len(h.came), 0)
+	is.Equal(len(h.arrived), 0)
 }
 
 // Symptom: targets work for a caller that has left.
 // Sequence: it closes its connection with several requests in flight.
 // Cause: only the oldest was told.
-func TestAllInFlightLearnThatTheCallerLeft(t *testing.T) {
+func TestCallerGoneReportedToAllInFlight(t *testing.T) {
 	is := is.New(t)
 	gone := make(chan string, 3)
 	s := listenOverlapping(t, isGet, func(x *Exchange) {
@@ -142,7 +142,7 @@
 		x.OnGone(func() { gone <- uri })
 	})
 	conn, _ := dial(t, s)
-	getAhead(t, conn, 3)
+	sendGets(t, conn, 3)
 	time.Sleep(20 * time.Millisecond)
 	is.NoErr(conn.Close())
 	seen := map[string]bool{}
--- a/serve/inbound/processor.go
+++ b/serve/inbound/processor.go
@@ -12,15 +12,15 @@
 
 // OnMethod implements nbhttp.Processor.
 func (c *conn) OnMethod(_ *nbhttp.Parser, method string) {
-	c.unchecked = c.unchecked || c.inChunks
+	c.uncheckedHead = c.uncheckedHead || c.inChunks
 	c.req = &Exchange{c: c}
 	c.req.Method = method
-	c.req.Header = make(http.Header, headerHint)
+	c.req.Header = make(http.Header, typicalHeaderFields)
 	c.req.Remote = c.remote
 }
 
-// headerHint is the usual number of header fields of a request.
-const headerHint = 8
+// typicalHeaderFields is the usual number of header fields of a request.
+const typicalHeaderFields = 8
 
 // OnURL implements nbhttp.Processor. nbhttp lets every byte but a space
 // through. A line end in the path would end the request line at the target, and
@@ -62,7 +62,7 @@
 		c.refuse(http.StatusRequestEntityTooLarge)
 		return
 	}
-	if length > 0 && !c.holdBody(int64(length)) {
+	if length > 0 && !c.reserveBody(int64(length)) {
 		return
 	}
 	if length > 0 && strings.EqualFold(c.req.Header.Get("Expect"), "100-continue") {
@@ -76,20 +76,20 @@
 		c.refuse(http.StatusRequestEntityTooLarge)
 		return errRefused
 	}
-	if c.inChunks && !c.holdBody(int64(len(data))) {
+	if c.inChunks && !c.reserveBody(int64(len(data))) {
 		return errRefused
 	}
 	c.req.Body = append(c.req.Body, data...)
 	return nil
 }
 
-// holdBody makes room for n more bytes of the body, or refuses the message.
-func (c *conn) holdBody(n int64) bool {
-	if !c.s.hold(n) {
+// reserveBody makes room for n more bytes of the body, or refuses the message.
+func (c *conn) reserveBody(n int64) bool {
+	if !c.s.reserveBody(n) {
 		c.refuse(http.StatusServiceUnavailable)
 		return false
 	}
-	c.unfinished.Add(n)
+	c.partialBody.Add(n)
 	return true
 }
 
@@ -105,7 +105,7 @@
 		return
 	}
 	x.close = wantsClose(&x.Request)
-	x.held = c.unfinished.Swap(0)
+	x.bodyBytes = c.partialBody.Swap(0)
 	c.dispatch(x)
 }
 
--- a/serve/inbound/server.go
+++ b/serve/inbound/server.go
@@ -60,14 +60,14 @@
 
 // Server accepts callers' connections.
 type Server struct {
-	opts     Options
-	inForce  atomic.Pointer[Limits]
-	held     atomic.Int64 // bytes of bodies, as announced or received
-	handler  Handler
-	engine   *nbhttp.Engine
-	listener net.Listener
-	stopping atomic.Bool
-	accepted sync.WaitGroup
+	opts          Options
+	currentLimits atomic.Pointer[Limits]
+	bodyBytes     atomic.Int64 // bytes of bodies, as announced or received
+	handler       Handler
+	engine        *nbhttp.Engine
+	listener      net.Listener
+	stopping      atomic.Bool
+	acceptLoop    sync.WaitGroup
 
 	stopEngine sync.Once // nbio panics when it is stopped twice
 
@@ -91,7 +91,7 @@
 		conns:    make(map[*conn]struct{}),
 		idle:     make(chan struct{}),
 	}
-	s.inForce.Store(&opts.Limits)
+	s.currentLimits.Store(&opts.Limits)
 	s.engine = nbhttp.NewEngine(nbhttp.Config{
 		Name:      "inbound",
 		NPoller:   opts.Pollers,
@@ -114,22 +114,22 @@
 // called once at most.
 func (s *Server) Serve(h Handler) {
 	s.handler = h
-	s.accepted.Add(1)
+	s.acceptLoop.Add(1)
 	go s.accept()
 }
 
 // SetLimits changes the limits for messages that begin from now on.
-func (s *Server) SetLimits(l Limits) { s.inForce.Store(&l) }
+func (s *Server) SetLimits(l Limits) { s.currentLimits.Store(&l) }
 
-func (s *Server) limits() *Limits { return s.inForce.Load() }
+func (s *Server) limits() *Limits { return s.currentLimits.Load() }
 
-// hold counts n more bytes of a body, and reports false if they are too many.
+// reserveBody counts n more bytes of a body, and reports false if they are too many.
 // Each body is held whole; a few large ones at once would end the process.
-func (s *Server) hold(n int64) bool {
-	if s.held.Add(n) <= s.opts.HeldBytes || s.opts.HeldBytes == 0 {
+func (s *Server) reserveBody(n int64) bool {
+	if s.bodyBytes.Add(n) <= s.opts.HeldBytes || s.opts.HeldBytes == 0 {
 		return true
 	}
-	s.held.Add(-n)
+	s.bodyBytes.Add(-n)
 	return false
 }
 
@@ -141,7 +141,7 @@
 const acceptBackoff = 20 * time.Millisecond
 
 func (s *Server) accept() {
-	defer s.accepted.Done()
+	defer s.acceptLoop.Done()
 	for {
 		nc, err := s.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
@@ -168,12 +168,12 @@
 	c.parser = nbhttp.NewParser(nbc, s.engine, c, false, runInline)
 	nbc.SetSession(c.parser)
 	nbc.OnData(c.onData)
-	c.built.Store(true)
+	c.initialized.Store(true)
 	s.mu.Lock()
 	s.conns[c] = struct{}{}
 	s.mu.Unlock()
 	if _, err := s.engine.AddConn(nbc); err != nil {
-		s.forget(c)
+		s.removeConn(c)
 		return fmt.Errorf("inbound: %w", err)
 	}
 	c.armIdleTimeout()
@@ -201,7 +201,7 @@
 		return
 	}
 	if c := connOf(nbc); c != nil {
-		s.forget(c)
+		s.removeConn(c)
 		c.onClose()
 	}
 }
@@ -223,7 +223,7 @@
 	return c
 }
 
-func (s *Server) forget(c *conn) {
+func (s *Server) removeConn(c *conn) {
 	s.mu.Lock()
 	delete(s.conns, c)
 	s.mu.Unlock()
@@ -236,14 +236,14 @@
 	return len(s.conns)
 }
 
-// begin counts an exchange in.
-func (s *Server) begin() {
+// exchangeStarted counts an exchange in.
+func (s *Server) exchangeStarted() {
 	s.mu.Lock()
 	s.inFlight++
 	s.mu.Unlock()
 }
 
-func (s *Server) end() {
+func (s *Server) exchangeEnded() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.inFlight--
@@ -303,7 +303,7 @@
 	s.mu.Lock()
 	var free []*conn
 	for c := range s.conns {
-		if c.free() {
+		if c.isIdle() {
 			free = append(free, c)
 		}
 	}
@@ -315,11 +315,11 @@
 
 func (s *Server) stopAccepting() {
 	_ = s.listener.Close()
-	s.accepted.Wait()
+	s.acceptLoop.Wait()
 }
 
-// flushPause is the interval between two looks at what is still to be sent.
-const flushPause = 50 * time.Millisecond
+// flushPollInterval is the interval between two looks at what is still to be sent.
+const flushPollInterval = 50 * time.Millisecond
 
 // flush waits until callers have taken the answers already given, and have
 // sent and had answered the requests that they have begun. An exchange counts
@@ -327,7 +327,7 @@
 // slowly would have it cut if the engine stopped then. A caller that is still
 // sending would not learn that its request has not run.
 func (s *Server) flush(ctx context.Context) error {
-	t := time.NewTicker(flushPause)
+	t := time.NewTicker(flushPollInterval)
 	defer t.Stop()
 	for {
 		select {
--- a/serve/inbound/standard.go
+++ b/serve/inbound/standard.go
@@ -12,16 +12,16 @@
 // handler returns, so it must be of bounded size. A panic of the handler gives
 // status 500 and is passed to panicked: a defect of one page must not end a
 // process that serves callers.
-func Standard(h http.Handler, panicked func(v any)) Handler { return standard{h, panicked} }
+func Standard(h http.Handler, panicked func(v any)) Handler { return httpHandler{h, panicked} }
 
-type standard struct {
-	h        http.Handler
-	panicked func(v any)
+type httpHandler struct {
+	h       http.Handler
+	onPanic func(v any)
 }
 
 // Serve implements Handler.
-func (s standard) Serve(x *Exchange) {
-	r, cancel, err := request(x)
+func (s httpHandler) Serve(x *Exchange) {
+	r, cancel, err := httpRequest(x)
 	if err != nil {
 		x.Respond(http.StatusBadRequest, nil, nil)
 		return
@@ -35,11 +35,11 @@
 }
 
 // run has the handler answer r.
-func (s standard) run(r *http.Request) (w *recorder) {
+func (s httpHandler) run(r *http.Request) (w *recorder) {
 	w = &recorder{header: make(http.Header)}
 	defer func() {
 		if v := recover(); v != nil {
-			s.panicked(v)
+			s.onPanic(v)
 			w = &recorder{header: make(http.Header), status: http.StatusInternalServerError}
 		}
 	}()
@@ -48,9 +48,9 @@
 	return w
 }
 
-// request makes the net/http form of an exchange's request. Its context ends
+// httpRequest makes the net/http form of an exchange's request. Its context ends
 // when the caller goes.
-func request(x *Exchange) (*http.Request, context.CancelFunc, error) {
+func httpRequest(x *Exchange) (*http.Request, context.CancelFunc, error) {
 	u, err := url.ParseRequestURI(x.URI)
 	if err != nil {
 		return nil, nil, err
--- a/serve/kv/kvtest/store.go
+++ b/serve/kv/kvtest/store.go
@@ -22,18 +22,18 @@
 // Store implements kv.Store. Leases end only by End and Revoke: no clock runs
 // in it.
 type Store struct {
-	mu      sync.Mutex
-	rev     mirror.Revision
-	items   map[string]entry
-	history []mirror.Change
-	from    mirror.Revision // history after this revision is kept
-	leases  map[kv.Lease]bool
-	last    kv.Lease
-	down    bool
-	changed chan struct{} // closed and replaced at each change
+	mu          sync.Mutex
+	rev         mirror.Revision
+	items       map[string]entry
+	history     []mirror.Change
+	compactedAt mirror.Revision // history after this revision is kept
+	leases      map[kv.Lease]bool
+	lastLease   kv.Lease
+	down        bool
+	changed     chan struct{} // closed and replaced at each change
 
-	replica    map[string]entry // one that is behind; nil: none is
-	replicaRev mirror.Revision
+	staleItems map[string]entry // one that is behind; nil: none is
+	staleRev   mirror.Revision
 }
 
 type entry struct {
@@ -56,7 +56,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.put(kv.Write{Key: key, Value: []byte(value)})
-	s.wake()
+	s.notify()
 }
 
 // Remove removes a key.
@@ -64,7 +64,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.remove(key)
-	s.wake()
+	s.notify()
 }
 
 // Get returns the value of a key.
@@ -80,14 +80,14 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.down = down
-	s.wake()
+	s.notify()
 }
 
 // FreezeReplica has reads of any replica be answered as of now from now on.
 func (s *Store) FreezeReplica() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.replica, s.replicaRev = maps.Clone(s.items), s.rev
+	s.staleItems, s.staleRev = maps.Clone(s.items), s.rev
 }
 
 // Compact drops the history.
@@ -95,11 +95,11 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.history = nil
-	s.from = s.rev
-	s.wake()
+	s.compactedAt = s.rev
+	s.notify()
 }
 
-func (s *Store) wake() {
+func (s *Store) notify() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
@@ -120,7 +120,7 @@
 	s.history = append(s.history, mirror.Change{Item: mirror.Item{Key: key, Revision: s.rev}, Removed: true})
 }
 
-func (s *Store) fails() error {
+func (s *Store) checkUp() error {
 	if s.down {
 		return &verdict.Error{Verdict: verdict.NotRun, Reason: verdict.ReasonConnect, Err: ErrDown}
 	}
@@ -131,12 +131,12 @@
 func (s *Store) Range(_ context.Context, prefix string, from kv.Replica) (kv.Snapshot, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.fails(); err != nil {
+	if err := s.checkUp(); err != nil {
 		return kv.Snapshot{}, err
 	}
 	out, items := kv.Snapshot{AsOf: s.rev}, s.items
-	if from == kv.Any && s.replica != nil {
-		out.AsOf, items = s.replicaRev, s.replica
+	if from == kv.Any && s.staleItems != nil {
+		out.AsOf, items = s.staleRev, s.staleItems
 	}
 	for key, e := range items {
 		if strings.HasPrefix(key, prefix) {
@@ -169,10 +169,10 @@
 }
 
 func (s *Store) since(prefix string, after mirror.Revision) (kv.Changes, error) {
-	if err := s.fails(); err != nil {
+	if err := s.checkUp(); err != nil {
 		return kv.Changes{}, err
 	}
-	if after < s.from {
+	if after < s.compactedAt {
 		return kv.Changes{}, kv.ErrCompacted
 	}
 	c := kv.Changes{AsOf: s.rev}
@@ -188,7 +188,7 @@
 func (s *Store) Commit(_ context.Context, t kv.Txn) (mirror.Revision, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.fails(); err != nil {
+	if err := s.checkUp(); err != nil {
 		return 0, err
 	}
 	for _, c := range t.Conditions {
@@ -207,7 +207,7 @@
 	for _, key := range t.Remove {
 		s.remove(key)
 	}
-	s.wake()
+	s.notify()
 	return s.rev, nil
 }
 
@@ -215,19 +215,19 @@
 func (s *Store) Grant(_ context.Context, ttl time.Duration) (kv.Lease, time.Duration, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.fails(); err != nil {
+	if err := s.checkUp(); err != nil {
 		return 0, 0, err
 	}
-	s.last++
-	s.leases[s.last] = true
-	return s.last, ttl, nil
+	s.lastLease++
+	s.leases[s.lastLease] = true
+	return s.lastLease, ttl, nil
 }
 
 // Renew implements kv.Store.
 func (s *Store) Renew(_ context.Context, l kv.Lease) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.fails(); err != nil {
+	if err := s.checkUp(); err != nil {
 		return err
 	}
 	if !s.leases[l] {
@@ -240,7 +240,7 @@
 func (s *Store) Revoke(_ context.Context, l kv.Lease) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.fails(); err != nil {
+	if err := s.checkUp(); err != nil {
 		return err
 	}
 	delete(s.leases, l)
@@ -249,6 +249,6 @@
 			s.remove(key)
 		}
 	}
-	s.wake()
+	s.notify()
 	return nil
 }
--- a/serve/logs/async.go
+++ b/serve/logs/async.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	// bufferBytes bounds what waits to be written, some seconds of lines.
-	bufferBytes = 1 << 20
-	// flushEvery is how often lines are written: few writes of many lines cost
+	// maxBufferBytes bounds what waits to be written, some seconds of lines.
+	maxBufferBytes = 1 << 20
+	// flushInterval is how often lines are written: few writes of many lines cost
 	// less than one each.
-	flushEvery = 100 * time.Millisecond
+	flushInterval = 100 * time.Millisecond
 )
 
 // Async is an io.Writer that never blocks. Lines wait in a buffer of bounded
@@ -41,7 +41,7 @@
 func (a *Async) Write(line []byte) (int, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if len(a.buf)+len(line) > bufferBytes {
+	if len(a.buf)+len(line) > maxBufferBytes {
 		a.dropped++
 	} else {
 		a.buf = append(a.buf, line...)
@@ -64,7 +64,7 @@
 
 func (a *Async) run() {
 	defer close(a.stopped)
-	t := time.NewTicker(flushEvery)
+	t := time.NewTicker(flushInterval)
 	defer t.Stop()
 	var spare []byte
 	for {
--- a/serve/logs/async_test.go
+++ b/serve/logs/async_test.go
@@ -8,40 +8,40 @@
 	"github.com/matryer/is"
 )
 
-// stalled is a writer that blocks until it is let go.
-type stalled struct {
+// stalledWriter is a writer that blocks until it is let go.
+type stalledWriter struct {
 	entered chan struct{}
-	let     chan struct{}
+	unblock chan struct{}
 	got     bytes.Buffer
 }
 
-func (s *stalled) Write(b []byte) (int, error) {
+func (s *stalledWriter) Write(b []byte) (int, error) {
 	select {
 	case s.entered <- struct{}{}:
 	default:
 	}
-	<-s.let
+	<-s.unblock
 	return s.got.Write(b)
 }
 
 // Symptom: every request waits while the reader of the log does not read.
 // Sequence: the pipe behind standard output is full, and lines go on.
 // Cause: lines were written by whoever had something to say.
-func TestStalledWriterBlocksNobody(t *testing.T) {
+func TestStalledWriterDoesNotBlock(t *testing.T) {
 	is := is.New(t)
-	w := &stalled{entered: make(chan struct{}, 1), let: make(chan struct{})}
+	w := &stalledWriter{entered: make(chan struct{}, 1), unblock: make(chan struct{})}
 	a := NewAsync(w)
 	_, _ = a.Write([]byte("first\n"))
 	<-w.entered // the flush is stuck
 	line := []byte(strings.Repeat("x", 1023) + "\n")
-	for range 2 * bufferBytes / len(line) {
+	for range 2 * maxBufferBytes / len(line) {
 		n, err := a.Write(line)
 		is.NoErr(err)
 		is.Equal(n, len(line))
 	}
 	is.True(a.Dropped() > 0)
-	close(w.let)
+	close(w.unblock)
 	a.Close()
 	is.True(strings.Contains(w.got.String(), `"event":"lines-dropped"`))
-	is.True(w.got.Len() < 2*bufferBytes)
+	is.True(w.got.Len() < 2*maxBufferBytes)
 }
--- a/serve/logs/logs.go
+++ b/serve/logs/logs.go
@@ -27,18 +27,18 @@
 // process. Routine messages of nbio are of the debug level here: it tells of
 // every start and stop of a poller as information.
 func TakeNetwork(l logrus.FieldLogger) {
-	logging.SetLogger(network{l.WithField("library", "nbio")})
+	logging.SetLogger(nbioLogger{l.WithField("library", "nbio")})
 }
 
-// network implements nbio's logging.Logger.
-type network struct{ l logrus.FieldLogger }
+// nbioLogger implements nbio's logging.Logger.
+type nbioLogger struct{ l logrus.FieldLogger }
 
-func (n network) SetLevel(int) {}
+func (n nbioLogger) SetLevel(int) {}
 
-func (n network) Debug(format string, v ...any) { n.l.Debug(fmt.Sprintf(format, v...)) }
+func (n nbioLogger) Debug(format string, v ...any) { n.l.Debug(fmt.Sprintf(format, v...)) }
 
-func (n network) Info(format string, v ...any) { n.l.Debug(fmt.Sprintf(format, v...)) }
+func (n nbioLogger) Info(format string, v ...any) { n.l.Debug(fmt.Sprintf(format, v...)) }
 
-func (n network) Warn(format string, v ...any) { n.l.Warn(fmt.Sprintf(format, v...)) }
+func (n nbioLogger) Warn(format string, v ...any) { n.l.Warn(fmt.Sprintf(format, v...)) }
 
-func (n network) Error(format string, v ...any) { n.l.Error(fmt.Sprintf(format, v...)) }
+func (n nbioLogger) Error(format string, v ...any) { n.l.Error(fmt.Sprintf(format, v...)) }
--- a/serve/outbound/call.go
+++ b/serve/outbound/call.go
@@ -57,9 +57,9 @@
 
 // Call is one request under way.
 type Call struct {
-	req   *Request
-	done  Done
-	began clock.Time // of its wait for a connection; 0: it did not wait
+	req      *Request
+	done     Done
+	queuedAt clock.Time // of its wait for a connection; 0: it did not wait
 
 	mu       sync.Mutex
 	c        *conn          // connection the request was handed to
@@ -94,8 +94,8 @@
 	}
 	k.c = c
 	k.writing = true
-	if k.began > 0 {
-		k.waited = c.p.pool.opts.Now().Sub(k.began)
+	if k.queuedAt > 0 {
+		k.waited = c.p.pool.opts.Now().Sub(k.queuedAt)
 	}
 	return true
 }
@@ -107,8 +107,8 @@
 	return k.c != nil
 }
 
-// wrote takes the outcome of handing the request over.
-func (k *Call) wrote(err error) {
+// writeDone takes the outcome of handing the request over.
+func (k *Call) writeDone(err error) {
 	k.mu.Lock()
 	k.writing = false
 	lost := k.lost
@@ -123,12 +123,12 @@
 	}
 }
 
-// lose reports the end of the connection that the call has claimed. A request
+// connectionLost reports the end of the connection that the call has claimed. A request
 // that was not handed over yet has not run, and never will on it. One that is
 // being handed over is left to wrote, which learns whether the connection took
 // any of it: a receiver that closes free connections as it leaves would
 // otherwise turn requests that it never got into may-have-run.
-func (k *Call) lose(reason verdict.Reason, err error) {
+func (k *Call) connectionLost(reason verdict.Reason, err error) {
 	e := &verdict.Error{Verdict: verdict.MayHaveRun, Reason: reason, Err: err}
 	k.mu.Lock()
 	if k.writing {
@@ -173,8 +173,8 @@
 // maxPooledBuffer keeps one large request from pinning its buffer for good.
 const maxPooledBuffer = 64 << 10
 
-// skipped are the request fields that this package writes itself.
-var skipped = map[string]bool{
+// ownHeaders are the request fields that this package writes itself.
+var ownHeaders = map[string]bool{
 	"Host":              true,
 	"Connection":        true,
 	"Content-Length":    true,
@@ -195,7 +195,7 @@
 	}
 	b.WriteString(addr)
 	b.WriteString("\r\n")
-	_ = r.Header.WriteSubset(b, skipped) // a bytes.Buffer does not fail
+	_ = r.Header.WriteSubset(b, ownHeaders) // a bytes.Buffer does not fail
 	if len(r.Body) > 0 || r.Method == http.MethodPost || r.Method == http.MethodPut {
 		b.WriteString("Content-Length: ")
 		b.Write(strconv.AppendInt(b.AvailableBuffer(), int64(len(r.Body)), 10))
--- a/serve/outbound/conn.go
+++ b/serve/outbound/conn.go
@@ -27,36 +27,36 @@
 	nbc    *nbio.Conn
 	parser *nbhttp.Parser
 
-	// built is set by the dialling goroutine and read by the poller's. The
+	// initialized is set by the dialling goroutine and read by the poller's. The
 	// kernel's poll set orders the two, which the race detector cannot see.
-	built atomic.Bool
+	initialized atomic.Bool
 
 	// Guarded by p.mu.
-	call  *Call // the one that has claimed the connection
-	ended bool  // counted out
-	since clock.Time
-	idle  time.Duration // how long it may be free
+	call      *Call // the one that has claimed the connection
+	ended     bool  // counted out
+	idleSince clock.Time
+	maxIdle   time.Duration // how long it may be free
 
-	partial atomic.Bool // part of an answer has come
-	ending  atomic.Pointer[ending]
+	answerStarted  atomic.Bool // part of an answer has come
+	closeDelimited atomic.Pointer[closeDelimitedAnswer]
 
 	connected time.Duration // how long opening it took, until its first answer
 
 	// Parsing state, touched only while data is taken.
-	head    []byte // of the next answer, as far as it has come
-	inBody  bool   // the parser is within a body
-	left    int64  // of a body with a length
-	foreign bool   // the answer belongs to another request
-	answer  *Answer
-	framed  bool // the head says how the body ends
-	noReuse bool
-	noBody  bool // the request was a HEAD
+	head          []byte // of the next answer, as far as it has come
+	inBody        bool   // the parser is within a body
+	bodyLeft      int64  // of a body with a length
+	foreignAnswer bool   // the answer belongs to another request
+	answer        *Answer
+	framed        bool // the head says how the body ends
+	noReuse       bool
+	noBody        bool // the request was a HEAD
 }
 
 // start writes the request of k.
 func (c *conn) start(k *Call) {
 	if !k.attach(c) {
-		c.p.giveBack(c, k)
+		c.p.releaseIfClaimed(c, k)
 		return
 	}
 	c.noBody = k.req.Method == http.MethodHead
@@ -67,7 +67,7 @@
 	if b.Cap() <= 2*maxPooledBuffer {
 		buffers.Put(b)
 	}
-	k.wrote(err)
+	k.writeDone(err)
 	if err != nil {
 		c.nbc.Close()
 	}
@@ -76,11 +76,11 @@
 // onData takes what has come. What cannot be read as an answer ends the
 // connection.
 func (c *conn) onData(_ *nbio.Conn, data []byte) {
-	if !c.built.Load() {
+	if !c.initialized.Load() {
 		return
 	}
 	for len(data) > 0 {
-		n, err := c.take(data)
+		n, err := c.consume(data)
 		if err != nil {
 			c.nbc.CloseWithError(err)
 			return
@@ -89,25 +89,25 @@
 	}
 	// Only now: what came behind an answer must not be read as the answer to a
 	// request that the connection has been handed to meanwhile.
-	c.p.lend()
+	c.p.assignIdle()
 }
 
-// take hands the first part of data to the parser, no further than to the end
+// consume hands the first part of data to the parser, no further than to the end
 // of a head or of a body with a length, and returns its size.
-func (c *conn) take(data []byte) (int, error) {
+func (c *conn) consume(data []byte) (int, error) {
 	switch {
-	case c.ending.Load() != nil:
+	case c.closeDelimited.Load() != nil:
 		return len(data), c.OnBody(nil, data)
 	case !c.inBody:
 		return c.takeHead(data)
-	case c.left > 0 && int64(len(data)) >= c.left:
-		n := int(c.left)
+	case c.bodyLeft > 0 && int64(len(data)) >= c.bodyLeft:
+		n := int(c.bodyLeft)
 		// What follows belongs to no request: this connection must not be
 		// lent out again.
 		c.noReuse = c.noReuse || len(data) > n
 		return n, c.parser.Parse(data[:n])
 	default:
-		c.left = max(0, c.left-int64(len(data)))
+		c.bodyLeft = max(0, c.bodyLeft-int64(len(data)))
 		return len(data), c.parser.Parse(data)
 	}
 }
@@ -118,18 +118,18 @@
 // takeHead collects the head of an answer and hands it to the parser when it
 // is whole and well-formed.
 func (c *conn) takeHead(data []byte) (int, error) {
-	if !c.p.busy(c) {
+	if !c.p.hasRequest(c) {
 		return 0, errUnsolicited
 	}
 	seen := len(c.head)
 	c.head = append(c.head, data...)
-	if !bytes.HasPrefix(c.head, httpBytes[:min(len(httpBytes), len(c.head))]) {
-		return 0, errHead
+	if !bytes.HasPrefix(c.head, httpPrefix[:min(len(httpPrefix), len(c.head))]) {
+		return 0, errMalformedHead
 	}
-	c.partial.Store(true)
+	c.answerStarted.Store(true)
 	end := heads.End(c.head, seen)
 	if end == 0 && len(c.head) > maxAnswerHead {
-		return 0, errHead
+		return 0, errMalformedHead
 	}
 	if end == 0 {
 		return len(data), nil
@@ -144,7 +144,7 @@
 		}
 		return 0, fmt.Errorf("outbound: %w", err)
 	}
-	c.left = max(f.Length, 0)
+	c.bodyLeft = max(f.Length, 0)
 	n := end - seen
 	if ends := f.Length == 0 || c.noBody || !heads.BodyAllowed(status); ends && len(data) > n && status >= http.StatusOK {
 		c.noReuse = true
@@ -152,14 +152,14 @@
 	return n, c.parser.Parse(withReason(head))
 }
 
-// httpBytes is how every answer begins.
-var httpBytes = []byte("HTTP/1.")
+// httpPrefix is how every answer begins.
+var httpPrefix = []byte("HTTP/1.")
 
-// watchEnd keeps the socket of an answer that ends with its connection beyond
+// awaitClose keeps the socket of an answer that ends with its connection beyond
 // the end of the connection, so that its way of ending can be looked at: nbio
 // reports a connection that ended with an error event as ended in good order,
 // without having read from it, and half an answer would be taken for whole.
-func (c *conn) watchEnd(a *Answer) {
+func (c *conn) awaitClose(a *Answer) {
 	socket := -1
 	raw, err := c.nbc.SyscallConn()
 	if err == nil {
@@ -172,18 +172,18 @@
 	if err != nil || socket < 0 {
 		return // the answer will count as cut
 	}
-	c.ending.Store(&ending{answer: a, socket: socket})
+	c.closeDelimited.Store(&closeDelimitedAnswer{answer: a, socket: socket})
 }
 
-// ending is an answer that ends with its connection.
-type ending struct {
+// closeDelimitedAnswer is an answer that ends with its connection.
+type closeDelimitedAnswer struct {
 	answer *Answer
 	socket int // a duplicate of the connection's
 }
 
-// whole reports whether the receiver has ended the connection in good order,
+// endedCleanly reports whether the receiver has ended the connection in good order,
 // and closes the duplicate.
-func (e *ending) whole() bool {
+func (e *closeDelimitedAnswer) endedCleanly() bool {
 	defer func() { _ = syscall.Close(e.socket) }() // nothing was written to it
 	var more [1]byte
 	n, err := syscall.Read(e.socket, more[:])
@@ -192,8 +192,8 @@
 
 // Parts of a status line with an empty reason phrase.
 const (
-	statusLine = "HTTP/1.1 200"
-	someReason = " Status"
+	exampleStatusLine = "HTTP/1.1 200"
+	defaultReason     = " Status"
 )
 
 // withReason gives the status line of a checked head a reason phrase if it has
@@ -201,21 +201,21 @@
 // for the phrase: the field is lost, and with it, if it is the length, the
 // answer.
 func withReason(head []byte) []byte {
-	n := len(statusLine)
+	n := len(exampleStatusLine)
 	end := bytes.IndexByte(head, '\r')
 	if len(bytes.TrimSpace(head[n:end])) > 0 {
 		return head
 	}
-	return slices.Concat(head[:n], []byte(someReason), head[end:])
+	return slices.Concat(head[:n], []byte(defaultReason), head[end:])
 }
 
 // onClose is called once when the connection has gone, on a goroutine of its
 // own: the parser may still be at work.
 func (c *conn) onClose(err error) {
-	k := c.p.drop(c)
-	c.p.countOut(c)
-	end := c.ending.Load()
-	whole := end != nil && end.whole()
+	k := c.p.detach(c)
+	c.p.countClosed(c)
+	end := c.closeDelimited.Load()
+	whole := end != nil && end.endedCleanly()
 	if k == nil {
 		return
 	}
@@ -224,12 +224,12 @@
 		return
 	}
 	reason := verdict.ReasonConnectionLost
-	if c.partial.Load() {
+	if c.answerStarted.Load() {
 		// The answer had begun: what there is of it is never handed on as
 		// whole, and whether the request ran to its end is not known.
 		reason = verdict.ReasonAnswerCut
 	}
-	k.lose(reason, err)
+	k.connectionLost(reason, err)
 }
 
 // The methods below implement nbhttp.Processor, the parser's callbacks.
@@ -242,19 +242,19 @@
 
 // OnProto implements nbhttp.Processor.
 func (c *conn) OnProto(_ *nbhttp.Parser, proto string) error {
-	if !c.p.busy(c) {
+	if !c.p.hasRequest(c) {
 		return errUnsolicited
 	}
-	c.answer = &Answer{Header: make(http.Header, headerHint), Connected: c.connected}
-	c.partial.Store(true)
+	c.answer = &Answer{Header: make(http.Header, typicalHeaderFields), Connected: c.connected}
+	c.answerStarted.Store(true)
 	c.framed = false
-	c.foreign = false
+	c.foreignAnswer = false
 	c.noReuse = c.noReuse || proto != "HTTP/1.1"
 	return nil
 }
 
-// headerHint is the usual number of header fields of an answer.
-const headerHint = 8
+// typicalHeaderFields is the usual number of header fields of an answer.
+const typicalHeaderFields = 8
 
 // OnStatus implements nbhttp.Processor.
 func (c *conn) OnStatus(_ *nbhttp.Parser, code int, _ string) { c.answer.Status = code }
@@ -285,16 +285,16 @@
 // OnContentLength implements nbhttp.Processor. It ends the head.
 func (c *conn) OnContentLength(_ *nbhttp.Parser, length int) {
 	c.inBody = true
-	if own := c.p.ownAnswer(c); !own && c.answer.Status >= http.StatusOK {
+	if own := c.p.isOwnAnswer(c); !own && c.answer.Status >= http.StatusOK {
 		// A second answer to an earlier request, or one that nobody asked for,
 		// may come where this request's answer is due.
-		c.foreign = true
+		c.foreignAnswer = true
 		c.noReuse = true
 	}
 	if len(c.answer.Header["Content-Length"]) > 1 {
 		// nbhttp takes the first; which of them makes the answer whole cannot
 		// be told.
-		c.fail(verdict.Ran, verdict.ReasonAnswerCut, errLengths)
+		c.fail(verdict.Ran, verdict.ReasonAnswerCut, errMultipleLengths)
 		return
 	}
 	if length > c.p.pool.opts.MaxAnswerBytes {
@@ -314,16 +314,16 @@
 }
 
 var (
-	errAnswerTooLong = errors.New("outbound: answer longer than the limit")
-	errUnframed      = errors.New("outbound: answer without a length")
-	errLengths       = errors.New("outbound: answer with two lengths")
-	errHead          = errors.New("outbound: not the head of an answer")
-	errUnsolicited   = errors.New("outbound: answer without a request")
+	errAnswerTooLong   = errors.New("outbound: answer longer than the limit")
+	errUnframed        = errors.New("outbound: answer without a length")
+	errMultipleLengths = errors.New("outbound: answer with two lengths")
+	errMalformedHead   = errors.New("outbound: not the head of an answer")
+	errUnsolicited     = errors.New("outbound: answer without a request")
 )
 
 // OnBody implements nbhttp.Processor.
 func (c *conn) OnBody(_ *nbhttp.Parser, data []byte) error {
-	if c.answer == nil || c.foreign {
+	if c.answer == nil || c.foreignAnswer {
 		return nil
 	}
 	if len(c.answer.Body)+len(data) > c.p.pool.opts.MaxAnswerBytes {
@@ -347,14 +347,14 @@
 		return
 	}
 	if a.Status == http.StatusProcessing {
-		c.p.acknowledged(c)
+		c.p.reportAcknowledged(c)
 	}
-	if a.Status < http.StatusOK || c.foreign {
-		c.endAnswer() // the final one, or the own one, follows
+	if a.Status < http.StatusOK || c.foreignAnswer {
+		c.resetAnswer() // the final one, or the own one, follows
 		return
 	}
 	if !c.framed && !c.noBody && heads.BodyAllowed(a.Status) && c.p.mayEndByClose(c) {
-		c.watchEnd(a)
+		c.awaitClose(a)
 		c.noReuse = true
 		return
 	}
@@ -365,24 +365,24 @@
 		c.fail(verdict.Ran, verdict.ReasonAnswerCut, errUnframed)
 		return
 	}
-	c.endAnswer()
+	c.resetAnswer()
 	c.connected = 0 // whoever is next did not wait for it to open
-	k := c.p.release(c, keepAlive(a.Header))
+	k := c.p.release(c, keepAliveTimeout(a.Header))
 	if k != nil {
 		k.finish(a, nil)
 	}
 }
 
-func (c *conn) endAnswer() {
+func (c *conn) resetAnswer() {
 	c.answer = nil
 	c.inBody = false
-	c.left = 0
-	c.partial.Store(false)
+	c.bodyLeft = 0
+	c.answerStarted.Store(false)
 }
 
-// keepAlive reads how long the receiver keeps a free connection open; 0 when
+// keepAliveTimeout reads how long the receiver keeps a free connection open; 0 when
 // it does not say.
-func keepAlive(h http.Header) time.Duration {
+func keepAliveTimeout(h http.Header) time.Duration {
 	for _, v := range h["Keep-Alive"] {
 		for f := range strings.SplitSeq(v, ",") {
 			name, value, _ := strings.Cut(strings.TrimSpace(f), "=")
@@ -399,8 +399,8 @@
 
 // fail ends the call in flight and the connection.
 func (c *conn) fail(v verdict.Verdict, r verdict.Reason, err error) {
-	c.endAnswer()
-	k := c.p.drop(c)
+	c.resetAnswer()
+	k := c.p.detach(c)
 	if k != nil {
 		k.finish(nil, &verdict.Error{Verdict: v, Reason: r, Err: err})
 	}
@@ -414,4 +414,4 @@
 func (c *conn) Clean(*nbhttp.Parser) {}
 
 // idleFor returns how long the connection has been free.
-func (c *conn) idleFor(now clock.Time) time.Duration { return now.Sub(c.since) }
+func (c *conn) idleFor(now clock.Time) time.Duration { return now.Sub(c.idleSince) }
--- a/serve/outbound/dial.go
+++ b/serve/outbound/dial.go
@@ -30,12 +30,12 @@
 	default:
 		c.start(claimed)
 	}
-	pe.lend()
+	pe.assignIdle()
 }
 
-// wantsSpare reports whether no connection is free, nor one on its way, and
+// reserveSpareDial reports whether no connection is free, nor one on its way, and
 // counts a dial then.
-func (pe *peer) wantsSpare() bool {
+func (pe *peer) reserveSpareDial() bool {
 	pe.mu.Lock()
 	defer pe.mu.Unlock()
 	if len(pe.idle) > 0 || pe.dialing > 0 {
@@ -101,31 +101,31 @@
 	c.parser = nbhttp.NewParser(nbc, p.engine, c, true, runInline)
 	nbc.SetSession(c.parser)
 	nbc.OnData(c.onData)
-	c.built.Store(true)
+	c.initialized.Store(true)
 	pe.mu.Lock()
 	pe.open++
 	pe.mu.Unlock()
 	if _, err := p.engine.AddConn(nbc); err != nil {
-		pe.drop(c)
-		pe.countOut(c) // nbio may report the close as well
+		pe.detach(c)
+		pe.countClosed(c) // nbio may report the close as well
 		_ = nbc.Close()
 		return nil, claimed, fmt.Errorf("outbound: %w", err)
 	}
 	if claimed == nil {
-		pe.keep(c)
+		pe.addIdle(c)
 	}
 	return c, claimed, nil
 }
 
-// keep puts a new connection among the free ones, unless it has ended already.
-func (pe *peer) keep(c *conn) {
+// addIdle puts a new connection among the free ones, unless it has ended already.
+func (pe *peer) addIdle(c *conn) {
 	pe.mu.Lock()
 	defer pe.mu.Unlock()
 	if c.ended {
 		return
 	}
 	c.connected = 0
-	c.idle = pe.pool.opts.IdleTimeout
-	c.since = pe.pool.opts.Now()
+	c.maxIdle = pe.pool.opts.IdleTimeout
+	c.idleSince = pe.pool.opts.Now()
 	pe.idle = append(pe.idle, c)
 }
--- a/serve/outbound/lifecycle_test.go
+++ b/serve/outbound/lifecycle_test.go
@@ -24,8 +24,8 @@
 	return &Call{req: r, done: func(a *Answer, err *verdict.Error) { ch <- outcome{a, err} }}, ch
 }
 
-// settle waits until every connection to addr has been counted out.
-func settle(p *Pool, addr string) {
+// awaitNoConnections waits until every connection to addr has been counted out.
+func awaitNoConnections(p *Pool, addr string) {
 	for p.Connections(addr) > 0 {
 		time.Sleep(time.Millisecond)
 	}
@@ -58,7 +58,7 @@
 	c.start(k)
 	is.True(o.err != nil)
 	is.Equal(o.err.Verdict, verdict.NotRun)
-	settle(p, addr)
+	awaitNoConnections(p, addr)
 	is.Equal(pe.free(), 0)
 }
 
@@ -69,9 +69,9 @@
 // Cause: the end of a connection was taken for the loss of a written request.
 func TestLostBeforeWritten(t *testing.T) {
 	is := is.New(t)
-	addr := receiver(t, always(okAnswer))
+	addr := receiver(t, answerAlways(okAnswer))
 	p := newPool(t)
-	_, first := do(p, addr)
+	_, first := send(p, addr)
 	is.True((<-first).err == nil)
 	k, ch := newCall()
 	pe, c := p.claim(addr, k, false)
@@ -91,13 +91,13 @@
 // Cause: the answer's end put the closed connection among the free ones.
 func TestClosedConnectionIsNotFreed(t *testing.T) {
 	is := is.New(t)
-	addr := receiver(t, always(okAnswer))
+	addr := receiver(t, answerAlways(okAnswer))
 	p := newPool(t)
 	k, _ := newCall()
 	pe, _ := p.claim(addr, k, false)
 	c, _, err := pe.connect(k)
 	is.NoErr(err)
-	is.Equal(pe.drop(c), k)
+	is.Equal(pe.detach(c), k)
 	is.True(pe.release(c, 0) == nil)
 	is.Equal(pe.free(), 0)
 }
@@ -119,7 +119,7 @@
 	})
 	p := newPool(t)
 	for range 50 {
-		k, ch := do(p, addr)
+		k, ch := send(p, addr)
 		for !k.attached() {
 			time.Sleep(time.Millisecond)
 		}
@@ -127,7 +127,7 @@
 		k.Cancel(verdict.ReasonSilent)
 		is.True((<-ch).err != nil)
 	}
-	settle(p, addr)
+	awaitNoConnections(p, addr)
 }
 
 // Symptom: a pool that is closed while it dials counts connections wrongly,
@@ -137,7 +137,7 @@
 // while it stops.
 func TestCloseWhileDialling(t *testing.T) {
 	is := is.New(t)
-	addr := receiver(t, always(okAnswer))
+	addr := receiver(t, answerAlways(okAnswer))
 	dialling, proceed := make(chan struct{}), make(chan struct{})
 	p, err := NewPool(Options{
 		DialTimeout:    time.Second,
@@ -151,7 +151,7 @@
 		},
 	})
 	is.NoErr(err)
-	_, ch := do(p, addr)
+	_, ch := send(p, addr)
 	<-dialling
 	p.Close()
 	close(proceed)
@@ -167,14 +167,14 @@
 // has ever been replaced.
 // Sequence: requests go to an address until nothing listens there.
 // Cause: the pool kept a record of each address for good.
-func TestUnusedReceiverIsForgotten(t *testing.T) {
+func TestUnusedReceiverForgotten(t *testing.T) {
 	is := is.New(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
 	addr := ln.Addr().String()
 	is.NoErr(ln.Close())
 	p := newPool(t)
-	_, ch := do(p, addr)
+	_, ch := send(p, addr)
 	is.True((<-ch).err != nil)
 	for deadline := time.Now().Add(5 * sweepInterval); p.receivers() > 0; {
 		if time.Now().After(deadline) {
@@ -194,7 +194,7 @@
 // Sequence: an answer without a length is on its way when its target crashes.
 // Cause: nbio reports a connection that ended with an error event as ended in
 // good order, without having read from it.
-func TestResetIsNoEnd(t *testing.T) {
+func TestResetIsNotACleanClose(t *testing.T) {
 	for name, reset := range map[string]bool{"reset": true, "closed": false} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -213,14 +213,14 @@
 			is.NoErr(err)
 			c := &conn{p: pe, nbc: nbc, call: k, answer: &Answer{Status: http.StatusOK}}
 			is.True(k.attach(c))
-			k.wrote(nil)
+			k.writeDone(nil)
 			c.complete()
 			far := <-peers
 			if reset {
 				is.NoErr(far.(*net.TCPConn).SetLinger(0))
 			}
 			is.NoErr(far.Close())
-			awaitEnd(t, nbc)
+			awaitSocketClosed(t, nbc)
 			c.onClose(io.EOF)
 			o := <-got
 			is.Equal(o.err != nil, reset)
@@ -228,8 +228,8 @@
 	}
 }
 
-// awaitEnd waits until the kernel knows of the connection's end.
-func awaitEnd(t *testing.T, nbc *nbio.Conn) {
+// awaitSocketClosed waits until the kernel knows of the connection's end.
+func awaitSocketClosed(t *testing.T, nbc *nbio.Conn) {
 	t.Helper()
 	raw, err := nbc.SyscallConn()
 	if err != nil {
@@ -247,18 +247,18 @@
 // Sequence: an answer without a body comes in one piece with further bytes.
 // Cause: the mark against using the connection again was set before the head
 // was parsed, and parsing began by clearing it.
-func TestBytesBehindAnAnswerEndTheConnection(t *testing.T) {
+func TestBytesAfterAnswerCloseConnection(t *testing.T) {
 	is := is.New(t)
-	addr := receiver(t, always(okAnswer))
+	addr := receiver(t, answerAlways(okAnswer))
 	p := newPool(t)
 	k, _ := newCall()
 	pe, _ := p.claim(addr, k, false)
 	c, _, err := pe.connect(k)
 	is.NoErr(err)
 	is.True(k.attach(c))
-	k.wrote(nil)
+	k.writeDone(nil)
 	head := "HTTP/1.1 204 N\r\n\r\n"
-	n, err := c.take([]byte(head + "more"))
+	n, err := c.consume([]byte(head + "more"))
 	is.NoErr(err)
 	is.Equal(n, len(head))
 	is.Equal(pe.free(), 0)
--- a/serve/outbound/outbound_test.go
+++ b/serve/outbound/outbound_test.go
@@ -61,7 +61,7 @@
 	err *verdict.Error
 }
 
-func do(p *Pool, addr string) (*Call, <-chan outcome) {
+func send(p *Pool, addr string) (*Call, <-chan outcome) {
 	ch := make(chan outcome, 2)
 	k := p.Do(addr, &Request{Method: http.MethodGet, URI: "/", Header: http.Header{}}, func(a *Answer, err *verdict.Error) {
 		ch <- outcome{a, err}
@@ -70,7 +70,7 @@
 }
 
 // answers each request with raw.
-func always(raw string) func(int, net.Conn, *bufio.Reader) {
+func answerAlways(raw string) func(int, net.Conn, *bufio.Reader) {
 	return func(_ int, c net.Conn, r *bufio.Reader) {
 		for {
 			if _, err := http.ReadRequest(r); err != nil {
@@ -114,11 +114,11 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			serve := always(c.raw)
+			serve := answerAlways(c.raw)
 			if c.raw == "" {
 				serve = func(_ int, _ net.Conn, r *bufio.Reader) { _, _ = http.ReadRequest(r) }
 			}
-			_, ch := do(newPool(t), receiver(t, serve))
+			_, ch := send(newPool(t), receiver(t, serve))
 			o := <-ch
 			if c.status == 0 {
 				is.True(o.err != nil)
@@ -143,7 +143,7 @@
 	is.NoErr(err)
 	addr := ln.Addr().String()
 	is.NoErr(ln.Close())
-	_, ch := do(newPool(t), addr)
+	_, ch := send(newPool(t), addr)
 	o := <-ch
 	is.Equal(o.err.Verdict, verdict.NotRun)
 	is.Equal(o.err.Reason, verdict.ReasonConnect)
@@ -172,14 +172,14 @@
 		}
 	})
 	p := newPool(t)
-	_, ch := do(p, addr)
+	_, ch := send(p, addr)
 	is.Equal(string((<-ch).a.Body), "ok")
-	k, silent := do(p, addr)
+	k, silent := send(p, addr)
 	time.Sleep(10 * time.Millisecond)
 	k.Cancel(verdict.ReasonSilent)
 	o := <-silent
 	is.Equal(o.err.Verdict, verdict.MayHaveRun)
-	_, ch = do(p, addr)
+	_, ch = send(p, addr)
 	is.Equal(string((<-ch).a.Body), "ok") // on a new connection
 	for !late.Load() {
 		time.Sleep(time.Millisecond)
@@ -208,12 +208,12 @@
 		_, _ = r.ReadByte()
 	})
 	p := newPool(t)
-	_, ch := do(p, addr)
+	_, ch := send(p, addr)
 	is.Equal(string((<-ch).a.Body), "first")
 	for p.Connections(addr) > 0 {
 		time.Sleep(time.Millisecond)
 	}
-	_, ch = do(p, addr)
+	_, ch = send(p, addr)
 	is.Equal(string((<-ch).a.Body), "newer")
 }
 
@@ -245,11 +245,11 @@
 
 // Guards against a receiver that is taken for silent because its interim answer
 // is not seen, or is taken for the answer.
-func TestAcknowledgementComesBeforeTheAnswer(t *testing.T) {
+func TestAcknowledgementBeforeAnswer(t *testing.T) {
 	is := is.New(t)
 	p := newPool(t)
 	const interim = "HTTP/1.1 102 Processing\r\n\r\n"
-	addr := receiver(t, always(interim+"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"))
+	addr := receiver(t, answerAlways(interim+"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"))
 	for range 2 { // the second one on the same connection
 		acknowledged := make(chan bool, 2)
 		answered := make(chan outcome, 1)
--- a/serve/outbound/peer.go
+++ b/serve/outbound/peer.go
@@ -27,29 +27,29 @@
 	return pe.open == 0 && pe.dialing == 0
 }
 
-// take claims a free connection for k. Without one it counts a dial and has k
+// claimOrQueue claims a free connection for k. Without one it counts a dial and has k
 // wait, for that one or for any that is freed sooner.
 // A fresh one is content with its own dial alone.
-func (pe *peer) take(k *Call, fresh bool) *conn {
+func (pe *peer) claimOrQueue(k *Call, fresh bool) *conn {
 	pe.mu.Lock()
 	defer pe.mu.Unlock()
 	if !fresh {
-		if c := pe.takeFree(k); c != nil {
+		if c := pe.claimIdle(k); c != nil {
 			return c
 		}
 		pe.waiting = append(pe.waiting, k)
 	}
 	pe.dialing++
-	k.began = pe.pool.opts.Now()
+	k.queuedAt = pe.pool.opts.Now()
 	return nil
 }
 
-// takeFree claims the most recently used free connection: the others age and
+// claimIdle claims the most recently used free connection: the others age and
 // are closed when the load falls. pe.mu must be held.
-func (pe *peer) takeFree(k *Call) *conn {
+func (pe *peer) claimIdle(k *Call) *conn {
 	now := pe.pool.opts.Now()
 	for i, c := range slices.Backward(pe.idle) {
-		if c.idleFor(now) >= c.idle {
+		if c.idleFor(now) >= c.maxIdle {
 			continue // the sweep closes it
 		}
 		pe.idle = slices.Delete(pe.idle, i, i+1)
@@ -59,12 +59,12 @@
 	return nil
 }
 
-// lend hands free connections to the requests that wait. One to another region
+// assignIdle hands free connections to the requests that wait. One to another region
 // takes two crossings to open; one that is freed meanwhile is there at once, and
 // the new one is kept for the next request.
-func (pe *peer) lend() {
+func (pe *peer) assignIdle() {
 	for {
-		c, k := pe.lendOne()
+		c, k := pe.assignOne()
 		if c == nil {
 			return
 		}
@@ -72,14 +72,14 @@
 	}
 }
 
-// lendOne claims a free connection for the request that has waited longest.
-func (pe *peer) lendOne() (*conn, *Call) {
+// assignOne claims a free connection for the request that has waited longest.
+func (pe *peer) assignOne() (*conn, *Call) {
 	pe.mu.Lock()
 	defer pe.mu.Unlock()
 	if len(pe.waiting) == 0 {
 		return nil, nil
 	}
-	c := pe.takeFree(pe.waiting[0])
+	c := pe.claimIdle(pe.waiting[0])
 	if c == nil {
 		return nil, nil
 	}
@@ -102,18 +102,18 @@
 
 // closeIdle closes the connections free for at least age.
 func (pe *peer) closeIdle(age time.Duration) {
-	for _, c := range pe.takeIdle(pe.pool.opts.Now(), age) {
+	for _, c := range pe.removeIdle(pe.pool.opts.Now(), age) {
 		c.nbc.Close()
 	}
 }
 
-// takeIdle claims the connections free for at least age.
-func (pe *peer) takeIdle(now clock.Time, age time.Duration) []*conn {
+// removeIdle claims the connections free for at least age.
+func (pe *peer) removeIdle(now clock.Time, age time.Duration) []*conn {
 	pe.mu.Lock()
 	defer pe.mu.Unlock()
 	var out []*conn
 	pe.idle = slices.DeleteFunc(pe.idle, func(c *conn) bool {
-		if c.idleFor(now) < min(age, c.idle) {
+		if c.idleFor(now) < min(age, c.maxIdle) {
 			return false
 		}
 		out = append(out, c)
@@ -133,10 +133,10 @@
 	pe.mu.Lock()
 	k := c.call
 	c.call = nil
-	c.idle = idleTime(keepAlive, pe.pool.opts.IdleTimeout)
+	c.maxIdle = maxIdleTime(keepAlive, pe.pool.opts.IdleTimeout)
 	keep := k != nil && !c.noReuse
 	if keep {
-		c.since = pe.pool.opts.Now()
+		c.idleSince = pe.pool.opts.Now()
 		pe.idle = append(pe.idle, c)
 	}
 	pe.mu.Unlock()
@@ -146,10 +146,10 @@
 	return k
 }
 
-// giveBack releases c if k still has it. Releasing a connection that has gone
+// releaseIfClaimed releases c if k still has it. Releasing a connection that has gone
 // on to another call would lend it to two at a time, and give one the answer
 // of the other.
-func (pe *peer) giveBack(c *conn, k *Call) {
+func (pe *peer) releaseIfClaimed(c *conn, k *Call) {
 	pe.mu.Lock()
 	owned := c.call == k
 	pe.mu.Unlock()
@@ -162,31 +162,31 @@
 // it, or for keepAliveUse of the time that it keeps it, whichever is longer. The
 // margin is for the way to another region and one lost packet on it.
 const (
-	keepAliveMargin = time.Second
-	keepAliveUse    = 0.6
+	keepAliveMargin   = time.Second
+	keepAliveFraction = 0.6
 )
 
-// idleTime is how long a free connection is lent out again. kept is the time
+// maxIdleTime is how long a free connection is lent out again. kept is the time
 // for which the receiver says that it keeps it; 0: not stated.
-func idleTime(kept, most time.Duration) time.Duration {
+func maxIdleTime(kept, most time.Duration) time.Duration {
 	if kept == 0 {
 		return most
 	}
-	use := max(kept-keepAliveMargin, time.Duration(keepAliveUse*float64(kept)))
+	use := max(kept-keepAliveMargin, time.Duration(keepAliveFraction*float64(kept)))
 	return min(use, most)
 }
 
-// ownAnswer reports whether the answer that c has begun to receive is one to
+// isOwnAnswer reports whether the answer that c has begun to receive is one to
 // its request.
-func (pe *peer) ownAnswer(c *conn) bool {
+func (pe *peer) isOwnAnswer(c *conn) bool {
 	pe.mu.Lock()
 	k := c.call
 	pe.mu.Unlock()
 	return k == nil || k.req.Own == nil || k.req.Own(c.answer.Status, c.answer.Header)
 }
 
-// acknowledged tells the sender of c's request that the receiver has it.
-func (pe *peer) acknowledged(c *conn) {
+// reportAcknowledged tells the sender of c's request that the receiver has it.
+func (pe *peer) reportAcknowledged(c *conn) {
 	pe.mu.Lock()
 	k := c.call
 	pe.mu.Unlock()
@@ -202,15 +202,15 @@
 	return c.call != nil && c.call.req.MayEndByClose
 }
 
-// busy reports whether c has been handed a request.
-func (pe *peer) busy(c *conn) bool {
+// hasRequest reports whether c has been handed a request.
+func (pe *peer) hasRequest(c *conn) bool {
 	pe.mu.Lock()
 	defer pe.mu.Unlock()
 	return c.call != nil && c.call.attached()
 }
 
-// drop forgets c and returns the call it carried.
-func (pe *peer) drop(c *conn) *Call {
+// detach forgets c and returns the call it carried.
+func (pe *peer) detach(c *conn) *Call {
 	pe.mu.Lock()
 	defer pe.mu.Unlock()
 	k := c.call
@@ -219,8 +219,8 @@
 	return k
 }
 
-// countOut counts a connection out; only the first time counts.
-func (pe *peer) countOut(c *conn) {
+// countClosed counts a connection out; only the first time counts.
+func (pe *peer) countClosed(c *conn) {
 	pe.mu.Lock()
 	defer pe.mu.Unlock()
 	if !c.ended {
--- a/serve/outbound/pool.go
+++ b/serve/outbound/pool.go
@@ -77,7 +77,7 @@
 	pe, c := p.claim(addr, k, r.Fresh)
 	if c != nil {
 		c.start(k)
-		if r.Spare && pe.wantsSpare() {
+		if r.Spare && pe.reserveSpareDial() {
 			go pe.dialSpare()
 		}
 		return k
@@ -125,7 +125,7 @@
 		pe = &peer{pool: p, addr: addr}
 		p.peers[addr] = pe
 	}
-	return pe, pe.take(k, fresh)
+	return pe, pe.claimOrQueue(k, fresh)
 }
 
 // sweepInterval is how often free connections are checked for their age.
--- a/serve/outbound/waiting_test.go
+++ b/serve/outbound/waiting_test.go
@@ -42,9 +42,9 @@
 	return p, g
 }
 
-// onRequest answers each request when told to, on connections that number
+// answerOnSignal answers each request when told to, on connections that number
 // themselves in the order in which they are accepted.
-func onRequest(answer <-chan struct{}) func(int, net.Conn, *bufio.Reader) {
+func answerOnSignal(answer <-chan struct{}) func(int, net.Conn, *bufio.Reader) {
 	return func(_ int, c net.Conn, r *bufio.Reader) {
 		for {
 			if _, err := http.ReadRequest(r); err != nil {
@@ -65,16 +65,16 @@
 // connection opened; the first is answered long before that is open.
 // Cause: a request that waits for its own connection didn't take one that was
 // free.
-func TestAWaitingRequestTakesAConnectionThatIsFreed(t *testing.T) {
+func TestWaitingRequestUsesFreedConnection(t *testing.T) {
 	is := is.New(t)
 	answer := make(chan struct{}, 2)
-	addr := receiver(t, onRequest(answer))
+	addr := receiver(t, answerOnSignal(answer))
 	p, g := gatedPool(t, net.DialTimeout)
-	k, first := do(p, addr)
+	k, first := send(p, addr)
 	for !k.attached() {
 		time.Sleep(time.Millisecond)
 	}
-	_, second := do(p, addr)
+	_, second := send(p, addr)
 	answer <- struct{}{}
 	is.True((<-first).err == nil)
 	answer <- struct{}{}
@@ -88,7 +88,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	answer <- struct{}{}
-	_, third := do(p, addr)
+	_, third := send(p, addr)
 	o = <-third
 	is.True(o.err == nil)
 	is.Equal(o.a.Waited, time.Duration(0))
@@ -99,23 +99,23 @@
 // it.
 // Sequence: a waiting request takes a freed connection; then its own dial fails.
 // Cause: the failed dial ended whatever request it had been begun for.
-func TestAFailedDialEndsOnlyARequestThatWaits(t *testing.T) {
+func TestFailedDialFailsOnlyWaitingRequest(t *testing.T) {
 	is := is.New(t)
 	answer := make(chan struct{}, 3)
-	addr := receiver(t, onRequest(answer))
+	addr := receiver(t, answerOnSignal(answer))
 	var failing atomic.Bool
 	p, g := gatedPool(t, func(network, addr string, d time.Duration) (net.Conn, error) {
 		if failing.Load() {
-			return nil, errHead
+			return nil, errMalformedHead
 		}
 		return net.DialTimeout(network, addr, d)
 	})
-	k, first := do(p, addr)
+	k, first := send(p, addr)
 	for !k.attached() {
 		time.Sleep(time.Millisecond)
 	}
-	k2, second := do(p, addr)
-	_, third := do(p, addr)
+	k2, second := send(p, addr)
+	_, third := send(p, addr)
 	answer <- struct{}{}
 	is.True((<-first).err == nil)
 	for !k2.attached() { // the first to wait has the connection
@@ -136,18 +136,18 @@
 // Sequence: a request that waits is cancelled; the connection that is freed is
 // meant for it, and another request waits too.
 // Cause: a freed connection was offered once, to a request that had ended.
-func TestACancelledRequestPassesItsTurnOn(t *testing.T) {
+func TestCancelledRequestGivesUpItsTurn(t *testing.T) {
 	is := is.New(t)
 	answer := make(chan struct{}, 2)
-	addr := receiver(t, onRequest(answer))
+	addr := receiver(t, answerOnSignal(answer))
 	p, g := gatedPool(t, net.DialTimeout)
 	defer close(g.pass)
-	k, first := do(p, addr)
+	k, first := send(p, addr)
 	for !k.attached() {
 		time.Sleep(time.Millisecond)
 	}
-	k2, second := do(p, addr)
-	_, third := do(p, addr)
+	k2, second := send(p, addr)
+	_, third := send(p, addr)
 	k2.Cancel(verdict.ReasonCallerGone)
 	is.Equal((<-second).err.Verdict, verdict.NotRun)
 	answer <- struct{}{}
@@ -161,7 +161,7 @@
 // Sequence: a target says that it keeps free connections for ten seconds; one is
 // wanted after seven.
 // Cause: only six tenths of that time were used.
-func TestFreeConnectionsAreUsedForMostOfTheTimeThatTheyAreKept(t *testing.T) {
+func TestMaxIdleTime(t *testing.T) {
 	for stated, used := range map[time.Duration]time.Duration{
 		10 * time.Second:       9 * time.Second,
 		5 * time.Second:        4 * time.Second,
@@ -172,7 +172,7 @@
 		500 * time.Millisecond: 300 * time.Millisecond,
 	} {
 		is := is.New(t)
-		is.Equal(idleTime(stated, time.Minute), used)
+		is.Equal(maxIdleTime(stated, time.Minute), used)
 	}
 }
 
@@ -180,15 +180,15 @@
 // Sequence: a request asks for a new connection; that ends.
 // Cause: the end of its dial was counted and its beginning was not, so the
 // receiver never counted as unused.
-func TestAReceiverIsForgottenAfterAFreshConnection(t *testing.T) {
+func TestReceiverForgottenAfterNewConnection(t *testing.T) {
 	is := is.New(t)
-	addr := receiver(t, always("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok"))
+	addr := receiver(t, answerAlways("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok"))
 	p := newPool(t)
 	ch := make(chan outcome, 1)
 	r := &Request{Method: http.MethodGet, URI: "/", Header: http.Header{}, Fresh: true}
 	p.Do(addr, r, func(a *Answer, err *verdict.Error) { ch <- outcome{a, err} })
 	is.True((<-ch).err == nil)
-	settle(p, addr)
+	awaitNoConnections(p, addr)
 	p.inUse()
 	is.True(p.find(addr) == nil)
 }
@@ -198,10 +198,10 @@
 // Sequence: a request takes the only free connection; another one comes before
 // it is answered.
 // Cause: a connection was opened only once a request waited for it.
-func TestASpareConnectionIsOpenedBeforeItIsNeeded(t *testing.T) {
+func TestSpareConnection(t *testing.T) {
 	is := is.New(t)
 	answer := make(chan struct{}, 3)
-	addr := receiver(t, onRequest(answer))
+	addr := receiver(t, answerOnSignal(answer))
 	p := newPool(t)
 	spared := func() <-chan outcome {
 		ch := make(chan outcome, 1)
--- a/serve/pollers/pollers.go
+++ b/serve/pollers/pollers.go
@@ -29,35 +29,35 @@
 const maxPairs = 64
 
 var (
-	errSilent  = errors.New("pollers: nbio's pollers have not started")
-	errMissing = errors.New("pollers: no file descriptor leads to a poller")
+	errNotStarted  = errors.New("pollers: nbio's pollers have not started")
+	errUnreachable = errors.New("pollers: no file descriptor leads to a poller")
 )
 
 // Await waits until all pollers of a started engine run.
 func Await(e *nbhttp.Engine) error {
-	w := waiter{engine: e, heard: make(chan struct{}, e.NPoller)}
+	w := waiter{engine: e, replied: make(chan struct{}, e.NPoller)}
 	defer w.close()
 	for i := range e.NPoller {
-		if err := w.reach(i); err != nil {
+		if err := w.pingPoller(i); err != nil {
 			return err
 		}
 	}
 	timeout := time.After(startTimeout)
 	for range e.NPoller {
 		select {
-		case <-w.heard:
+		case <-w.replied:
 		case <-timeout:
-			return errSilent
+			return errNotStarted
 		}
 	}
 	return nil
 }
 
 type waiter struct {
-	engine *nbhttp.Engine
-	heard  chan struct{}
-	open   []net.Conn // each pair's near end first
-	spare  []*os.File // held so that later descriptors differ
+	engine       *nbhttp.Engine
+	replied      chan struct{}
+	conns        []net.Conn // each pair's near end first
+	placeholders []*os.File // held so that later descriptors differ
 }
 
 // close closes the far ends, which the pollers have, before the near ones. A
@@ -65,19 +65,19 @@
 // when its descriptor belongs to a new connection already; nbio would close
 // that one.
 func (w *waiter) close() {
-	for _, c := range slices.Backward(w.open) {
+	for _, c := range slices.Backward(w.conns) {
 		_ = c.Close()
 	}
-	for _, f := range w.spare {
+	for _, f := range w.placeholders {
 		_ = f.Close()
 	}
 }
 
-// aim takes descriptors until the lowest free one leads to the poller of the
+// reserveDescriptors takes descriptors until the lowest free one leads to the poller of the
 // index, as the next connection will get that one. Without it the descriptors
 // that connections get can keep clear of a poller, such as by being all even:
 // an entry VM with 8 cores would not start.
-func (w *waiter) aim(index int) error {
+func (w *waiter) reserveDescriptors(index int) error {
 	for range w.engine.NPoller {
 		f, err := os.Open(os.DevNull)
 		if err != nil {
@@ -86,20 +86,20 @@
 		if int(f.Fd())%w.engine.NPoller == index {
 			return f.Close()
 		}
-		w.spare = append(w.spare, f)
+		w.placeholders = append(w.placeholders, f)
 	}
 	return nil
 }
 
-// reach gives the poller of the index a byte to read.
-func (w *waiter) reach(index int) error {
+// pingPoller gives the poller of the index a byte to read.
+func (w *waiter) pingPoller(index int) error {
 	for range maxPairs {
-		near, far, err := pair()
+		near, far, err := socketPair()
 		if err != nil {
 			return err
 		}
-		w.open = append(w.open, near)
-		if err := w.aim(index); err != nil {
+		w.conns = append(w.conns, near)
+		if err := w.reserveDescriptors(index); err != nil {
 			_ = far.Close()
 			return err
 		}
@@ -108,11 +108,11 @@
 			_ = far.Close()
 			return fmt.Errorf("pollers: %w", err)
 		}
-		w.open = append(w.open, nbc)
+		w.conns = append(w.conns, nbc)
 		if nbc.Hash()%w.engine.NPoller != index {
 			continue // another goroutine was faster to the descriptor
 		}
-		nbc.OnData(func(*nbio.Conn, []byte) { w.heard <- struct{}{} })
+		nbc.OnData(func(*nbio.Conn, []byte) { w.replied <- struct{}{} })
 		if _, err := w.engine.AddConn(nbc); err != nil {
 			return fmt.Errorf("pollers: %w", err)
 		}
@@ -121,17 +121,17 @@
 		}
 		return nil
 	}
-	return errMissing
+	return errUnreachable
 }
 
-// pair returns two connected sockets of this process.
-func pair() (near, far net.Conn, err error) {
+// socketPair returns two connected sockets of this process.
+func socketPair() (near, far net.Conn, err error) {
 	fds, err := syscall.Socketpair(syscall.AF_UNIX, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC|syscall.SOCK_NONBLOCK, 0)
 	if err != nil {
 		return nil, nil, fmt.Errorf("pollers: %w", err)
 	}
-	near, err1 := connOf(fds[0])
-	far, err2 := connOf(fds[1])
+	near, err1 := connFromFD(fds[0])
+	far, err2 := connFromFD(fds[1])
 	if err := errors.Join(err1, err2); err != nil {
 		for _, c := range []net.Conn{near, far} {
 			if c != nil {
@@ -143,7 +143,7 @@
 	return near, far, nil
 }
 
-func connOf(fd int) (net.Conn, error) {
+func connFromFD(fd int) (net.Conn, error) {
 	f := os.NewFile(uintptr(fd), "pair")
 	defer f.Close()
 	c, err := net.FileConn(f)
--- a/serve/store/document.go
+++ b/serve/store/document.go
@@ -146,7 +146,7 @@
 	}
 	var chunks []chunk
 	if len(outside.Packed) > MaxInline {
-		chunks, err = cut(outside.Packed, d.point())
+		chunks, err = splitChunks(outside.Packed, d.point())
 		outside.Packed = nil
 	}
 	for _, c := range chunks {
@@ -167,8 +167,8 @@
 	return packed[0], nil
 }
 
-// cut cuts a compressed catalogue into chunks.
-func cut(packed []byte, p config.Point) ([]chunk, error) {
+// splitChunks cuts a compressed catalogue into chunks.
+func splitChunks(packed []byte, p config.Point) ([]chunk, error) {
 	size := len(packed)
 	var out []chunk
 	for len(packed) > 0 {
@@ -205,14 +205,14 @@
 	if h.Format != config.Format {
 		return head{}, fmt.Errorf("%w: format %d", ErrMalformed, h.Format)
 	}
-	if err := h.fill(ctx, s); err != nil {
+	if err := h.loadCatalogue(ctx, s); err != nil {
 		return head{}, err
 	}
 	return h, h.check()
 }
 
-// fill unpacks the catalogue, from the chunks if there are any.
-func (d *document) fill(ctx context.Context, s platform.Store) (err error) {
+// loadCatalogue unpacks the catalogue, from the chunks if there are any.
+func (d *document) loadCatalogue(ctx context.Context, s platform.Store) (err error) {
 	if d.Catalogue != nil {
 		return nil
 	}
--- a/serve/store/duty.go
+++ b/serve/store/duty.go
@@ -48,10 +48,10 @@
 // rule: its lease saves work, and every write of the job must be fenced by a
 // compare-and-swap of its own.
 type Duty struct {
-	o       DutyOptions
-	until   atomic.Int64 // clock.Time before which the holder may work; 0: not held
-	lease   platform.LeaseID
-	renewAt clock.Time
+	o         DutyOptions
+	heldUntil atomic.Int64 // clock.Time before which the holder may work; 0: not held
+	lease     platform.LeaseID
+	renewAt   clock.Time
 }
 
 // holder is the value of a duty's key, for operators.
@@ -68,7 +68,7 @@
 // that was paused sees at its next look that its lease may have lapsed. It may
 // be paused right after that look, so its writes must be fenced all the same.
 func (d *Duty) Held() bool {
-	return d.o.Now() < clock.Time(d.until.Load())
+	return d.o.Now() < clock.Time(d.heldUntil.Load())
 }
 
 // Run keeps taking and renewing the duty until ctx ends, and then gives it up.
@@ -112,7 +112,7 @@
 func (d *Duty) Release(ctx context.Context) {
 	id := d.lease
 	d.lease = ""
-	d.until.Store(0)
+	d.heldUntil.Store(0)
 	if id != "" {
 		// A failure is harmless: the lease lapses by itself.
 		_ = d.o.Store.RevokeLease(ctx, id)
@@ -132,16 +132,16 @@
 	case err != nil && !errors.Is(err, platform.ErrNotFound):
 		return dutyRetry
 	}
-	if err := d.take(ctx); err != nil {
+	if err := d.acquireLease(ctx); err != nil {
 		return dutyRetry
 	}
 	return dutyRenew
 }
 
-// errTaken means that another daemon was faster.
-var errTaken = errors.New("store: duty is taken")
+// errDutyTaken means that another daemon was faster.
+var errDutyTaken = errors.New("store: duty is taken")
 
-func (d *Duty) take(ctx context.Context) error {
+func (d *Duty) acquireLease(ctx context.Context) error {
 	value, err := json.Marshal(holder{VM: d.o.Holder, Incarnation: d.o.Incarnation})
 	if err != nil {
 		return fmt.Errorf("store: duty: %w", err)
@@ -153,7 +153,7 @@
 	}
 	_, held, err := d.o.Store.Acquire(ctx, d.o.Key, value, id)
 	if err == nil && !held {
-		err = errTaken
+		err = errDutyTaken
 	}
 	if err != nil {
 		// After a lost answer the lease may hold the key; revoking frees it.
@@ -174,7 +174,7 @@
 		return dutyRenew
 	case errors.Is(err, platform.ErrLeaseLost):
 		d.lease = ""
-		d.until.Store(0)
+		d.heldUntil.Store(0)
 		return dutyRetry
 	default:
 		return dutyRetry
@@ -184,5 +184,5 @@
 // extend counts the lease from the instant before it was asked for.
 func (d *Duty) extend(asked clock.Time) {
 	d.renewAt = asked.Add(dutyRenew)
-	d.until.Store(int64(asked.Add(DutyTTL - dutyMargin)))
+	d.heldUntil.Store(int64(asked.Add(DutyTTL - dutyMargin)))
 }
--- a/serve/store/reader.go
+++ b/serve/store/reader.go
@@ -121,15 +121,15 @@
 		return &config.PlatformRead{
 			Seq:       w.Seq,
 			Result:    config.ReadNotModified,
-			Confirmed: r.waited(asked, w),
+			Confirmed: r.confirmedAt(asked, w),
 		}
 	}
 	return r.outcome(ctx, w.Seq, e, err, asked)
 }
 
-// waited returns the instant that a watch without a change vouches for: the
+// confirmedAt returns the instant that a watch without a change vouches for: the
 // end of its wait, if the platform did wait that long.
-func (r *Reader) waited(asked clock.Time, w config.WatchPlatform) clock.Time {
+func (r *Reader) confirmedAt(asked clock.Time, w config.WatchPlatform) clock.Time {
 	end := asked.Add(w.Wait)
 	if r.o.Now().Before(end) {
 		return asked
--- a/serve/store/store_test.go
+++ b/serve/store/store_test.go
@@ -81,22 +81,22 @@
 	return v.Verdict
 }
 
-func document1(is *is.I, s api.Store) head {
+func mustReadHead(is *is.I, s api.Store) head {
 	is.Helper()
 	h, err := readHead(context.Background(), s)
 	is.NoErr(err)
 	return h
 }
 
-// scripted lets a test act around the compare-and-swaps of the head.
-type scripted struct {
+// hookedStore lets a test act around the compare-and-swaps of the head.
+type hookedStore struct {
 	api.Store
 	before func(try int)                  // before the write
 	after  func(try int, err error) error // replaces the answer
 	tries  int
 }
 
-func (s *scripted) CompareAndSwap(ctx context.Context, key string, value []byte, index uint64) (uint64, error) {
+func (s *hookedStore) CompareAndSwap(ctx context.Context, key string, value []byte, index uint64) (uint64, error) {
 	if key != HeadKey {
 		return s.Store.CompareAndSwap(ctx, key, value, index)
 	}
@@ -122,7 +122,7 @@
 	is.NoErr(err)
 	is.True(a.Repeated)
 	is.Equal(a.Revision, uint64(1))
-	is.Equal(len(document1(is, f.view).Operations), 1)
+	is.Equal(len(mustReadHead(is, f.view).Operations), 1)
 }
 
 // Symptom: a change that was refused as lost takes effect later, beside its
@@ -132,24 +132,24 @@
 func TestDelayedWriteTakesEffectOnce(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
-	late := &delaying{Store: f.view}
+	late := &delayedStore{Store: f.view}
 	w := f.newWriter(late)
 	a, err := w.Change(t.Context(), putService(opID(1), "calc-lookup", 0))
 	is.NoErr(err)
 	is.Equal(a.Revision, uint64(1))
 	_, err = f.view.CompareAndSwap(t.Context(), HeadKey, late.value, late.index)
 	is.True(errors.Is(err, api.ErrConflict))
-	is.Equal(document1(is, f.view).Revision, uint64(1))
+	is.Equal(mustReadHead(is, f.view).Revision, uint64(1))
 }
 
-// delaying holds back the first write of the head and reports it as lost.
-type delaying struct {
+// delayedStore holds back the first write of the head and reports it as lost.
+type delayedStore struct {
 	api.Store
 	value []byte
 	index uint64
 }
 
-func (d *delaying) CompareAndSwap(ctx context.Context, key string, value []byte, index uint64) (uint64, error) {
+func (d *delayedStore) CompareAndSwap(ctx context.Context, key string, value []byte, index uint64) (uint64, error) {
 	if d.value == nil {
 		d.value, d.index = value, index
 		return 0, &verdict.Error{Verdict: verdict.MayHaveRun, Reason: verdict.ReasonDeadline}
@@ -164,7 +164,7 @@
 func TestLostAnswerThenOutage(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
-	s := &scripted{Store: f.view, after: func(int, error) error {
+	s := &hookedStore{Store: f.view, after: func(int, error) error {
 		is.NoErr(f.server.SetOutage(platform.Refusing))
 		return &verdict.Error{Verdict: verdict.MayHaveRun, Reason: verdict.ReasonConnectionLost}
 	}}
@@ -180,7 +180,7 @@
 	a, err := w.Change(t.Context(), putService(opID(1), "calc-lookup", 0))
 	is.NoErr(err)
 	is.True(a.Repeated)
-	is.Equal(document1(is, f.view).Revision, uint64(1))
+	is.Equal(mustReadHead(is, f.view).Revision, uint64(1))
 }
 
 // Symptom: an operator is told "may have run" for a change that certainly
@@ -202,13 +202,13 @@
 func TestSlowPlatform(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
-	s := &scripted{Store: f.view, before: func(int) { f.server.SetDelay(0, time.Second) }}
+	s := &hookedStore{Store: f.view, before: func(int) { f.server.SetDelay(0, time.Second) }}
 	ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 	defer cancel()
 	_, err := f.newWriter(s).Change(ctx, putService(opID(1), "calc-lookup", 0))
 	is.Equal(verdictOf(is, err), verdict.MayHaveRun)
 	f.server.SetDelay(0, 0)
-	is.Equal(document1(is, f.view).Revision, uint64(1))
+	is.Equal(mustReadHead(is, f.view).Revision, uint64(1))
 }
 
 // Symptom: of two operators' changes one is gone. Sequence: both read the same
@@ -218,7 +218,7 @@
 	is := is.New(t)
 	f := newFixture()
 	other := f.newWriter(f.view)
-	s := &scripted{Store: f.view, before: func(try int) {
+	s := &hookedStore{Store: f.view, before: func(try int) {
 		if try == 1 {
 			_, err := other.Change(t.Context(), putService(opID(2), "permit-file", 0))
 			is.NoErr(err)
@@ -227,7 +227,7 @@
 	a, err := f.newWriter(s).Change(t.Context(), putService(opID(1), "calc-lookup", 0))
 	is.NoErr(err)
 	is.Equal(a.Revision, uint64(2))
-	is.Equal(len(document1(is, f.view).Catalogue.Services), 2)
+	is.Equal(len(mustReadHead(is, f.view).Catalogue.Services), 2)
 }
 
 // Symptom: an operator overwrites what another has just decided. Sequence:
@@ -237,7 +237,7 @@
 	is := is.New(t)
 	f := newFixture()
 	other := f.newWriter(f.view)
-	s := &scripted{Store: f.view, before: func(try int) {
+	s := &hookedStore{Store: f.view, before: func(try int) {
 		if try == 1 {
 			_, err := other.Change(t.Context(), putService(opID(2), "calc-lookup", 0))
 			is.NoErr(err)
@@ -261,8 +261,8 @@
 	old := f.server.Snapshot()
 	_, err = f.writer.Change(t.Context(), putService(opID(2), "permit-file", 0))
 	is.NoErr(err)
-	s := &scripted{Store: f.view, after: func(int, error) error {
-		f.base = config.Base{Catalogue: document1(is, f.view).Catalogue, Floor: 3}
+	s := &hookedStore{Store: f.view, after: func(int, error) error {
+		f.base = config.Base{Catalogue: mustReadHead(is, f.view).Catalogue, Floor: 3}
 		f.server.Restore(old)
 		return &verdict.Error{Verdict: verdict.MayHaveRun, Reason: verdict.ReasonConnectionLost}
 	}}
@@ -286,7 +286,7 @@
 	a, err := f.writer.Change(t.Context(), putService(opID(3), "drawing-vault", 0))
 	is.NoErr(err)
 	is.Equal(a.Revision, uint64(8))
-	h := document1(is, f.view)
+	h := mustReadHead(is, f.view)
 	is.Equal(len(h.Catalogue.Services), 3)
 	is.Equal(len(h.lineage()), 3) // 1, the fleet's 2, and 8
 }
@@ -302,17 +302,17 @@
 	_, err := f.writer.Change(ctx, putService(opID(1), "calc-lookup", 0))
 	is.Equal(verdictOf(is, err), verdict.NotRun)
 	is.True(errors.Is(err, ErrBehind))
-	is.Equal(document1(is, f.view).Revision, uint64(0))
+	is.Equal(mustReadHead(is, f.view).Revision, uint64(0))
 }
 
-// cutting ends its caller's time during a later read.
-type cutting struct {
+// cancelOnRead ends its caller's time during a later read.
+type cancelOnRead struct {
 	api.Store
 	reads  int
 	cancel context.CancelFunc
 }
 
-func (c *cutting) Get(ctx context.Context, key string) (api.Entry, error) {
+func (c *cancelOnRead) Get(ctx context.Context, key string) (api.Entry, error) {
 	if c.reads++; c.reads > 1 {
 		c.cancel()
 		return api.Entry{}, ctx.Err()
@@ -322,12 +322,12 @@
 
 // Guards against a writer that forgets why it waits when its caller's time ends
 // while it looks once more.
-func TestTheReasonForAWaitOutlivesTheCallersTime(t *testing.T) {
+func TestErrBehindSurvivesCancellation(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
 	f.behind = true
 	ctx, cancel := context.WithCancel(t.Context())
-	w := f.newWriter(&cutting{Store: f.view, cancel: cancel})
+	w := f.newWriter(&cancelOnRead{Store: f.view, cancel: cancel})
 	_, err := w.Change(ctx, putService(opID(1), "calc-lookup", 0))
 	is.Equal(verdictOf(is, err), verdict.NotRun)
 	is.True(errors.Is(err, ErrBehind))
@@ -349,7 +349,7 @@
 	_, wrote, err = f.writer.Restore(t.Context(), a.Catalogue)
 	is.NoErr(err)
 	is.True(!wrote)
-	h := document1(is, f.view)
+	h := mustReadHead(is, f.view)
 	is.Equal(h.Revision, uint64(1))
 	other := *a.Catalogue
 	other.Services = nil
@@ -403,13 +403,13 @@
 	for err := range errs {
 		is.NoErr(err)
 	}
-	h := document1(is, f.view)
+	h := mustReadHead(is, f.view)
 	is.Equal(h.Revision, uint64(writers*changes))
 	is.Equal(len(h.Catalogue.Services), writers*changes)
 }
 
-// large returns a catalogue that doesn't fit into the head.
-func large(revision uint64) *catalogue.Catalogue {
+// largeCatalogue returns a catalogue that doesn't fit into the head.
+func largeCatalogue(revision uint64) *catalogue.Catalogue {
 	rng := rand.New(rand.NewPCG(1, revision))
 	c := &catalogue.Catalogue{Revision: revision}
 	for i := range 4000 {
@@ -435,12 +435,12 @@
 func TestPackedCatalogue(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
-	c := large(5)
+	c := largeCatalogue(5)
 	c.Shifts = c.Shifts[:200]
 	f.base = config.Base{Catalogue: c, Floor: 5}
 	_, err := f.writer.Change(t.Context(), putService(opID(1), "calc-lookup", 0))
 	is.NoErr(err)
-	h := document1(is, f.view)
+	h := mustReadHead(is, f.view)
 	is.True(len(h.Packed) > 0 && len(h.Chunks) == 0)
 	is.Equal(len(h.Catalogue.Shifts), 200)
 	h.Catalogue = nil
@@ -458,12 +458,12 @@
 func TestLargeCatalogue(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
-	f.base = config.Base{Catalogue: large(5), Floor: 5}
+	f.base = config.Base{Catalogue: largeCatalogue(5), Floor: 5}
 	var keys []string
 	for i := range 4 {
 		a, err := f.writer.Change(t.Context(), putService(opID(i), fmt.Sprint("s", i), 0))
 		is.NoErr(err)
-		h := document1(is, f.view)
+		h := mustReadHead(is, f.view)
 		is.Equal(h.Revision, a.Revision)
 		is.Equal(len(h.Catalogue.Shifts), 4000)
 		is.True(len(h.Chunks) > 0)
@@ -531,7 +531,7 @@
 	r := NewReader(ReaderOptions{Store: f.view, Now: f.clock.Now, Emit: func(ev *config.PlatformRead) { events <- ev }})
 	_, err := f.writer.Change(t.Context(), putService(opID(1), "calc-lookup", 0))
 	is.NoErr(err)
-	r.Perform(&config.Ready{Watch: []config.WatchPlatform{{Seq: 1, After: document1(is, f.view).index, Wait: time.Hour}}})
+	r.Perform(&config.Ready{Watch: []config.WatchPlatform{{Seq: 1, After: mustReadHead(is, f.view).index, Wait: time.Hour}}})
 	r.Perform(&config.Ready{Stop: []config.StopWatching{{Seq: 1}}})
 	r.Close() // returns only when the watch has ended
 	is.Equal(len(events), 0)
--- a/serve/store/wire_test.go
+++ b/serve/store/wire_test.go
@@ -15,8 +15,8 @@
 	"github.com/azurethread/azurethread/decide/config"
 )
 
-// packed encodes v as frames between daemons do.
-func packed(v any) ([]byte, error) {
+// encodeMsgpack encodes v as frames between daemons do.
+func encodeMsgpack(v any) ([]byte, error) {
 	var b bytes.Buffer
 	e := msgpack.NewEncoder(&b)
 	e.SetCustomStructTag("json")
@@ -25,7 +25,7 @@
 	return b.Bytes(), err
 }
 
-func unpacked(b []byte, v any) error {
+func decodeMsgpack(b []byte, v any) error {
 	d := msgpack.NewDecoder(bytes.NewReader(b))
 	d.SetCustomStructTag("json")
 	return d.Decode(v)
@@ -62,10 +62,10 @@
 	want, err := config.Hash(c)
 	is.NoErr(err)
 	s := &config.Snapshot{Format: config.Format, Revision: c.Revision, Hash: want, Parts: 1, Services: c.Services, Shifts: c.Shifts}
-	b, err := packed(config.NewBody(s))
+	b, err := encodeMsgpack(config.NewBody(s))
 	is.NoErr(err)
 	var body config.Body
-	is.NoErr(unpacked(b, &body))
+	is.NoErr(decodeMsgpack(b, &body))
 	m, err := body.Message()
 	is.NoErr(err)
 	got := m.(*config.Snapshot)
@@ -102,7 +102,7 @@
 		b.Run(name, func(b *testing.B) {
 			var size int
 			for b.Loop() {
-				p, err := packed(config.NewBody(m))
+				p, err := encodeMsgpack(config.NewBody(m))
 				if err != nil {
 					b.Fatal(err)
 				}
--- a/serve/store/writer.go
+++ b/serve/store/writer.go
@@ -30,8 +30,8 @@
 	// ErrBehind means that a higher revision is known to exist whose content
 	// this daemon lacks, so that it has nothing to build a change on.
 	ErrBehind = errors.New("store: a higher revision is being fetched")
-	// errSwap means that the head changed between read and write.
-	errSwap = errors.New("store: head changed")
+	// errHeadChanged means that the head changed between read and write.
+	errHeadChanged = errors.New("store: head changed")
 )
 
 // WriterOptions configures a Writer.
@@ -50,13 +50,13 @@
 // Writer writes to the platform's document. It is safe for concurrent use;
 // one write runs at a time.
 type Writer struct {
-	o    WriterOptions
-	turn chan struct{} // holds a token while a write runs
+	o       WriterOptions
+	writing chan struct{} // holds a token while a write runs
 }
 
 // NewWriter returns a Writer.
 func NewWriter(o WriterOptions) *Writer {
-	return &Writer{o: o, turn: make(chan struct{}, 1)}
+	return &Writer{o: o, writing: make(chan struct{}, 1)}
 }
 
 // Accepted is a change that the platform has accepted.
@@ -81,10 +81,10 @@
 // in which case op was not run, or a *verdict.Error that says whether it may
 // have run. Calling again with the same op is safe in every case.
 func (w *Writer) Change(ctx context.Context, op change.Operation) (Accepted, error) {
-	if err := w.take(ctx); err != nil {
+	if err := w.lock(ctx); err != nil {
 		return Accepted{}, err
 	}
-	defer w.give()
+	defer w.unlock()
 	a := attempt{w: w, op: op}
 	return a.run(ctx)
 }
@@ -100,19 +100,19 @@
 	return o.Revision, found, nil
 }
 
-func (w *Writer) take(ctx context.Context) error {
+func (w *Writer) lock(ctx context.Context) error {
 	select {
-	case w.turn <- struct{}{}:
+	case w.writing <- struct{}{}:
 		return nil
 	case <-ctx.Done():
 		return &verdict.Error{Verdict: verdict.NotRun, Reason: verdict.ReasonDeadline, Err: ctx.Err()}
 	}
 }
 
-func (w *Writer) give() { <-w.turn }
+func (w *Writer) unlock() { <-w.writing }
 
-// revision returns the revision after floor.
-func (w *Writer) revision(floor uint64) uint64 {
+// nextRevision returns the revision after floor.
+func (w *Writer) nextRevision(floor uint64) uint64 {
 	next := floor + 1
 	if w.o.CountedRevisions {
 		return next
@@ -122,13 +122,13 @@
 
 // attempt is one Change under way.
 type attempt struct {
-	w       *Writer
-	op      change.Operation
-	unknown *unknown // a write whose answer was lost; nil if none is unsettled
+	w         *Writer
+	op        change.Operation
+	unsettled *unsettledWrite // a write whose answer was lost; nil if none is unsettled
 }
 
-// unknown is a write that may have run.
-type unknown struct {
+// unsettledWrite is a write that may have run.
+type unsettledWrite struct {
 	index uint64       // that the write was conditioned on
 	base  config.Point // what the head held there
 }
@@ -140,7 +140,7 @@
 	var err error // of the latest try that the end of ctx has not cut short
 	for range MaxTries {
 		done, failed := a.try(ctx)
-		if failed == nil || final(failed) {
+		if failed == nil || isPermanent(failed) {
 			return done, a.result(failed)
 		}
 		if err == nil || ctx.Err() == nil {
@@ -153,13 +153,13 @@
 	return Accepted{}, a.result(err)
 }
 
-// final reports whether trying again can't help.
-func final(err error) bool {
-	return rejected(err) || errors.Is(err, platform.ErrTooLarge) || errors.Is(err, errRevisions)
+// isPermanent reports whether trying again can't help.
+func isPermanent(err error) bool {
+	return isRejection(err) || errors.Is(err, platform.ErrTooLarge) || errors.Is(err, errRevisionsExhausted)
 }
 
-// rejected reports whether err is change's word against the operation.
-func rejected(err error) bool {
+// isRejection reports whether err is change's word against the operation.
+func isRejection(err error) bool {
 	var (
 		conflict *change.Conflict
 		refused  *change.Refused
@@ -174,10 +174,10 @@
 	if err == nil {
 		return nil
 	}
-	if a.unknown != nil {
+	if a.unsettled != nil {
 		return &verdict.Error{Verdict: verdict.MayHaveRun, Reason: verdict.ReasonConnectionLost, Err: err}
 	}
-	if rejected(err) {
+	if isRejection(err) {
 		return err
 	}
 	return &verdict.Error{Verdict: verdict.NotRun, Reason: a.reason(err), Err: err}
@@ -185,7 +185,7 @@
 
 func (a *attempt) reason(err error) verdict.Reason {
 	switch {
-	case final(err):
+	case isPermanent(err):
 		return verdict.ReasonInternal
 	case errors.Is(err, ErrBehind):
 		return verdict.ReasonNotReady
@@ -213,7 +213,7 @@
 		return Accepted{}, err
 	}
 	if o, found := h.find(a.op.ID); found {
-		a.unknown = nil
+		a.unsettled = nil
 		return Accepted{Revision: o.Revision, Catalogue: h.Catalogue, Confirmed: asked, Repeated: true}, nil
 	}
 	a.settle(h)
@@ -225,7 +225,7 @@
 	if err := a.write(ctx, h, next); err != nil {
 		return Accepted{}, err
 	}
-	a.unknown = nil
+	a.unsettled = nil
 	return Accepted{Revision: next.Revision, Catalogue: next.Catalogue, Confirmed: asked}, nil
 }
 
@@ -233,14 +233,14 @@
 // take effect or have taken effect. It can't if the head has moved on from its
 // index, in a history that would list it.
 func (a *attempt) settle(h head) {
-	u := a.unknown
+	u := a.unsettled
 	if u != nil && h.index != u.index && h.remembers(u.base) {
-		a.unknown = nil
+		a.unsettled = nil
 	}
 }
 
-// errRevisions means that no revision is left.
-var errRevisions = errors.New("store: revisions exhausted")
+// errRevisionsExhausted means that no revision is left.
+var errRevisionsExhausted = errors.New("store: revisions exhausted")
 
 // build applies the operation to the newer of the platform's catalogue and the
 // one in force.
@@ -249,13 +249,13 @@
 	if !ok {
 		return document{}, fmt.Errorf("%w: above %d", ErrBehind, base.Floor)
 	}
-	from, at, err := newest(h, base)
+	from, at, err := newerCatalogue(h, base)
 	if err != nil {
 		return document{}, err
 	}
-	revision := a.w.revision(max(h.Revision, at.Revision, base.Floor))
+	revision := a.w.nextRevision(max(h.Revision, at.Revision, base.Floor))
 	if revision > config.MaxRevision {
-		return document{}, errRevisions
+		return document{}, errRevisionsExhausted
 	}
 	from.Revision = revision - 1
 	c, err := change.Apply(from, a.op, a.w.o.Now())
@@ -265,10 +265,10 @@
 	return h.next(&c, a.op.ID, at)
 }
 
-// newest returns the catalogue to build on. Where the platform shows a lower
+// newerCatalogue returns the catalogue to build on. Where the platform shows a lower
 // revision than the one in force, it came back with older data: building on
 // that would undo what had been accepted since.
-func newest(h head, base config.Base) (catalogue.Catalogue, config.Point, error) {
+func newerCatalogue(h head, base config.Base) (catalogue.Catalogue, config.Point, error) {
 	if base.Catalogue != nil && base.Catalogue.Revision > h.Revision {
 		hash, err := config.Hash(base.Catalogue)
 		return *base.Catalogue, config.Point{Revision: base.Catalogue.Revision, Hash: hash}, err
@@ -281,9 +281,9 @@
 
 // write puts next in the place of h.
 func (a *attempt) write(ctx context.Context, h head, next document) error {
-	err := swap(ctx, a.w.o.Store, h, next)
+	err := writeDocument(ctx, a.w.o.Store, h, next)
 	if mayHaveRun(err) {
-		a.unknown = &unknown{index: h.index, base: h.point()}
+		a.unsettled = &unsettledWrite{index: h.index, base: h.point()}
 	}
 	return err
 }
@@ -306,9 +306,9 @@
 
 func (e *swapError) Unwrap() error { return e.err }
 
-// swap writes the chunks of next, and then its head if that is still at the
+// writeDocument writes the chunks of next, and then its head if that is still at the
 // index of h.
-func swap(ctx context.Context, s platform.Store, h head, next document) error {
+func writeDocument(ctx context.Context, s platform.Store, h head, next document) error {
 	value, chunks, err := next.encode()
 	if err != nil {
 		return err
@@ -324,7 +324,7 @@
 		removeChunks(ctx, s, h.Obsolete)
 		return nil
 	case errors.Is(err, platform.ErrConflict):
-		return fmt.Errorf("%w: %w", errSwap, err)
+		return fmt.Errorf("%w: %w", errHeadChanged, err)
 	case errors.Is(err, platform.ErrTooLarge):
 		return err
 	default:
@@ -358,10 +358,10 @@
 // that revision or a higher one. Content that differs under the same revision
 // is written under a new one.
 func (w *Writer) Restore(ctx context.Context, c *catalogue.Catalogue) (Accepted, bool, error) {
-	if err := w.take(ctx); err != nil {
+	if err := w.lock(ctx); err != nil {
 		return Accepted{}, false, err
 	}
-	defer w.give()
+	defer w.unlock()
 	h, err := readHead(ctx, w.o.Store)
 	if err != nil {
 		return Accepted{}, false, err
@@ -376,14 +376,14 @@
 	case h.Revision > c.Revision || h.point() == at:
 		return Accepted{}, false, nil
 	case h.Revision == c.Revision:
-		restored.Revision = w.revision(c.Revision)
+		restored.Revision = w.nextRevision(c.Revision)
 	}
 	next, err := h.next(&restored, "", at)
 	if err != nil {
 		return Accepted{}, false, err
 	}
 	asked := w.o.Now()
-	if err := swap(ctx, w.o.Store, h, next); err != nil {
+	if err := writeDocument(ctx, w.o.Store, h, next); err != nil {
 		return Accepted{}, false, err
 	}
 	return Accepted{Revision: next.Revision, Catalogue: &restored, Confirmed: asked}, true, nil
