--- a/serve/inbound/conn.go
+++ b/serve/inbound/conn.go
@@ -15,52 +15,54 @@
 	"github.com/azurethread/azurethread/serve/heads"
 )
 
-// conn is one caller's connection. The poller's goroutine parses; answers may
-// come from any goroutine.
+// conn is one caller's connection. Parsing runs on the poller's goroutine;
+// answers may come from any goroutine.
 type conn struct {
 	s      *Server
 	nbc    *nbio.Conn
 	parser *nbhttp.Parser
 	remote netip.Addr
 
-	// initialized is set by the accepting goroutine and read by the poller's. The
-	// kernel's poll set orders the two, which the race detector cannot see.
+	// initialized is set by the accepting goroutine and read by the poller's.
+	// The kernel's poll set orders the two, but the race detector cannot see
+	// that.
 	initialized atomic.Bool
 
-	// Parsing state, touched only while the parser runs.
-	sawData  bool // bytes have come
+	// Parsing state, used only while the parser runs.
+	sawData  bool // bytes were received
 	req      *Exchange
-	head     []byte // of the next message, as far as it has come
+	head     []byte // received part of the next head
 	inBody   bool
-	bodyLeft int64 // of a body with a length
-	// inChunks says that the parser is being fed a body in chunks, and unchecked
-	// that it has found its end and begun a head behind it, which nobody has
-	// checked.
+	bodyLeft int64 // rest of a body with Content-Length
+	// inChunks is set while the parser is fed a chunked body. uncheckedHead is
+	// set when the parser found the end of such a body and began to parse a
+	// further head, which has not been checked.
 	inChunks      bool
 	uncheckedHead bool
 
 	mu        sync.Mutex
-	active    bool // heard, for armIdleTimeout
+	active    bool // like sawData, for armIdleTimeout
 	pipeline  pipeline
-	closing   bool        // close once what is in flight is answered
-	readTimer *time.Timer // bounds the message being received; nil: none
+	closing   bool        // close after the requests in flight are answered
+	readTimer *time.Timer // bounds the receipt of a message; nil: none
 	closed    bool
 
-	receiving atomic.Bool // part of a message has come
-	// partialBody counts the bytes held for a body that has not come whole.
+	receiving atomic.Bool // a message is partly received
+	// partialBody counts the bytes reserved for a body that is not yet
+	// complete.
 	partialBody atomic.Int64
 
 	queued   atomic.Int64 // bytes handed to nbio
-	written  atomic.Int64 // bytes that nbio has handed to the kernel
-	draining atomic.Bool  // close when written reaches queued
-	discard  atomic.Bool  // drop what still arrives
+	written  atomic.Int64 // bytes that nbio has written to the kernel
+	draining atomic.Bool  // close once written reaches queued
+	discard  atomic.Bool  // ignore further received data
 }
 
-// errRefused tells the parser's caller that an answer has been sent and the
-// connection is to be closed.
+// errRefused reports that a refusal was sent and the connection is to be
+// closed.
 var errRefused = errors.New("inbound: message refused")
 
-// onData takes what has come and answers a message that is refused.
+// onData processes received bytes and answers a message that is refused.
 func (c *conn) onData(_ *nbio.Conn, data []byte) {
 	if !c.initialized.Load() {
 		return
@@ -77,9 +79,9 @@
 	}
 }
 
-// takeData hands the first part of data to the parser, no further than to the
-// end of a head or of a body with a length. It returns its size, and the
-// status to refuse the message with, 0 if there is no cause.
+// takeData passes the first part of data to the parser, at most to the end of a
+// head or of a body with Content-Length. It returns the size of that part, and
+// the status to refuse the message with, or 0.
 func (c *conn) takeData(data []byte) (n, status int) {
 	switch {
 	case !c.inBody:
@@ -97,8 +99,8 @@
 	}
 }
 
-// takeHead collects the head of a message and hands it to the parser when it
-// is whole and well-formed.
+// takeHead collects the head of a message and passes it to the parser when it
+// is complete and well-formed.
 func (c *conn) takeHead(data []byte) (n, status int) {
 	if len(c.head) == 0 {
 		c.armHeadTimeout()
@@ -119,8 +121,8 @@
 	return end - seen, c.parse(head)
 }
 
-// checkHead returns the status to refuse the collected head with, 0 if there
-// is no cause. End is its length, 0 when it is not complete.
+// checkHead returns the status to refuse the collected head with, or 0. end is
+// the length of the head, 0 when it is not complete.
 func (c *conn) checkHead(end int) (status int) {
 	most := c.s.limits().HeadBytes
 	if end > most || (end == 0 && len(c.head) > most) {
@@ -140,8 +142,8 @@
 	return 0
 }
 
-// unparsedExchange makes an exchange of a head that the parser does not get. A message
-// that may have been sent before is told from its fields.
+// unparsedExchange returns an exchange for a head that is not passed to the
+// parser. Its header fields show whether the message may be a repeat.
 func (c *conn) unparsedExchange(head []byte) *Exchange {
 	x := &Exchange{c: c}
 	x.Method, x.URI, x.Header = heads.ParsePartial(head)
@@ -149,12 +151,13 @@
 	return x
 }
 
-// parse feeds the parser and returns the status to refuse the message with.
+// parse feeds the parser and returns the status to refuse the message with, or
+// 0.
 func (c *conn) parse(data []byte) (status int) {
 	err := c.parser.Parse(data)
 	switch {
 	case errors.Is(err, errRefused):
-		return 0 // refused already
+		return 0 // already refused
 	case errors.Is(err, nbhttp.ErrTooLong):
 		return http.StatusRequestEntityTooLarge
 	case err != nil || c.uncheckedHead:
@@ -164,15 +167,16 @@
 	}
 }
 
-// updateReceiving notes whether the parser is within a message.
+// updateReceiving records whether a message is partly received.
 func (c *conn) updateReceiving() {
 	c.receiving.Store(len(c.head) > 0 || c.req != nil)
 }
 
-// inMessage reports whether part of a message has come that will be taken.
+// inMessage reports whether a message is partly received that will be
+// processed.
 func (c *conn) inMessage() bool { return c.receiving.Load() && !c.discard.Load() }
 
-// markActive notes the first bytes.
+// markActive records that the connection has received data.
 func (c *conn) markActive() {
 	if c.sawData {
 		return
@@ -185,7 +189,7 @@
 
 // armIdleTimeout bounds the wait for the first bytes of a new connection. The
 // poller may have read some before the accepting goroutine gets here; the
-// timeout that they set is shorter and must stay.
+// timeout set for them is shorter and must stay.
 func (c *conn) armIdleTimeout() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -195,14 +199,15 @@
 }
 
 // armHeadTimeout bounds the time from the first byte of a message to its end.
-// Without it, a caller that sends a byte now and then holds a connection and
-// its buffers for ever; the connections gauge would grow without requests.
+// Without it, a caller that sends a byte now and then would hold a connection
+// and its buffers indefinitely, and the connections gauge would grow without
+// requests.
 func (c *conn) armHeadTimeout() {
 	c.armReadTimer(c.s.limits().ReadTimeout)
 }
 
-// armReadTimer bounds the rest of the message that is being received, unless
-// an earlier one is still to be answered.
+// armReadTimer bounds the receipt of the rest of the message, unless an earlier
+// one has not been answered yet.
 func (c *conn) armReadTimer(timeout time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -214,8 +219,8 @@
 	_ = c.nbc.SetReadDeadline(time.Now().Add(timeout + lingerTimeout))
 }
 
-// readTimedOut answers a message that has not ended in time. nbio's own
-// deadline would close the connection without a word.
+// readTimedOut answers a message that was not received in time. nbio's own
+// deadline would close the connection without an answer.
 func (c *conn) readTimedOut() {
 	c.mu.Lock()
 	if c.closed || c.closing || !c.pipeline.empty() {
@@ -237,7 +242,8 @@
 	_ = c.nbc.SetReadDeadline(time.Now().Add(c.s.limits().IdleTimeout))
 }
 
-// isIdle reports whether nothing is under way on the connection.
+// isIdle reports whether the connection has no request in flight or partly
+// received, and no answer left to send.
 func (c *conn) isIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -252,9 +258,9 @@
 	}
 }
 
-// refuse answers a message that cannot be taken and closes the connection.
-// While an earlier exchange is in flight its answer must come first, so only
-// the closing is noted.
+// refuse answers a message that cannot be processed and closes the connection.
+// While an earlier exchange is in flight its answer must come first, so refuse
+// only marks the connection as closing.
 func (c *conn) refuse(status int) {
 	x := c.refusedExchange(status)
 	c.mu.Lock()
@@ -281,9 +287,9 @@
 	c.linger()
 }
 
-// refusedExchange returns the exchange of a refused message. If the message may have
-// been sent before, its Refused is set, and it is for the handler. The parser
-// may go on with the message, so the fields are copied.
+// refusedExchange returns the exchange of a refused message. If the message may
+// be a repeat, its Refused is set and it goes to the handler. The header fields
+// are cloned because the parser may continue with the message.
 func (c *conn) refusedExchange(status int) *Exchange {
 	x := &Exchange{c: c}
 	x.close = true
@@ -299,20 +305,21 @@
 	return x
 }
 
-// lingerTimeout is how long a caller may take to read the last answer and close.
+// lingerTimeout is how long a caller may take to read the last answer and
+// close.
 const lingerTimeout = time.Second
 
-// linger drops what the caller still sends and closes a little later. Closing
-// at once with unread data in the receive buffer would make the kernel send a
-// reset, which can destroy the refusal before the caller has read it: the
-// caller would then see a broken connection in place of a verdict.
+// linger ignores further data from the caller and closes a little later.
+// Closing at once with unread data in the receive buffer would make the kernel
+// send a reset, which can destroy the refusal before the caller has read it:
+// the caller would see a broken connection instead of a verdict.
 func (c *conn) linger() {
 	c.discard.Store(true)
 	_ = c.nbc.SetReadDeadline(time.Now().Add(lingerTimeout))
 }
 
-// dispatch takes a parsed request: it is served at once, or waits behind those
-// in flight.
+// dispatch accepts a parsed request: it is served at once, or queued behind
+// those in flight.
 func (c *conn) dispatch(x *Exchange) {
 	c.mu.Lock()
 	if c.closing || c.closed {
@@ -320,7 +327,7 @@
 		return
 	}
 	if len(c.pipeline.waiting) >= maxPipelined {
-		c.closing = true // what is left out counts as unread
+		c.closing = true // the caller sees requests without an answer as unread
 		c.mu.Unlock()
 		return
 	}
@@ -330,13 +337,13 @@
 	c.serveAll(started)
 }
 
-// maxPipelined bounds the requests that wait behind those in flight.
+// maxPipelined bounds the requests queued behind those in flight.
 const maxPipelined = 16
 
-// startExchange adds x to the exchanges in flight, which no read timeout bounds. It must
-// be called with mu held. The timeout is changed together with the pipeline:
-// set after it, the idle timeout of the exchange before could come last and
-// close the connection under x.
+// startExchange adds x to the exchanges in flight and removes the read timeout.
+// It must be called with mu held: pipeline and timeout change together, or else
+// the idle timeout of the exchange before could be set last and close the
+// connection during x.
 func (c *conn) startExchange(x *Exchange) {
 	c.pipeline.inFlight = append(c.pipeline.inFlight, x)
 	c.stopReadTimer()
@@ -355,7 +362,7 @@
 	c.s.handler.Serve(x)
 }
 
-// write sends an answer; closing says that it is the last on the connection.
+// write sends an answer. closing says that it is the last on the connection.
 func (c *conn) write(x *Exchange, closing bool, status int, h http.Header, body []byte) {
 	b := buffers.Get().(*bytes.Buffer)
 	b.Reset()
@@ -382,11 +389,11 @@
 	return err
 }
 
-// pending reports whether bytes handed to nbio still wait for the kernel.
+// pending reports whether nbio still holds bytes that the kernel has not taken.
 func (c *conn) pending() bool { return c.written.Load() < c.queued.Load() }
 
-// onWritten is told of n bytes taken by the kernel. nbio holds the
-// connection's lock during the call, so closing is left to a goroutine.
+// onWritten is called when the kernel has taken n bytes. nbio holds the
+// connection's lock during the call, so closing is left to another goroutine.
 func (c *conn) onWritten(n int) {
 	c.written.Add(int64(n))
 	if c.draining.Load() && !c.pending() {
@@ -395,14 +402,14 @@
 }
 
 // close ends the connection once everything written has reached the kernel.
-// nbio's Close drops what is still queued: closing at once would cut a large
-// answer short for a caller that reads slowly.
+// nbio's Close drops queued bytes: closing at once would truncate a large
+// answer for a caller that reads slowly.
 //
-// The caller closes first, as the answer tells it to; the connection is only
-// closed from here if it does not. nbio finds connections by file descriptor:
-// closed from a goroutine other than its poller's, the descriptor can belong to
-// a new connection when the poller handles an event of the old one, and that
-// new connection is then reset. One of some thousand callers saw that.
+// Normally the caller closes first, as the answer asks it to; this side closes
+// only if the caller does not. nbio finds connections by file descriptor: if a
+// goroutine other than the poller's closes one, the descriptor can belong to a
+// new connection by the time the poller handles an event of the old one, and
+// the new connection is reset. This was seen by one of some thousand callers.
 func (c *conn) close() {
 	c.mu.Lock()
 	c.closed = true
@@ -414,14 +421,14 @@
 	}
 }
 
-// releasePartialBody gives the room of a body back that has not come whole.
+// releasePartialBody releases the bytes reserved for an incomplete body.
 func (c *conn) releasePartialBody() {
 	if n := c.partialBody.Swap(0); n > 0 {
 		c.s.bodyBytes.Add(-n)
 	}
 }
 
-// onClose is called once when the connection has gone.
+// onClose is called once when the connection is closed.
 func (c *conn) onClose() {
 	c.releasePartialBody()
 	c.mu.Lock()
--- a/serve/inbound/doc.go
+++ b/serve/inbound/doc.go
@@ -1,20 +1,24 @@
-// Package inbound accepts callers' HTTP connections on nbio and nbhttp's
-// parser and hands whole requests to a Handler that must not block.
+// Package inbound accepts callers' HTTP connections with nbio and nbhttp's
+// parser, and hands complete requests to a Handler that must not block.
 //
-// The package keeps the connection's life in its own hands where the library
-// was measured to leave gaps (docs/design/http.md):
+// The package manages connections itself where measurements showed gaps in the
+// library (docs/design/http.md):
 //
-//   - nbhttp closes a connection without an answer when a message is
-//     malformed or too long; here the caller gets 400, 413 or 431 with the
-//     verdict not-run first. A message that may have been sent before goes to
-//     the Handler, marked as refused, which knows what became of that send.
-//   - nbhttp does not tell a handler that its caller has gone; here every
-//     Exchange has a callback for it, so that the work behind it is cancelled.
-//   - nbhttp sends status 200 for a status code without a standard text; here
+//   - nbhttp closes a connection without an answer when a message is malformed
+//     or too long. Here the caller first gets 400, 413 or 431 with the verdict
+//     not-run. A message that may be a repeat of an earlier one goes to the
+//     Handler instead, marked as refused, because the Handler knows the outcome
+//     of the earlier send.
+//   - nbhttp does not tell a handler that its caller has disconnected. Here
+//     every Exchange has a callback for it, so that work for the caller can be
+//     cancelled.
+//   - nbhttp sends status 200 for a status code without a standard text. Here
 //     the status line is written by this package.
-//   - nbhttp.Engine.Shutdown closes connections under requests; here Stop
-//     waits until the last exchange has been answered and its answer taken.
+//   - nbhttp.Engine.Shutdown closes connections with requests in flight. Here
+//     Stop waits until the last exchange has been answered and the caller has
+//     received the answer.
 //
-// One connection carries one exchange at a time. Pipelined requests wait in a
-// short queue and are answered in order.
+// A connection carries one exchange at a time, unless Options.Overlaps allows
+// pipelined requests to be served concurrently. Other pipelined requests wait
+// in a short queue. Answers are always sent in the order of the requests.
 package inbound
--- a/serve/inbound/exchange.go
+++ b/serve/inbound/exchange.go
@@ -10,7 +10,7 @@
 	"github.com/azurethread/azurethread/serve/heads"
 )
 
-// Request is one whole request of a caller.
+// Request is one complete request of a caller.
 type Request struct {
 	Method string
 	URI    string // path and query as sent
@@ -21,11 +21,12 @@
 	http10 bool
 }
 
-// Exchange is one request and the answer it will get.
+// Exchange is one request and its answer.
 type Exchange struct {
 	Request
-	// Refused is the status that a message was refused with, 0 for a whole
-	// one. Header is then what was read of it, and there is no Body.
+	// Refused is the status that an incomplete or malformed message was refused
+	// with, 0 for a complete request. For a refused message Header holds the
+	// fields that could be read, and Body is nil.
 	Refused int
 
 	c *conn
@@ -34,14 +35,14 @@
 	callerGone bool
 	answered   bool
 	onGone     func()
-	bodyBytes  int64 // bytes of the body counted by Server.hold
+	bodyBytes  int64 // bytes of the body counted by Server.reserveBody
 	counted    bool  // included in the server's count of exchanges in flight
 
 	answer *answer // guarded by the connection's mu; nil: none yet
 }
 
 // OnGone registers f to be called once if the caller closes its connection
-// before the answer. It is called at once if that has happened already.
+// before the answer. If that has already happened, f is called at once.
 func (x *Exchange) OnGone(f func()) {
 	x.mu.Lock()
 	gone := x.callerGone
@@ -52,10 +53,10 @@
 	}
 }
 
-// Respond answers the exchange. The first call wins; later ones report false,
-// as does a call for a caller that has gone. Header names connection-level
-// fields only through this package: Connection, Content-Length and
-// Transfer-Encoding in h are ignored.
+// Respond answers the exchange. Only the first call has an effect; later ones
+// return false, as does a call whose caller has disconnected. Connection,
+// Content-Length and Transfer-Encoding in h are ignored: this package writes
+// them itself.
 func (x *Exchange) Respond(status int, h http.Header, body []byte) bool {
 	x.mu.Lock()
 	if x.answered {
@@ -70,35 +71,36 @@
 	return !gone
 }
 
-// Drop ends the exchange of a caller that has gone: nothing is sent. An exchange
-// counts as in flight until it is answered or dropped.
+// Drop ends the exchange of a caller that has disconnected, without an answer.
+// An exchange counts as in flight until it is answered or dropped.
 func (x *Exchange) Drop() { x.Respond(statusCallerGone, nil, nil) }
 
-// statusCallerGone stands for the answer to a caller that has gone.
+// statusCallerGone is the status recorded for a caller that has disconnected.
 const statusCallerGone = 499
 
-// interimProcessing is the interim answer of Acknowledge.
+// interimProcessing is the interim answer sent by Acknowledge.
 var interimProcessing = []byte("HTTP/1.1 102 Processing\r\n\r\n")
 
-// Acknowledge tells the caller, before the answer, that the whole request has
-// come. Only a handler may call it, before Serve returns, and only on connections
-// that carry one request at a time.
-func (x *Exchange) Acknowledge() { _ = x.c.send(interimProcessing) } // its failure is that of the connection
+// Acknowledge tells the caller, before the answer, that the complete request
+// was received. Only a handler may call it, before Serve returns, and only on
+// connections that carry one request at a time.
+func (x *Exchange) Acknowledge() { _ = x.c.send(interimProcessing) } // an error means that the connection failed
 
-// isCallerGone reports whether the caller has gone before the answer.
+// isCallerGone reports whether the caller disconnected before the answer.
 func (x *Exchange) isCallerGone() bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return x.callerGone
 }
 
-// releaseBody gives the room of the body back.
+// releaseBody releases the bytes reserved for the body.
 func (x *Exchange) releaseBody() {
 	x.c.s.bodyBytes.Add(-x.bodyBytes)
 	x.bodyBytes = 0
 }
 
-// setCallerGone marks the caller as gone.
+// setCallerGone records that the caller has disconnected and calls the OnGone
+// callback.
 func (x *Exchange) setCallerGone() {
 	x.mu.Lock()
 	if x.callerGone || x.answered {
@@ -124,7 +126,9 @@
 
 var buffers = sync.Pool{New: func() any { return new(bytes.Buffer) }}
 
-// maxPooledBuffer keeps one large answer from pinning its buffer for good.
+// maxPooledBuffer is the largest answer body that is copied into a pooled
+// buffer, in bytes, so that one large answer does not keep its buffer
+// allocated.
 const maxPooledBuffer = 64 << 10
 
 // encodeHead writes the status line and the header fields.
--- a/serve/inbound/inbound_test.go
+++ b/serve/inbound/inbound_test.go
@@ -82,10 +82,9 @@
 	return res, string(b)
 }
 
-// Symptom: a caller sees a broken connection in place of an answer, and cannot
-// tell whether its request ran.
-// Sequence: it sends a message that is malformed or over a limit.
-// Cause: nbhttp closes such connections without an answer.
+// Guards against callers that see a broken connection instead of an answer and
+// cannot tell whether their request ran: nbhttp closes the connection without
+// an answer when a message is malformed or over a limit.
 func TestRefusedMessages(t *testing.T) {
 	for name, c := range map[string]struct {
 		send   string
@@ -111,15 +110,14 @@
 			is.Equal(res.StatusCode, c.status)
 			is.Equal(res.Header.Get("Azurethread-Verdict"), "not-run")
 			_, err := r.ReadByte()
-			is.True(err != nil) // the connection is closed behind the refusal
+			is.True(err != nil) // the connection is closed after the refusal
 		})
 	}
 }
 
-// Symptom: a request runs with half its body, or a connection is held for
-// ever.
-// Sequence: the caller stops sending in the middle of the head or of the body.
-// Cause: a lost caller, or one that means harm.
+// Guards against a request that runs with half its body, or a connection held
+// without end, when a caller crashes or an attacker stops sending in the middle
+// of the head or the body.
 func TestCutRequests(t *testing.T) {
 	for _, send := range []string{
 		"GET / HTTP/1.1\r\nHost: a\r\nX: ",
@@ -134,13 +132,12 @@
 		is.Equal(res.StatusCode, http.StatusRequestTimeout)
 		is.True(res.Close)
 		_, err = r.ReadByte()
-		is.Equal(err, io.EOF) // closed behind the answer
+		is.Equal(err, io.EOF) // closed after the answer
 	}
 }
 
-// Symptom: answers swapped between two requests of one caller.
-// Sequence: it pipelines a slow request and a fast one.
-// Cause: answers are written when they come, not in the order of requests.
+// Guards against answers swapped between a slow and a fast pipelined request,
+// if answers were written as they come and not in the order of the requests.
 func TestPipelined(t *testing.T) {
 	is := is.New(t)
 	s := listen(t, func(x *Exchange) {
@@ -159,9 +156,8 @@
 	is.Equal(b, "/fast ")
 }
 
-// Symptom: targets work for callers that have long gone.
-// Sequence: a caller closes its connection before the answer.
-// Cause: nbhttp does not cancel a request's context then.
+// Guards against targets that work for a caller which has closed its
+// connection: nbhttp does not cancel a request's context then.
 func TestCallerGone(t *testing.T) {
 	is := is.New(t)
 	gone := make(chan struct{})
@@ -174,10 +170,9 @@
 	<-gone
 }
 
-// Symptom: a large answer is cut short.
-// Sequence: the caller reads slowly and asked for the connection to be closed
-// after the answer, so closing starts while most of it is queued.
-// Cause: nbio's Close drops what has not reached the kernel.
+// Guards against a truncated large answer: the caller reads slowly and asked
+// for the connection to be closed, so closing starts while most of the answer
+// is queued. nbio's Close drops what has not reached the kernel.
 func TestLargeAnswerThenClose(t *testing.T) {
 	is := is.New(t)
 	body := bytes.Repeat([]byte("0123456789abcdef"), 8<<20/16)
@@ -187,14 +182,13 @@
 	is.NoErr(err)
 	time.Sleep(100 * time.Millisecond)
 	res, b := read(t, r, http.MethodGet)
-	is.True(res.Close)         // said so
-	is.True(b == string(body)) // whole
+	is.True(res.Close)
+	is.True(b == string(body)) // complete
 }
 
-// Symptom: a planned stop cuts requests in flight.
-// Sequence: a stop begins while one request is at work and another connection
-// is idle.
-// Cause: nbhttp's Shutdown closes connections under requests.
+// Guards against a planned stop that aborts requests in flight: nbhttp's
+// Shutdown closes connections with requests in flight. One request is in flight
+// and another connection is idle when the stop begins.
 func TestStopWaits(t *testing.T) {
 	is := is.New(t)
 	release := make(chan struct{})
@@ -224,7 +218,7 @@
 	is.NoErr(err)
 	res, _ := read(t, ir, http.MethodGet)
 	is.Equal(res.StatusCode, http.StatusServiceUnavailable) // the handler's refusal
-	is.True(res.Close)                                      // and the connection closes behind it
+	is.True(res.Close)                                      // then the connection closes
 	close(release)
 	_, b := read(t, br, http.MethodGet)
 	is.Equal(b, "/work ")
@@ -247,11 +241,10 @@
 	}
 }
 
-// Symptom: a caller is told "not run" of a submission that ran.
-// Sequence: a submission runs and its answer is lost; its caller sends it
-// again, with a further header field or another body, over a limit.
-// Cause: this package refused the message itself, and only the handler knows
-// what became of an earlier send.
+// Guards against the verdict "not run" for a submission that ran: its answer is
+// lost, and its caller repeats it with a further header field or another body
+// that exceeds a limit. Only the handler knows the outcome of the earlier send,
+// so the refusal must be left to it.
 func TestRefusalOfPossibleRepeat(t *testing.T) {
 	for name, c := range map[string]struct {
 		send   string
@@ -279,26 +272,24 @@
 			is.Equal(res.Header.Get("Azurethread-Verdict"), "may-have-run")
 			is.True(res.Close)
 			_, err := r.ReadByte()
-			is.True(err != nil) // the connection is closed behind the refusal
+			is.True(err != nil) // the connection is closed after the refusal
 		})
 	}
 }
 
-// Symptom: a caller that was sending a request loses its connection during a
-// planned stop, without being told whether the request ran.
-// Sequence: half of a request has come when the server is stopped; the rest
-// follows.
-// Cause: only whole requests were counted as in flight.
+// Guards against a caller that loses its connection in a planned stop without
+// learning whether its request ran: half of the request was received when the
+// stop began, and only complete requests counted as in flight.
 func TestStopDuringARequest(t *testing.T) {
 	is := is.New(t)
 	s := listen(t, echo)
 	conn, r := dial(t, s)
 	_, err := io.WriteString(conn, "POST /half HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\n\r\nha")
 	is.NoErr(err)
-	for heard := false; !heard; time.Sleep(time.Millisecond) {
+	for receiving := false; !receiving; time.Sleep(time.Millisecond) {
 		s.mu.Lock()
 		for c := range s.conns {
-			heard = c.inMessage()
+			receiving = c.inMessage()
 		}
 		s.mu.Unlock()
 	}
@@ -313,9 +304,9 @@
 	is.NoErr(<-stopped)
 }
 
-// Symptom: an entry VM ends while an operator looks at a page.
-// Sequence: the page's handler panics.
-// Cause: a goroutine without recovery, as net/http has it.
+// Guards against an entry VM that ends because the handler of an operator's
+// page panics: unlike in net/http, the goroutine that runs it has no recovery
+// of its own.
 func TestHTTPHandlerPanic(t *testing.T) {
 	is := is.New(t)
 	got := make(chan any, 1)
@@ -342,9 +333,8 @@
 	is.Equal(b, "ab")
 }
 
-// Symptom: a process is ended for its memory while callers send large bodies.
-// Sequence: several bodies, each within the limit, are on their way at once.
-// Cause: only single bodies were bounded.
+// Guards against a process killed for its memory use when several large bodies,
+// each within the limit, are received at once.
 func TestBodyMemoryIsBounded(t *testing.T) {
 	is := is.New(t)
 	var waiting []*Exchange
@@ -366,7 +356,7 @@
 	waiting = append(waiting, <-arrived)
 	for _, msg := range []string{whole, chunked} {
 		conn, r := dial(t, s)
-		_, _ = io.WriteString(conn, msg) // it may be cut by the refusal
+		_, _ = io.WriteString(conn, msg) // the refusal may interrupt it
 		res, _ := read(t, r, http.MethodPost)
 		is.Equal(res.StatusCode, http.StatusServiceUnavailable)
 	}
@@ -380,7 +370,7 @@
 	for s.bodyBytes.Load() == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	is.NoErr(half.Close()) // its room must come back
+	is.NoErr(half.Close()) // its reservation must be released
 	for s.bodyBytes.Load() != 0 {
 		time.Sleep(time.Millisecond)
 	}
--- a/serve/inbound/pipeline.go
+++ b/serve/inbound/pipeline.go
@@ -5,21 +5,21 @@
 	"slices"
 )
 
-// pipeline holds the requests of one connection that have no answer yet, in the
-// order in which they came. A caller may send further requests before the first
-// is answered. Those that may run beside each other are served at once; each
-// answer waits for its turn. Served one after the other, the third of three
-// requests waits for the work of two: of requests with 800 ms in all, it took
-// one in ten.
+// pipeline holds the unanswered requests of one connection in the order of
+// their arrival. A caller may send further requests before the first is
+// answered. Requests that may overlap are served concurrently, and each answer
+// is sent in turn. Served one after the other, the third of three requests
+// would wait for the two before it: of requests with a deadline of 800 ms, one
+// in ten missed it.
 type pipeline struct {
-	inFlight []*Exchange // handed to the handler; the oldest first
-	waiting  []*Exchange // behind them
+	inFlight []*Exchange // passed to the handler, oldest first
+	waiting  []*Exchange // not yet passed on
 	writing  bool        // a goroutine is writing answers
 }
 
 func (p *pipeline) empty() bool { return len(p.inFlight) == 0 }
 
-// abort drops what waits and returns all exchanges without an answer. Those in
+// abort drops the waiting requests and returns all unanswered ones. Those in
 // flight stay until their handler answers them.
 func (p *pipeline) abort() []*Exchange {
 	left := slices.Concat(p.inFlight, p.waiting)
@@ -27,11 +27,12 @@
 	return left
 }
 
-// maxOverlap bounds the requests of one connection that are served at a time.
+// maxOverlap bounds the requests of one connection that are served
+// concurrently.
 const maxOverlap = 8
 
-// admit moves exchanges from waiting to in flight, as far as they may be served
-// now, and returns them. It must be called with mu held.
+// admit moves the exchanges that may be served now from waiting to in flight
+// and returns them. It must be called with mu held.
 func (c *conn) admit() (started []*Exchange) {
 	p := &c.pipeline
 	for len(p.waiting) > 0 && c.canStart(p.waiting[0]) {
@@ -43,9 +44,9 @@
 	return started
 }
 
-// canStart reports whether x may be served beside what is in flight. Only
-// requests that may be repeated are: if the connection ends early, their caller
-// sends them again.
+// canStart reports whether x may be served concurrently with the requests in
+// flight. Only requests that may be repeated are: if the connection ends early,
+// their caller sends them again.
 func (c *conn) canStart(x *Exchange) bool {
 	p := &c.pipeline
 	if p.empty() {
@@ -60,13 +61,14 @@
 	}
 }
 
-// overlaps reports whether x may be served beside other requests.
+// overlaps reports whether x may be served concurrently with other requests.
 func (s *Server) overlaps(x *Exchange) bool {
 	return s.opts.Overlaps != nil && s.opts.Overlaps(&x.Request)
 }
 
-// queueAnswer takes the answer of x and writes the answers whose turn it is. Only
-// one goroutine writes at a time; the others leave their answers to it.
+// queueAnswer stores the answer of x and writes all answers whose turn has
+// come. Only one goroutine writes at a time; the others leave their answers to
+// it.
 func (c *conn) queueAnswer(x *Exchange, a answer) {
 	c.mu.Lock()
 	x.answer = &a
@@ -80,8 +82,7 @@
 	}
 }
 
-// writeNext writes the next answer, if its turn has come, and ends its
-// exchange.
+// writeNext writes the oldest answer if it is there, and ends its exchange.
 func (c *conn) writeNext() bool {
 	c.mu.Lock()
 	p := &c.pipeline
@@ -91,8 +92,8 @@
 		return false
 	}
 	x := p.inFlight[0]
-	// An answer says that the connection closes only if it is the last: what is
-	// in flight behind it has been passed on and must be answered.
+	// Only the last answer says that the connection closes: requests in flight
+	// behind it have already been passed on and must be answered.
 	last := len(p.inFlight) == 1 && (c.closing || x.close || c.s.stopping.Load())
 	c.closing = c.closing || last
 	c.mu.Unlock()
@@ -103,7 +104,8 @@
 	return true
 }
 
-// finishExchange ends the oldest exchange and starts those behind it.
+// finishExchange removes the oldest exchange and starts the ones waiting behind
+// it.
 func (c *conn) finishExchange(x *Exchange, last bool) {
 	if x.counted {
 		c.s.exchangeEnded()
@@ -128,7 +130,7 @@
 	c.serveAll(started)
 }
 
-// answer is what a handler has answered.
+// answer is a handler's answer.
 type answer struct {
 	status int
 	header http.Header
--- a/serve/inbound/pipeline_test.go
+++ b/serve/inbound/pipeline_test.go
@@ -15,8 +15,8 @@
 	"github.com/matryer/is"
 )
 
-// A caller of these tests sends GETs to /1, /2 and so on in one write; GETs may
-// overlap. heldHandler keeps all exchanges until the test answers them.
+// heldHandler stores all exchanges until the test answers them. Callers in
+// these tests send GETs to /1, /2 and so on in one write; GETs may overlap.
 type heldHandler struct {
 	mu        sync.Mutex
 	exchanges map[string]*Exchange
@@ -54,10 +54,9 @@
 	}
 }
 
-// Symptom: short requests miss their aim although their targets answer at once.
-// Sequence: a caller sends three requests ahead on one connection; each takes as
-// long as the others.
-// Cause: each was served only after the answer to the one before.
+// Guards against short requests that miss their deadline although their targets
+// answer at once: a caller pipelines three requests of equal duration, and each
+// is served only after the answer to the one before.
 func TestPipelinedRequestsAreServedConcurrently(t *testing.T) {
 	is := is.New(t)
 	h := newHeldHandler()
@@ -72,20 +71,18 @@
 	}
 	for _, want := range []string{"/1 ", "/2 ", "/3 "} {
 		_, b := read(t, r, http.MethodGet)
-		is.Equal(b, want) // in the order of the requests
+		is.Equal(b, want) // in request order
 	}
 	sendGets(t, conn, 1)
-	is.Equal(<-h.arrived, "/1") // the connection goes on
+	is.Equal(<-h.arrived, "/1") // the connection is still usable
 	h.answer("/1")
 	_, b := read(t, r, http.MethodGet)
 	is.Equal(b, "/1 ")
 }
 
-// Symptom: a posting runs twice.
-// Sequence: it is sent behind a read; the read's answer closes the connection,
-// and its caller sends the posting again, as what lies behind that answer counts
-// as unread.
-// Cause: it was passed on beside the read. Only what may be repeated is.
+// Guards against a POST that runs twice: it is pipelined behind a GET whose
+// answer closes the connection, so its caller takes it for unread and sends it
+// again. Only requests that may be repeated are served concurrently.
 func TestOnlyRepeatableRequestsOverlap(t *testing.T) {
 	is := is.New(t)
 	h := newHeldHandler()
@@ -99,15 +96,13 @@
 	is.True(res.Close)
 	_, err = r.ReadByte()
 	is.Equal(err, io.EOF)
-	is.Equal(len(h.arrived), 0) // the posting was passed on by nobody
+	is.Equal(len(h.arrived), 0) // the POST was not passed on
 }
 
-// Symptom: a caller sees its connection end without an answer to requests that
-// were passed on.
-// Sequence: a planned stop begins while several of its requests are in flight.
-// Cause: the first answer after the beginning of the stop said that the
-// connection closes. The last one says so; what is not in flight yet is left
-// unread.
+// Guards against a planned stop that closes a connection before all of its
+// requests in flight are answered: the first answer after the start of the stop
+// announced the close. Only the last one may; requests not in flight yet are
+// left unread.
 func TestStopAnswersAllInFlight(t *testing.T) {
 	is := is.New(t)
 	h := newHeldHandler()
@@ -131,9 +126,8 @@
 	is.Equal(len(h.arrived), 0)
 }
 
-// Symptom: targets work for a caller that has left.
-// Sequence: it closes its connection with several requests in flight.
-// Cause: only the oldest was told.
+// Guards against targets that work for a caller which has closed its connection
+// with several requests in flight: only the oldest request was notified.
 func TestCallerGoneReportedToAllInFlight(t *testing.T) {
 	is := is.New(t)
 	gone := make(chan string, 3)
@@ -152,10 +146,10 @@
 	is.Equal(len(seen), 3)
 }
 
-// Symptom: an answer is given to another request, is lost, or a stop hangs.
-// Sequence: many callers send requests ahead; answers come in any order from
-// several goroutines, and some are there at once.
-// Cause: the turn of an answer and its writing were decided apart.
+// Guards against an answer that is lost or sent for another request, and
+// against a stop that never ends: many callers pipeline requests, some answers
+// are there at once and others come from several goroutines in any order.
+// Deciding whose turn it is and writing the answer must happen as one step.
 func TestRandomPipelines(t *testing.T) {
 	is := is.New(t)
 	s := listenOverlapping(t, isGet, func(x *Exchange) {
@@ -199,7 +193,7 @@
 			}
 			body, err := io.ReadAll(res.Body)
 			if want := fmt.Sprintf("/%d ", i); err != nil || string(body) != want {
-				t.Errorf("%q in place of %q: %v", body, want, err)
+				t.Errorf("answer %q, want %q: %v", body, want, err)
 				return
 			}
 		}
--- a/serve/inbound/processor.go
+++ b/serve/inbound/processor.go
@@ -22,10 +22,9 @@
 // typicalHeaderFields is the usual number of header fields of a request.
 const typicalHeaderFields = 8
 
-// OnURL implements nbhttp.Processor. nbhttp lets every byte but a space
-// through. A line end in the path would end the request line at the target, and
-// what follows could be read there as a request of its own, which no token
-// guards.
+// OnURL implements nbhttp.Processor. nbhttp accepts every byte but a space. A
+// line end in the path would end the request line at the target, which could
+// read the rest as a separate request that no token protects.
 func (c *conn) OnURL(_ *nbhttp.Parser, uri string) error {
 	if strings.ContainsFunc(uri, unicode.IsControl) {
 		return nbhttp.ErrInvalidRequestURI
@@ -58,7 +57,7 @@
 func (c *conn) OnContentLength(_ *nbhttp.Parser, length int) {
 	c.inBody = true
 	if length > c.s.limits().BodyBytes {
-		// Refused before the body is read: nothing of it is kept.
+		// Refused before any of the body is read or stored.
 		c.refuse(http.StatusRequestEntityTooLarge)
 		return
 	}
@@ -83,7 +82,7 @@
 	return nil
 }
 
-// reserveBody makes room for n more bytes of the body, or refuses the message.
+// reserveBody reserves n more bytes for the body, or refuses the message.
 func (c *conn) reserveBody(n int64) bool {
 	if !c.s.reserveBody(n) {
 		c.refuse(http.StatusServiceUnavailable)
@@ -115,7 +114,8 @@
 // Clean implements nbhttp.Processor.
 func (c *conn) Clean(*nbhttp.Parser) {}
 
-// wantsClose reports whether the caller ends the connection after this answer.
+// wantsClose reports whether the caller wants the connection closed after this
+// answer.
 func wantsClose(r *Request) bool {
 	keep := false
 	for _, v := range r.Header["Connection"] {
--- a/serve/inbound/server.go
+++ b/serve/inbound/server.go
@@ -18,58 +18,59 @@
 )
 
 // Handler serves exchanges. Serve is called on a poller's goroutine and must
-// not block; the answer may come later from any goroutine.
+// not block; any goroutine may send the answer later.
 type Handler interface {
 	Serve(x *Exchange)
 }
 
-// Limits bound what a caller may send, and how long it may take.
+// Limits bounds what a caller may send and how long it may take.
 type Limits struct {
 	HeadBytes   int           // request line and header fields
 	BodyBytes   int           // request body
 	ReadTimeout time.Duration // from the first byte of a request to its last
-	// BodyTimeout bounds the body alone, and ReadTimeout the head alone; 0:
-	// ReadTimeout bounds both together.
+	// BodyTimeout bounds the receipt of the body, and ReadTimeout then only
+	// that of the head; 0: ReadTimeout bounds both together.
 	BodyTimeout time.Duration
 	IdleTimeout time.Duration // between requests on one connection
 }
 
-// Options of a Server. All but Pollers and Known are required.
+// Options configures a Server. MaxBodyBytes, HeldBytes, Pollers, Known and
+// Overlaps are optional.
 type Options struct {
 	Limits
-	// MaxBodyBytes is the largest body that SetLimits may ever allow; 0:
+	// MaxBodyBytes is the largest body limit that SetLimits may set; 0:
 	// Limits.BodyBytes.
 	MaxBodyBytes int
-	// HeldBytes bounds the bodies of all requests that are held at a time; 0:
-	// no bound. A request beyond it is refused with 503.
+	// HeldBytes bounds the total size of the bodies of all requests in memory;
+	// 0: unlimited. A request that exceeds it is refused with 503.
 	HeldBytes    int64
 	WriteTimeout time.Duration // for a caller to take an answer
 	Pollers      int           // 0: nbio's default
-	// Refusal gives the header and body of an answer that this package sends
-	// itself: 400, 408, 413 or 431.
+	// Refusal returns the header and body of the answers that this package
+	// sends itself: 400, 408, 413, 431 or 503.
 	Refusal func(status int) (http.Header, []byte)
-	// Known reports whether a request with these header fields may have been
-	// sent before. A refusal of such a one is left to the handler, as only the
-	// handler can tell what became of the earlier send. May be nil.
+	// Known reports whether a request with these header fields may be a repeat
+	// of an earlier one. If so, its refusal is left to the handler, which knows
+	// the outcome of the earlier send. May be nil.
 	Known func(h http.Header) bool
-	// Overlaps reports whether a request may be served beside others that its
-	// caller has sent ahead on the same connection. Nil: none may; each then
+	// Overlaps reports whether a request may be served concurrently with others
+	// that its caller has pipelined on the same connection. Nil: each request
 	// waits for the answer to the one before.
 	Overlaps func(r *Request) bool
 }
 
-// Server accepts callers' connections.
+// Server accepts callers' connections and reads their requests.
 type Server struct {
 	opts          Options
 	currentLimits atomic.Pointer[Limits]
-	bodyBytes     atomic.Int64 // bytes of bodies, as announced or received
+	bodyBytes     atomic.Int64 // bytes of request bodies, as announced or received
 	handler       Handler
 	engine        *nbhttp.Engine
 	listener      net.Listener
 	stopping      atomic.Bool
 	acceptLoop    sync.WaitGroup
 
-	stopEngine sync.Once // nbio panics when it is stopped twice
+	stopEngine sync.Once // nbio panics if it is stopped twice
 
 	mu       sync.Mutex
 	conns    map[*conn]struct{}
@@ -77,9 +78,9 @@
 	idle     chan struct{} // closed when stopping and inFlight is zero
 }
 
-// Listen opens addr, a host:port. Connections wait until Serve is called: what
-// a caller is told before the handler is ready could be wrong, as only the
-// handler knows what became of an earlier send.
+// Listen opens addr, a host:port. Connections wait until Serve is called: an
+// answer sent before the handler is ready could be wrong, as only the handler
+// knows the outcome of an earlier send.
 func Listen(addr string, opts Options) (*Server, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -110,21 +111,22 @@
 	return s, nil
 }
 
-// Serve begins to accept connections and hands their requests to h. It must be
-// called once at most.
+// Serve starts to accept connections and passes their requests to h. It must be
+// called at most once.
 func (s *Server) Serve(h Handler) {
 	s.handler = h
 	s.acceptLoop.Add(1)
 	go s.accept()
 }
 
-// SetLimits changes the limits for messages that begin from now on.
+// SetLimits changes the limits for messages that start from now on.
 func (s *Server) SetLimits(l Limits) { s.currentLimits.Store(&l) }
 
 func (s *Server) limits() *Limits { return s.currentLimits.Load() }
 
-// reserveBody counts n more bytes of a body, and reports false if they are too many.
-// Each body is held whole; a few large ones at once would end the process.
+// reserveBody counts n more bytes of a body, and returns false if they exceed
+// HeldBytes. Each body is kept in memory as a whole; a few large ones at once
+// could exhaust it and end the process.
 func (s *Server) reserveBody(n int64) bool {
 	if s.bodyBytes.Add(n) <= s.opts.HeldBytes || s.opts.HeldBytes == 0 {
 		return true
@@ -136,8 +138,8 @@
 // Addr returns the address listened on.
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
-// acceptBackoff is the pause after a failed accept, such as one for want of
-// file descriptors: without it the loop would spin on the same error.
+// acceptBackoff is the pause after a failed accept, such as one that found no
+// free file descriptor. Without it the loop would spin on the same error.
 const acceptBackoff = 20 * time.Millisecond
 
 func (s *Server) accept() {
@@ -157,7 +159,7 @@
 	}
 }
 
-// add hands an accepted connection to the poller.
+// add registers an accepted connection with a poller.
 func (s *Server) add(nc net.Conn) error {
 	remote := remoteAddr(nc)
 	nbc, err := nbio.NBConn(nc)
@@ -180,8 +182,8 @@
 	return nil
 }
 
-// runInline runs the parser's completion on the poller's goroutine: handlers
-// do not block, so a hand-over to a goroutine pool would only add its wake-up.
+// runInline runs the parser's completion callback on the poller's goroutine:
+// handlers do not block, so a goroutine pool would only add a wake-up.
 func runInline(f func()) bool {
 	f()
 	return true
@@ -212,8 +214,8 @@
 	}
 }
 
-// connOf finds this package's part of a connection; nil for one that has not
-// been set up completely.
+// connOf returns the conn of an nbio connection, or nil if it is not completely
+// set up.
 func connOf(nbc *nbio.Conn) *conn {
 	p, ok := nbc.Session().(*nbhttp.Parser)
 	if !ok {
@@ -236,7 +238,7 @@
 	return len(s.conns)
 }
 
-// exchangeStarted counts an exchange in.
+// exchangeStarted counts an exchange as in flight.
 func (s *Server) exchangeStarted() {
 	s.mu.Lock()
 	s.inFlight++
@@ -262,12 +264,12 @@
 	}
 }
 
-// Leave tells callers, with every answer from now on, not to use their
-// connection again. Requests are still served.
+// Leave makes every further answer tell its caller to close the connection.
+// Requests are still served.
 func (s *Server) Leave() { s.stopping.Store(true) }
 
 // Stop waits until no request is in flight or ctx ends, and then closes
-// everything. The handler must refuse new requests by then; their connections
+// everything. By then the handler must refuse new requests; their connections
 // are closed after the refusal.
 func (s *Server) Stop(ctx context.Context) error {
 	s.mu.Lock()
@@ -277,7 +279,7 @@
 	var err error
 	select {
 	case <-s.idle:
-		s.stopAccepting() // or new callers could keep it busy for ever
+		s.stopAccepting() // otherwise new callers could delay the stop without end
 		err = s.flush(ctx)
 	case <-ctx.Done():
 		err = fmt.Errorf("inbound: requests still in flight: %w", ctx.Err())
@@ -287,17 +289,17 @@
 	return err
 }
 
-// Close ends the server at once and cuts what is in flight. After Stop it only
-// closes what is left.
+// Close stops the server at once and aborts requests in flight. After Stop it
+// only closes what is left.
 func (s *Server) Close() {
 	ended, cancel := context.WithCancel(context.Background())
 	cancel()
-	_ = s.Stop(ended) // its error says what was cut
+	_ = s.Stop(ended) // the error only says what was aborted
 }
 
-// Refuse closes the listener and the connections on which nothing is under way.
-// Callers that go on opening or reusing connections would otherwise keep a
-// leaving VM busy until its end cuts them off.
+// Refuse closes the listener and all idle connections. Otherwise callers that
+// keep opening or reusing connections would keep a leaving VM busy until it
+// ends and breaks their requests off.
 func (s *Server) Refuse() {
 	s.stopAccepting()
 	s.mu.Lock()
@@ -318,13 +320,13 @@
 	s.acceptLoop.Wait()
 }
 
-// flushPollInterval is the interval between two looks at what is still to be sent.
+// flushPollInterval is the interval between checks for unsent answers.
 const flushPollInterval = 50 * time.Millisecond
 
-// flush waits until callers have taken the answers already given, and have
-// sent and had answered the requests that they have begun. An exchange counts
-// as answered once its bytes are with nbio; a caller that reads a large answer
-// slowly would have it cut if the engine stopped then. A caller that is still
+// flush waits until callers have received the answers already given, and until
+// requests that are partly received have been completed and answered. An
+// exchange counts as answered once nbio has its bytes; stopping the engine then
+// would truncate a large answer to a slow reader. A caller that is still
 // sending would not learn that its request has not run.
 func (s *Server) flush(ctx context.Context) error {
 	t := time.NewTicker(flushPollInterval)
@@ -333,7 +335,7 @@
 		select {
 		case <-t.C:
 		case <-ctx.Done():
-			return fmt.Errorf("inbound: requests or answers still under way: %w", ctx.Err())
+			return fmt.Errorf("inbound: requests or answers still in progress: %w", ctx.Err())
 		}
 		if !s.busy() {
 			return nil
@@ -341,7 +343,7 @@
 	}
 }
 
-// busy reports whether a request is being received or is in flight, or a
+// busy reports whether a request is partly received or in flight, or a
 // connection has bytes that the kernel has not taken.
 func (s *Server) busy() bool {
 	s.mu.Lock()
--- a/serve/inbound/standard.go
+++ b/serve/inbound/standard.go
@@ -7,12 +7,11 @@
 	"net/url"
 )
 
-// Standard serves exchanges with a net/http handler, for pages whose work may
-// block: each runs on a goroutine of its own. The answer is sent when the
-// handler returns, so it must be of bounded size. A panic of the handler gives
-// status 500 and is passed to panicked: a defect of one page must not end a
-// process that serves callers.
-func Standard(h http.Handler, panicked func(v any)) Handler { return httpHandler{h, panicked} }
+// Standard adapts a net/http handler whose work may block: each request runs on
+// its own goroutine. The answer is sent when the handler returns, so its size
+// must be bounded. A panic of the handler gives status 500 and is passed to
+// onPanic: a defect of one page must not end a process that serves callers.
+func Standard(h http.Handler, onPanic func(v any)) Handler { return httpHandler{h, onPanic} }
 
 type httpHandler struct {
 	h       http.Handler
@@ -34,7 +33,7 @@
 	}()
 }
 
-// run has the handler answer r.
+// run calls the handler and recovers its panic.
 func (s httpHandler) run(r *http.Request) (w *recorder) {
 	w = &recorder{header: make(http.Header)}
 	defer func() {
@@ -48,8 +47,8 @@
 	return w
 }
 
-// httpRequest makes the net/http form of an exchange's request. Its context ends
-// when the caller goes.
+// httpRequest converts an exchange's request to a net/http request. Its context
+// is cancelled when the caller disconnects.
 func httpRequest(x *Exchange) (*http.Request, context.CancelFunc, error) {
 	u, err := url.ParseRequestURI(x.URI)
 	if err != nil {
@@ -69,7 +68,7 @@
 	return r, cancel, nil
 }
 
-// recorder is an http.ResponseWriter that keeps the answer.
+// recorder is an http.ResponseWriter that stores the answer.
 type recorder struct {
 	header http.Header
 	status int
--- a/serve/outbound/call.go
+++ b/serve/outbound/call.go
@@ -17,59 +17,59 @@
 	URI    string // path and query
 	Header http.Header
 	Body   []byte
-	// Host is the Host field; empty: the receiver's address.
+	// Host is the value of the Host field; empty: the receiver's address.
 	Host string
-	// Own reports whether an answer with these fields is one to this request;
-	// nil: every answer is.
+	// Own reports whether an answer with this status and these fields belongs
+	// to this request; nil: every answer does.
 	Own func(status int, h http.Header) bool
-	// MayEndByClose takes an answer without a length as whole when the receiver
-	// has ended the connection in good order.
+	// MayEndByClose accepts an answer without a length as complete when the
+	// receiver has closed the connection cleanly.
 	MayEndByClose bool
-	// Connect bounds the opening of a connection; 0: Options.DialTimeout.
+	// Connect bounds the time to open a connection; 0: Options.DialTimeout.
 	Connect time.Duration
-	// Fresh asks for a new connection even where one is free: the free ones
-	// are suspected to have gone silent.
+	// Fresh asks for a new connection even if one is idle, because the idle
+	// ones are suspected to be silent.
 	Fresh bool
-	// Acknowledged is called when the receiver says, before its answer, that it has
-	// the request. It must not block; nil: nobody asks.
+	// Acknowledged is called when the receiver reports, before its answer, that
+	// it has received the request. It must not block; may be nil.
 	Acknowledged func()
-	// Spare asks for one more connection where the request takes the last one
-	// that is free.
+	// Spare asks for one more connection if the request takes the last idle
+	// one.
 	Spare bool
 }
 
-// Answer is one whole answer.
+// Answer is one complete answer.
 type Answer struct {
 	Status int
 	Header http.Header
 	Body   []byte
-	// Connected is how long opening the connection took, if this is its first
-	// answer and it was opened for a request; 0 otherwise.
+	// Connected is the time it took to open the connection, if it was opened
+	// for a request and this is its first answer; otherwise 0.
 	Connected time.Duration
-	// Waited is how long the request waited for a connection; 0 when one was
-	// free.
+	// Waited is how long the request waited for a connection; 0 if one was
+	// idle.
 	Waited time.Duration
 }
 
-// Done receives the outcome of a call: exactly one of the two is not nil. It
-// runs on a poller's goroutine and must not block.
+// Done receives the outcome of a call: exactly one of the arguments is not nil.
+// It runs on a poller's goroutine and must not block.
 type Done func(*Answer, *verdict.Error)
 
-// Call is one request under way.
+// Call is one request in progress.
 type Call struct {
 	req      *Request
 	done     Done
-	queuedAt clock.Time // of its wait for a connection; 0: it did not wait
+	queuedAt clock.Time // start of its wait for a connection; 0: it did not wait
 
 	mu       sync.Mutex
-	c        *conn          // connection the request was handed to
-	waited   time.Duration  // until it was
-	writing  bool           // it is being handed over
-	lost     *verdict.Error // the connection has ended meanwhile
+	c        *conn          // connection the request is written to
+	waited   time.Duration  // for that connection
+	writing  bool           // the request is being written
+	lost     *verdict.Error // set if the connection closes during the write
 	finished bool
 }
 
-// finish reports the outcome; only the first one counts.
+// finish reports the outcome; only the first call has an effect.
 func (k *Call) finish(a *Answer, err *verdict.Error) {
 	k.mu.Lock()
 	if k.finished {
@@ -84,8 +84,8 @@
 	k.done(a, err)
 }
 
-// attach notes the connection that is about to get the request. It reports
-// false when the call has ended meanwhile.
+// attach records the connection that the request is about to be written to. It
+// returns false if the call has finished meanwhile.
 func (k *Call) attach(c *conn) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -100,14 +100,14 @@
 	return true
 }
 
-// attached reports whether the request has been handed to a connection.
+// attached reports whether the request has been given to a connection.
 func (k *Call) attached() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.c != nil
 }
 
-// writeDone takes the outcome of handing the request over.
+// writeDone handles the outcome of writing the request.
 func (k *Call) writeDone(err error) {
 	k.mu.Lock()
 	k.writing = false
@@ -115,19 +115,20 @@
 	k.mu.Unlock()
 	switch {
 	case err != nil:
-		// A free connection has nothing queued, so nbio writes to the socket at
-		// once and reports an error only if the kernel took no byte.
+		// An idle connection has nothing queued, so nbio writes to the socket
+		// at once and returns an error only if the kernel took no byte.
 		k.finish(nil, &verdict.Error{Verdict: verdict.NotRun, Reason: verdict.ReasonConnectionLost, Err: err})
 	case lost != nil:
 		k.finish(nil, lost)
 	}
 }
 
-// connectionLost reports the end of the connection that the call has claimed. A request
-// that was not handed over yet has not run, and never will on it. One that is
-// being handed over is left to wrote, which learns whether the connection took
-// any of it: a receiver that closes free connections as it leaves would
-// otherwise turn requests that it never got into may-have-run.
+// connectionLost handles the close of the connection that the call has claimed.
+// A request that was not written yet has not run and never will on this
+// connection. One that is being written is left to writeDone, which learns
+// whether the connection took any of it: otherwise a receiver that closes idle
+// connections as it leaves would turn requests that it never received into
+// may-have-run.
 func (k *Call) connectionLost(reason verdict.Reason, err error) {
 	e := &verdict.Error{Verdict: verdict.MayHaveRun, Reason: reason, Err: err}
 	k.mu.Lock()
@@ -148,8 +149,8 @@
 	k.done(nil, e)
 }
 
-// Cancel gives the call up. Before the request was handed to a connection the
-// outcome is not-run; afterwards the connection is closed, which also tells
+// Cancel abandons the call. Before the request was given to a connection the
+// outcome is not-run; afterwards the connection is closed, which also notifies
 // the receiver, and the outcome is may-have-run.
 func (k *Call) Cancel(reason verdict.Reason) {
 	k.mu.Lock()
@@ -170,7 +171,8 @@
 
 var buffers = sync.Pool{New: func() any { return new(bytes.Buffer) }}
 
-// maxPooledBuffer keeps one large request from pinning its buffer for good.
+// maxPooledBuffer bounds the buffers that are reused, so that one large request
+// does not keep its buffer allocated.
 const maxPooledBuffer = 64 << 10
 
 // ownHeaders are the request fields that this package writes itself.
@@ -183,8 +185,8 @@
 	"Expect":            true,
 }
 
-// encode writes the request in one piece, so that a connection gets either
-// nothing or as much as the kernel takes.
+// encode writes the request in one piece, so that a connection takes either
+// nothing of it or as much as the kernel accepts.
 func encode(b *bytes.Buffer, addr string, r *Request) {
 	b.WriteString(r.Method)
 	b.WriteByte(' ')
--- a/serve/outbound/conn.go
+++ b/serve/outbound/conn.go
@@ -27,28 +27,29 @@
 	nbc    *nbio.Conn
 	parser *nbhttp.Parser
 
-	// initialized is set by the dialling goroutine and read by the poller's. The
-	// kernel's poll set orders the two, which the race detector cannot see.
+	// initialized is set by the dialling goroutine and read by the poller's.
+	// The kernel's poll set orders the two, but the race detector cannot see
+	// that.
 	initialized atomic.Bool
 
 	// Guarded by p.mu.
-	call      *Call // the one that has claimed the connection
-	ended     bool  // counted out
+	call      *Call // the call that has claimed the connection
+	ended     bool  // no longer counted in peer.open
 	idleSince clock.Time
-	maxIdle   time.Duration // how long it may be free
+	maxIdle   time.Duration // how long it may be idle before it is closed
 
-	answerStarted  atomic.Bool // part of an answer has come
+	answerStarted  atomic.Bool // an answer is partly received
 	closeDelimited atomic.Pointer[closeDelimitedAnswer]
 
-	connected time.Duration // how long opening it took, until its first answer
+	connected time.Duration // time it took to open, until its first answer
 
 	// Parsing state, touched only while data is taken.
-	head          []byte // of the next answer, as far as it has come
+	head          []byte // received part of the next head
 	inBody        bool   // the parser is within a body
-	bodyLeft      int64  // of a body with a length
-	foreignAnswer bool   // the answer belongs to another request
+	bodyLeft      int64  // rest of a body with Content-Length
+	foreignAnswer bool   // the answer belongs to another request or to none
 	answer        *Answer
-	framed        bool // the head says how the body ends
+	framed        bool // the head states how the body ends
 	noReuse       bool
 	noBody        bool // the request was a HEAD
 }
@@ -73,7 +74,7 @@
 	}
 }
 
-// onData takes what has come. What cannot be read as an answer ends the
+// onData processes received bytes. Data that is not an answer closes the
 // connection.
 func (c *conn) onData(_ *nbio.Conn, data []byte) {
 	if !c.initialized.Load() {
@@ -87,13 +88,13 @@
 		}
 		data = data[n:]
 	}
-	// Only now: what came behind an answer must not be read as the answer to a
-	// request that the connection has been handed to meanwhile.
+	// Only after all data has been processed: bytes behind an answer must not
+	// be read as the answer to the connection's next request.
 	c.p.assignIdle()
 }
 
-// consume hands the first part of data to the parser, no further than to the end
-// of a head or of a body with a length, and returns its size.
+// consume passes the first part of data to the parser, at most to the end of a
+// head or of a body with Content-Length, and returns its size.
 func (c *conn) consume(data []byte) (int, error) {
 	switch {
 	case c.closeDelimited.Load() != nil:
@@ -103,7 +104,7 @@
 	case c.bodyLeft > 0 && int64(len(data)) >= c.bodyLeft:
 		n := int(c.bodyLeft)
 		// What follows belongs to no request: this connection must not be
-		// lent out again.
+		// reused.
 		c.noReuse = c.noReuse || len(data) > n
 		return n, c.parser.Parse(data[:n])
 	default:
@@ -115,8 +116,8 @@
 // maxAnswerHead bounds the head of an answer, in bytes.
 const maxAnswerHead = 64 << 10
 
-// takeHead collects the head of an answer and hands it to the parser when it
-// is whole and well-formed.
+// takeHead collects the head of an answer and passes it to the parser when it
+// is complete and well-formed.
 func (c *conn) takeHead(data []byte) (int, error) {
 	if !c.p.hasRequest(c) {
 		return 0, errUnsolicited
@@ -139,7 +140,8 @@
 	f, status, err := heads.Response(head)
 	if err != nil {
 		if status > 0 {
-			// The target has answered, but where the answer ends can't be told.
+			// The target has answered, but the end of the answer cannot be
+			// determined.
 			c.fail(verdict.Ran, verdict.ReasonAnswerCut, err)
 		}
 		return 0, fmt.Errorf("outbound: %w", err)
@@ -152,13 +154,13 @@
 	return n, c.parser.Parse(withReason(head))
 }
 
-// httpPrefix is how every answer begins.
+// httpPrefix is the start of every answer.
 var httpPrefix = []byte("HTTP/1.")
 
-// awaitClose keeps the socket of an answer that ends with its connection beyond
-// the end of the connection, so that its way of ending can be looked at: nbio
-// reports a connection that ended with an error event as ended in good order,
-// without having read from it, and half an answer would be taken for whole.
+// awaitClose duplicates the socket of an answer that ends with its connection,
+// so that the way it ended can be checked after nbio has closed it. nbio
+// reports a connection that ended with an error event as closed cleanly,
+// without reading from it, and a truncated answer would be taken for complete.
 func (c *conn) awaitClose(a *Answer) {
 	socket := -1
 	raw, err := c.nbc.SyscallConn()
@@ -170,7 +172,7 @@
 		})
 	}
 	if err != nil || socket < 0 {
-		return // the answer will count as cut
+		return // the answer will count as truncated
 	}
 	c.closeDelimited.Store(&closeDelimitedAnswer{answer: a, socket: socket})
 }
@@ -178,11 +180,11 @@
 // closeDelimitedAnswer is an answer that ends with its connection.
 type closeDelimitedAnswer struct {
 	answer *Answer
-	socket int // a duplicate of the connection's
+	socket int // duplicate of the connection's socket
 }
 
-// endedCleanly reports whether the receiver has ended the connection in good order,
-// and closes the duplicate.
+// endedCleanly reports whether the receiver closed the connection without an
+// error, and closes the duplicate socket.
 func (e *closeDelimitedAnswer) endedCleanly() bool {
 	defer func() { _ = syscall.Close(e.socket) }() // nothing was written to it
 	var more [1]byte
@@ -196,10 +198,10 @@
 	defaultReason     = " Status"
 )
 
-// withReason gives the status line of a checked head a reason phrase if it has
-// none. nbhttp skips line ends in search of it and takes the first header field
-// for the phrase: the field is lost, and with it, if it is the length, the
-// answer.
+// withReason adds a reason phrase to the status line of a checked head if it
+// has none. nbhttp would skip the line end in search of one and take the first
+// header field for the phrase: the field would be lost, and with it the answer
+// if it was the length.
 func withReason(head []byte) []byte {
 	n := len(exampleStatusLine)
 	end := bytes.IndexByte(head, '\r')
@@ -209,8 +211,8 @@
 	return slices.Concat(head[:n], []byte(defaultReason), head[end:])
 }
 
-// onClose is called once when the connection has gone, on a goroutine of its
-// own: the parser may still be at work.
+// onClose is called once when the connection is closed, on its own goroutine:
+// the parser may still be running.
 func (c *conn) onClose(err error) {
 	k := c.p.detach(c)
 	c.p.countClosed(c)
@@ -225,8 +227,8 @@
 	}
 	reason := verdict.ReasonConnectionLost
 	if c.answerStarted.Load() {
-		// The answer had begun: what there is of it is never handed on as
-		// whole, and whether the request ran to its end is not known.
+		// Part of the answer was received. A partial answer is never passed on
+		// as complete, and it is unknown whether the request ran to its end.
 		reason = verdict.ReasonAnswerCut
 	}
 	k.connectionLost(reason, err)
@@ -270,9 +272,9 @@
 	c.answer.Header[key] = append(c.answer.Header[key], value)
 }
 
-// hasClose reports whether a Connection field announces the connection's end.
-// A receiver's word that is overlooked costs the next request on the connection
-// its certainty: it is lost, and may have run.
+// hasClose reports whether a Connection field announces that the connection
+// will be closed. If that is missed, the next request on the connection is lost
+// and may have run.
 func hasClose(value string) bool {
 	for f := range strings.SplitSeq(value, ",") {
 		if strings.EqualFold(strings.TrimSpace(f), "close") {
@@ -286,14 +288,14 @@
 func (c *conn) OnContentLength(_ *nbhttp.Parser, length int) {
 	c.inBody = true
 	if own := c.p.isOwnAnswer(c); !own && c.answer.Status >= http.StatusOK {
-		// A second answer to an earlier request, or one that nobody asked for,
-		// may come where this request's answer is due.
+		// A second answer to an earlier request, or an unsolicited one, may
+		// arrive where this request's answer is due.
 		c.foreignAnswer = true
 		c.noReuse = true
 	}
 	if len(c.answer.Header["Content-Length"]) > 1 {
-		// nbhttp takes the first; which of them makes the answer whole cannot
-		// be told.
+		// nbhttp uses the first length; which of them is right cannot be
+		// determined.
 		c.fail(verdict.Ran, verdict.ReasonAnswerCut, errMultipleLengths)
 		return
 	}
@@ -314,11 +316,11 @@
 }
 
 var (
-	errAnswerTooLong   = errors.New("outbound: answer longer than the limit")
-	errUnframed        = errors.New("outbound: answer without a length")
-	errMultipleLengths = errors.New("outbound: answer with two lengths")
-	errMalformedHead   = errors.New("outbound: not the head of an answer")
-	errUnsolicited     = errors.New("outbound: answer without a request")
+	errAnswerTooLong   = errors.New("outbound: body of the answer exceeds the limit")
+	errUnframed        = errors.New("outbound: answer states neither length nor chunked encoding")
+	errMultipleLengths = errors.New("outbound: answer with more than one Content-Length")
+	errMalformedHead   = errors.New("outbound: received data is not the head of an HTTP/1 answer")
+	errUnsolicited     = errors.New("outbound: unsolicited data from the receiver")
 )
 
 // OnBody implements nbhttp.Processor.
@@ -340,7 +342,7 @@
 // OnComplete implements nbhttp.Processor.
 func (c *conn) OnComplete(*nbhttp.Parser) { c.complete() }
 
-// complete hands a whole answer on and frees the connection.
+// complete delivers a complete answer and frees the connection.
 func (c *conn) complete() {
 	a := c.answer
 	if a == nil {
@@ -350,7 +352,7 @@
 		c.p.reportAcknowledged(c)
 	}
 	if a.Status < http.StatusOK || c.foreignAnswer {
-		c.resetAnswer() // the final one, or the own one, follows
+		c.resetAnswer() // the final answer, or the one to this request, follows
 		return
 	}
 	if !c.framed && !c.noBody && heads.BodyAllowed(a.Status) && c.p.mayEndByClose(c) {
@@ -359,14 +361,14 @@
 		return
 	}
 	if !c.framed && !c.noBody && heads.BodyAllowed(a.Status) {
-		// The end of such an answer is the end of the connection, which looks
-		// the same when the receiver dies: wholeness cannot be told, and the
-		// parser reports it complete with no body at all.
+		// Such an answer ends with the connection, which looks the same when
+		// the receiver crashes: whether the answer is complete cannot be
+		// determined, and the parser reports it as complete without a body.
 		c.fail(verdict.Ran, verdict.ReasonAnswerCut, errUnframed)
 		return
 	}
 	c.resetAnswer()
-	c.connected = 0 // whoever is next did not wait for it to open
+	c.connected = 0 // the next request did not wait for it to open
 	k := c.p.release(c, keepAliveTimeout(a.Header))
 	if k != nil {
 		k.finish(a, nil)
@@ -380,8 +382,8 @@
 	c.answerStarted.Store(false)
 }
 
-// keepAliveTimeout reads how long the receiver keeps a free connection open; 0 when
-// it does not say.
+// keepAliveTimeout returns how long the receiver keeps an idle connection open,
+// or 0 if it does not say.
 func keepAliveTimeout(h http.Header) time.Duration {
 	for _, v := range h["Keep-Alive"] {
 		for f := range strings.SplitSeq(v, ",") {
@@ -397,7 +399,7 @@
 	return 0
 }
 
-// fail ends the call in flight and the connection.
+// fail ends the call in flight and closes the connection.
 func (c *conn) fail(v verdict.Verdict, r verdict.Reason, err error) {
 	c.resetAnswer()
 	k := c.p.detach(c)
@@ -413,5 +415,5 @@
 // Clean implements nbhttp.Processor.
 func (c *conn) Clean(*nbhttp.Parser) {}
 
-// idleFor returns how long the connection has been free.
+// idleFor returns how long the connection has been idle.
 func (c *conn) idleFor(now clock.Time) time.Duration { return now.Sub(c.idleSince) }
--- a/serve/outbound/dial.go
+++ b/serve/outbound/dial.go
@@ -12,8 +12,8 @@
 	"github.com/azurethread/azurethread/decide/verdict"
 )
 
-// dial opens a connection for k, or for the next request if k has got another
-// one meanwhile.
+// dial opens a connection for k, or for the next waiting request if k has got
+// another connection meanwhile.
 func (pe *peer) dial(k *Call) {
 	c, claimed, err := pe.connect(k)
 	pe.mu.Lock()
@@ -33,8 +33,8 @@
 	pe.assignIdle()
 }
 
-// reserveSpareDial reports whether no connection is free, nor one on its way, and
-// counts a dial then.
+// reserveSpareDial reports whether no connection is idle or being opened, and
+// if so counts a dial.
 func (pe *peer) reserveSpareDial() bool {
 	pe.mu.Lock()
 	defer pe.mu.Unlock()
@@ -45,14 +45,14 @@
 	return true
 }
 
-// dialSpare opens a connection that no request waits for. What it fails of, the
-// next request will find out.
+// dialSpare opens a connection that no request waits for. A failure is ignored;
+// the next request will meet it.
 func (pe *peer) dialSpare() {
 	pe.dial(&Call{req: &Request{}, done: func(*Answer, *verdict.Error) {}})
 }
 
 // connect opens a connection for k and returns the request that has claimed it,
-// which ends with the error if there is one; nil: none has.
+// or nil if none has. On an error the claiming request fails with it.
 func (pe *peer) connect(k *Call) (*conn, *Call, error) {
 	opts := &pe.pool.opts
 	timeout := opts.DialTimeout
@@ -82,7 +82,7 @@
 	return next
 }
 
-// add hands a new connection to the pollers.
+// add registers a new connection with the pollers.
 func (pe *peer) add(nc net.Conn, k *Call, connected time.Duration) (*conn, *Call, error) {
 	p := pe.pool
 	p.adding.RLock()
@@ -117,7 +117,7 @@
 	return c, claimed, nil
 }
 
-// addIdle puts a new connection among the free ones, unless it has ended already.
+// addIdle adds a new connection to the idle ones, unless it has closed already.
 func (pe *peer) addIdle(c *conn) {
 	pe.mu.Lock()
 	defer pe.mu.Unlock()
--- a/serve/outbound/doc.go
+++ b/serve/outbound/doc.go
@@ -1,12 +1,12 @@
-// Package outbound sends requests to targets and to other entry VMs over
-// nbio connections with nbhttp's parser, and says of each failure whether the
+// Package outbound sends requests to targets and to other entry VMs over nbio
+// connections with nbhttp's parser, and reports for each failure whether the
 // request may have run.
 //
 // A connection carries one request at a time, so an answer can only belong to
-// the request it was sent for; a connection whose request was given up is
-// closed, and an answer that still arrives on it goes nowhere.
+// the request it was sent for. When a request is cancelled its connection is
+// closed, and a late answer on it is ignored.
 //
-// nbhttp's own client was measured to miss its timeout on a silent peer and
-// its context's cancellation (docs/design/http.md). Deadlines and
-// cancellation are therefore the decision code's: it calls Cancel.
+// nbhttp's own client was measured to miss its timeout on a silent peer and its
+// context's cancellation (docs/design/http.md). Deadlines and cancellation are
+// therefore left to the decision code, which calls Cancel.
 package outbound
--- a/serve/outbound/lifecycle_test.go
+++ b/serve/outbound/lifecycle_test.go
@@ -24,25 +24,24 @@
 	return &Call{req: r, done: func(a *Answer, err *verdict.Error) { ch <- outcome{a, err} }}, ch
 }
 
-// awaitNoConnections waits until every connection to addr has been counted out.
+// awaitNoConnections waits until no connection to addr is counted as open.
 func awaitNoConnections(p *Pool, addr string) {
 	for p.Connections(addr) > 0 {
 		time.Sleep(time.Millisecond)
 	}
 }
 
-func (pe *peer) free() int {
+func (pe *peer) idleCount() int {
 	pe.mu.Lock()
 	defer pe.mu.Unlock()
 	return len(pe.idle)
 }
 
-// Symptom: a request gets an answer that was not made for it, and its
-// connection is then lent to two requests at a time.
-// Sequence: the receiver writes an answer as soon as it accepts; the poller
-// reads it before the request is written.
-// Cause: the connection already belongs to the request while it is set up, and
-// an answer to it freed the connection once, the unwritten request again.
+// Guards against a request that gets an answer not made for it, on a connection
+// then assigned to two requests at once. The receiver writes an answer as soon
+// as it accepts, and the poller reads it before the request is written. The
+// connection already belongs to the request while it is set up: the answer
+// released it once, and the unwritten request would release it again.
 func TestAnswerBeforeRequest(t *testing.T) {
 	is := is.New(t)
 	addr := receiver(t, func(_ int, c net.Conn, r *bufio.Reader) {
@@ -59,14 +58,13 @@
 	is.True(o.err != nil)
 	is.Equal(o.err.Verdict, verdict.NotRun)
 	awaitNoConnections(p, addr)
-	is.Equal(pe.free(), 0)
+	is.Equal(pe.idleCount(), 0)
 }
 
-// Symptom: a submission that was never written is reported as may-have-run, so
-// that nobody sends it elsewhere.
-// Sequence: a free connection is claimed, ends, and only then is to get the
+// Guards against reporting a submission that was never written as may-have-run,
+// so that it is not sent elsewhere. An idle connection is claimed and closes
+// before the request is written; its close was taken for the loss of a written
 // request.
-// Cause: the end of a connection was taken for the loss of a written request.
 func TestLostBeforeWritten(t *testing.T) {
 	is := is.New(t)
 	addr := receiver(t, answerAlways(okAnswer))
@@ -81,14 +79,14 @@
 	c.start(k)
 	is.Equal(o.err.Verdict, verdict.NotRun)
 	is.Equal(o.err.Reason, verdict.ReasonConnectionLost)
-	is.Equal(pe.free(), 0)
+	is.Equal(pe.idleCount(), 0)
 }
 
-// Symptom: a request fails at once although its receiver is well, and the
-// failure counts against the receiver.
-// Sequence: a call is cancelled while the last bytes of its answer are read;
-// the end of the connection is handled before the end of the answer.
-// Cause: the answer's end put the closed connection among the free ones.
+// Guards against a request that fails at once although its receiver is well,
+// with the failure counted against the receiver. A call is cancelled while the
+// last bytes of its answer are read; the close of the connection is handled
+// before the end of the answer, which then added the closed connection to the
+// idle ones.
 func TestClosedConnectionIsNotFreed(t *testing.T) {
 	is := is.New(t)
 	addr := receiver(t, answerAlways(okAnswer))
@@ -99,12 +97,12 @@
 	is.NoErr(err)
 	is.Equal(pe.detach(c), k)
 	is.True(pe.release(c, 0) == nil)
-	is.Equal(pe.free(), 0)
+	is.Equal(pe.idleCount(), 0)
 }
 
-// Symptom: the race detector reports conn's parsing state.
-// Sequence: a call is cancelled while its answer is being read.
-// Cause: the close event comes on a goroutine of its own.
+// Guards against a data race on conn's parsing state when a call is cancelled
+// while its answer is being read: the close event comes on its own goroutine.
+// Run with the race detector.
 func TestCancelWhileAnswered(t *testing.T) {
 	is := is.New(t)
 	addr := receiver(t, func(_ int, c net.Conn, r *bufio.Reader) {
@@ -130,11 +128,10 @@
 	awaitNoConnections(p, addr)
 }
 
-// Symptom: a pool that is closed while it dials counts connections wrongly,
-// reports a request as may-have-run that nobody got, or never finishes closing.
-// Sequence: the pool is closed; then a dial succeeds.
-// Cause: nbio takes connections after its stop, and waits for those that come
-// while it stops.
+// Guards against a pool that, closed while it dials, miscounts connections,
+// reports an unsent request as may-have-run, or never finishes closing. The
+// dial succeeds after the pool was closed: nbio accepts connections after its
+// stop, and waits for those added while it stops.
 func TestCloseWhileDialling(t *testing.T) {
 	is := is.New(t)
 	addr := receiver(t, answerAlways(okAnswer))
@@ -163,10 +160,9 @@
 	is.Equal(p.Connections(addr), 0)
 }
 
-// Symptom: the memory of an entry VM grows by every target and entry VM that
-// has ever been replaced.
-// Sequence: requests go to an address until nothing listens there.
-// Cause: the pool kept a record of each address for good.
+// Guards against an entry VM whose memory grows with every target and entry VM
+// ever replaced: the pool kept a record of an address after nothing listened
+// there any more.
 func TestUnusedReceiverForgotten(t *testing.T) {
 	is := is.New(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -178,7 +174,7 @@
 	is.True((<-ch).err != nil)
 	for deadline := time.Now().Add(5 * sweepInterval); p.receivers() > 0; {
 		if time.Now().After(deadline) {
-			t.Fatal("the record of an unused receiver stays")
+			t.Fatalf("the record of the unused receiver %s was not removed", addr)
 		}
 		time.Sleep(sweepInterval / 100)
 	}
@@ -190,10 +186,9 @@
 	return len(p.peers)
 }
 
-// Symptom: a caller takes half an answer for the whole one.
-// Sequence: an answer without a length is on its way when its target crashes.
-// Cause: nbio reports a connection that ended with an error event as ended in
-// good order, without having read from it.
+// Guards against a truncated answer taken for complete: a target crashes while
+// it sends an answer without a length. nbio reports a connection that ended
+// with an error event as closed cleanly, without reading from it.
 func TestResetIsNotACleanClose(t *testing.T) {
 	for name, reset := range map[string]bool{"reset": true, "closed": false} {
 		t.Run(name, func(t *testing.T) {
@@ -201,7 +196,7 @@
 			peers := make(chan net.Conn, 1)
 			addr := receiver(t, func(_ int, c net.Conn, r *bufio.Reader) {
 				peers <- c
-				_, _ = r.ReadByte() // until the other side ends it
+				_, _ = r.ReadByte() // until the other side closes it
 			})
 			p := newPool(t)
 			got := make(chan outcome, 1)
@@ -228,7 +223,8 @@
 	}
 }
 
-// awaitSocketClosed waits until the kernel knows of the connection's end.
+// awaitSocketClosed waits until the kernel reports that the peer has closed the
+// connection.
 func awaitSocketClosed(t *testing.T, nbc *nbio.Conn) {
 	t.Helper()
 	raw, err := nbc.SyscallConn()
@@ -239,14 +235,14 @@
 	_ = raw.Control(func(v uintptr) { fd = int(v) })
 	poll := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN | unix.POLLRDHUP}}
 	if n, err := unix.Poll(poll, 5000); err != nil || n == 0 {
-		t.Fatal("the connection has not ended", err)
+		t.Fatalf("the connection was not closed within 5 s (poll: %d, %v)", n, err)
 	}
 }
 
-// Symptom: bytes that belong to no request are read as the answer to the next.
-// Sequence: an answer without a body comes in one piece with further bytes.
-// Cause: the mark against using the connection again was set before the head
-// was parsed, and parsing began by clearing it.
+// Guards against bytes that belong to no request being read as the answer to
+// the next. An answer without a body comes in one piece with further bytes; the
+// mark against reuse was set before the head was parsed, and parsing started by
+// clearing it.
 func TestBytesAfterAnswerCloseConnection(t *testing.T) {
 	is := is.New(t)
 	addr := receiver(t, answerAlways(okAnswer))
@@ -261,5 +257,5 @@
 	n, err := c.consume([]byte(head + "more"))
 	is.NoErr(err)
 	is.Equal(n, len(head))
-	is.Equal(pe.free(), 0)
+	is.Equal(pe.idleCount(), 0)
 }
--- a/serve/outbound/outbound_test.go
+++ b/serve/outbound/outbound_test.go
@@ -33,7 +33,7 @@
 	return p
 }
 
-// receiver accepts connections and gives each to serve with its number.
+// receiver accepts connections and calls serve for each with its number.
 func receiver(t *testing.T, serve func(n int, c net.Conn, r *bufio.Reader)) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -69,7 +69,8 @@
 	return k, ch
 }
 
-// answers each request with raw.
+// answerAlways answers each request with raw. If raw contains "cut" the
+// connection is closed after it.
 func answerAlways(raw string) func(int, net.Conn, *bufio.Reader) {
 	return func(_ int, c net.Conn, r *bufio.Reader) {
 		for {
@@ -86,10 +87,9 @@
 	}
 }
 
-// Symptom: a half answer reaches a caller as if whole, or a request that ran
-// is reported as not run.
-// Sequence: the receiver answers in an unusual or broken way.
-// Cause: a receiver that dies, or ends its answers by closing.
+// Guards against a truncated answer passed to a caller as complete, and against
+// a request that ran reported as not run, when a receiver crashes, closes after
+// an answer without a length, or sends a malformed answer.
 func TestAnswers(t *testing.T) {
 	for name, c := range map[string]struct {
 		raw    string
@@ -133,10 +133,9 @@
 	}
 }
 
-// Symptom: a submission that nobody received is reported as may-have-run, so
-// that it waits for a person in place of being sent elsewhere.
-// Sequence: the receiver's port is closed.
-// Cause: a crashed receiver refuses connections.
+// Guards against reporting a submission as may-have-run that was never
+// received, so that a person must look at it instead of sending it elsewhere: a
+// crashed receiver refuses connections.
 func TestConnectRefused(t *testing.T) {
 	is := is.New(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -149,11 +148,11 @@
 	is.Equal(o.err.Reason, verdict.ReasonConnect)
 }
 
-// Symptom: requests hang on a connection whose state a firewall on the path
-// has dropped; or the late answer to one reaches another request.
-// Sequence: a connection answers once and then accepts bytes in silence; the
-// request is cancelled, and the answer comes after all.
-// Cause: nbhttp's client misses its timeout and keeps the connection in use.
+// Guards against requests that hang on a connection whose state a firewall on
+// the path has dropped, and against a late answer that reaches another request.
+// The connection answers once and then accepts bytes without answering; the
+// request is cancelled, and its answer comes afterwards. nbhttp's client misses
+// its timeout and keeps using the connection.
 func TestSilentConnection(t *testing.T) {
 	is := is.New(t)
 	var late atomic.Bool
@@ -184,12 +183,11 @@
 	for !late.Load() {
 		time.Sleep(time.Millisecond)
 	}
-	is.Equal(len(silent), 0) // the late answer went nowhere
+	is.Equal(len(silent), 0) // the late answer is ignored
 }
 
-// Symptom: an answer without a request is taken for the next request's.
-// Sequence: the receiver writes a second answer on a free connection.
-// Cause: a receiver out of step.
+// Guards against taking an unsolicited answer for that of the next request: a
+// faulty receiver writes a second answer on an idle connection.
 func TestUnsolicitedAnswer(t *testing.T) {
 	is := is.New(t)
 	addr := receiver(t, func(n int, c net.Conn, r *bufio.Reader) {
@@ -217,10 +215,9 @@
 	is.Equal(string((<-ch).a.Body), "newer")
 }
 
-// Symptom: the second attempt of a request waits on a silent connection like
-// the first.
-// Sequence: a connection is free, and a request asks for a new one.
-// Cause: the most recently used connection was taken all the same.
+// Guards against a second attempt that waits on a silent connection like the
+// first: a request asks for a new connection while one is idle, and the most
+// recently used one was taken all the same.
 func TestFreshConnection(t *testing.T) {
 	is := is.New(t)
 	addr := receiver(t, func(n int, c net.Conn, r *bufio.Reader) {
@@ -244,7 +241,7 @@
 }
 
 // Guards against a receiver that is taken for silent because its interim answer
-// is not seen, or is taken for the answer.
+// is missed, and against an interim answer that is taken for the final one.
 func TestAcknowledgementBeforeAnswer(t *testing.T) {
 	is := is.New(t)
 	p := newPool(t)
--- a/serve/outbound/peer.go
+++ b/serve/outbound/peer.go
@@ -8,28 +8,28 @@
 	"github.com/azurethread/azurethread/decide/clock"
 )
 
-// peer is one receiver's address and the connections to it.
+// peer is the address of one receiver and the connections to it.
 type peer struct {
 	pool *Pool
 	addr string
 
 	mu      sync.Mutex
-	idle    []*conn // the most recently used last
-	waiting []*Call // for a connection, one being opened for each; the first to come first
+	idle    []*conn // most recently used last
+	waiting []*Call // for a connection, oldest first; one is being opened for each
 	open    int
 	dialing int
 }
 
-// unused reports whether there is no connection, nor one being opened.
+// unused reports whether there is no connection, open or being opened.
 func (pe *peer) unused() bool {
 	pe.mu.Lock()
 	defer pe.mu.Unlock()
 	return pe.open == 0 && pe.dialing == 0
 }
 
-// claimOrQueue claims a free connection for k. Without one it counts a dial and has k
-// wait, for that one or for any that is freed sooner.
-// A fresh one is content with its own dial alone.
+// claimOrQueue claims an idle connection for k. If there is none it counts a
+// dial and queues k for that connection or any other that becomes idle sooner.
+// If fresh is set, k waits only for the connection dialled for it.
 func (pe *peer) claimOrQueue(k *Call, fresh bool) *conn {
 	pe.mu.Lock()
 	defer pe.mu.Unlock()
@@ -44,13 +44,13 @@
 	return nil
 }
 
-// claimIdle claims the most recently used free connection: the others age and
-// are closed when the load falls. pe.mu must be held.
+// claimIdle claims the most recently used idle connection, so that the others
+// age and are closed when the load falls. pe.mu must be held.
 func (pe *peer) claimIdle(k *Call) *conn {
 	now := pe.pool.opts.Now()
 	for i, c := range slices.Backward(pe.idle) {
 		if c.idleFor(now) >= c.maxIdle {
-			continue // the sweep closes it
+			continue // sweep closes it
 		}
 		pe.idle = slices.Delete(pe.idle, i, i+1)
 		c.call = k
@@ -59,20 +59,20 @@
 	return nil
 }
 
-// assignIdle hands free connections to the requests that wait. One to another region
-// takes two crossings to open; one that is freed meanwhile is there at once, and
-// the new one is kept for the next request.
+// assignIdle gives idle connections to waiting requests. Opening a connection
+// to another region takes two one-way delays; one that becomes idle meanwhile
+// is available at once, and the new one is kept for the next request.
 func (pe *peer) assignIdle() {
 	for {
 		c, k := pe.assignOne()
 		if c == nil {
 			return
 		}
-		c.start(k) // of a request that has ended the connection comes back
+		c.start(k) // releases the connection if the request has ended
 	}
 }
 
-// assignOne claims a free connection for the request that has waited longest.
+// assignOne claims an idle connection for the request that has waited longest.
 func (pe *peer) assignOne() (*conn, *Call) {
 	pe.mu.Lock()
 	defer pe.mu.Unlock()
@@ -88,7 +88,8 @@
 	return c, k
 }
 
-// stopWaiting reports whether k was still waiting, and ends that.
+// stopWaiting removes k from the waiting requests and reports whether it was
+// among them.
 func (pe *peer) stopWaiting(k *Call) bool {
 	pe.mu.Lock()
 	defer pe.mu.Unlock()
@@ -100,14 +101,15 @@
 	return true
 }
 
-// closeIdle closes the connections free for at least age.
+// closeIdle closes the connections that have been idle for at least age.
 func (pe *peer) closeIdle(age time.Duration) {
 	for _, c := range pe.removeIdle(pe.pool.opts.Now(), age) {
 		c.nbc.Close()
 	}
 }
 
-// removeIdle claims the connections free for at least age.
+// removeIdle removes and returns the connections that have been idle for at
+// least age.
 func (pe *peer) removeIdle(now clock.Time, age time.Duration) []*conn {
 	pe.mu.Lock()
 	defer pe.mu.Unlock()
@@ -122,13 +124,14 @@
 	return out
 }
 
-// release frees c for the next request and returns the call it carried. A
-// connection that must not be used again is closed. One without a call has
-// been dropped meanwhile: freed again, it would be lent out closed.
+// release makes c available for the next request and returns the call that it
+// carried. A connection that must not be reused is closed. One without a call
+// has been detached meanwhile; released again, it would be reused although it
+// is closed.
 //
-// keepAlive is how long the receiver keeps a free connection; 0: not stated.
-// One that it may be about to close is not lent out: a request on it could be
-// lost with its outcome unknown.
+// keepAlive is how long the receiver keeps an idle connection open; 0: not
+// stated. A connection that the receiver may be about to close is not reused: a
+// request on it could be lost with an unknown outcome.
 func (pe *peer) release(c *conn, keepAlive time.Duration) *Call {
 	pe.mu.Lock()
 	k := c.call
@@ -146,9 +149,9 @@
 	return k
 }
 
-// releaseIfClaimed releases c if k still has it. Releasing a connection that has gone
-// on to another call would lend it to two at a time, and give one the answer
-// of the other.
+// releaseIfClaimed releases c if k still holds it. Releasing a connection that
+// has been given to another call would assign it to two calls at once, and one
+// would get the other's answer.
 func (pe *peer) releaseIfClaimed(c *conn, k *Call) {
 	pe.mu.Lock()
 	owned := c.call == k
@@ -158,26 +161,27 @@
 	}
 }
 
-// A free connection is lent out until keepAliveMargin before the receiver closes
-// it, or for keepAliveUse of the time that it keeps it, whichever is longer. The
-// margin is for the way to another region and one lost packet on it.
+// An idle connection is reused until keepAliveMargin before the receiver closes
+// it, or for keepAliveFraction of the time that the receiver keeps it,
+// whichever is longer. The margin covers the delay to another region and one
+// lost packet.
 const (
 	keepAliveMargin   = time.Second
 	keepAliveFraction = 0.6
 )
 
-// maxIdleTime is how long a free connection is lent out again. kept is the time
-// for which the receiver says that it keeps it; 0: not stated.
-func maxIdleTime(kept, most time.Duration) time.Duration {
-	if kept == 0 {
-		return most
+// maxIdleTime returns how long an idle connection may be reused. stated is the
+// time for which the receiver keeps it; 0: not stated.
+func maxIdleTime(stated, limit time.Duration) time.Duration {
+	if stated == 0 {
+		return limit
 	}
-	use := max(kept-keepAliveMargin, time.Duration(keepAliveFraction*float64(kept)))
-	return min(use, most)
+	use := max(stated-keepAliveMargin, time.Duration(keepAliveFraction*float64(stated)))
+	return min(use, limit)
 }
 
-// isOwnAnswer reports whether the answer that c has begun to receive is one to
-// its request.
+// isOwnAnswer reports whether the answer being received on c belongs to its
+// request.
 func (pe *peer) isOwnAnswer(c *conn) bool {
 	pe.mu.Lock()
 	k := c.call
@@ -185,7 +189,7 @@
 	return k == nil || k.req.Own == nil || k.req.Own(c.answer.Status, c.answer.Header)
 }
 
-// reportAcknowledged tells the sender of c's request that the receiver has it.
+// reportAcknowledged calls Acknowledged of c's request.
 func (pe *peer) reportAcknowledged(c *conn) {
 	pe.mu.Lock()
 	k := c.call
@@ -195,21 +199,22 @@
 	}
 }
 
-// mayEndByClose reports whether c's request takes an answer without a length.
+// mayEndByClose reports whether c's request accepts an answer without a length.
 func (pe *peer) mayEndByClose(c *conn) bool {
 	pe.mu.Lock()
 	defer pe.mu.Unlock()
 	return c.call != nil && c.call.req.MayEndByClose
 }
 
-// hasRequest reports whether c has been handed a request.
+// hasRequest reports whether c has been given a request.
 func (pe *peer) hasRequest(c *conn) bool {
 	pe.mu.Lock()
 	defer pe.mu.Unlock()
 	return c.call != nil && c.call.attached()
 }
 
-// detach forgets c and returns the call it carried.
+// detach removes c from the idle connections and returns the call that it
+// carried.
 func (pe *peer) detach(c *conn) *Call {
 	pe.mu.Lock()
 	defer pe.mu.Unlock()
@@ -219,7 +224,8 @@
 	return k
 }
 
-// countClosed counts a connection out; only the first time counts.
+// countClosed removes c from the count of open connections; only the first call
+// has an effect.
 func (pe *peer) countClosed(c *conn) {
 	pe.mu.Lock()
 	defer pe.mu.Unlock()
--- a/serve/outbound/pool.go
+++ b/serve/outbound/pool.go
@@ -14,18 +14,18 @@
 	"github.com/azurethread/azurethread/serve/pollers"
 )
 
-// Options of a Pool. All but Pollers are required.
+// Options configures a Pool. Only Pollers is optional.
 type Options struct {
 	DialTimeout    time.Duration
-	IdleTimeout    time.Duration // a free connection is closed after it
-	MaxAnswerBytes int           // body of one answer
+	IdleTimeout    time.Duration // an idle connection is closed after it
+	MaxAnswerBytes int           // limit on the body of one answer
 	Pollers        int           // 0: nbio's default
 	Now            func() clock.Time
-	// Dial opens a TCP connection; net.DialTimeout outside of tests.
+	// Dial opens a TCP connection; net.DialTimeout except in tests.
 	Dial func(network, addr string, timeout time.Duration) (net.Conn, error)
 }
 
-// Pool keeps connections to all receivers of one entry VM.
+// Pool manages the connections of one entry VM to all receivers.
 type Pool struct {
 	opts   Options
 	engine *nbhttp.Engine
@@ -34,7 +34,7 @@
 	peers map[string]*peer
 	stop  chan struct{}
 
-	adding sync.RWMutex // held to read while a connection is added
+	adding sync.RWMutex // read-locked while a connection is added
 	closed bool         // guarded by adding
 }
 
@@ -59,9 +59,9 @@
 	return p, nil
 }
 
-// Close ends every connection. A dial that succeeds later is given up: nbio
-// waits in its stop for the connections that it has, and one that comes while
-// it waits would never be closed, nor Close return.
+// Close closes every connection. A dial that succeeds later is dropped: while
+// it stops, nbio waits for its connections to close; one added meanwhile would
+// never be closed, and Close would never return.
 func (p *Pool) Close() {
 	p.adding.Lock()
 	p.closed = true
@@ -70,8 +70,8 @@
 	p.engine.Stop()
 }
 
-// Do sends r to addr, a host:port. done is called exactly once, possibly
-// before Do returns. Do does not block.
+// Do sends r to addr, a host:port. done is called exactly once, possibly before
+// Do returns. Do does not block.
 func (p *Pool) Do(addr string, r *Request, done Done) *Call {
 	k := &Call{req: r, done: done}
 	pe, c := p.claim(addr, k, r.Fresh)
@@ -86,11 +86,10 @@
 	return k
 }
 
-// Discard closes the free connections to addr that have been free for at
-// least age. A firewall or router on the path may drop the state of open
-// connections without a reset: when one has gone silent, those that have
-// carried nothing since are suspect too, while a new one costs about a
-// millisecond.
+// Discard closes the connections to addr that have been idle for at least age.
+// A firewall or router on the path may drop the state of open connections
+// without a reset. When one connection has become silent, those unused since
+// then are suspect too, while a new one costs about a millisecond.
 func (p *Pool) Discard(addr string, age time.Duration) {
 	if pe := p.find(addr); pe != nil {
 		pe.closeIdle(age)
@@ -108,15 +107,16 @@
 	return pe.open
 }
 
-// find returns the receiver at addr; nil when nothing was sent there lately.
+// find returns the peer at addr, or nil if nothing was sent there recently.
 func (p *Pool) find(addr string) *peer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.peers[addr]
 }
 
-// claim finds the receiver at addr and a free connection to it. Without one it
-// returns nil and counts a dial, so that the receiver is not forgotten.
+// claim returns the peer at addr and an idle connection to it. If there is none
+// it returns a nil connection and counts a dial, so that the peer is not
+// forgotten.
 func (p *Pool) claim(addr string, k *Call, fresh bool) (*peer, *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -128,7 +128,7 @@
 	return pe, pe.claimOrQueue(k, fresh)
 }
 
-// sweepInterval is how often free connections are checked for their age.
+// sweepInterval is the interval between checks for connections idle too long.
 const sweepInterval = time.Second
 
 func (p *Pool) sweep() {
@@ -146,8 +146,8 @@
 	}
 }
 
-// inUse returns the receivers, and forgets those without a connection: targets
-// and entry VMs are replaced all the time, mostly at other addresses.
+// inUse returns the peers with connections and removes the others: targets and
+// entry VMs are replaced all the time, mostly at other addresses.
 func (p *Pool) inUse() []*peer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -162,7 +162,7 @@
 	return peers
 }
 
-// runInline runs the parser's completion on the poller's goroutine.
+// runInline runs the parser's completion callback on the poller's goroutine.
 func runInline(f func()) bool {
 	f()
 	return true
--- a/serve/outbound/waiting_test.go
+++ b/serve/outbound/waiting_test.go
@@ -15,13 +15,13 @@
 	"github.com/azurethread/azurethread/decide/verdict"
 )
 
-// gate lets dials pass one by one.
+// gate blocks dials until they are let through one by one.
 type gate struct {
 	pass  chan struct{}
 	dials atomic.Int64
 }
 
-// gatedPool is a pool whose second and later dials wait at a gate.
+// gatedPool returns a pool whose second and later dials wait at a gate.
 func gatedPool(t *testing.T, dial func(network, addr string, d time.Duration) (net.Conn, error)) (*Pool, *gate) {
 	t.Helper()
 	g := &gate{pass: make(chan struct{})}
@@ -42,8 +42,7 @@
 	return p, g
 }
 
-// answerOnSignal answers each request when told to, on connections that number
-// themselves in the order in which they are accepted.
+// answerOnSignal answers a request for each value received from answer.
 func answerOnSignal(answer <-chan struct{}) func(int, net.Conn, *bufio.Reader) {
 	return func(_ int, c net.Conn, r *bufio.Reader) {
 		for {
@@ -58,13 +57,11 @@
 	}
 }
 
-// Symptom: requests to other regions wait two crossings longer than they need
-// to, and when requests end those that wait are nearly all that still reaches
-// targets.
-// Sequence: a request to a target is under way, and a second one has a
-// connection opened; the first is answered long before that is open.
-// Cause: a request that waits for its own connection didn't take one that was
-// free.
+// Guards against requests to other regions that wait two one-way delays longer
+// than they need to; at the end of a load, nearly all requests that still reach
+// targets are such waiting ones. A second request has a connection opened while
+// a first is in flight, and the first is answered long before that connection
+// is open: the waiting request must use the freed one.
 func TestWaitingRequestUsesFreedConnection(t *testing.T) {
 	is := is.New(t)
 	answer := make(chan struct{}, 2)
@@ -78,13 +75,13 @@
 	answer <- struct{}{}
 	is.True((<-first).err == nil)
 	answer <- struct{}{}
-	o := <-second // its dial is still at the gate
+	o := <-second // its dial still waits at the gate
 	is.True(o.err == nil)
 	is.Equal(o.a.Connected, time.Duration(0))
 	is.True(o.a.Waited > 0)
 	is.Equal(p.Connections(addr), 1)
 	close(g.pass)
-	for p.Connections(addr) < 2 { // the one that was opened is kept
+	for p.Connections(addr) < 2 { // the newly opened connection is kept
 		time.Sleep(time.Millisecond)
 	}
 	answer <- struct{}{}
@@ -95,10 +92,9 @@
 	is.Equal(g.dials.Load(), int64(2))
 }
 
-// Symptom: a request fails with connect-failed although its target has answered
-// it.
-// Sequence: a waiting request takes a freed connection; then its own dial fails.
-// Cause: the failed dial ended whatever request it had been begun for.
+// Guards against a request that fails with connect-failed although its target
+// has answered it: it takes a freed connection while it waits, then its own
+// dial fails, and that ended the request for which it had been started.
 func TestFailedDialFailsOnlyWaitingRequest(t *testing.T) {
 	is := is.New(t)
 	answer := make(chan struct{}, 3)
@@ -118,7 +114,7 @@
 	_, third := send(p, addr)
 	answer <- struct{}{}
 	is.True((<-first).err == nil)
-	for !k2.attached() { // the first to wait has the connection
+	for !k2.attached() { // the request that waited longest has the connection
 		time.Sleep(time.Millisecond)
 	}
 	failing.Store(true)
@@ -131,11 +127,9 @@
 	is.True((<-second).err == nil)
 }
 
-// Symptom: a request is answered by nobody until its deadline, beside a free
-// connection.
-// Sequence: a request that waits is cancelled; the connection that is freed is
-// meant for it, and another request waits too.
-// Cause: a freed connection was offered once, to a request that had ended.
+// Guards against a request that gets no answer before its deadline although a
+// connection is idle: a freed connection was offered only once, to a waiting
+// request that had been cancelled, and not to the next one.
 func TestCancelledRequestGivesUpItsTurn(t *testing.T) {
 	is := is.New(t)
 	answer := make(chan struct{}, 2)
@@ -156,11 +150,10 @@
 	is.True((<-third).err == nil)
 }
 
-// Symptom: connections to targets of other regions are opened anew although
-// the targets keep the old ones.
-// Sequence: a target says that it keeps free connections for ten seconds; one is
-// wanted after seven.
-// Cause: only six tenths of that time were used.
+// Guards against opening connections to targets of other regions anew although
+// the targets keep the old ones: a target says that it keeps idle connections
+// for ten seconds and one is needed after seven, when only six tenths of that
+// time were used.
 func TestMaxIdleTime(t *testing.T) {
 	for stated, used := range map[time.Duration]time.Duration{
 		10 * time.Second:       9 * time.Second,
@@ -176,10 +169,9 @@
 	}
 }
 
-// Symptom: an entry VM keeps a record of every receiver that it ever had.
-// Sequence: a request asks for a new connection; that ends.
-// Cause: the end of its dial was counted and its beginning was not, so the
-// receiver never counted as unused.
+// Guards against an entry VM that keeps a record of every receiver it ever had:
+// a request asks for a new connection, which later closes. The end of its dial
+// was counted but not its start, so the receiver never counted as unused.
 func TestReceiverForgottenAfterNewConnection(t *testing.T) {
 	is := is.New(t)
 	addr := receiver(t, answerAlways("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok"))
@@ -193,11 +185,9 @@
 	is.True(p.find(addr) == nil)
 }
 
-// Symptom: of the requests to a target that is in steady use some wait for a
-// connection all the same.
-// Sequence: a request takes the only free connection; another one comes before
-// it is answered.
-// Cause: a connection was opened only once a request waited for it.
+// Guards against requests to a target in steady use that wait for a connection:
+// one request takes the only idle connection and another comes before it is
+// answered. A connection was opened only once a request waited for it.
 func TestSpareConnection(t *testing.T) {
 	is := is.New(t)
 	answer := make(chan struct{}, 3)
@@ -211,9 +201,9 @@
 	}
 	answer <- struct{}{}
 	is.True((<-spared()).err == nil)
-	is.Equal(p.Connections(addr), 1) // a receiver that is used once needs no other
+	is.Equal(p.Connections(addr), 1) // a receiver used only once needs no spare
 	second := spared()
-	for p.find(addr).free() < 1 {
+	for p.find(addr).idleCount() < 1 {
 		time.Sleep(time.Millisecond)
 	}
 	third := spared()
