--- a/serve/command/command.go
+++ b/serve/command/command.go
@@ -1,5 +1,5 @@
-// Package command is the command line of azurethreadd: it reads the settings,
-// starts a daemon and stops it on a signal.
+// Package command implements the command line of azurethreadd: it reads the
+// settings, starts a daemon and stops it on a signal.
 package command
 
 import (
@@ -21,12 +21,12 @@
 // Exit codes of azurethreadd.
 const (
 	ExitOK       = 0
-	ExitFailed   = 1 // it could not start, or stopped with requests in flight
-	ExitSettings = 2 // a setting is wrong; nothing was started
+	ExitFailed   = 1 // could not start, or stopped with requests in flight
+	ExitSettings = 2 // invalid setting; nothing was started
 )
 
-// Run executes the command line and returns the exit code. more are further
-// subcommands; each gets the place of the exit code.
+// Run executes the command line and returns the exit code. Each function in
+// more returns a further subcommand, which sets the exit code through code.
 func Run(args []string, stdout, stderr io.Writer, more ...func(code *int) *cobra.Command) int {
 	code := ExitOK
 	flags := settings.Flags()
@@ -65,15 +65,15 @@
 serves administration.
 
 Every flag is also an environment variable: --call-addr is
-AZURETHREAD_CALL_ADDR. A flag goes before its variable.
+AZURETHREAD_CALL_ADDR. A flag takes precedence over its variable.
 
 SIGTERM or SIGINT: new requests are refused with verdict not-run and with
-alternatives, requests in flight end, then the process exits with 0. A second
-signal ends it at once.
+alternatives, requests in flight are finished, and the process exits with 0.
+A second signal stops it at once.
 
-Exit codes: 0 stopped, 1 failed, 2 a setting is wrong.`
+Exit codes: 0 stopped, 1 failed, 2 invalid setting.`
 
-// serve runs a daemon until a signal comes.
+// serve runs a daemon until a signal arrives or another process supersedes it.
 func serve(set *settings.Settings, stderr io.Writer) int {
 	log := logs.New(set.LogLevel, stderr)
 	logs.TakeNetwork(log)
@@ -81,19 +81,19 @@
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	client, err := platform.NewClient(platform.Options{Addr: set.PlatformURL})
 	if err != nil {
-		log.WithError(err).Error("platform cannot be reached by this setting")
+		log.WithError(err).Error("platform URL is not valid")
 		return ExitSettings
 	}
 	d, err := daemon.Start(set, client, log)
 	if err != nil {
-		log.WithError(err).Error("entry VM could not start")
+		log.WithError(err).Error("entry VM failed to start")
 		return ExitFailed
 	}
 	code := ExitOK
 	select {
 	case <-signals:
 	case <-d.Superseded():
-		log.Error("another process runs under this id with a later start; stopping")
+		log.Error("a process with the same VM id and a later start is running; stopping")
 		code = ExitFailed
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), set.StopTimeout)
--- a/serve/core/core.go
+++ b/serve/core/core.go
@@ -1,5 +1,5 @@
-// Package core runs a reducer: one event at a time, with the instant at which
-// it is taken, and a timer for the next one that is due.
+// Package core runs a reducer: it processes one event at a time, with the time
+// at which the event is taken, and sets a timer for the next tick.
 package core
 
 import (
@@ -12,19 +12,20 @@
 	"github.com/azurethread/azurethread/decide/clock"
 )
 
-// Step takes one event and carries out its effects, without blocking. It
-// returns when a tick is due at the latest; clock.Never: not at all.
+// Step processes one event and performs its effects without blocking. It
+// returns the time of the next tick; clock.Never: none.
 type Step func(now clock.Time, ev any) (wake clock.Time)
 
-// Core serialises a reducer whose state is a T. Whoever posts an event while
-// nobody is stepping steps it until the queue is empty; everyone else only
-// queues. So no goroutine waits for another, a step may post events itself, and
-// effects are carried out in the order in which the reducer stated them.
+// Core serialises access to a reducer with state T. A goroutine that posts an
+// event while no other is processing events processes the queue until it is
+// empty; every other goroutine only queues its event. So no goroutine waits for
+// another, a step may post events itself, and effects are performed in the
+// order in which the reducer returned them.
 type Core[T any] struct {
 	now   func() clock.Time
 	state T
 	step  Step
-	tick  any // the event that lets time pass
+	tick  any // the event posted when the timer fires
 
 	mu         sync.Mutex
 	queue      []any
@@ -34,13 +35,13 @@
 	stopped    chan struct{}
 
 	timer    *time.Timer
-	timerDue clock.Time // touched only by the goroutine that is running
+	timerDue clock.Time // used only by the goroutine that is running
 
 	crash func(v any) // ends the process; replaced in tests
 }
 
-// New returns a Core. tick is the event that is posted when a step's wake is
-// due.
+// New returns a Core. tick is the event posted when the time returned by a step
+// is reached.
 func New[T any](now func() clock.Time, state T, step Step, tick any) *Core[T] {
 	c := &Core[T]{
 		now: now, state: state, step: step, tick: tick,
@@ -50,7 +51,7 @@
 	return c
 }
 
-// Post queues ev and has it stepped.
+// Post queues ev for processing.
 func (c *Core[T]) Post(ev any) {
 	c.mu.Lock()
 	if c.closed {
@@ -67,14 +68,14 @@
 	c.run()
 }
 
-// crash panics on a goroutine of its own, where nothing recovers it.
+// crash panics on a separate goroutine, where nothing recovers the panic.
 func crash(v any) {
 	stack := debug.Stack()
 	go panic(fmt.Sprintf("%v\n%s", v, stack))
 }
 
 func (c *Core[T]) run() {
-	// nbio recovers panics of its handlers and goes on. A core that panicked
+	// nbio recovers panics of its handlers and continues. A core that panicked
 	// would stay marked as running: every later event would only be queued, and
 	// the entry VM would accept requests without ever answering one. Ending the
 	// process is better: its callers learn that the outcome is unknown, and use
@@ -111,9 +112,9 @@
 	c.armTimer(now, c.step(now, ev))
 }
 
-// armTimer sets the timer for the engine's next tick. A wake that is due already is
-// always armed anew: the timer for it has fired, and a process that waited for
-// it without a timer would never tick again.
+// armTimer sets the timer for the next tick. A wake time that has already
+// passed always resets the timer: the previous timer has fired, and without a
+// new one there would never be another tick.
 func (c *Core[T]) armTimer(now, wake clock.Time) {
 	if wake == clock.Never || (wake == c.timerDue && wake.After(now)) {
 		return
@@ -122,14 +123,15 @@
 	c.timer.Reset(max(wake.Sub(now), 0))
 }
 
-// query is put to the state between two steps.
+// query is a function to run on the state between two steps.
 type query[T any] struct {
 	ask     func(now clock.Time, state T)
-	claimed atomic.Bool // run, or given up
+	claimed atomic.Bool // run or abandoned
 	done    chan struct{}
 }
 
-// claim reports whether the question is still to be run or given up.
+// claim reports whether the query has been neither run nor abandoned, and marks
+// it as claimed.
 func (q *query[T]) claim() bool { return q.claimed.CompareAndSwap(false, true) }
 
 func (q *query[T]) answer(now clock.Time, state T) {
@@ -139,10 +141,10 @@
 	}
 }
 
-// Ask runs f with the state between two steps and waits for it. It reports
-// false when the core has been closed; f is not run later then, when its
-// variables may be in use again. It must not be called while an effect is
-// carried out: it would wait for itself.
+// Ask runs f on the state between two steps and waits for it. It returns false
+// if the core has been closed; f is then never run, as its variables may be in
+// use again. Ask must not be called while an effect is performed: it would wait
+// for itself.
 func (c *Core[T]) Ask(f func(now clock.Time, state T)) bool {
 	q := &query[T]{ask: f, done: make(chan struct{})}
 	c.Post(q)
@@ -154,11 +156,11 @@
 	if q.claim() {
 		return false
 	}
-	<-q.done // it is being run
+	<-q.done // f is running
 	return true
 }
 
-// Close ends the stepping of events.
+// Close stops the processing of events.
 func (c *Core[T]) Close() {
 	c.mu.Lock()
 	if !c.closed {
--- a/serve/core/core_test.go
+++ b/serve/core/core_test.go
@@ -17,12 +17,11 @@
 	return c
 }
 
-// Symptom: the race detector reports what a page of the administration
-// interface is filled with; or the page mixes two moments.
-// Sequence: a question waits behind a step, the core is closed, the asker is
-// told so, and then the step ends.
-// Cause: a closed core still ran the questions in its queue, into variables
-// that their askers had taken back.
+// Guards against a data race on the variables that a page of the administration
+// interface is filled with, or a page that mixes two moments. A query waits
+// behind a step, the core is closed, Ask returns false, and then the step ends:
+// a closed core must not run the queries in its queue, as their callers use the
+// variables again.
 func TestAskAfterClose(t *testing.T) {
 	is := is.New(t)
 	stepping, proceed, ended := make(chan struct{}), make(chan struct{}), make(chan struct{})
@@ -51,11 +50,10 @@
 	is.Equal(ran, false)
 }
 
-// Symptom: an entry VM accepts requests and answers none, without a word in
-// its log.
-// Sequence: a step panics on a poller's goroutine.
-// Cause: nbio recovers panics of its handlers, and the core was left marked as
-// running, so that every later event was only queued.
+// Guards against an entry VM that accepts requests and answers none, without a
+// log line. A step panics on a poller's goroutine, and nbio recovers the panic:
+// the core would stay marked as running, so that every later event would only
+// be queued.
 func TestPanicEndsTheProcess(t *testing.T) {
 	is := is.New(t)
 	c := testCore(t, func() { panic("defect") })
--- a/serve/heads/failure_test.go
+++ b/serve/heads/failure_test.go
@@ -19,6 +19,6 @@
 	is.Equal(got.Reason, verdict.ReasonGateway)
 	DropFailure(h)
 	is.Equal(len(h), 0)
-	SetFailure(h, verdict.Ran, verdict.ReasonNone) // an answer, whatever else it is
+	SetFailure(h, verdict.Ran, verdict.ReasonNone) // verdict Ran is an answer, not a failure
 	is.True(Failure(h) == nil)
 }
--- a/serve/heads/heads.go
+++ b/serve/heads/heads.go
@@ -1,10 +1,10 @@
 // Package heads checks the heads of HTTP/1.1 messages before they are parsed.
 //
-// nbhttp's parser reads several malformed heads in a way of its own: a length
-// together with chunks, white space before a colon, two Host fields. A receiver
-// behind an entry VM, or one before it, may read the same bytes in another way,
-// and a request hidden in the body of another one is what comes of that. Such
-// heads are refused as a whole, so that nobody has to agree on their meaning.
+// nbhttp's parser accepts several malformed heads and interprets them in its
+// own way: Content-Length together with chunked encoding, white space before a
+// colon, two Host fields. A receiver behind an entry VM, or one before it, may
+// interpret the same bytes differently, which allows request smuggling: a
+// request hidden in the body of another one. Such heads are therefore refused.
 package heads
 
 import (
@@ -14,30 +14,30 @@
 	"strconv"
 )
 
-// Errors of a malformed head.
+// Errors for a malformed head.
 var (
-	ErrStartLine = errors.New("heads: malformed first line")
-	ErrLineEnd   = errors.New("heads: line does not end with CR LF")
-	ErrField     = errors.New("heads: malformed field")
-	ErrFolded    = errors.New("heads: folded field")
+	ErrStartLine = errors.New("heads: malformed request or status line")
+	ErrLineEnd   = errors.New("heads: line without CR LF at its end")
+	ErrField     = errors.New("heads: malformed header field")
+	ErrFolded    = errors.New("heads: folded header field")
 	ErrLength    = errors.New("heads: malformed or repeated Content-Length")
 	ErrEncoding  = errors.New("heads: unsupported Transfer-Encoding")
-	ErrFraming   = errors.New("heads: Content-Length with Transfer-Encoding")
-	ErrHost      = errors.New("heads: not exactly one Host")
+	ErrFraming   = errors.New("heads: both Content-Length and Transfer-Encoding")
+	ErrHost      = errors.New("heads: missing or repeated Host")
 )
 
-// Framing says how the body of a message ends.
+// Framing states how the end of a message's body is determined.
 type Framing struct {
 	Chunked bool
-	// Length is the body's length in bytes, -1 when the head states none.
+	// Length is the body's length in bytes, -1 if the head states none.
 	Length int64
 }
 
 var emptyLine = []byte("\r\n\r\n")
 
-// End returns the length of the head at the start of b, its empty line
-// included, and 0 when it is not complete. Searched is the number of bytes
-// that an earlier call has seen.
+// End returns the length of the head at the start of b, including its empty
+// line, or 0 if it is not complete. searched is the number of bytes that an
+// earlier call has searched.
 func End(b []byte, searched int) int {
 	from := max(0, searched-len(emptyLine)+1)
 	i := bytes.Index(b[from:], emptyLine)
@@ -81,13 +81,14 @@
 	return f, status, err
 }
 
-// BodyAllowed reports whether an answer of this status can have a body.
+// BodyAllowed reports whether an answer with this status can have a body.
 func BodyAllowed(status int) bool {
 	return status >= http.StatusOK && status != http.StatusNoContent && status != http.StatusNotModified
 }
 
-// ParsePartial returns what can be read of a head that is incomplete or malformed:
-// the first line's first two words, and every field line that is well-formed.
+// ParsePartial returns what can be read of a head that is incomplete or
+// malformed: the first two words of the request line, and every well-formed
+// field line.
 func ParsePartial(head []byte) (method, target string, fields http.Header) {
 	fields = make(http.Header)
 	line, rest, _ := bytes.Cut(head, emptyLine[:2])
@@ -107,7 +108,7 @@
 	return method, target, fields
 }
 
-// splitHead separates the first line from the fields.
+// splitHead separates the first line from the field lines.
 func splitHead(head []byte) (line, fields []byte, err error) {
 	i := bytes.Index(head, emptyLine[:2])
 	if i < 0 || !bytes.HasSuffix(head, emptyLine) {
@@ -136,7 +137,7 @@
 	return "", false
 }
 
-// statusLine checks "HTTP/1.x 200 reason"; the reason may be missing.
+// statusLine checks "HTTP/1.x 200 reason"; the reason phrase may be missing.
 func statusLine(line []byte) (status int, ok bool) {
 	const codeAt, codeEnd = len("HTTP/1.1 "), len("HTTP/1.1 200")
 	if len(line) < codeEnd || !bytes.HasPrefix(line, []byte("HTTP/1.")) || line[codeAt-1] != ' ' {
@@ -149,7 +150,8 @@
 	return status, err == nil && status >= 100 && isText(line)
 }
 
-// checkFields checks every field line, and what the fields say of the framing.
+// checkFields checks every field line and returns the framing that the fields
+// state, and the number of Host fields.
 func checkFields(fields []byte) (f Framing, hosts int, err error) {
 	f.Length = -1
 	for len(fields) > 0 {
@@ -172,7 +174,7 @@
 	return f, hosts, nil
 }
 
-// parseField separates one field line.
+// parseField splits one field line into name and value.
 func parseField(line []byte) (name, value []byte, err error) {
 	if len(line) > 0 && (line[0] == ' ' || line[0] == '\t') {
 		return nil, nil, ErrFolded
@@ -188,7 +190,7 @@
 	return name, value, nil
 }
 
-// apply takes a field that says how the body ends.
+// apply updates the framing by a field if the field states how the body ends.
 func (f *Framing) apply(name, value []byte) error {
 	switch {
 	case equalFold(name, "content-length"):
@@ -209,8 +211,8 @@
 	return nil
 }
 
-// parseLength reads a Content-Length: digits alone, so that no sign or separator is
-// read differently elsewhere.
+// parseLength parses a Content-Length. Only digits are accepted: other
+// receivers could read a sign or separator differently.
 func parseLength(value []byte) (int64, bool) {
 	for _, c := range value {
 		if c < '0' || c > '9' {
@@ -226,7 +228,7 @@
 }
 
 // isToken reports whether b is a token of RFC 9110, as names of methods and
-// fields are.
+// fields must be.
 func isToken(b []byte) bool {
 	for _, c := range b {
 		if !tokenChar(c) {
@@ -254,7 +256,7 @@
 	return true
 }
 
-// isText reports whether b has no control characters but tabs.
+// isText reports whether b has no control characters except tabs.
 func isText(b []byte) bool {
 	for _, c := range b {
 		if (c < ' ' && c != '\t') || c == 0x7f {
--- a/serve/heads/heads_test.go
+++ b/serve/heads/heads_test.go
@@ -7,9 +7,9 @@
 	"github.com/matryer/is"
 )
 
-// Symptom: a request hidden in the body of another one runs at a target.
-// Sequence: a caller sends a head that two receivers read differently.
-// Cause: a parser that takes what RFC 9112 tells it to refuse.
+// Guards against request smuggling: a caller sends a head that two receivers
+// interpret differently, and a request hidden in the body of another one runs
+// at a target. RFC 9112 requires such heads to be refused.
 func TestRequest(t *testing.T) {
 	for name, c := range map[string]struct {
 		head string
@@ -56,9 +56,8 @@
 	}
 }
 
-// Symptom: bytes that are no answer are taken for one.
-// Sequence: a faulty target sends something else.
-// Cause: only the beginning of the first line was looked at.
+// Guards against bytes from a faulty target that are not an answer but taken
+// for one: the whole status line must be checked, not only its start.
 func TestResponse(t *testing.T) {
 	for name, c := range map[string]struct {
 		head   string
@@ -86,9 +85,9 @@
 	}
 }
 
-// Symptom: the end of a head that comes in pieces is not seen.
-// Sequence: its last four bytes are split over two reads.
-// Cause: the search went on behind what was seen already.
+// Guards against missing the end of a head whose last four bytes are split over
+// two reads: the search must restart before the end of what was searched
+// already.
 func TestEndInPieces(t *testing.T) {
 	is := is.New(t)
 	whole := []byte("GET / HTTP/1.1\r\nHost: a\r\n\r\nbody")
@@ -101,7 +100,7 @@
 			is.Equal(got, end)
 		}
 		if n < end {
-			is.Equal(End(whole, n), end) // goes on where the last search ended
+			is.Equal(End(whole, n), end) // continues where the last search ended
 		}
 	}
 }
--- a/serve/heads/hops.go
+++ b/serve/heads/hops.go
@@ -5,14 +5,15 @@
 	"strings"
 )
 
-// hopByHop are the fields that belong to one connection and are not passed on.
+// hopByHop are the fields that concern a single connection and are not passed
+// on.
 var hopByHop = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Proxy-Connection",
 }
 
-// EndToEnd removes from h the fields of one connection, those named by
-// Connection included.
+// EndToEnd removes from h the hop-by-hop fields, including those named by
+// Connection.
 func EndToEnd(h http.Header) {
 	for _, v := range h["Connection"] {
 		for _, f := range strings.Split(v, ",") {
--- a/serve/heads/wait.go
+++ b/serve/heads/wait.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// MaxWait is the longest wait that a field may state.
+// MaxWait is the longest duration that a field may state.
 const MaxWait = time.Hour
 
-// Wait reads a field that states a time in whole milliseconds; 0 when it is
-// empty. ok is false for anything else, and beyond MaxWait.
+// Wait parses a field that states a duration in whole milliseconds; an empty
+// field is 0. ok is false for anything else and for values above MaxWait.
 func Wait(value string) (d time.Duration, ok bool) {
 	if value == "" {
 		return 0, true
--- a/serve/kv/kv.go
+++ b/serve/kv/kv.go
@@ -1,6 +1,6 @@
-// Package kv is what the product asks of a metadata store: keys with
-// revisions, conditional writes, leases and watches. Folder platform has the
-// client of the users' store; tests have one in memory.
+// Package kv is the interface to a metadata store: keys with revisions,
+// conditional writes, leases and watches. The client of the users' store is in
+// folder platform; tests use one in memory.
 package kv
 
 import (
@@ -11,49 +11,51 @@
 	"github.com/azurethread/azurethread/decide/mirror"
 )
 
-// Lease names a lease. Keys written under it are removed when it ends. The
-// zero value is no lease.
+// Lease identifies a lease. Keys written under it are removed when it ends. The
+// zero value means no lease.
 type Lease uint64
 
-// Replica says which replica of the store may answer a read.
+// Replica states which replica of the store may answer a read.
 type Replica uint8
 
 const (
-	// Latest answers with everything that was acknowledged before the read.
+	// Latest reads include every write acknowledged before the read.
 	Latest Replica = iota
-	// Any may be seconds behind, at a tenth of the price and beside the limits on
-	// calls. A watch from its revision on brings a copy up to date.
+	// Any reads may be seconds behind, at a tenth of the price, and do not
+	// count against the limits on calls. A watch from the returned revision
+	// brings a copy up to date.
 	Any
 )
 
 // Snapshot is a full read of a prefix.
 type Snapshot struct {
 	Items []mirror.Item
-	// AsOf is a revision of the store up to which nothing is missing; changes
-	// made since may be missing or included.
+	// AsOf is a revision of the store. Changes up to it are all included; later
+	// ones may be.
 	AsOf mirror.Revision
 }
 
-// Changes are what a watch has seen.
+// Changes is the result of a watch.
 type Changes struct {
 	Events []mirror.Change
-	AsOf   mirror.Revision // the revision to go on from
+	AsOf   mirror.Revision // the revision to continue from
 }
 
-// Condition holds when the key's revision is the given one; 0: no such key.
+// Condition holds if the key has the given revision; 0: the key does not exist.
 type Condition struct {
 	Key      string
 	Revision mirror.Revision
 }
 
-// Write sets a key, under a lease if there is one.
+// Write sets a key, under a lease unless Lease is zero.
 type Write struct {
 	Key   string
 	Value []byte
 	Lease Lease
 }
 
-// Txn is carried out as a whole if all its conditions hold, or not at all.
+// Txn is a transaction: it runs as a whole if all its conditions hold, or not
+// at all.
 type Txn struct {
 	Conditions []Condition
 	Writes     []Write
@@ -61,28 +63,28 @@
 }
 
 var (
-	// ErrCompacted means that the store no longer has the history asked for.
+	// ErrCompacted means that the store no longer has the requested history.
 	ErrCompacted = errors.New("kv: history is no longer available")
-	// ErrConflict means that a condition does not hold; nothing was written.
+	// ErrConflict means that a condition did not hold; nothing was written.
 	ErrConflict = errors.New("kv: condition does not hold")
 	// ErrLeaseLost means that the lease has ended.
 	ErrLeaseLost = errors.New("kv: lease has ended")
 )
 
 // Store is the metadata store. Errors other than those of this package are
-// *verdict.Error: whether a write that failed may have been carried out.
+// *verdict.Error, which states whether a failed write may have run.
 type Store interface {
 	// Range reads all items below prefix.
 	Range(ctx context.Context, prefix string, from Replica) (Snapshot, error)
 	// Watch returns as soon as there is a change below prefix after the given
-	// revision, and without events at the end of wait.
+	// revision, or without events once wait has passed.
 	Watch(ctx context.Context, prefix string, after mirror.Revision, wait time.Duration) (Changes, error)
-	// Commit carries out t and returns the store's revision.
+	// Commit runs t and returns the store's revision.
 	Commit(ctx context.Context, t Txn) (mirror.Revision, error)
-	// Grant makes a lease that ends ttl after its last renewal, and returns
-	// the time that the store has really given.
+	// Grant creates a lease that ends ttl after its last renewal. It returns
+	// the time to live that the store has actually granted.
 	Grant(ctx context.Context, ttl time.Duration) (Lease, time.Duration, error)
-	// Renew starts the lease's time anew.
+	// Renew restarts the lease's time to live.
 	Renew(ctx context.Context, l Lease) error
 	// Revoke ends the lease.
 	Revoke(ctx context.Context, l Lease) error
--- a/serve/kv/kvtest/store.go
+++ b/serve/kv/kvtest/store.go
@@ -1,4 +1,4 @@
-// Package kvtest has a metadata store in memory for tests.
+// Package kvtest provides a metadata store in memory for tests.
 package kvtest
 
 import (
@@ -19,20 +19,19 @@
 // ErrDown is the cause of failed calls while the store is down.
 var ErrDown = errors.New("kvtest: the store is down")
 
-// Store implements kv.Store. Leases end only by End and Revoke: no clock runs
-// in it.
+// Store implements kv.Store. It has no clock: leases end only by Revoke.
 type Store struct {
 	mu          sync.Mutex
 	rev         mirror.Revision
 	items       map[string]entry
 	history     []mirror.Change
-	compactedAt mirror.Revision // history after this revision is kept
+	compactedAt mirror.Revision // history is kept after this revision
 	leases      map[kv.Lease]bool
 	lastLease   kv.Lease
 	down        bool
-	changed     chan struct{} // closed and replaced at each change
+	changed     chan struct{} // closed and replaced on each change
 
-	staleItems map[string]entry // one that is behind; nil: none is
+	staleItems map[string]entry // of a replica that lags behind; nil: none does
 	staleRev   mirror.Revision
 }
 
@@ -51,7 +50,7 @@
 	}
 }
 
-// Put writes a key as an operator or a target does.
+// Put writes a key as an operator or a target would.
 func (s *Store) Put(key, value string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -75,7 +74,7 @@
 	return string(e.Value), ok
 }
 
-// SetDown makes every call fail, those that wait included, or ends that.
+// SetDown makes every call fail, including those that wait, or ends the outage.
 func (s *Store) SetDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -83,7 +82,7 @@
 	s.notify()
 }
 
-// FreezeReplica has reads of any replica be answered as of now from now on.
+// FreezeReplica makes reads with kv.Any return the present state from now on.
 func (s *Store) FreezeReplica() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/serve/logs/async.go
+++ b/serve/logs/async.go
@@ -8,17 +8,18 @@
 )
 
 const (
-	// maxBufferBytes bounds what waits to be written, some seconds of lines.
+	// maxBufferBytes bounds the lines waiting to be written: some seconds of
+	// log output.
 	maxBufferBytes = 1 << 20
-	// flushInterval is how often lines are written: few writes of many lines cost
-	// less than one each.
+	// flushInterval is the interval between writes: few writes of many lines
+	// cost less than one write per line.
 	flushInterval = 100 * time.Millisecond
 )
 
-// Async is an io.Writer that never blocks. Lines wait in a buffer of bounded
-// size and are written by a goroutine; one that doesn't fit is dropped and
-// counted, and the count is written as a line of its own. A reader of the log
-// that stalls would otherwise stall every request.
+// Async is an io.Writer that never blocks. Lines wait in a bounded buffer and
+// are written by a goroutine. A line that does not fit is dropped and counted,
+// and the count is logged as a line of its own. Otherwise a stalled reader of
+// the log would stall every request.
 type Async struct {
 	w io.Writer
 
@@ -30,14 +31,14 @@
 	stopped chan struct{}
 }
 
-// NewAsync begins to write to w.
+// NewAsync returns an Async that writes to w. Close stops it.
 func NewAsync(w io.Writer) *Async {
 	a := &Async{w: w, stop: make(chan struct{}), stopped: make(chan struct{})}
 	go a.run()
 	return a
 }
 
-// Write takes one line.
+// Write queues one line.
 func (a *Async) Write(line []byte) (int, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -49,14 +50,14 @@
 	return len(line), nil
 }
 
-// Dropped returns how many lines wait to be reported as dropped.
+// Dropped returns the number of dropped lines not yet reported in the log.
 func (a *Async) Dropped() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.dropped
 }
 
-// Close writes what is left.
+// Close writes the remaining lines and stops the writer.
 func (a *Async) Close() {
 	close(a.stop)
 	<-a.stopped
@@ -78,7 +79,7 @@
 	}
 }
 
-// flush writes what waits, and returns its buffer for the next turn.
+// flush writes the waiting lines and returns their buffer for reuse.
 func (a *Async) flush(spare []byte) []byte {
 	a.mu.Lock()
 	buf, dropped := a.buf, a.dropped
@@ -89,7 +90,7 @@
 			dropped, time.Now().Format(time.RFC3339Nano))
 	}
 	if len(buf) > 0 {
-		_, _ = a.w.Write(buf) // a log that can't be written has nowhere to say so
+		_, _ = a.w.Write(buf) // a failure to write the log cannot be logged
 	}
 	return buf
 }
--- a/serve/logs/async_test.go
+++ b/serve/logs/async_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-// stalledWriter is a writer that blocks until it is let go.
+// stalledWriter is a writer that blocks until unblock is closed.
 type stalledWriter struct {
 	entered chan struct{}
 	unblock chan struct{}
@@ -24,15 +24,15 @@
 	return s.got.Write(b)
 }
 
-// Symptom: every request waits while the reader of the log does not read.
-// Sequence: the pipe behind standard output is full, and lines go on.
-// Cause: lines were written by whoever had something to say.
+// Guards against requests that stall because the reader of the log does not
+// read: the pipe behind standard output is full, and lines were written by the
+// goroutines that logged them.
 func TestStalledWriterDoesNotBlock(t *testing.T) {
 	is := is.New(t)
 	w := &stalledWriter{entered: make(chan struct{}, 1), unblock: make(chan struct{})}
 	a := NewAsync(w)
 	_, _ = a.Write([]byte("first\n"))
-	<-w.entered // the flush is stuck
+	<-w.entered // the flush is blocked
 	line := []byte(strings.Repeat("x", 1023) + "\n")
 	for range 2 * maxBufferBytes / len(line) {
 		n, err := a.Write(line)
--- a/serve/logs/logs.go
+++ b/serve/logs/logs.go
@@ -1,5 +1,5 @@
-// Package logs sets up logging: JSON lines by logrus, for this program and for
-// the network library alike.
+// Package logs sets up logging as JSON lines by logrus, for this program and
+// for the network library nbio.
 package logs
 
 import (
@@ -11,8 +11,8 @@
 	"github.com/sirupsen/logrus"
 )
 
-// New returns a logger of JSON lines to w. An unknown level counts as info;
-// settings are checked before.
+// New returns a logger that writes JSON lines to w. An unknown level counts as
+// info; the settings have been validated before.
 func New(level string, w io.Writer) *logrus.Logger {
 	l := logrus.New()
 	l.SetOutput(w)
@@ -23,9 +23,9 @@
 	return l
 }
 
-// TakeNetwork sends nbio's own messages to l. Its setting is global to the
-// process. Routine messages of nbio are of the debug level here: it tells of
-// every start and stop of a poller as information.
+// TakeNetwork sends nbio's log messages to l. nbio's logger is global to the
+// process. Its info messages are logged at debug level, because nbio reports
+// every start and stop of a poller as info.
 func TakeNetwork(l logrus.FieldLogger) {
 	logging.SetLogger(nbioLogger{l.WithField("library", "nbio")})
 }
--- a/serve/pack/pack.go
+++ b/serve/pack/pack.go
@@ -1,5 +1,5 @@
-// Package pack compresses what is kept in the store or sent between entry VMs,
-// with a bound on what it may grow to.
+// Package pack compresses data for the store and for messages between entry
+// VMs, and limits the size of what it decompresses.
 package pack
 
 import (
@@ -8,26 +8,26 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// Level is how much processor time is spent for fewer bytes.
+// Level trades processor time for size.
 type Level uint8
 
 const (
-	// Fast is for what is packed for each reader.
+	// Fast is for data compressed anew for each reader.
 	Fast Level = iota
-	// Small is for what is packed once and read by many.
+	// Small is for data compressed once and read by many.
 	Small
 )
 
 var levels = [...]zstd.EncoderLevel{Fast: zstd.SpeedFastest, Small: zstd.SpeedDefault}
 
-// All compresses each part by itself.
+// All compresses each part separately.
 func All(l Level, parts ...[]byte) ([][]byte, error) {
 	enc, err := zstd.NewWriter(nil, zstd.WithEncoderLevel(levels[l]), zstd.WithEncoderConcurrency(1),
 		zstd.WithLowerEncoderMem(true))
 	if err != nil {
 		return nil, fmt.Errorf("pack: %w", err)
 	}
-	defer func() { _ = enc.Close() }() // nothing is buffered: EncodeAll writes all
+	defer func() { _ = enc.Close() }() // EncodeAll leaves nothing buffered
 	packed := make([][]byte, len(parts))
 	for i, p := range parts {
 		packed[i] = enc.EncodeAll(p, nil)
@@ -35,11 +35,11 @@
 	return packed, nil
 }
 
-// Open returns what was compressed. It refuses what is larger than most bytes: a
-// damaged part must not fill the memory.
-func Open(packed []byte, most uint64) ([]byte, error) {
+// Open decompresses packed. It fails if the result exceeds limit bytes, so that
+// damaged data cannot exhaust the memory.
+func Open(packed []byte, limit uint64) ([]byte, error) {
 	dec, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true),
-		zstd.WithDecoderMaxMemory(most))
+		zstd.WithDecoderMaxMemory(limit))
 	if err != nil {
 		return nil, fmt.Errorf("pack: %w", err)
 	}
--- a/serve/pack/pack_test.go
+++ b/serve/pack/pack_test.go
@@ -22,7 +22,7 @@
 	}
 }
 
-// Guards against a few bytes that unpack to more than the memory holds.
+// Guards against a few bytes that decompress to more than fits into memory.
 func TestOpenIsBounded(t *testing.T) {
 	is := is.New(t)
 	packed, err := All(Small, make([]byte, 1<<20))
--- a/serve/pollers/pollers.go
+++ b/serve/pollers/pollers.go
@@ -1,11 +1,10 @@
 // Package pollers makes sure that a started nbio engine can be stopped.
 //
-// Each poller of nbio clears its stop flag as its goroutine begins. An engine
-// that is stopped before then loses the stop: Stop never returns, and the
-// poller turns without pause on its wake-up event. An entry VM whose second
-// address is taken would hang in its clean-up in place of reporting the error.
-// Await shows that every poller is past that point: it has each of them read
-// one byte.
+// Each nbio poller clears its stop flag when its goroutine starts. An engine
+// stopped before then loses the stop: Stop never returns, and the poller spins
+// on its wake-up event. An entry VM whose second address is in use would hang
+// in its clean-up instead of reporting the error. Await verifies that every
+// poller is past that point by having each of them read one byte.
 package pollers
 
 import (
@@ -24,16 +23,16 @@
 // startTimeout bounds the wait for all pollers.
 const startTimeout = 10 * time.Second
 
-// maxPairs bounds the socket pairs opened to reach one poller. nbio chooses it
-// by file descriptor, of which the kernel gives the lowest that is free.
+// maxPairs bounds the socket pairs opened to reach one poller. nbio selects the
+// poller by file descriptor, and the kernel assigns the lowest free one.
 const maxPairs = 64
 
 var (
-	errNotStarted  = errors.New("pollers: nbio's pollers have not started")
-	errUnreachable = errors.New("pollers: no file descriptor leads to a poller")
+	errNotStarted  = errors.New("pollers: not all nbio pollers started in time")
+	errUnreachable = errors.New("pollers: no file descriptor is served by the wanted nbio poller")
 )
 
-// Await waits until all pollers of a started engine run.
+// Await waits until all pollers of a started engine are running.
 func Await(e *nbhttp.Engine) error {
 	w := waiter{engine: e, replied: make(chan struct{}, e.NPoller)}
 	defer w.close()
@@ -56,14 +55,14 @@
 type waiter struct {
 	engine       *nbhttp.Engine
 	replied      chan struct{}
-	conns        []net.Conn // each pair's near end first
-	placeholders []*os.File // held so that later descriptors differ
+	conns        []net.Conn // near end of each pair first
+	placeholders []*os.File // kept open so that later descriptors differ
 }
 
-// close closes the far ends, which the pollers have, before the near ones. A
-// far end that saw the other close could be reported to its poller as hung up
-// when its descriptor belongs to a new connection already; nbio would close
-// that one.
+// close closes the far ends, which the pollers serve, before the near ones.
+// Otherwise a far end that sees the near one close could be reported to its
+// poller as hung up when its descriptor already belongs to a new connection,
+// and nbio would close that one.
 func (w *waiter) close() {
 	for _, c := range slices.Backward(w.conns) {
 		_ = c.Close()
@@ -73,10 +72,10 @@
 	}
 }
 
-// reserveDescriptors takes descriptors until the lowest free one leads to the poller of the
-// index, as the next connection will get that one. Without it the descriptors
-// that connections get can keep clear of a poller, such as by being all even:
-// an entry VM with 8 cores would not start.
+// reserveDescriptors opens files until the lowest free descriptor, which the
+// next connection will get, is served by the poller with this index. Without it
+// the descriptors of connections may never map to some poller, for instance if
+// they are all even: an entry VM with 8 cores would not start.
 func (w *waiter) reserveDescriptors(index int) error {
 	for range w.engine.NPoller {
 		f, err := os.Open(os.DevNull)
@@ -91,7 +90,7 @@
 	return nil
 }
 
-// pingPoller gives the poller of the index a byte to read.
+// pingPoller gives the poller with this index a byte to read.
 func (w *waiter) pingPoller(index int) error {
 	for range maxPairs {
 		near, far, err := socketPair()
@@ -110,7 +109,7 @@
 		}
 		w.conns = append(w.conns, nbc)
 		if nbc.Hash()%w.engine.NPoller != index {
-			continue // another goroutine was faster to the descriptor
+			continue // another goroutine has taken the descriptor
 		}
 		nbc.OnData(func(*nbio.Conn, []byte) { w.replied <- struct{}{} })
 		if _, err := w.engine.AddConn(nbc); err != nil {
--- a/serve/pollers/pollers_test.go
+++ b/serve/pollers/pollers_test.go
@@ -8,10 +8,9 @@
 	"github.com/matryer/is"
 )
 
-// Symptom: an entry VM that cannot start hangs in place of saying why, with a
-// processor at full load.
-// Sequence: an engine is started and stopped at once.
-// Cause: a poller that begins after the stop clears its stop flag.
+// Guards against an entry VM that cannot start and hangs at full processor load
+// instead of reporting the error: an engine is stopped right after its start,
+// and a poller that starts after the stop clears its stop flag.
 func TestStopAfterStart(t *testing.T) {
 	is := is.New(t)
 	for range 200 {
@@ -26,14 +25,14 @@
 		select {
 		case <-stopped:
 		case <-time.After(10 * time.Second):
-			t.Fatal("the stop was lost")
+			t.Fatal("the engine did not stop within 10 s")
 		}
 	}
 }
 
-// Symptom: an entry VM does not start, as no descriptor leads to a poller.
-// Sequence: it has an even number of pollers, as on a machine of 8 cores.
-// Cause: descriptors are taken by twos, and those given to nbio are all even.
+// Guards against an entry VM that does not start because no descriptor maps to
+// one of its pollers: with an even number of pollers, as on a machine with 8
+// cores, descriptors are taken in pairs and those given to nbio are all even.
 func TestAnyNumberOfPollers(t *testing.T) {
 	is := is.New(t)
 	for n := 1; n <= 16; n++ {
