--- a/serve/store/document.go
+++ b/serve/store/document.go
@@ -15,34 +15,33 @@
 const (
 	// HeadKey is the key of the document.
 	HeadKey = "azurethread/catalogue"
-	// chunkPrefix begins the keys of chunks.
+	// chunkPrefix is the prefix of the keys of chunks.
 	chunkPrefix = "azurethread/chunk/"
-	// MaxPlain is the largest catalogue kept in the head as it is, in bytes,
-	// for operators to read. Larger ones are compressed, since the platform
-	// sends the head to each reader at each change.
+	// MaxPlain is the largest catalogue kept uncompressed in the head, in
+	// bytes, where operators can read it. Larger ones are compressed, since the
+	// platform sends the head to each reader on each change.
 	MaxPlain = 16 << 10
-	// MaxInline is the largest compressed catalogue kept in the head, in
-	// bytes. Larger ones go into chunks.
+	// MaxInline is the largest compressed catalogue kept in the head, in bytes.
+	// Larger ones are split into chunks.
 	MaxInline = 384 << 10
 	// MaxChunk is the largest chunk, in bytes.
 	MaxChunk = 768 << 10
 	// maxChunks bounds the chunks of one catalogue.
 	maxChunks = 64
-	// maxCatalogue bounds a decompressed catalogue, in bytes: a damaged chunk
-	// must not fill the memory.
+	// maxCatalogue bounds a decompressed catalogue, in bytes, so that a damaged
+	// chunk cannot exhaust the memory.
 	maxCatalogue = 64 << 20
-	// MaxOperations is the number of operations remembered in the head.
+	// MaxOperations is the number of operations listed in the head.
 	MaxOperations = 256
 )
 
-// ErrMalformed means that the platform holds something that isn't a valid
-// document.
+// ErrMalformed means that the platform does not hold a valid document.
 var ErrMalformed = errors.New("store: malformed document")
 
-// operation is one accepted write. Its point also tells readers which
-// revisions the document was built on.
+// operation is one accepted write. Its point also tells readers which revisions
+// the document was built on.
 type operation struct {
-	ID string `json:"id,omitempty"` // empty for a catalogue brought back by the fleet
+	ID string `json:"id,omitempty"` // empty for a catalogue restored by the fleet
 	config.Point
 }
 
@@ -59,13 +58,13 @@
 }
 
 // head is the document with its catalogue and the platform's index. The zero
-// value stands for a platform without one.
+// value means that the platform has no document.
 type head struct {
 	document
 	index uint64
 }
 
-// find returns the accepted operation of the given id.
+// find returns the accepted operation with the given id.
 func (d *document) find(id string) (operation, bool) {
 	for _, o := range d.Operations {
 		if o.ID == id {
@@ -75,8 +74,8 @@
 	return operation{}, false
 }
 
-// remembers reports whether every operation accepted after p would still be
-// listed, so that the absence of one proves that it wasn't accepted.
+// remembers reports whether every operation accepted after p is still listed,
+// so that a missing one was certainly not accepted.
 func (d *document) remembers(p config.Point) bool {
 	if p == (config.Point{}) {
 		return len(d.Operations) < MaxOperations
@@ -89,7 +88,7 @@
 	return false
 }
 
-// point returns the document's revision with its hash.
+// point returns the document's revision and hash.
 func (d *document) point() config.Point {
 	return config.Point{Revision: d.Revision, Hash: d.Hash}
 }
@@ -103,8 +102,9 @@
 	return out
 }
 
-// next returns the document that follows d with catalogue c by operation id.
-// base is what c was built on; where that isn't d itself it joins the lineage.
+// next returns the document that follows d, with catalogue c written by the
+// operation id. base is what c was built on; if that is not d itself it is
+// added to the lineage.
 func (d *document) next(c *catalogue.Catalogue, id string, base config.Point) (document, error) {
 	hash, err := config.Hash(c)
 	if err != nil {
@@ -122,13 +122,13 @@
 	return n, nil
 }
 
-// chunk is a value to be written before the head that refers to it.
+// chunk is a value that is written before the head that refers to it.
 type chunk struct {
 	key   string
 	value []byte
 }
 
-// encode returns the value of the head and the chunks it refers to.
+// encode returns the value of the head and the chunks that it refers to.
 func (d *document) encode() ([]byte, []chunk, error) {
 	body, err := json.Marshal(d.Catalogue)
 	if err != nil {
@@ -167,7 +167,7 @@
 	return packed[0], nil
 }
 
-// splitChunks cuts a compressed catalogue into chunks.
+// splitChunks splits a compressed catalogue into chunks.
 func splitChunks(packed []byte, p config.Point) ([]chunk, error) {
 	size := len(packed)
 	var out []chunk
@@ -178,13 +178,13 @@
 		packed = packed[n:]
 	}
 	if len(out) > maxChunks {
-		return nil, fmt.Errorf("store: catalogue of %d bytes: %w", size, platform.ErrTooLarge)
+		return nil, fmt.Errorf("store: compressed catalogue of %d bytes: %w", size, platform.ErrTooLarge)
 	}
 	return out, nil
 }
 
-// readHead reads the document with its chunks. Without one it returns a zero
-// head and no error.
+// readHead reads the document with its chunks. If there is none it returns a
+// zero head and no error.
 func readHead(ctx context.Context, s platform.Store) (head, error) {
 	e, err := s.Get(ctx, HeadKey)
 	if errors.Is(err, platform.ErrNotFound) {
@@ -196,14 +196,15 @@
 	return decodeHead(ctx, s, e)
 }
 
-// decodeHead decodes the entry of HeadKey and reads the chunks it refers to.
+// decodeHead decodes the entry of HeadKey and reads the chunks that it refers
+// to.
 func decodeHead(ctx context.Context, s platform.Store, e platform.Entry) (head, error) {
 	h := head{index: e.Index}
 	if err := json.Unmarshal(e.Value, &h.document); err != nil {
 		return head{}, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
 	if h.Format != config.Format {
-		return head{}, fmt.Errorf("%w: format %d", ErrMalformed, h.Format)
+		return head{}, fmt.Errorf("%w: format %d, want %d", ErrMalformed, h.Format, config.Format)
 	}
 	if err := h.loadCatalogue(ctx, s); err != nil {
 		return head{}, err
@@ -211,7 +212,7 @@
 	return h, h.check()
 }
 
-// loadCatalogue unpacks the catalogue, from the chunks if there are any.
+// loadCatalogue decompresses the catalogue, from the chunks if there are any.
 func (d *document) loadCatalogue(ctx context.Context, s platform.Store) (err error) {
 	if d.Catalogue != nil {
 		return nil
@@ -226,21 +227,21 @@
 	return err
 }
 
-// check compares the catalogue with the revision and hash stated for it.
+// check compares the catalogue with the document's revision and hash.
 func (d *document) check() error {
 	hash, err := config.Hash(d.Catalogue)
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
 	if d.Catalogue.Revision != d.Revision || hash != d.Hash {
-		return fmt.Errorf("%w: content of revision %d has another hash", ErrMalformed, d.Revision)
+		return fmt.Errorf("%w: catalogue does not match revision %d and its hash", ErrMalformed, d.Revision)
 	}
 	return nil
 }
 
 func readChunks(ctx context.Context, s platform.Store, keys []string) ([]byte, error) {
 	if len(keys) == 0 || len(keys) > maxChunks {
-		return nil, fmt.Errorf("%w: %d chunks", ErrMalformed, len(keys))
+		return nil, fmt.Errorf("%w: %d chunks, want 1 to %d", ErrMalformed, len(keys), maxChunks)
 	}
 	var packed []byte
 	for _, k := range keys {
--- a/serve/store/duty.go
+++ b/serve/store/duty.go
@@ -13,17 +13,19 @@
 	"github.com/azurethread/azurethread/serve/platform"
 )
 
-// The times of a duty.
+// Timing of a duty.
 const (
 	// DutyTTL is the time to live of a duty's lease.
 	DutyTTL = 15 * time.Second
-	// dutyRenew is the time between two renewals.
+	// dutyRenew is the interval between renewals.
 	dutyRenew = DutyTTL / 3
-	// dutyMargin is how long before the lease can lapse the holder stops.
+	// dutyMargin is how long before its lease can lapse the holder stops
+	// working.
 	dutyMargin = 2 * time.Second
-	// dutyRetry is the time to the next try after a failure.
+	// dutyRetry is the time to the next attempt after a failure.
 	dutyRetry = time.Second
-	// dutyPoll is how often a candidate looks whether the duty is free.
+	// dutyPoll is the interval at which a candidate checks whether the duty is
+	// free.
 	dutyPoll = 5 * time.Second
 )
 
@@ -39,39 +41,40 @@
 	Holder      fleet.VMID
 	Incarnation fleet.Incarnation
 	// Eligible reports whether this daemon should be a candidate. Nil means
-	// always. Few daemons should be: each candidate costs a read every few
+	// always. Few daemons should be candidates: each costs a read every few
 	// seconds.
 	Eligible func() bool
 }
 
-// Duty is a periodic job that one daemon of the fleet does at a time, as a
-// rule: its lease saves work, and every write of the job must be fenced by a
-// compare-and-swap of its own.
+// Duty is a periodic job that normally one daemon of the fleet does at a time.
+// Its lease only avoids duplicate work: every write of the job must be fenced
+// by its own compare-and-swap.
 type Duty struct {
 	o         DutyOptions
-	heldUntil atomic.Int64 // clock.Time before which the holder may work; 0: not held
+	heldUntil atomic.Int64 // clock.Time until which the holder may work; 0: not held
 	lease     platform.LeaseID
 	renewAt   clock.Time
 }
 
-// holder is the value of a duty's key, for operators.
+// holder is the value of a duty's key, for operators to read.
 type holder struct {
 	VM          fleet.VMID        `json:"vm"`
 	Incarnation fleet.Incarnation `json:"incarnation"`
 }
 
-// NewDuty returns a duty that isn't held yet.
+// NewDuty returns a duty that is not held yet.
 func NewDuty(o DutyOptions) *Duty { return &Duty{o: o} }
 
 // Held reports whether this daemon may work on the duty now. The time counts
-// from before the last renewal was sent, on the holder's own clock: a holder
-// that was paused sees at its next look that its lease may have lapsed. It may
-// be paused right after that look, so its writes must be fenced all the same.
+// from before the last renewal was sent, on the holder's own clock, so a holder
+// that was paused finds at its next check that its lease may have lapsed. It
+// may be paused right after that check, so its writes must be fenced all the
+// same.
 func (d *Duty) Held() bool {
 	return d.o.Now() < clock.Time(d.heldUntil.Load())
 }
 
-// Run keeps taking and renewing the duty until ctx ends, and then gives it up.
+// Run acquires and renews the duty until ctx ends, and then releases it.
 func (d *Duty) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		wait := d.Step(ctx)
@@ -85,7 +88,7 @@
 }
 
 // Step does what is due and returns the time to the next step. Steps must not
-// overlap.
+// run concurrently.
 func (d *Duty) Step(ctx context.Context) time.Duration {
 	if d.lease != "" && !d.Held() {
 		d.Release(ctx)
@@ -108,7 +111,7 @@
 
 func (d *Duty) eligible() bool { return d.o.Eligible == nil || d.o.Eligible() }
 
-// Release gives the duty up.
+// Release gives up the duty.
 func (d *Duty) Release(ctx context.Context) {
 	id := d.lease
 	d.lease = ""
@@ -119,8 +122,8 @@
 	}
 }
 
-// acquire takes the duty if nobody holds it. It looks before it asks for a
-// lease, since a lease and its renewals are writes.
+// acquire takes the duty if nobody holds it. It reads the key before it asks
+// for a lease, since a lease and its renewals are writes.
 func (d *Duty) acquire(ctx context.Context) time.Duration {
 	if !d.eligible() {
 		return dutyPoll
@@ -138,8 +141,8 @@
 	return dutyRenew
 }
 
-// errDutyTaken means that another daemon was faster.
-var errDutyTaken = errors.New("store: duty is taken")
+// errDutyTaken means that another daemon has taken the duty first.
+var errDutyTaken = errors.New("store: duty was taken by another daemon")
 
 func (d *Duty) acquireLease(ctx context.Context) error {
 	value, err := json.Marshal(holder{VM: d.o.Holder, Incarnation: d.o.Incarnation})
@@ -156,7 +159,7 @@
 		err = errDutyTaken
 	}
 	if err != nil {
-		// After a lost answer the lease may hold the key; revoking frees it.
+		// If only the answer was lost, the lease holds the key; revoking frees it.
 		_ = d.o.Store.RevokeLease(ctx, id)
 		return err
 	}
@@ -181,7 +184,7 @@
 	}
 }
 
-// extend counts the lease from the instant before it was asked for.
+// extend counts the lease's time from before it was requested or renewed.
 func (d *Duty) extend(asked clock.Time) {
 	d.renewAt = asked.Add(dutyRenew)
 	d.heldUntil.Store(int64(asked.Add(DutyTTL - dutyMargin)))
--- a/serve/store/duty_test.go
+++ b/serve/store/duty_test.go
@@ -31,7 +31,7 @@
 	view   *platform.View
 	duty   *Duty
 	writer *Writer
-	seen   uint64 // revision of the shift at its last look
+	seen   uint64 // revision of the shift when it was last read
 }
 
 func newSession(is *is.I) *session {
@@ -62,7 +62,7 @@
 	return r
 }
 
-// run carries out one command and returns what it shows.
+// run executes one command and returns its output.
 func (s *session) run(d *datadriven.TestData) string {
 	if d.Cmd == "pass" {
 		return s.pass(d)
@@ -107,7 +107,7 @@
 	return "ok\n"
 }
 
-// advance writes a step as the runner that was just checking Held would.
+// advance writes a step as a runner would that has just checked Held.
 func (s *session) advance(r *runner, d *datadriven.TestData) string {
 	var share int
 	d.ScanArgs(&testing.T{}, "share", &share)
@@ -133,10 +133,10 @@
 	return fmt.Sprintf("accepted at %d\n", a.Revision)
 }
 
-// Symptom: a traffic shift takes two steps at once. Sequence: the daemon that
-// advances it is paused past its lease, another takes over and advances, and
-// the first wakes in the middle of its step. Cause: it still believes in its
-// lease, and its write isn't fenced.
+// Guards against a traffic shift that takes two steps at once: the daemon that
+// advances it is paused past its lease, another one takes over and advances,
+// and the first resumes in the middle of its step. Its write must be fenced, as
+// it does not know yet that its lease has lapsed.
 func TestDutySessions(t *testing.T) {
 	datadriven.Walk(t, "testdata/duty", func(t *testing.T, path string) {
 		s := newSession(is.New(t))
@@ -144,8 +144,8 @@
 	})
 }
 
-// Symptom: the duty rests with nobody, or its lease stays after a stop.
-// Sequence: the holder is stopped. Cause: it doesn't give the duty up.
+// Guards against a holder that stops without releasing its duty: nobody would
+// do the duty until the lease lapses.
 func TestRunReleasesTheDuty(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
@@ -167,11 +167,10 @@
 	is.Equal(string(e.Lease), "")
 }
 
-// Symptom: no traffic shift advances for the time of a lease after the daemon
-// that ran them was told to leave.
-// Sequence: the holder stops being eligible and keeps its lease; the next
-// candidate finds the duty taken.
-// Cause: eligibility was asked for only when the duty was taken.
+// Guards against traffic shifts that stand still for the time of a lease after
+// the daemon that ran them begins to leave: it is no longer eligible but kept
+// its lease, because eligibility was checked only when the duty was acquired,
+// and the next candidate finds the duty taken.
 func TestDutyGivenUpWhenNotEligible(t *testing.T) {
 	is := is.New(t)
 	s := newSession(is)
--- a/serve/store/reader.go
+++ b/serve/store/reader.go
@@ -15,14 +15,15 @@
 	Store platform.Store
 	// Now is the daemon's clock.
 	Now func() clock.Time
-	// Emit takes the outcome of each read. It is called from a goroutine of
+	// Emit receives the outcome of each read. It is called from a goroutine of
 	// the Reader and must not block.
 	Emit func(*config.PlatformRead)
-	// Failed takes the cause of a read without a usable answer; may be nil.
+	// Failed receives the error of each read without a usable answer; may be
+	// nil.
 	Failed func(error)
 }
 
-// Reader carries out the platform reads that config.State asks for.
+// Reader performs the platform reads that config.State requests.
 type Reader struct {
 	o      ReaderOptions
 	ctx    context.Context
@@ -34,13 +35,13 @@
 	watches map[uint64]context.CancelFunc // by sequence number
 }
 
-// NewReader returns a Reader. Close releases it.
+// NewReader returns a Reader. Close stops it.
 func NewReader(o ReaderOptions) *Reader {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Reader{o: o, ctx: ctx, cancel: cancel, watches: map[uint64]context.CancelFunc{}}
 }
 
-// Close abandons all reads and waits for their goroutines.
+// Close cancels all reads and waits for their goroutines.
 func (r *Reader) Close() {
 	r.mu.Lock()
 	r.closed = true
@@ -49,9 +50,9 @@
 	r.wg.Wait()
 }
 
-// Perform starts the reads among the effects of one step. It doesn't block.
+// Perform starts the reads among the effects of one step. It does not block.
 // After Close it does nothing: a step of the engine may end while the daemon
-// stops, and its reads would begin after Close had waited for the last one.
+// stops, and its reads would start after Close has waited for the last one.
 func (r *Reader) Perform(out *config.Ready) {
 	for _, s := range out.Stop {
 		r.stop(s.Seq)
@@ -95,7 +96,7 @@
 	}
 }
 
-// emit passes on the outcome of a read that wasn't abandoned.
+// emit delivers the outcome of a read that was not cancelled.
 func (r *Reader) emit(ctx context.Context, ev *config.PlatformRead) {
 	if ctx.Err() == nil {
 		r.o.Emit(ev)
@@ -111,7 +112,7 @@
 	return r.outcome(ctx, f.Seq, e, err, asked)
 }
 
-// Watch reads the document once it has changed.
+// Watch reads the document when it changes.
 func (r *Reader) Watch(ctx context.Context, w config.WatchPlatform) *config.PlatformRead {
 	asked := r.o.Now()
 	ctx, cancel := context.WithTimeout(ctx, w.Wait+config.ReadTimeout)
@@ -127,8 +128,8 @@
 	return r.outcome(ctx, w.Seq, e, err, asked)
 }
 
-// confirmedAt returns the instant that a watch without a change vouches for: the
-// end of its wait, if the platform did wait that long.
+// confirmedAt returns the time up to which a watch without a change confirms
+// the document: the end of its wait, if the platform did wait that long.
 func (r *Reader) confirmedAt(asked clock.Time, w config.WatchPlatform) clock.Time {
 	end := asked.Add(w.Wait)
 	if r.o.Now().Before(end) {
--- a/serve/store/reader_test.go
+++ b/serve/store/reader_test.go
@@ -13,7 +13,7 @@
 	"github.com/azurethread/azurethread/serve/platform"
 )
 
-// countedReads is a store that counts its reads.
+// countedReads is a store without a document that counts its reads.
 type countedReads struct {
 	platform.Store
 	n atomic.Int64
@@ -25,10 +25,9 @@
 	return platform.Entry{}, platform.ErrNotFound
 }
 
-// Symptom: a stopped daemon panics for misuse of its wait group, or leaves a
-// read behind.
-// Sequence: a step that asks for a read ends while the daemon stops.
-// Cause: the reader began reads after its Close had waited for the last one.
+// Guards against a stopped daemon that panics for misuse of its wait group or
+// leaves a read behind: a step that asks for a read ends while the daemon
+// stops, and the reader started it after its Close had waited for the last one.
 func TestPerformAfterClose(t *testing.T) {
 	is := is.New(t)
 	s := &countedReads{}
--- a/serve/store/store_test.go
+++ b/serve/store/store_test.go
@@ -24,7 +24,7 @@
 	"github.com/azurethread/azurethread/standin/platform"
 )
 
-// testClock is advanced by hand.
+// testClock is a clock that tests advance.
 type testClock struct{ ns atomic.Int64 }
 
 func (c *testClock) Now() clock.Time         { return clock.Time(c.ns.Load()) }
@@ -88,11 +88,12 @@
 	return h
 }
 
-// hookedStore lets a test act around the compare-and-swaps of the head.
+// hookedStore runs functions before and after each compare-and-swap of the
+// head.
 type hookedStore struct {
 	api.Store
-	before func(try int)                  // before the write
-	after  func(try int, err error) error // replaces the answer
+	before func(try int)                  // called before the write
+	after  func(try int, err error) error // returns the error to report
 	tries  int
 }
 
@@ -111,9 +112,9 @@
 	return next, err
 }
 
-// Symptom: an operator is told that a change failed, and it is in force; or
-// it is made twice. Sequence: the platform accepts the write and its answer is
-// lost. Cause: the error is taken for the outcome. Reading back must find it.
+// Guards against reporting a change as failed that is in force, or making it
+// twice: the platform accepts the write and its answer is lost. The error alone
+// does not show the outcome; reading back must find it.
 func TestLostAnswerOfAWriteThatRan(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
@@ -125,10 +126,10 @@
 	is.Equal(len(mustReadHead(is, f.view).Operations), 1)
 }
 
-// Symptom: a change that was refused as lost takes effect later, beside its
-// repetition. Sequence: the write is delayed on its way, the writer sees
-// nothing, reads the unchanged head and sends again; then the first arrives.
-// Cause: the second isn't conditioned on the same index.
+// Guards against a change that takes effect twice: a write is delayed on its
+// way and reported as lost, the writer reads the unchanged head and sends
+// again, and then the first write arrives. The second must be conditioned on
+// the same index.
 func TestDelayedWriteTakesEffectOnce(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
@@ -157,10 +158,10 @@
 	return d.Store.CompareAndSwap(ctx, key, value, index)
 }
 
-// Symptom: an operator is told "not run" for a change that ran. Sequence: the
-// answer is lost, and the platform stays away. Cause: the writer guesses. It
-// must say that the change may have run, and settle it once the platform is
-// back, by the same operation id.
+// Guards against the verdict "not run" for a change that ran: its answer is
+// lost and the platform stays unreachable. The writer must report that the
+// change may have run, and settle it by the same operation id when the platform
+// is back.
 func TestLostAnswerThenOutage(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
@@ -183,9 +184,9 @@
 	is.Equal(mustReadHead(is, f.view).Revision, uint64(1))
 }
 
-// Symptom: an operator is told "may have run" for a change that certainly
-// didn't. Sequence: the platform is down from the start. Cause: every failure
-// counts as unknown.
+// Guards against the verdict "may have run" for a change that certainly did
+// not: the platform is down from the start, and not every failure leaves the
+// outcome unknown.
 func TestOutageIsNotRun(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
@@ -196,9 +197,9 @@
 	is.Equal(verdictOf(is, err), verdict.NotRun)
 }
 
-// Symptom: with a slow platform a change is reported as failed although it
-// was made. Sequence: every call takes longer than the caller waits, before or
-// after it takes effect. Cause: the verdict doesn't follow from what was sent.
+// Guards against reporting a change as failed that was made on a slow platform:
+// every call takes longer than the caller waits, before or after it takes
+// effect. The verdict must follow from what was sent.
 func TestSlowPlatform(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
@@ -211,9 +212,9 @@
 	is.Equal(mustReadHead(is, f.view).Revision, uint64(1))
 }
 
-// Symptom: of two operators' changes one is gone. Sequence: both read the same
-// revision and write different entries. Cause: the later write isn't applied
-// to the newer document.
+// Guards against losing one of two operators' changes: both read the same
+// revision and write different entries, and the later write must be applied to
+// the newer document.
 func TestTwoOperatorsOnDifferentEntries(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
@@ -230,9 +231,9 @@
 	is.Equal(len(mustReadHead(is, f.view).Catalogue.Services), 2)
 }
 
-// Symptom: an operator overwrites what another has just decided. Sequence:
-// both change the same entry from the same version. Cause: the second write is
-// applied without comparing versions. It must see both.
+// Guards against an operator who overwrites another's change: both change the
+// same entry from the same version. The second must get a conflict that shows
+// both versions.
 func TestTwoOperatorsOnTheSameEntry(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
@@ -250,9 +251,10 @@
 	is.Equal(c.Found, uint64(1))
 }
 
-// Symptom: "conflict" for a change that ran. Sequence: its answer is lost, the
-// platform comes back with older data, and the fleet's catalogue already holds
-// the change. Cause: the refusal of the repetition is taken for the outcome.
+// Guards against "conflict" for a change that ran: its answer is lost, the
+// platform comes back with older data, and the fleet's catalogue already
+// contains the change. The rejection of the repetition is not the outcome of
+// the change.
 func TestLostAnswerThenOlderData(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
@@ -270,9 +272,9 @@
 	is.Equal(verdictOf(is, err), verdict.MayHaveRun)
 }
 
-// Symptom: accepted changes are undone. Sequence: the platform comes back with
-// older data, and an operator writes. Cause: the write is built on that data,
-// or takes a revision that was given out before.
+// Guards against undoing accepted changes: the platform comes back with older
+// data, and an operator's write must neither be built on that data nor reuse a
+// revision.
 func TestWriteAfterOlderData(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
@@ -282,7 +284,7 @@
 	kept, err := f.writer.Change(t.Context(), putService(opID(2), "permit-file", 0))
 	is.NoErr(err)
 	f.server.Restore(old)
-	f.base = config.Base{Catalogue: kept.Catalogue, Floor: 7} // 3 to 7 heard of, and lost
+	f.base = config.Base{Catalogue: kept.Catalogue, Floor: 7} // 3 to 7 are known to exist, and lost
 	a, err := f.writer.Change(t.Context(), putService(opID(3), "drawing-vault", 0))
 	is.NoErr(err)
 	is.Equal(a.Revision, uint64(8))
@@ -291,8 +293,9 @@
 	is.Equal(len(h.lineage()), 3) // 1, the fleet's 2, and 8
 }
 
-// Symptom: as above. Sequence: the writer knows that a higher revision exists,
-// and doesn't have it. Cause: it builds on the platform's older document.
+// Guards against undoing accepted changes: the writer knows of a higher
+// revision whose content it lacks, and must not build on the platform's older
+// document.
 func TestNoWriteWhileBehind(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
@@ -305,7 +308,7 @@
 	is.Equal(mustReadHead(is, f.view).Revision, uint64(0))
 }
 
-// cancelOnRead ends its caller's time during a later read.
+// cancelOnRead cancels its caller's context during the second read.
 type cancelOnRead struct {
 	api.Store
 	reads  int
@@ -320,8 +323,8 @@
 	return c.Store.Get(ctx, key)
 }
 
-// Guards against a writer that forgets why it waits when its caller's time ends
-// while it looks once more.
+// Guards against a writer that loses the reason for its wait when its caller's
+// time ends during a further read.
 func TestErrBehindSurvivesCancellation(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
@@ -333,9 +336,10 @@
 	is.True(errors.Is(err, ErrBehind))
 }
 
-// Symptom: the platform keeps older data for good, and loses the newer when
-// the fleet is replaced. Sequence: it is put back, and nobody writes. Cause:
-// nobody gives it what is in force; or two daemons do, and undo each other.
+// Guards against a platform that keeps older data and loses the newer when the
+// fleet is replaced: it came back with a backup, nobody writes, and the
+// catalogue in force must be written back. Two daemons that do so must not undo
+// each other's write.
 func TestRestore(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
@@ -359,9 +363,10 @@
 	is.Equal(b.Revision, uint64(2))
 }
 
-// Symptom: one revision stands for two contents. Sequence: after older data a
-// writer that has heard nothing of the lost revisions writes. Cause: revisions
-// are counted from what the writer sees; by the clock they are never reused.
+// Guards against one revision with two contents: after the platform came back
+// with older data, a writer that knows nothing of the lost revisions writes.
+// Revisions counted from what the writer sees would be reused; those by the
+// clock are not.
 func TestRevisionsFollowTheClock(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
@@ -379,8 +384,8 @@
 	is.True(c.Revision > b.Revision)
 }
 
-// TestManyWriters: concurrent writers through different entry VMs all succeed,
-// each once, though answers get lost.
+// TestManyWriters checks that concurrent writers through different entry VMs
+// all succeed, each once, although answers are lost.
 func TestManyWriters(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
@@ -408,7 +413,7 @@
 	is.Equal(len(h.Catalogue.Services), writers*changes)
 }
 
-// largeCatalogue returns a catalogue that doesn't fit into the head.
+// largeCatalogue returns a catalogue that does not fit into the head.
 func largeCatalogue(revision uint64) *catalogue.Catalogue {
 	rng := rand.New(rand.NewPCG(1, revision))
 	c := &catalogue.Catalogue{Revision: revision}
@@ -430,8 +435,8 @@
 	return b.String()
 }
 
-// TestPackedCatalogue: a catalogue too large to be kept plain is read back
-// whole, and a damaged one is refused.
+// TestPackedCatalogue checks that a catalogue too large to be kept uncompressed
+// is read back completely, and that a damaged one is refused.
 func TestPackedCatalogue(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
@@ -453,8 +458,9 @@
 	is.True(errors.Is(err, ErrMalformed))
 }
 
-// TestLargeCatalogue: chunks hold what the head can't, a chunk that is damaged
-// or missing is never applied, and old chunks are removed.
+// TestLargeCatalogue checks that chunks hold what does not fit into the head,
+// that a damaged or missing chunk is never applied, and that old chunks are
+// removed.
 func TestLargeCatalogue(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
@@ -484,7 +490,8 @@
 	is.True(errors.Is(err, ErrMalformed))
 }
 
-// TestReader: the outcomes of reads become the events that config expects.
+// TestReader checks that the outcomes of reads become the events that package
+// config expects.
 func TestReader(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
@@ -512,7 +519,7 @@
 	r.Perform(&config.Ready{Watch: []config.WatchPlatform{{Seq: 4, After: ev.Index, Wait: time.Millisecond}}})
 	quiet := <-events
 	is.Equal(quiet.Result, config.ReadNotModified)
-	is.Equal(quiet.Confirmed, f.clock.Now()) // the fake clock stood still: not the end of the wait
+	is.Equal(quiet.Confirmed, f.clock.Now()) // the fake clock did not move: not the end of the wait
 	is.NoErr(f.server.SetOutage(platform.Refusing))
 	is.Equal(fetch(5).Result, config.ReadFailed)
 	is.NoErr(f.server.SetOutage(platform.Up))
@@ -521,9 +528,8 @@
 	is.Equal(fetch(6).Result, config.ReadMalformed)
 }
 
-// Symptom: a daemon goes on watching after another has taken over, or blocks
-// its own stop. Sequence: a watch waits while it is told to stop. Cause: the
-// watch isn't abandoned.
+// Guards against a daemon that keeps watching after another has taken over, or
+// that cannot stop: a waiting watch must be cancelled when it is stopped.
 func TestStopWatching(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
--- a/serve/store/wire_test.go
+++ b/serve/store/wire_test.go
@@ -15,7 +15,7 @@
 	"github.com/azurethread/azurethread/decide/config"
 )
 
-// encodeMsgpack encodes v as frames between daemons do.
+// encodeMsgpack encodes v like messages between daemons.
 func encodeMsgpack(v any) ([]byte, error) {
 	var b bytes.Buffer
 	e := msgpack.NewEncoder(&b)
@@ -31,7 +31,7 @@
 	return d.Decode(v)
 }
 
-// drain is a shift with every kind of field set.
+// drain returns a shift with every kind of field set.
 func drain() catalogue.Shift {
 	at := time.Date(2026, 3, 1, 9, 0, 0, 5, time.UTC)
 	return catalogue.Shift{
@@ -45,10 +45,10 @@
 	}
 }
 
-// Symptom: daemons report content with another hash than stated, and fetch
-// snapshots without end. Sequence: a catalogue goes from one daemon to
-// another, or from the platform, where the local zone isn't UTC. Cause: the
-// codec changes a value on the way, such as a time's zone.
+// Guards against daemons that find another hash than stated and fetch snapshots
+// without end: a catalogue goes from one daemon to another, or from the
+// platform, where the local zone is not UTC. The codec must not change a value
+// on the way, such as a time's zone.
 func TestHashSurvivesTheWire(t *testing.T) {
 	is := is.New(t)
 	zone := time.Local
@@ -118,7 +118,7 @@
 	}
 }
 
-// BenchmarkDocument is the cost and size of the platform's document.
+// BenchmarkDocument measures the cost and size of the platform's document.
 func BenchmarkDocument(b *testing.B) {
 	for name, shifts := range map[string]int{"100-shifts": 100, "1000-shifts": 1000, "4000-shifts": 4000} {
 		b.Run(name, func(b *testing.B) {
--- a/serve/store/writer.go
+++ b/serve/store/writer.go
@@ -16,12 +16,14 @@
 	"github.com/azurethread/azurethread/serve/platform"
 )
 
-// The bounds on one change.
+// Bounds on one change.
 const (
-	// MaxTries is how often the head is read for one change.
+	// MaxTries is the maximum number of times that the head is read for one
+	// change.
 	MaxTries = 16
-	// firstWait and maxWait bound the waits between tries. They are jittered:
-	// writers that lost a swap to each other would otherwise meet again.
+	// firstWait and maxWait bound the waits between tries. The waits are
+	// jittered, as writers that lost a swap to each other would otherwise
+	// collide again.
 	firstWait = 20 * time.Millisecond
 	maxWait   = time.Second
 )
@@ -29,7 +31,7 @@
 var (
 	// ErrBehind means that a higher revision is known to exist whose content
 	// this daemon lacks, so that it has nothing to build a change on.
-	ErrBehind = errors.New("store: a higher revision is being fetched")
+	ErrBehind = errors.New("store: a higher revision exists that has not been fetched yet")
 	// errHeadChanged means that the head changed between read and write.
 	errHeadChanged = errors.New("store: head changed")
 )
@@ -37,18 +39,18 @@
 // WriterOptions configures a Writer.
 type WriterOptions struct {
 	Store platform.Store
-	// Base returns what config.State.Base returns now. It is called from the
-	// goroutine of Change.
+	// Base returns the present result of config.State.Base. It is called from
+	// the goroutine of Change.
 	Base func() (config.Base, bool)
 	// Now is the daemon's clock.
 	Now func() clock.Time
-	// CountedRevisions numbers revisions one by one instead of by the wall
+	// CountedRevisions numbers revisions consecutively instead of by the wall
 	// clock.
 	CountedRevisions bool
 }
 
-// Writer writes to the platform's document. It is safe for concurrent use;
-// one write runs at a time.
+// Writer writes the platform's document. It is safe for concurrent use; one
+// write runs at a time.
 type Writer struct {
 	o       WriterOptions
 	writing chan struct{} // holds a token while a write runs
@@ -61,13 +63,13 @@
 
 // Accepted is a change that the platform has accepted.
 type Accepted struct {
-	// Revision is the one that the operation was given.
+	// Revision is the revision that the operation was given.
 	Revision uint64
-	// Catalogue is the platform's newest, at Revision or above.
+	// Catalogue is the platform's newest catalogue, at Revision or above.
 	Catalogue *catalogue.Catalogue
 	// Confirmed is when Catalogue is known to have been the newest.
 	Confirmed clock.Time
-	// Repeated says that the operation had been accepted before this call, or
+	// Repeated means that the operation had been accepted before this call, or
 	// by an earlier try whose answer was lost.
 	Repeated bool
 }
@@ -77,9 +79,9 @@
 	return &config.Accepted{Catalogue: a.Catalogue, Confirmed: a.Confirmed}
 }
 
-// Change applies op to the platform's catalogue. The error is one of change's,
-// in which case op was not run, or a *verdict.Error that says whether it may
-// have run. Calling again with the same op is safe in every case.
+// Change applies op to the platform's catalogue. The error is either one of
+// package change, and op was not run, or a *verdict.Error that says whether op
+// may have run. Calling again with the same op is always safe.
 func (w *Writer) Change(ctx context.Context, op change.Operation) (Accepted, error) {
 	if err := w.lock(ctx); err != nil {
 		return Accepted{}, err
@@ -89,8 +91,8 @@
 	return a.run(ctx)
 }
 
-// Find returns the revision that the operation of the given id was given, and
-// false if the platform's document doesn't list it.
+// Find returns the revision that the operation with the given id was given, or
+// false if the platform's document does not list it.
 func (w *Writer) Find(ctx context.Context, id string) (uint64, bool, error) {
 	h, err := readHead(ctx, w.o.Store)
 	if err != nil {
@@ -111,7 +113,7 @@
 
 func (w *Writer) unlock() { <-w.writing }
 
-// nextRevision returns the revision after floor.
+// nextRevision returns a revision above floor.
 func (w *Writer) nextRevision(floor uint64) uint64 {
 	next := floor + 1
 	if w.o.CountedRevisions {
@@ -120,24 +122,24 @@
 	return max(next, uint64(w.o.Now())/uint64(time.Millisecond))
 }
 
-// attempt is one Change under way.
+// attempt is one Change in progress.
 type attempt struct {
 	w         *Writer
 	op        change.Operation
-	unsettled *unsettledWrite // a write whose answer was lost; nil if none is unsettled
+	unsettled *unsettledWrite // a write whose answer was lost; nil: none
 }
 
 // unsettledWrite is a write that may have run.
 type unsettledWrite struct {
-	index uint64       // that the write was conditioned on
-	base  config.Point // what the head held there
+	index uint64       // index that the write was conditioned on
+	base  config.Point // revision and hash of the head at that index
 }
 
 func (a *attempt) run(ctx context.Context) (Accepted, error) {
 	wait := backoff.NewExponentialBackOff()
 	wait.InitialInterval = firstWait
 	wait.MaxInterval = maxWait
-	var err error // of the latest try that the end of ctx has not cut short
+	var err error // of the latest try that ctx did not interrupt
 	for range MaxTries {
 		done, failed := a.try(ctx)
 		if failed == nil || isPermanent(failed) {
@@ -153,12 +155,13 @@
 	return Accepted{}, a.result(err)
 }
 
-// isPermanent reports whether trying again can't help.
+// isPermanent reports whether another try cannot succeed.
 func isPermanent(err error) bool {
 	return isRejection(err) || errors.Is(err, platform.ErrTooLarge) || errors.Is(err, errRevisionsExhausted)
 }
 
-// isRejection reports whether err is change's word against the operation.
+// isRejection reports whether err is a rejection of the operation by package
+// change.
 func isRejection(err error) bool {
 	var (
 		conflict *change.Conflict
@@ -168,8 +171,8 @@
 	return errors.As(err, &conflict) || errors.As(err, &refused) || errors.As(err, &invalid)
 }
 
-// result gives err the verdict of the whole change: as long as one write is
-// unsettled the operation may have run, whatever the last try met.
+// result gives err the verdict of the whole change: while a write is unsettled
+// the operation may have run, whatever the last try returned.
 func (a *attempt) result(err error) error {
 	if err == nil {
 		return nil
@@ -205,7 +208,7 @@
 	}
 }
 
-// try reads the head, and writes unless the operation is found in it.
+// try reads the head and, unless the head lists the operation, writes.
 func (a *attempt) try(ctx context.Context) (Accepted, error) {
 	asked := a.w.o.Now()
 	h, err := readHead(ctx, a.w.o.Store)
@@ -229,9 +232,9 @@
 	return Accepted{Revision: next.Revision, Catalogue: next.Catalogue, Confirmed: asked}, nil
 }
 
-// settle decides whether the unsettled write, which h doesn't list, can still
-// take effect or have taken effect. It can't if the head has moved on from its
-// index, in a history that would list it.
+// settle decides whether the unsettled write, which h does not list, may have
+// taken effect or may still do so. It cannot if the head has moved on from its
+// index and still lists all operations since then.
 func (a *attempt) settle(h head) {
 	u := a.unsettled
 	if u != nil && h.index != u.index && h.remembers(u.base) {
@@ -239,15 +242,15 @@
 	}
 }
 
-// errRevisionsExhausted means that no revision is left.
-var errRevisionsExhausted = errors.New("store: revisions exhausted")
+// errRevisionsExhausted means that no higher revision is left.
+var errRevisionsExhausted = errors.New("store: highest possible revision reached")
 
 // build applies the operation to the newer of the platform's catalogue and the
 // one in force.
 func (a *attempt) build(h head) (document, error) {
 	base, ok := a.w.o.Base()
 	if !ok {
-		return document{}, fmt.Errorf("%w: above %d", ErrBehind, base.Floor)
+		return document{}, fmt.Errorf("%w: highest known revision is %d", ErrBehind, base.Floor)
 	}
 	from, at, err := newerCatalogue(h, base)
 	if err != nil {
@@ -265,9 +268,9 @@
 	return h.next(&c, a.op.ID, at)
 }
 
-// newerCatalogue returns the catalogue to build on. Where the platform shows a lower
-// revision than the one in force, it came back with older data: building on
-// that would undo what had been accepted since.
+// newerCatalogue returns the catalogue to build on. A platform with a lower
+// revision than the one in force came back with older data: building on that
+// would undo changes accepted since.
 func newerCatalogue(h head, base config.Base) (catalogue.Catalogue, config.Point, error) {
 	if base.Catalogue != nil && base.Catalogue.Revision > h.Revision {
 		hash, err := config.Hash(base.Catalogue)
@@ -279,7 +282,7 @@
 	return *h.Catalogue, h.point(), nil
 }
 
-// write puts next in the place of h.
+// write replaces h with next.
 func (a *attempt) write(ctx context.Context, h head, next document) error {
 	err := writeDocument(ctx, a.w.o.Store, h, next)
 	if mayHaveRun(err) {
@@ -288,7 +291,7 @@
 	return err
 }
 
-// mayHaveRun reports whether err leaves open if the write of the head ran.
+// mayHaveRun reports whether err leaves open if the head was written.
 func mayHaveRun(err error) bool {
 	var s *swapError
 	if !errors.As(err, &s) {
@@ -298,16 +301,16 @@
 	return !errors.As(err, &v) || v.Verdict != verdict.NotRun
 }
 
-// swapError is a failed write of the head, as opposed to one of a chunk, which
-// nobody sees without its head.
+// swapError is a failed write of the head. A failed write of a chunk is not
+// one: nobody sees a chunk without its head.
 type swapError struct{ err error }
 
 func (e *swapError) Error() string { return "store: writing the head: " + e.err.Error() }
 
 func (e *swapError) Unwrap() error { return e.err }
 
-// writeDocument writes the chunks of next, and then its head if that is still at the
-// index of h.
+// writeDocument writes the chunks of next, and then its head if the platform's
+// head is still at the index of h.
 func writeDocument(ctx context.Context, s platform.Store, h head, next document) error {
 	value, chunks, err := next.encode()
 	if err != nil {
@@ -332,8 +335,8 @@
 	}
 }
 
-// writeChunk creates a chunk. One that exists has the same content, from an
-// earlier try: its name holds the hash.
+// writeChunk creates a chunk. An existing one has the same content, written by
+// an earlier try: the hash is part of its key.
 func writeChunk(ctx context.Context, s platform.Store, c chunk) error {
 	_, err := s.CompareAndSwap(ctx, c.key, c.value, 0)
 	if errors.Is(err, platform.ErrConflict) {
@@ -342,9 +345,9 @@
 	return err
 }
 
-// removeChunks removes the chunks of the revision before the one that was
-// replaced; readers may still be reading those of the latter. A failure leaves
-// them in the store, where they only take space.
+// removeChunks removes the chunks of the revision before the replaced one;
+// readers may still be reading the chunks of the replaced one. After a failure
+// they stay in the store, where they only take space.
 func removeChunks(ctx context.Context, s platform.Store, keys []string) {
 	for _, k := range keys {
 		if err := s.Delete(ctx, k, 0); err != nil {
@@ -353,10 +356,10 @@
 	}
 }
 
-// Restore brings the catalogue in force back to a platform that holds older
+// Restore writes the catalogue in force back to a platform that holds older
 // data, and reports whether it wrote. It does nothing if the platform holds
-// that revision or a higher one. Content that differs under the same revision
-// is written under a new one.
+// that revision or a higher one. If the platform holds different content under
+// the same revision, the catalogue is written under a new one.
 func (w *Writer) Restore(ctx context.Context, c *catalogue.Catalogue) (Accepted, bool, error) {
 	if err := w.lock(ctx); err != nil {
 		return Accepted{}, false, err
