--- a/serve/heads/heads.go
+++ b/serve/heads/heads.go
@@ -33,18 +33,21 @@
 	Length int64
 }
 
-var emptyLine = []byte("\r\n\r\n")
+var (
+	headEnd = []byte("\r\n\r\n")
+	crlf    = headEnd[:2]
+)
 
 // End returns the length of the head at the start of b, including its empty
 // line, or 0 if it is not complete. searched is the number of bytes that an
 // earlier call has searched.
 func End(b []byte, searched int) int {
-	from := max(0, searched-len(emptyLine)+1)
-	i := bytes.Index(b[from:], emptyLine)
+	from := max(0, searched-len(headEnd)+1)
+	i := bytes.Index(b[from:], headEnd)
 	if i < 0 {
 		return 0
 	}
-	return from + i + len(emptyLine)
+	return from + i + len(headEnd)
 }
 
 // Request checks the complete head of a request.
@@ -91,7 +94,7 @@
 // field line.
 func ParsePartial(head []byte) (method, target string, fields http.Header) {
 	fields = make(http.Header)
-	line, rest, _ := bytes.Cut(head, emptyLine[:2])
+	line, rest, _ := bytes.Cut(head, crlf)
 	words := bytes.SplitN(line, []byte(" "), 3)
 	method = string(words[0])
 	if len(words) > 1 {
@@ -99,7 +102,7 @@
 	}
 	for len(rest) > 0 {
 		var l []byte
-		l, rest, _ = bytes.Cut(rest, emptyLine[:2])
+		l, rest, _ = bytes.Cut(rest, crlf)
 		name, value, err := parseField(l)
 		if err == nil {
 			fields.Add(string(name), string(value))
@@ -110,8 +113,8 @@
 
 // splitHead separates the first line from the field lines.
 func splitHead(head []byte) (line, fields []byte, err error) {
-	i := bytes.Index(head, emptyLine[:2])
-	if i < 0 || !bytes.HasSuffix(head, emptyLine) {
+	i := bytes.Index(head, crlf)
+	if i < 0 || !bytes.HasSuffix(head, headEnd) {
 		return nil, nil, ErrLineEnd
 	}
 	return head[:i], head[i+2 : len(head)-2], nil
@@ -155,7 +158,7 @@
 func checkFields(fields []byte) (f Framing, hosts int, err error) {
 	f.Length = -1
 	for len(fields) > 0 {
-		i := bytes.Index(fields, emptyLine[:2])
+		i := bytes.Index(fields, crlf)
 		if i < 0 {
 			return f, 0, ErrLineEnd
 		}
--- a/serve/inbound/conn.go
+++ b/serve/inbound/conn.go
@@ -124,8 +124,8 @@
 // checkHead returns the status to refuse the collected head with, or 0. end is
 // the length of the head, 0 when it is not complete.
 func (c *conn) checkHead(end int) (status int) {
-	most := c.s.limits().HeadBytes
-	if end > most || (end == 0 && len(c.head) > most) {
+	limit := c.s.limits().HeadBytes
+	if end > limit || (end == 0 && len(c.head) > limit) {
 		return http.StatusRequestHeaderFieldsTooLarge
 	}
 	if end == 0 {
--- a/serve/inbound/server.go
+++ b/serve/inbound/server.go
@@ -102,7 +102,7 @@
 	s.engine.OnWrittenSize(onWritten)
 	if err := s.engine.Start(); err != nil {
 		_ = ln.Close()
-		return nil, fmt.Errorf("inbound: %w", err)
+		return nil, fmt.Errorf("inbound: start nbio engine: %w", err)
 	}
 	if err := pollers.Await(s.engine); err != nil {
 		_ = ln.Close()
@@ -164,7 +164,7 @@
 	remote := remoteAddr(nc)
 	nbc, err := nbio.NBConn(nc)
 	if err != nil {
-		return fmt.Errorf("inbound: %w", err)
+		return fmt.Errorf("inbound: register connection: %w", err)
 	}
 	c := &conn{s: s, nbc: nbc, remote: remote}
 	c.parser = nbhttp.NewParser(nbc, s.engine, c, false, runInline)
@@ -176,7 +176,7 @@
 	s.mu.Unlock()
 	if _, err := s.engine.AddConn(nbc); err != nil {
 		s.removeConn(c)
-		return fmt.Errorf("inbound: %w", err)
+		return fmt.Errorf("inbound: register connection: %w", err)
 	}
 	c.armIdleTimeout()
 	return nil
@@ -279,12 +279,12 @@
 	var err error
 	select {
 	case <-s.idle:
-		s.stopAccepting() // otherwise new callers could delay the stop without end
+		s.closeListener() // otherwise new callers could delay the stop without end
 		err = s.flush(ctx)
 	case <-ctx.Done():
 		err = fmt.Errorf("inbound: requests still in flight: %w", ctx.Err())
 	}
-	s.stopAccepting()
+	s.closeListener()
 	s.stopEngine.Do(s.engine.Stop)
 	return err
 }
@@ -301,7 +301,7 @@
 // keep opening or reusing connections would keep a leaving VM busy until it
 // ends and breaks their requests off.
 func (s *Server) Refuse() {
-	s.stopAccepting()
+	s.closeListener()
 	s.mu.Lock()
 	var free []*conn
 	for c := range s.conns {
@@ -315,7 +315,7 @@
 	}
 }
 
-func (s *Server) stopAccepting() {
+func (s *Server) closeListener() {
 	_ = s.listener.Close()
 	s.acceptLoop.Wait()
 }
--- a/serve/outbound/dial.go
+++ b/serve/outbound/dial.go
@@ -94,7 +94,7 @@
 	nbc, err := nbio.NBConn(nc)
 	if err != nil {
 		_ = nc.Close()
-		return nil, nil, fmt.Errorf("outbound: %w", err)
+		return nil, nil, fmt.Errorf("outbound: register connection: %w", err)
 	}
 	claimed := pe.claimNew(k)
 	c := &conn{p: pe, nbc: nbc, call: claimed, connected: connected}
@@ -109,7 +109,7 @@
 		pe.detach(c)
 		pe.countClosed(c) // nbio may report the close as well
 		_ = nbc.Close()
-		return nil, claimed, fmt.Errorf("outbound: %w", err)
+		return nil, claimed, fmt.Errorf("outbound: register connection: %w", err)
 	}
 	if claimed == nil {
 		pe.addIdle(c)
--- a/serve/outbound/pool.go
+++ b/serve/outbound/pool.go
@@ -50,7 +50,7 @@
 	})
 	p.engine.OnClose(onClose)
 	if err := p.engine.Start(); err != nil {
-		return nil, fmt.Errorf("outbound: %w", err)
+		return nil, fmt.Errorf("outbound: start nbio engine: %w", err)
 	}
 	if err := pollers.Await(p.engine); err != nil {
 		return nil, fmt.Errorf("outbound: %w", err)
--- a/serve/pollers/pollers.go
+++ b/serve/pollers/pollers.go
@@ -80,7 +80,7 @@
 	for range w.engine.NPoller {
 		f, err := os.Open(os.DevNull)
 		if err != nil {
-			return fmt.Errorf("pollers: %w", err)
+			return fmt.Errorf("pollers: reserve file descriptor: %w", err)
 		}
 		if int(f.Fd())%w.engine.NPoller == index {
 			return f.Close()
@@ -105,7 +105,7 @@
 		nbc, err := nbio.NBConn(far)
 		if err != nil {
 			_ = far.Close()
-			return fmt.Errorf("pollers: %w", err)
+			return fmt.Errorf("pollers: wrap socket: %w", err)
 		}
 		w.conns = append(w.conns, nbc)
 		if nbc.Hash()%w.engine.NPoller != index {
@@ -113,10 +113,10 @@
 		}
 		nbc.OnData(func(*nbio.Conn, []byte) { w.replied <- struct{}{} })
 		if _, err := w.engine.AddConn(nbc); err != nil {
-			return fmt.Errorf("pollers: %w", err)
+			return fmt.Errorf("pollers: register socket: %w", err)
 		}
 		if _, err := near.Write([]byte{0}); err != nil {
-			return fmt.Errorf("pollers: %w", err)
+			return fmt.Errorf("pollers: write to poller: %w", err)
 		}
 		return nil
 	}
@@ -127,7 +127,7 @@
 func socketPair() (near, far net.Conn, err error) {
 	fds, err := syscall.Socketpair(syscall.AF_UNIX, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC|syscall.SOCK_NONBLOCK, 0)
 	if err != nil {
-		return nil, nil, fmt.Errorf("pollers: %w", err)
+		return nil, nil, fmt.Errorf("pollers: create socket pair: %w", err)
 	}
 	near, err1 := connFromFD(fds[0])
 	far, err2 := connFromFD(fds[1])
@@ -147,7 +147,7 @@
 	defer f.Close()
 	c, err := net.FileConn(f)
 	if err != nil {
-		return nil, fmt.Errorf("pollers: %w", err)
+		return nil, fmt.Errorf("pollers: wrap socket: %w", err)
 	}
 	return c, nil
 }
--- a/serve/store/document.go
+++ b/serve/store/document.go
@@ -132,7 +132,7 @@
 func (d *document) encode() ([]byte, []chunk, error) {
 	body, err := json.Marshal(d.Catalogue)
 	if err != nil {
-		return nil, nil, fmt.Errorf("store: %w", err)
+		return nil, nil, fmt.Errorf("store: encode catalogue: %w", err)
 	}
 	if len(body) <= MaxPlain {
 		value, err := json.Marshal(d)
@@ -162,7 +162,7 @@
 func compress(body []byte) ([]byte, error) {
 	packed, err := pack.All(pack.Small, body)
 	if err != nil {
-		return nil, fmt.Errorf("store: %w", err)
+		return nil, fmt.Errorf("store: compress catalogue: %w", err)
 	}
 	return packed[0], nil
 }
