--- a/serve/inbound/exchange.go
+++ b/serve/inbound/exchange.go
@@ -24,9 +24,9 @@
 // Exchange is one request and its answer.
 type Exchange struct {
 	Request
-	// Refused is the status that an incomplete or malformed message was refused
-	// with, 0 for a complete request. For a refused message Header holds the
-	// fields that could be read, and Body is nil.
+	// Refused is the status that the message was refused with, 0 for a request
+	// that was accepted. For a refused message Header holds the fields that
+	// could be read, and Body is nil.
 	Refused int
 
 	c *conn
