--- a/serve/inbound/processor.go
+++ b/serve/inbound/processor.go
@@ -12,20 +12,19 @@
 
 // OnMethod implements nbhttp.Processor.
 func (c *conn) OnMethod(_ *nbhttp.Parser, method string) {
-	c.unchecked = c.unchecked || c.inChunks
+	c.uncheckedHead = c.uncheckedHead || c.inChunks
 	c.req = &Exchange{c: c}
 	c.req.Method = method
-	c.req.Header = make(http.Header, headerHint)
+	c.req.Header = make(http.Header, typicalHeaderFields)
 	c.req.Remote = c.remote
 }
 
-// headerHint is the usual number of header fields of a request.
-const headerHint = 8
+// typicalHeaderFields is the usual number of header fields of a request.
+const typicalHeaderFields = 8
 
-// OnURL implements nbhttp.Processor. nbhttp lets every byte but a space
-// through. A line end in the path would end the request line at the target, and
-// what follows could be read there as a request of its own, which no token
-// guards.
+// OnURL implements nbhttp.Processor. nbhttp accepts every byte but a space. A
+// line end in the path would end the request line at the target, which could
+// read the rest as a separate request that no token protects.
 func (c *conn) OnURL(_ *nbhttp.Parser, uri string) error {
 	if strings.ContainsFunc(uri, unicode.IsControl) {
 		return nbhttp.ErrInvalidRequestURI
@@ -58,11 +57,11 @@
 func (c *conn) OnContentLength(_ *nbhttp.Parser, length int) {
 	c.inBody = true
 	if length > c.s.limits().BodyBytes {
-		// Refused before the body is read: nothing of it is kept.
+		// Refused before any of the body is read or stored.
 		c.refuse(http.StatusRequestEntityTooLarge)
 		return
 	}
-	if length > 0 && !c.holdBody(int64(length)) {
+	if length > 0 && !c.reserveBody(int64(length)) {
 		return
 	}
 	if length > 0 && strings.EqualFold(c.req.Header.Get("Expect"), "100-continue") {
@@ -76,20 +75,20 @@
 		c.refuse(http.StatusRequestEntityTooLarge)
 		return errRefused
 	}
-	if c.inChunks && !c.holdBody(int64(len(data))) {
+	if c.inChunks && !c.reserveBody(int64(len(data))) {
 		return errRefused
 	}
 	c.req.Body = append(c.req.Body, data...)
 	return nil
 }
 
-// holdBody makes room for n more bytes of the body, or refuses the message.
-func (c *conn) holdBody(n int64) bool {
-	if !c.s.hold(n) {
+// reserveBody reserves n more bytes for the body, or refuses the message.
+func (c *conn) reserveBody(n int64) bool {
+	if !c.s.reserveBody(n) {
 		c.refuse(http.StatusServiceUnavailable)
 		return false
 	}
-	c.unfinished.Add(n)
+	c.partialBody.Add(n)
 	return true
 }
 
@@ -105,7 +104,7 @@
 		return
 	}
 	x.close = wantsClose(&x.Request)
-	x.held = c.unfinished.Swap(0)
+	x.bodyBytes = c.partialBody.Swap(0)
 	c.dispatch(x)
 }
 
@@ -115,7 +114,8 @@
 // Clean implements nbhttp.Processor.
 func (c *conn) Clean(*nbhttp.Parser) {}
 
-// wantsClose reports whether the caller ends the connection after this answer.
+// wantsClose reports whether the caller wants the connection closed after this
+// answer.
 func wantsClose(r *Request) bool {
 	keep := false
 	for _, v := range r.Header["Connection"] {
--- a/serve/inbound/standard.go
+++ b/serve/inbound/standard.go
@@ -7,21 +7,20 @@
 	"net/url"
 )
 
-// Standard serves exchanges with a net/http handler, for pages whose work may
-// block: each runs on a goroutine of its own. The answer is sent when the
-// handler returns, so it must be of bounded size. A panic of the handler gives
-// status 500 and is passed to panicked: a defect of one page must not end a
-// process that serves callers.
-func Standard(h http.Handler, panicked func(v any)) Handler { return standard{h, panicked} }
+// Standard adapts a net/http handler whose work may block: each request runs on
+// its own goroutine. The answer is sent when the handler returns, so its size
+// must be bounded. A panic of the handler gives status 500 and is passed to
+// onPanic: a defect of one page must not end a process that serves callers.
+func Standard(h http.Handler, onPanic func(v any)) Handler { return httpHandler{h, onPanic} }
 
-type standard struct {
-	h        http.Handler
-	panicked func(v any)
+type httpHandler struct {
+	h       http.Handler
+	onPanic func(v any)
 }
 
 // Serve implements Handler.
-func (s standard) Serve(x *Exchange) {
-	r, cancel, err := request(x)
+func (s httpHandler) Serve(x *Exchange) {
+	r, cancel, err := httpRequest(x)
 	if err != nil {
 		x.Respond(http.StatusBadRequest, nil, nil)
 		return
@@ -34,12 +33,12 @@
 	}()
 }
 
-// run has the handler answer r.
-func (s standard) run(r *http.Request) (w *recorder) {
+// run calls the handler and recovers its panic.
+func (s httpHandler) run(r *http.Request) (w *recorder) {
 	w = &recorder{header: make(http.Header)}
 	defer func() {
 		if v := recover(); v != nil {
-			s.panicked(v)
+			s.onPanic(v)
 			w = &recorder{header: make(http.Header), status: http.StatusInternalServerError}
 		}
 	}()
@@ -48,9 +47,9 @@
 	return w
 }
 
-// request makes the net/http form of an exchange's request. Its context ends
-// when the caller goes.
-func request(x *Exchange) (*http.Request, context.CancelFunc, error) {
+// httpRequest converts an exchange's request to a net/http request. Its context
+// is cancelled when the caller disconnects.
+func httpRequest(x *Exchange) (*http.Request, context.CancelFunc, error) {
 	u, err := url.ParseRequestURI(x.URI)
 	if err != nil {
 		return nil, nil, err
@@ -69,7 +68,7 @@
 	return r, cancel, nil
 }
 
-// recorder is an http.ResponseWriter that keeps the answer.
+// recorder is an http.ResponseWriter that stores the answer.
 type recorder struct {
 	header http.Header
 	status int
--- a/serve/outbound/conn.go
+++ b/serve/outbound/conn.go
@@ -27,36 +27,37 @@
 	nbc    *nbio.Conn
 	parser *nbhttp.Parser
 
-	// built is set by the dialling goroutine and read by the poller's. The
-	// kernel's poll set orders the two, which the race detector cannot see.
-	built atomic.Bool
+	// initialized is set by the dialling goroutine and read by the poller's.
+	// The kernel's poll set orders the two, but the race detector cannot see
+	// that.
+	initialized atomic.Bool
 
 	// Guarded by p.mu.
-	call  *Call // the one that has claimed the connection
-	ended bool  // counted out
-	since clock.Time
-	idle  time.Duration // how long it may be free
+	call      *Call // the call that has claimed the connection
+	ended     bool  // no longer counted in peer.open
+	idleSince clock.Time
+	maxIdle   time.Duration // how long it may be idle before it is closed
 
-	partial atomic.Bool // part of an answer has come
-	ending  atomic.Pointer[ending]
+	answerStarted  atomic.Bool // an answer is partly received
+	closeDelimited atomic.Pointer[closeDelimitedAnswer]
 
-	connected time.Duration // how long opening it took, until its first answer
+	connected time.Duration // time it took to open, until its first answer
 
 	// Parsing state, touched only while data is taken.
-	head    []byte // of the next answer, as far as it has come
-	inBody  bool   // the parser is within a body
-	left    int64  // of a body with a length
-	foreign bool   // the answer belongs to another request
-	answer  *Answer
-	framed  bool // the head says how the body ends
-	noReuse bool
-	noBody  bool // the request was a HEAD
+	head          []byte // received part of the next head
+	inBody        bool   // the parser is within a body
+	bodyLeft      int64  // rest of a body with Content-Length
+	foreignAnswer bool   // the answer belongs to another request or to none
+	answer        *Answer
+	framed        bool // the head states how the body ends
+	noReuse       bool
+	noBody        bool // the request was a HEAD
 }
 
 // start writes the request of k.
 func (c *conn) start(k *Call) {
 	if !k.attach(c) {
-		c.p.giveBack(c, k)
+		c.p.releaseIfClaimed(c, k)
 		return
 	}
 	c.noBody = k.req.Method == http.MethodHead
@@ -67,47 +68,47 @@
 	if b.Cap() <= 2*maxPooledBuffer {
 		buffers.Put(b)
 	}
-	k.wrote(err)
+	k.writeDone(err)
 	if err != nil {
 		c.nbc.Close()
 	}
 }
 
-// onData takes what has come. What cannot be read as an answer ends the
+// onData processes received bytes. Data that is not an answer closes the
 // connection.
 func (c *conn) onData(_ *nbio.Conn, data []byte) {
-	if !c.built.Load() {
+	if !c.initialized.Load() {
 		return
 	}
 	for len(data) > 0 {
-		n, err := c.take(data)
+		n, err := c.consume(data)
 		if err != nil {
 			c.nbc.CloseWithError(err)
 			return
 		}
 		data = data[n:]
 	}
-	// Only now: what came behind an answer must not be read as the answer to a
-	// request that the connection has been handed to meanwhile.
-	c.p.lend()
+	// Only after all data has been processed: bytes behind an answer must not
+	// be read as the answer to the connection's next request.
+	c.p.assignIdle()
 }
 
-// take hands the first part of data to the parser, no further than to the end
-// of a head or of a body with a length, and returns its size.
-func (c *conn) take(data []byte) (int, error) {
+// consume passes the first part of data to the parser, at most to the end of a
+// head or of a body with Content-Length, and returns its size.
+func (c *conn) consume(data []byte) (int, error) {
 	switch {
-	case c.ending.Load() != nil:
+	case c.closeDelimited.Load() != nil:
 		return len(data), c.OnBody(nil, data)
 	case !c.inBody:
 		return c.takeHead(data)
-	case c.left > 0 && int64(len(data)) >= c.left:
-		n := int(c.left)
+	case c.bodyLeft > 0 && int64(len(data)) >= c.bodyLeft:
+		n := int(c.bodyLeft)
 		// What follows belongs to no request: this connection must not be
-		// lent out again.
+		// reused.
 		c.noReuse = c.noReuse || len(data) > n
 		return n, c.parser.Parse(data[:n])
 	default:
-		c.left = max(0, c.left-int64(len(data)))
+		c.bodyLeft = max(0, c.bodyLeft-int64(len(data)))
 		return len(data), c.parser.Parse(data)
 	}
 }
@@ -115,21 +116,21 @@
 // maxAnswerHead bounds the head of an answer, in bytes.
 const maxAnswerHead = 64 << 10
 
-// takeHead collects the head of an answer and hands it to the parser when it
-// is whole and well-formed.
+// takeHead collects the head of an answer and passes it to the parser when it
+// is complete and well-formed.
 func (c *conn) takeHead(data []byte) (int, error) {
-	if !c.p.busy(c) {
+	if !c.p.hasRequest(c) {
 		return 0, errUnsolicited
 	}
 	seen := len(c.head)
 	c.head = append(c.head, data...)
-	if !bytes.HasPrefix(c.head, httpBytes[:min(len(httpBytes), len(c.head))]) {
-		return 0, errHead
+	if !bytes.HasPrefix(c.head, httpPrefix[:min(len(httpPrefix), len(c.head))]) {
+		return 0, errMalformedHead
 	}
-	c.partial.Store(true)
+	c.answerStarted.Store(true)
 	end := heads.End(c.head, seen)
 	if end == 0 && len(c.head) > maxAnswerHead {
-		return 0, errHead
+		return 0, errMalformedHead
 	}
 	if end == 0 {
 		return len(data), nil
@@ -139,12 +140,13 @@
 	f, status, err := heads.Response(head)
 	if err != nil {
 		if status > 0 {
-			// The target has answered, but where the answer ends can't be told.
+			// The target has answered, but the end of the answer cannot be
+			// determined.
 			c.fail(verdict.Ran, verdict.ReasonAnswerCut, err)
 		}
 		return 0, fmt.Errorf("outbound: %w", err)
 	}
-	c.left = max(f.Length, 0)
+	c.bodyLeft = max(f.Length, 0)
 	n := end - seen
 	if ends := f.Length == 0 || c.noBody || !heads.BodyAllowed(status); ends && len(data) > n && status >= http.StatusOK {
 		c.noReuse = true
@@ -152,14 +154,14 @@
 	return n, c.parser.Parse(withReason(head))
 }
 
-// httpBytes is how every answer begins.
-var httpBytes = []byte("HTTP/1.")
+// httpPrefix is the start of every answer.
+var httpPrefix = []byte("HTTP/1.")
 
-// watchEnd keeps the socket of an answer that ends with its connection beyond
-// the end of the connection, so that its way of ending can be looked at: nbio
-// reports a connection that ended with an error event as ended in good order,
-// without having read from it, and half an answer would be taken for whole.
-func (c *conn) watchEnd(a *Answer) {
+// awaitClose duplicates the socket of an answer that ends with its connection,
+// so that the way it ended can be checked after nbio has closed it. nbio
+// reports a connection that ended with an error event as closed cleanly,
+// without reading from it, and a truncated answer would be taken for complete.
+func (c *conn) awaitClose(a *Answer) {
 	socket := -1
 	raw, err := c.nbc.SyscallConn()
 	if err == nil {
@@ -170,20 +172,20 @@
 		})
 	}
 	if err != nil || socket < 0 {
-		return // the answer will count as cut
+		return // the answer will count as truncated
 	}
-	c.ending.Store(&ending{answer: a, socket: socket})
+	c.closeDelimited.Store(&closeDelimitedAnswer{answer: a, socket: socket})
 }
 
-// ending is an answer that ends with its connection.
-type ending struct {
+// closeDelimitedAnswer is an answer that ends with its connection.
+type closeDelimitedAnswer struct {
 	answer *Answer
-	socket int // a duplicate of the connection's
+	socket int // duplicate of the connection's socket
 }
 
-// whole reports whether the receiver has ended the connection in good order,
-// and closes the duplicate.
-func (e *ending) whole() bool {
+// endedCleanly reports whether the receiver closed the connection without an
+// error, and closes the duplicate socket.
+func (e *closeDelimitedAnswer) endedCleanly() bool {
 	defer func() { _ = syscall.Close(e.socket) }() // nothing was written to it
 	var more [1]byte
 	n, err := syscall.Read(e.socket, more[:])
@@ -192,30 +194,30 @@
 
 // Parts of a status line with an empty reason phrase.
 const (
-	statusLine = "HTTP/1.1 200"
-	someReason = " Status"
+	exampleStatusLine = "HTTP/1.1 200"
+	defaultReason     = " Status"
 )
 
-// withReason gives the status line of a checked head a reason phrase if it has
-// none. nbhttp skips line ends in search of it and takes the first header field
-// for the phrase: the field is lost, and with it, if it is the length, the
-// answer.
+// withReason adds a reason phrase to the status line of a checked head if it
+// has none. nbhttp would skip the line end in search of one and take the first
+// header field for the phrase: the field would be lost, and with it the answer
+// if it was the length.
 func withReason(head []byte) []byte {
-	n := len(statusLine)
+	n := len(exampleStatusLine)
 	end := bytes.IndexByte(head, '\r')
 	if len(bytes.TrimSpace(head[n:end])) > 0 {
 		return head
 	}
-	return slices.Concat(head[:n], []byte(someReason), head[end:])
+	return slices.Concat(head[:n], []byte(defaultReason), head[end:])
 }
 
-// onClose is called once when the connection has gone, on a goroutine of its
-// own: the parser may still be at work.
+// onClose is called once when the connection is closed, on its own goroutine:
+// the parser may still be running.
 func (c *conn) onClose(err error) {
-	k := c.p.drop(c)
-	c.p.countOut(c)
-	end := c.ending.Load()
-	whole := end != nil && end.whole()
+	k := c.p.detach(c)
+	c.p.countClosed(c)
+	end := c.closeDelimited.Load()
+	whole := end != nil && end.endedCleanly()
 	if k == nil {
 		return
 	}
@@ -224,12 +226,12 @@
 		return
 	}
 	reason := verdict.ReasonConnectionLost
-	if c.partial.Load() {
-		// The answer had begun: what there is of it is never handed on as
-		// whole, and whether the request ran to its end is not known.
+	if c.answerStarted.Load() {
+		// Part of the answer was received. A partial answer is never passed on
+		// as complete, and it is unknown whether the request ran to its end.
 		reason = verdict.ReasonAnswerCut
 	}
-	k.lose(reason, err)
+	k.connectionLost(reason, err)
 }
 
 // The methods below implement nbhttp.Processor, the parser's callbacks.
@@ -242,19 +244,19 @@
 
 // OnProto implements nbhttp.Processor.
 func (c *conn) OnProto(_ *nbhttp.Parser, proto string) error {
-	if !c.p.busy(c) {
+	if !c.p.hasRequest(c) {
 		return errUnsolicited
 	}
-	c.answer = &Answer{Header: make(http.Header, headerHint), Connected: c.connected}
-	c.partial.Store(true)
+	c.answer = &Answer{Header: make(http.Header, typicalHeaderFields), Connected: c.connected}
+	c.answerStarted.Store(true)
 	c.framed = false
-	c.foreign = false
+	c.foreignAnswer = false
 	c.noReuse = c.noReuse || proto != "HTTP/1.1"
 	return nil
 }
 
-// headerHint is the usual number of header fields of an answer.
-const headerHint = 8
+// typicalHeaderFields is the usual number of header fields of an answer.
+const typicalHeaderFields = 8
 
 // OnStatus implements nbhttp.Processor.
 func (c *conn) OnStatus(_ *nbhttp.Parser, code int, _ string) { c.answer.Status = code }
@@ -270,9 +272,9 @@
 	c.answer.Header[key] = append(c.answer.Header[key], value)
 }
 
-// hasClose reports whether a Connection field announces the connection's end.
-// A receiver's word that is overlooked costs the next request on the connection
-// its certainty: it is lost, and may have run.
+// hasClose reports whether a Connection field announces that the connection
+// will be closed. If that is missed, the next request on the connection is lost
+// and may have run.
 func hasClose(value string) bool {
 	for f := range strings.SplitSeq(value, ",") {
 		if strings.EqualFold(strings.TrimSpace(f), "close") {
@@ -285,16 +287,16 @@
 // OnContentLength implements nbhttp.Processor. It ends the head.
 func (c *conn) OnContentLength(_ *nbhttp.Parser, length int) {
 	c.inBody = true
-	if own := c.p.ownAnswer(c); !own && c.answer.Status >= http.StatusOK {
-		// A second answer to an earlier request, or one that nobody asked for,
-		// may come where this request's answer is due.
-		c.foreign = true
+	if own := c.p.isOwnAnswer(c); !own && c.answer.Status >= http.StatusOK {
+		// A second answer to an earlier request, or an unsolicited one, may
+		// arrive where this request's answer is due.
+		c.foreignAnswer = true
 		c.noReuse = true
 	}
 	if len(c.answer.Header["Content-Length"]) > 1 {
-		// nbhttp takes the first; which of them makes the answer whole cannot
-		// be told.
-		c.fail(verdict.Ran, verdict.ReasonAnswerCut, errLengths)
+		// nbhttp uses the first length; which of them is right cannot be
+		// determined.
+		c.fail(verdict.Ran, verdict.ReasonAnswerCut, errMultipleLengths)
 		return
 	}
 	if length > c.p.pool.opts.MaxAnswerBytes {
@@ -314,16 +316,16 @@
 }
 
 var (
-	errAnswerTooLong = errors.New("outbound: answer longer than the limit")
-	errUnframed      = errors.New("outbound: answer without a length")
-	errLengths       = errors.New("outbound: answer with two lengths")
-	errHead          = errors.New("outbound: not the head of an answer")
-	errUnsolicited   = errors.New("outbound: answer without a request")
+	errAnswerTooLong   = errors.New("outbound: body of the answer exceeds the limit")
+	errUnframed        = errors.New("outbound: answer states neither length nor chunked encoding")
+	errMultipleLengths = errors.New("outbound: answer with more than one Content-Length")
+	errMalformedHead   = errors.New("outbound: received data is not the head of an HTTP/1 answer")
+	errUnsolicited     = errors.New("outbound: unsolicited data from the receiver")
 )
 
 // OnBody implements nbhttp.Processor.
 func (c *conn) OnBody(_ *nbhttp.Parser, data []byte) error {
-	if c.answer == nil || c.foreign {
+	if c.answer == nil || c.foreignAnswer {
 		return nil
 	}
 	if len(c.answer.Body)+len(data) > c.p.pool.opts.MaxAnswerBytes {
@@ -340,49 +342,49 @@
 // OnComplete implements nbhttp.Processor.
 func (c *conn) OnComplete(*nbhttp.Parser) { c.complete() }
 
-// complete hands a whole answer on and frees the connection.
+// complete delivers a complete answer and frees the connection.
 func (c *conn) complete() {
 	a := c.answer
 	if a == nil {
 		return
 	}
 	if a.Status == http.StatusProcessing {
-		c.p.acknowledged(c)
+		c.p.reportAcknowledged(c)
 	}
-	if a.Status < http.StatusOK || c.foreign {
-		c.endAnswer() // the final one, or the own one, follows
+	if a.Status < http.StatusOK || c.foreignAnswer {
+		c.resetAnswer() // the final answer, or the one to this request, follows
 		return
 	}
 	if !c.framed && !c.noBody && heads.BodyAllowed(a.Status) && c.p.mayEndByClose(c) {
-		c.watchEnd(a)
+		c.awaitClose(a)
 		c.noReuse = true
 		return
 	}
 	if !c.framed && !c.noBody && heads.BodyAllowed(a.Status) {
-		// The end of such an answer is the end of the connection, which looks
-		// the same when the receiver dies: wholeness cannot be told, and the
-		// parser reports it complete with no body at all.
+		// Such an answer ends with the connection, which looks the same when
+		// the receiver crashes: whether the answer is complete cannot be
+		// determined, and the parser reports it as complete without a body.
 		c.fail(verdict.Ran, verdict.ReasonAnswerCut, errUnframed)
 		return
 	}
-	c.endAnswer()
-	c.connected = 0 // whoever is next did not wait for it to open
-	k := c.p.release(c, keepAlive(a.Header))
+	c.resetAnswer()
+	c.connected = 0 // the next request did not wait for it to open
+	k := c.p.release(c, keepAliveTimeout(a.Header))
 	if k != nil {
 		k.finish(a, nil)
 	}
 }
 
-func (c *conn) endAnswer() {
+func (c *conn) resetAnswer() {
 	c.answer = nil
 	c.inBody = false
-	c.left = 0
-	c.partial.Store(false)
+	c.bodyLeft = 0
+	c.answerStarted.Store(false)
 }
 
-// keepAlive reads how long the receiver keeps a free connection open; 0 when
-// it does not say.
-func keepAlive(h http.Header) time.Duration {
+// keepAliveTimeout returns how long the receiver keeps an idle connection open,
+// or 0 if it does not say.
+func keepAliveTimeout(h http.Header) time.Duration {
 	for _, v := range h["Keep-Alive"] {
 		for f := range strings.SplitSeq(v, ",") {
 			name, value, _ := strings.Cut(strings.TrimSpace(f), "=")
@@ -397,10 +399,10 @@
 	return 0
 }
 
-// fail ends the call in flight and the connection.
+// fail ends the call in flight and closes the connection.
 func (c *conn) fail(v verdict.Verdict, r verdict.Reason, err error) {
-	c.endAnswer()
-	k := c.p.drop(c)
+	c.resetAnswer()
+	k := c.p.detach(c)
 	if k != nil {
 		k.finish(nil, &verdict.Error{Verdict: v, Reason: r, Err: err})
 	}
@@ -413,5 +415,5 @@
 // Clean implements nbhttp.Processor.
 func (c *conn) Clean(*nbhttp.Parser) {}
 
-// idleFor returns how long the connection has been free.
-func (c *conn) idleFor(now clock.Time) time.Duration { return now.Sub(c.since) }
+// idleFor returns how long the connection has been idle.
+func (c *conn) idleFor(now clock.Time) time.Duration { return now.Sub(c.idleSince) }
--- a/serve/outbound/peer.go
+++ b/serve/outbound/peer.go
@@ -8,49 +8,49 @@
 	"github.com/azurethread/azurethread/decide/clock"
 )
 
-// peer is one receiver's address and the connections to it.
+// peer is the address of one receiver and the connections to it.
 type peer struct {
 	pool *Pool
 	addr string
 
 	mu      sync.Mutex
-	idle    []*conn // the most recently used last
-	waiting []*Call // for a connection, one being opened for each; the first to come first
+	idle    []*conn // most recently used last
+	waiting []*Call // for a connection, oldest first; one is being opened for each
 	open    int
 	dialing int
 }
 
-// unused reports whether there is no connection, nor one being opened.
+// unused reports whether there is no connection, open or being opened.
 func (pe *peer) unused() bool {
 	pe.mu.Lock()
 	defer pe.mu.Unlock()
 	return pe.open == 0 && pe.dialing == 0
 }
 
-// take claims a free connection for k. Without one it counts a dial and has k
-// wait, for that one or for any that is freed sooner.
-// A fresh one is content with its own dial alone.
-func (pe *peer) take(k *Call, fresh bool) *conn {
+// claimOrQueue claims an idle connection for k. If there is none it counts a
+// dial and queues k for that connection or any other that becomes idle sooner.
+// If fresh is set, k waits only for the connection dialled for it.
+func (pe *peer) claimOrQueue(k *Call, fresh bool) *conn {
 	pe.mu.Lock()
 	defer pe.mu.Unlock()
 	if !fresh {
-		if c := pe.takeFree(k); c != nil {
+		if c := pe.claimIdle(k); c != nil {
 			return c
 		}
 		pe.waiting = append(pe.waiting, k)
 	}
 	pe.dialing++
-	k.began = pe.pool.opts.Now()
+	k.queuedAt = pe.pool.opts.Now()
 	return nil
 }
 
-// takeFree claims the most recently used free connection: the others age and
-// are closed when the load falls. pe.mu must be held.
-func (pe *peer) takeFree(k *Call) *conn {
+// claimIdle claims the most recently used idle connection, so that the others
+// age and are closed when the load falls. pe.mu must be held.
+func (pe *peer) claimIdle(k *Call) *conn {
 	now := pe.pool.opts.Now()
 	for i, c := range slices.Backward(pe.idle) {
-		if c.idleFor(now) >= c.idle {
-			continue // the sweep closes it
+		if c.idleFor(now) >= c.maxIdle {
+			continue // sweep closes it
 		}
 		pe.idle = slices.Delete(pe.idle, i, i+1)
 		c.call = k
@@ -59,27 +59,27 @@
 	return nil
 }
 
-// lend hands free connections to the requests that wait. One to another region
-// takes two crossings to open; one that is freed meanwhile is there at once, and
-// the new one is kept for the next request.
-func (pe *peer) lend() {
+// assignIdle gives idle connections to waiting requests. Opening a connection
+// to another region takes two one-way delays; one that becomes idle meanwhile
+// is available at once, and the new one is kept for the next request.
+func (pe *peer) assignIdle() {
 	for {
-		c, k := pe.lendOne()
+		c, k := pe.assignOne()
 		if c == nil {
 			return
 		}
-		c.start(k) // of a request that has ended the connection comes back
+		c.start(k) // releases the connection if the request has ended
 	}
 }
 
-// lendOne claims a free connection for the request that has waited longest.
-func (pe *peer) lendOne() (*conn, *Call) {
+// assignOne claims an idle connection for the request that has waited longest.
+func (pe *peer) assignOne() (*conn, *Call) {
 	pe.mu.Lock()
 	defer pe.mu.Unlock()
 	if len(pe.waiting) == 0 {
 		return nil, nil
 	}
-	c := pe.takeFree(pe.waiting[0])
+	c := pe.claimIdle(pe.waiting[0])
 	if c == nil {
 		return nil, nil
 	}
@@ -88,7 +88,8 @@
 	return c, k
 }
 
-// stopWaiting reports whether k was still waiting, and ends that.
+// stopWaiting removes k from the waiting requests and reports whether it was
+// among them.
 func (pe *peer) stopWaiting(k *Call) bool {
 	pe.mu.Lock()
 	defer pe.mu.Unlock()
@@ -100,20 +101,21 @@
 	return true
 }
 
-// closeIdle closes the connections free for at least age.
+// closeIdle closes the connections that have been idle for at least age.
 func (pe *peer) closeIdle(age time.Duration) {
-	for _, c := range pe.takeIdle(pe.pool.opts.Now(), age) {
+	for _, c := range pe.removeIdle(pe.pool.opts.Now(), age) {
 		c.nbc.Close()
 	}
 }
 
-// takeIdle claims the connections free for at least age.
-func (pe *peer) takeIdle(now clock.Time, age time.Duration) []*conn {
+// removeIdle removes and returns the connections that have been idle for at
+// least age.
+func (pe *peer) removeIdle(now clock.Time, age time.Duration) []*conn {
 	pe.mu.Lock()
 	defer pe.mu.Unlock()
 	var out []*conn
 	pe.idle = slices.DeleteFunc(pe.idle, func(c *conn) bool {
-		if c.idleFor(now) < min(age, c.idle) {
+		if c.idleFor(now) < min(age, c.maxIdle) {
 			return false
 		}
 		out = append(out, c)
@@ -122,21 +124,22 @@
 	return out
 }
 
-// release frees c for the next request and returns the call it carried. A
-// connection that must not be used again is closed. One without a call has
-// been dropped meanwhile: freed again, it would be lent out closed.
+// release makes c available for the next request and returns the call that it
+// carried. A connection that must not be reused is closed. One without a call
+// has been detached meanwhile; released again, it would be reused although it
+// is closed.
 //
-// keepAlive is how long the receiver keeps a free connection; 0: not stated.
-// One that it may be about to close is not lent out: a request on it could be
-// lost with its outcome unknown.
+// keepAlive is how long the receiver keeps an idle connection open; 0: not
+// stated. A connection that the receiver may be about to close is not reused: a
+// request on it could be lost with an unknown outcome.
 func (pe *peer) release(c *conn, keepAlive time.Duration) *Call {
 	pe.mu.Lock()
 	k := c.call
 	c.call = nil
-	c.idle = idleTime(keepAlive, pe.pool.opts.IdleTimeout)
+	c.maxIdle = maxIdleTime(keepAlive, pe.pool.opts.IdleTimeout)
 	keep := k != nil && !c.noReuse
 	if keep {
-		c.since = pe.pool.opts.Now()
+		c.idleSince = pe.pool.opts.Now()
 		pe.idle = append(pe.idle, c)
 	}
 	pe.mu.Unlock()
@@ -146,10 +149,10 @@
 	return k
 }
 
-// giveBack releases c if k still has it. Releasing a connection that has gone
-// on to another call would lend it to two at a time, and give one the answer
-// of the other.
-func (pe *peer) giveBack(c *conn, k *Call) {
+// releaseIfClaimed releases c if k still holds it. Releasing a connection that
+// has been given to another call would assign it to two calls at once, and one
+// would get the other's answer.
+func (pe *peer) releaseIfClaimed(c *conn, k *Call) {
 	pe.mu.Lock()
 	owned := c.call == k
 	pe.mu.Unlock()
@@ -158,35 +161,36 @@
 	}
 }
 
-// A free connection is lent out until keepAliveMargin before the receiver closes
-// it, or for keepAliveUse of the time that it keeps it, whichever is longer. The
-// margin is for the way to another region and one lost packet on it.
+// An idle connection is reused until keepAliveMargin before the receiver closes
+// it, or for keepAliveFraction of the time that the receiver keeps it,
+// whichever is longer. The margin covers the delay to another region and one
+// lost packet.
 const (
-	keepAliveMargin = time.Second
-	keepAliveUse    = 0.6
+	keepAliveMargin   = time.Second
+	keepAliveFraction = 0.6
 )
 
-// idleTime is how long a free connection is lent out again. kept is the time
-// for which the receiver says that it keeps it; 0: not stated.
-func idleTime(kept, most time.Duration) time.Duration {
-	if kept == 0 {
-		return most
+// maxIdleTime returns how long an idle connection may be reused. stated is the
+// time for which the receiver keeps it; 0: not stated.
+func maxIdleTime(stated, limit time.Duration) time.Duration {
+	if stated == 0 {
+		return limit
 	}
-	use := max(kept-keepAliveMargin, time.Duration(keepAliveUse*float64(kept)))
-	return min(use, most)
+	use := max(stated-keepAliveMargin, time.Duration(keepAliveFraction*float64(stated)))
+	return min(use, limit)
 }
 
-// ownAnswer reports whether the answer that c has begun to receive is one to
-// its request.
-func (pe *peer) ownAnswer(c *conn) bool {
+// isOwnAnswer reports whether the answer being received on c belongs to its
+// request.
+func (pe *peer) isOwnAnswer(c *conn) bool {
 	pe.mu.Lock()
 	k := c.call
 	pe.mu.Unlock()
 	return k == nil || k.req.Own == nil || k.req.Own(c.answer.Status, c.answer.Header)
 }
 
-// acknowledged tells the sender of c's request that the receiver has it.
-func (pe *peer) acknowledged(c *conn) {
+// reportAcknowledged calls Acknowledged of c's request.
+func (pe *peer) reportAcknowledged(c *conn) {
 	pe.mu.Lock()
 	k := c.call
 	pe.mu.Unlock()
@@ -195,22 +199,23 @@
 	}
 }
 
-// mayEndByClose reports whether c's request takes an answer without a length.
+// mayEndByClose reports whether c's request accepts an answer without a length.
 func (pe *peer) mayEndByClose(c *conn) bool {
 	pe.mu.Lock()
 	defer pe.mu.Unlock()
 	return c.call != nil && c.call.req.MayEndByClose
 }
 
-// busy reports whether c has been handed a request.
-func (pe *peer) busy(c *conn) bool {
+// hasRequest reports whether c has been given a request.
+func (pe *peer) hasRequest(c *conn) bool {
 	pe.mu.Lock()
 	defer pe.mu.Unlock()
 	return c.call != nil && c.call.attached()
 }
 
-// drop forgets c and returns the call it carried.
-func (pe *peer) drop(c *conn) *Call {
+// detach removes c from the idle connections and returns the call that it
+// carried.
+func (pe *peer) detach(c *conn) *Call {
 	pe.mu.Lock()
 	defer pe.mu.Unlock()
 	k := c.call
@@ -219,8 +224,9 @@
 	return k
 }
 
-// countOut counts a connection out; only the first time counts.
-func (pe *peer) countOut(c *conn) {
+// countClosed removes c from the count of open connections; only the first call
+// has an effect.
+func (pe *peer) countClosed(c *conn) {
 	pe.mu.Lock()
 	defer pe.mu.Unlock()
 	if !c.ended {
--- a/serve/store/store_test.go
+++ b/serve/store/store_test.go
@@ -24,7 +24,7 @@
 	"github.com/azurethread/azurethread/standin/platform"
 )
 
-// testClock is advanced by hand.
+// testClock is a clock that tests advance.
 type testClock struct{ ns atomic.Int64 }
 
 func (c *testClock) Now() clock.Time         { return clock.Time(c.ns.Load()) }
@@ -81,22 +81,23 @@
 	return v.Verdict
 }
 
-func document1(is *is.I, s api.Store) head {
+func mustReadHead(is *is.I, s api.Store) head {
 	is.Helper()
 	h, err := readHead(context.Background(), s)
 	is.NoErr(err)
 	return h
 }
 
-// scripted lets a test act around the compare-and-swaps of the head.
-type scripted struct {
+// hookedStore runs functions before and after each compare-and-swap of the
+// head.
+type hookedStore struct {
 	api.Store
-	before func(try int)                  // before the write
-	after  func(try int, err error) error // replaces the answer
+	before func(try int)                  // called before the write
+	after  func(try int, err error) error // returns the error to report
 	tries  int
 }
 
-func (s *scripted) CompareAndSwap(ctx context.Context, key string, value []byte, index uint64) (uint64, error) {
+func (s *hookedStore) CompareAndSwap(ctx context.Context, key string, value []byte, index uint64) (uint64, error) {
 	if key != HeadKey {
 		return s.Store.CompareAndSwap(ctx, key, value, index)
 	}
@@ -111,9 +112,9 @@
 	return next, err
 }
 
-// Symptom: an operator is told that a change failed, and it is in force; or
-// it is made twice. Sequence: the platform accepts the write and its answer is
-// lost. Cause: the error is taken for the outcome. Reading back must find it.
+// Guards against reporting a change as failed that is in force, or making it
+// twice: the platform accepts the write and its answer is lost. The error alone
+// does not show the outcome; reading back must find it.
 func TestLostAnswerOfAWriteThatRan(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
@@ -122,34 +123,34 @@
 	is.NoErr(err)
 	is.True(a.Repeated)
 	is.Equal(a.Revision, uint64(1))
-	is.Equal(len(document1(is, f.view).Operations), 1)
+	is.Equal(len(mustReadHead(is, f.view).Operations), 1)
 }
 
-// Symptom: a change that was refused as lost takes effect later, beside its
-// repetition. Sequence: the write is delayed on its way, the writer sees
-// nothing, reads the unchanged head and sends again; then the first arrives.
-// Cause: the second isn't conditioned on the same index.
+// Guards against a change that takes effect twice: a write is delayed on its
+// way and reported as lost, the writer reads the unchanged head and sends
+// again, and then the first write arrives. The second must be conditioned on
+// the same index.
 func TestDelayedWriteTakesEffectOnce(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
-	late := &delaying{Store: f.view}
+	late := &delayedStore{Store: f.view}
 	w := f.newWriter(late)
 	a, err := w.Change(t.Context(), putService(opID(1), "calc-lookup", 0))
 	is.NoErr(err)
 	is.Equal(a.Revision, uint64(1))
 	_, err = f.view.CompareAndSwap(t.Context(), HeadKey, late.value, late.index)
 	is.True(errors.Is(err, api.ErrConflict))
-	is.Equal(document1(is, f.view).Revision, uint64(1))
+	is.Equal(mustReadHead(is, f.view).Revision, uint64(1))
 }
 
-// delaying holds back the first write of the head and reports it as lost.
-type delaying struct {
+// delayedStore holds back the first write of the head and reports it as lost.
+type delayedStore struct {
 	api.Store
 	value []byte
 	index uint64
 }
 
-func (d *delaying) CompareAndSwap(ctx context.Context, key string, value []byte, index uint64) (uint64, error) {
+func (d *delayedStore) CompareAndSwap(ctx context.Context, key string, value []byte, index uint64) (uint64, error) {
 	if d.value == nil {
 		d.value, d.index = value, index
 		return 0, &verdict.Error{Verdict: verdict.MayHaveRun, Reason: verdict.ReasonDeadline}
@@ -157,14 +158,14 @@
 	return d.Store.CompareAndSwap(ctx, key, value, index)
 }
 
-// Symptom: an operator is told "not run" for a change that ran. Sequence: the
-// answer is lost, and the platform stays away. Cause: the writer guesses. It
-// must say that the change may have run, and settle it once the platform is
-// back, by the same operation id.
+// Guards against the verdict "not run" for a change that ran: its answer is
+// lost and the platform stays unreachable. The writer must report that the
+// change may have run, and settle it by the same operation id when the platform
+// is back.
 func TestLostAnswerThenOutage(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
-	s := &scripted{Store: f.view, after: func(int, error) error {
+	s := &hookedStore{Store: f.view, after: func(int, error) error {
 		is.NoErr(f.server.SetOutage(platform.Refusing))
 		return &verdict.Error{Verdict: verdict.MayHaveRun, Reason: verdict.ReasonConnectionLost}
 	}}
@@ -180,12 +181,12 @@
 	a, err := w.Change(t.Context(), putService(opID(1), "calc-lookup", 0))
 	is.NoErr(err)
 	is.True(a.Repeated)
-	is.Equal(document1(is, f.view).Revision, uint64(1))
+	is.Equal(mustReadHead(is, f.view).Revision, uint64(1))
 }
 
-// Symptom: an operator is told "may have run" for a change that certainly
-// didn't. Sequence: the platform is down from the start. Cause: every failure
-// counts as unknown.
+// Guards against the verdict "may have run" for a change that certainly did
+// not: the platform is down from the start, and not every failure leaves the
+// outcome unknown.
 func TestOutageIsNotRun(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
@@ -196,29 +197,29 @@
 	is.Equal(verdictOf(is, err), verdict.NotRun)
 }
 
-// Symptom: with a slow platform a change is reported as failed although it
-// was made. Sequence: every call takes longer than the caller waits, before or
-// after it takes effect. Cause: the verdict doesn't follow from what was sent.
+// Guards against reporting a change as failed that was made on a slow platform:
+// every call takes longer than the caller waits, before or after it takes
+// effect. The verdict must follow from what was sent.
 func TestSlowPlatform(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
-	s := &scripted{Store: f.view, before: func(int) { f.server.SetDelay(0, time.Second) }}
+	s := &hookedStore{Store: f.view, before: func(int) { f.server.SetDelay(0, time.Second) }}
 	ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 	defer cancel()
 	_, err := f.newWriter(s).Change(ctx, putService(opID(1), "calc-lookup", 0))
 	is.Equal(verdictOf(is, err), verdict.MayHaveRun)
 	f.server.SetDelay(0, 0)
-	is.Equal(document1(is, f.view).Revision, uint64(1))
+	is.Equal(mustReadHead(is, f.view).Revision, uint64(1))
 }
 
-// Symptom: of two operators' changes one is gone. Sequence: both read the same
-// revision and write different entries. Cause: the later write isn't applied
-// to the newer document.
+// Guards against losing one of two operators' changes: both read the same
+// revision and write different entries, and the later write must be applied to
+// the newer document.
 func TestTwoOperatorsOnDifferentEntries(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
 	other := f.newWriter(f.view)
-	s := &scripted{Store: f.view, before: func(try int) {
+	s := &hookedStore{Store: f.view, before: func(try int) {
 		if try == 1 {
 			_, err := other.Change(t.Context(), putService(opID(2), "permit-file", 0))
 			is.NoErr(err)
@@ -227,17 +228,17 @@
 	a, err := f.newWriter(s).Change(t.Context(), putService(opID(1), "calc-lookup", 0))
 	is.NoErr(err)
 	is.Equal(a.Revision, uint64(2))
-	is.Equal(len(document1(is, f.view).Catalogue.Services), 2)
+	is.Equal(len(mustReadHead(is, f.view).Catalogue.Services), 2)
 }
 
-// Symptom: an operator overwrites what another has just decided. Sequence:
-// both change the same entry from the same version. Cause: the second write is
-// applied without comparing versions. It must see both.
+// Guards against an operator who overwrites another's change: both change the
+// same entry from the same version. The second must get a conflict that shows
+// both versions.
 func TestTwoOperatorsOnTheSameEntry(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
 	other := f.newWriter(f.view)
-	s := &scripted{Store: f.view, before: func(try int) {
+	s := &hookedStore{Store: f.view, before: func(try int) {
 		if try == 1 {
 			_, err := other.Change(t.Context(), putService(opID(2), "calc-lookup", 0))
 			is.NoErr(err)
@@ -250,9 +251,10 @@
 	is.Equal(c.Found, uint64(1))
 }
 
-// Symptom: "conflict" for a change that ran. Sequence: its answer is lost, the
-// platform comes back with older data, and the fleet's catalogue already holds
-// the change. Cause: the refusal of the repetition is taken for the outcome.
+// Guards against "conflict" for a change that ran: its answer is lost, the
+// platform comes back with older data, and the fleet's catalogue already
+// contains the change. The rejection of the repetition is not the outcome of
+// the change.
 func TestLostAnswerThenOlderData(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
@@ -261,8 +263,8 @@
 	old := f.server.Snapshot()
 	_, err = f.writer.Change(t.Context(), putService(opID(2), "permit-file", 0))
 	is.NoErr(err)
-	s := &scripted{Store: f.view, after: func(int, error) error {
-		f.base = config.Base{Catalogue: document1(is, f.view).Catalogue, Floor: 3}
+	s := &hookedStore{Store: f.view, after: func(int, error) error {
+		f.base = config.Base{Catalogue: mustReadHead(is, f.view).Catalogue, Floor: 3}
 		f.server.Restore(old)
 		return &verdict.Error{Verdict: verdict.MayHaveRun, Reason: verdict.ReasonConnectionLost}
 	}}
@@ -270,9 +272,9 @@
 	is.Equal(verdictOf(is, err), verdict.MayHaveRun)
 }
 
-// Symptom: accepted changes are undone. Sequence: the platform comes back with
-// older data, and an operator writes. Cause: the write is built on that data,
-// or takes a revision that was given out before.
+// Guards against undoing accepted changes: the platform comes back with older
+// data, and an operator's write must neither be built on that data nor reuse a
+// revision.
 func TestWriteAfterOlderData(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
@@ -282,17 +284,18 @@
 	kept, err := f.writer.Change(t.Context(), putService(opID(2), "permit-file", 0))
 	is.NoErr(err)
 	f.server.Restore(old)
-	f.base = config.Base{Catalogue: kept.Catalogue, Floor: 7} // 3 to 7 heard of, and lost
+	f.base = config.Base{Catalogue: kept.Catalogue, Floor: 7} // 3 to 7 are known to exist, and lost
 	a, err := f.writer.Change(t.Context(), putService(opID(3), "drawing-vault", 0))
 	is.NoErr(err)
 	is.Equal(a.Revision, uint64(8))
-	h := document1(is, f.view)
+	h := mustReadHead(is, f.view)
 	is.Equal(len(h.Catalogue.Services), 3)
 	is.Equal(len(h.lineage()), 3) // 1, the fleet's 2, and 8
 }
 
-// Symptom: as above. Sequence: the writer knows that a higher revision exists,
-// and doesn't have it. Cause: it builds on the platform's older document.
+// Guards against undoing accepted changes: the writer knows of a higher
+// revision whose content it lacks, and must not build on the platform's older
+// document.
 func TestNoWriteWhileBehind(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
@@ -302,17 +305,17 @@
 	_, err := f.writer.Change(ctx, putService(opID(1), "calc-lookup", 0))
 	is.Equal(verdictOf(is, err), verdict.NotRun)
 	is.True(errors.Is(err, ErrBehind))
-	is.Equal(document1(is, f.view).Revision, uint64(0))
+	is.Equal(mustReadHead(is, f.view).Revision, uint64(0))
 }
 
-// cutting ends its caller's time during a later read.
-type cutting struct {
+// cancelOnRead cancels its caller's context during the second read.
+type cancelOnRead struct {
 	api.Store
 	reads  int
 	cancel context.CancelFunc
 }
 
-func (c *cutting) Get(ctx context.Context, key string) (api.Entry, error) {
+func (c *cancelOnRead) Get(ctx context.Context, key string) (api.Entry, error) {
 	if c.reads++; c.reads > 1 {
 		c.cancel()
 		return api.Entry{}, ctx.Err()
@@ -320,22 +323,23 @@
 	return c.Store.Get(ctx, key)
 }
 
-// Guards against a writer that forgets why it waits when its caller's time ends
-// while it looks once more.
-func TestTheReasonForAWaitOutlivesTheCallersTime(t *testing.T) {
+// Guards against a writer that loses the reason for its wait when its caller's
+// time ends during a further read.
+func TestErrBehindSurvivesCancellation(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
 	f.behind = true
 	ctx, cancel := context.WithCancel(t.Context())
-	w := f.newWriter(&cutting{Store: f.view, cancel: cancel})
+	w := f.newWriter(&cancelOnRead{Store: f.view, cancel: cancel})
 	_, err := w.Change(ctx, putService(opID(1), "calc-lookup", 0))
 	is.Equal(verdictOf(is, err), verdict.NotRun)
 	is.True(errors.Is(err, ErrBehind))
 }
 
-// Symptom: the platform keeps older data for good, and loses the newer when
-// the fleet is replaced. Sequence: it is put back, and nobody writes. Cause:
-// nobody gives it what is in force; or two daemons do, and undo each other.
+// Guards against a platform that keeps older data and loses the newer when the
+// fleet is replaced: it came back with a backup, nobody writes, and the
+// catalogue in force must be written back. Two daemons that do so must not undo
+// each other's write.
 func TestRestore(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
@@ -349,7 +353,7 @@
 	_, wrote, err = f.writer.Restore(t.Context(), a.Catalogue)
 	is.NoErr(err)
 	is.True(!wrote)
-	h := document1(is, f.view)
+	h := mustReadHead(is, f.view)
 	is.Equal(h.Revision, uint64(1))
 	other := *a.Catalogue
 	other.Services = nil
@@ -359,9 +363,10 @@
 	is.Equal(b.Revision, uint64(2))
 }
 
-// Symptom: one revision stands for two contents. Sequence: after older data a
-// writer that has heard nothing of the lost revisions writes. Cause: revisions
-// are counted from what the writer sees; by the clock they are never reused.
+// Guards against one revision with two contents: after the platform came back
+// with older data, a writer that knows nothing of the lost revisions writes.
+// Revisions counted from what the writer sees would be reused; those by the
+// clock are not.
 func TestRevisionsFollowTheClock(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
@@ -379,8 +384,8 @@
 	is.True(c.Revision > b.Revision)
 }
 
-// TestManyWriters: concurrent writers through different entry VMs all succeed,
-// each once, though answers get lost.
+// TestManyWriters checks that concurrent writers through different entry VMs
+// all succeed, each once, although answers are lost.
 func TestManyWriters(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
@@ -403,13 +408,13 @@
 	for err := range errs {
 		is.NoErr(err)
 	}
-	h := document1(is, f.view)
+	h := mustReadHead(is, f.view)
 	is.Equal(h.Revision, uint64(writers*changes))
 	is.Equal(len(h.Catalogue.Services), writers*changes)
 }
 
-// large returns a catalogue that doesn't fit into the head.
-func large(revision uint64) *catalogue.Catalogue {
+// largeCatalogue returns a catalogue that does not fit into the head.
+func largeCatalogue(revision uint64) *catalogue.Catalogue {
 	rng := rand.New(rand.NewPCG(1, revision))
 	c := &catalogue.Catalogue{Revision: revision}
 	for i := range 4000 {
@@ -430,17 +435,17 @@
 	return b.String()
 }
 
-// TestPackedCatalogue: a catalogue too large to be kept plain is read back
-// whole, and a damaged one is refused.
+// TestPackedCatalogue checks that a catalogue too large to be kept uncompressed
+// is read back completely, and that a damaged one is refused.
 func TestPackedCatalogue(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
-	c := large(5)
+	c := largeCatalogue(5)
 	c.Shifts = c.Shifts[:200]
 	f.base = config.Base{Catalogue: c, Floor: 5}
 	_, err := f.writer.Change(t.Context(), putService(opID(1), "calc-lookup", 0))
 	is.NoErr(err)
-	h := document1(is, f.view)
+	h := mustReadHead(is, f.view)
 	is.True(len(h.Packed) > 0 && len(h.Chunks) == 0)
 	is.Equal(len(h.Catalogue.Shifts), 200)
 	h.Catalogue = nil
@@ -453,17 +458,18 @@
 	is.True(errors.Is(err, ErrMalformed))
 }
 
-// TestLargeCatalogue: chunks hold what the head can't, a chunk that is damaged
-// or missing is never applied, and old chunks are removed.
+// TestLargeCatalogue checks that chunks hold what does not fit into the head,
+// that a damaged or missing chunk is never applied, and that old chunks are
+// removed.
 func TestLargeCatalogue(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
-	f.base = config.Base{Catalogue: large(5), Floor: 5}
+	f.base = config.Base{Catalogue: largeCatalogue(5), Floor: 5}
 	var keys []string
 	for i := range 4 {
 		a, err := f.writer.Change(t.Context(), putService(opID(i), fmt.Sprint("s", i), 0))
 		is.NoErr(err)
-		h := document1(is, f.view)
+		h := mustReadHead(is, f.view)
 		is.Equal(h.Revision, a.Revision)
 		is.Equal(len(h.Catalogue.Shifts), 4000)
 		is.True(len(h.Chunks) > 0)
@@ -484,7 +490,8 @@
 	is.True(errors.Is(err, ErrMalformed))
 }
 
-// TestReader: the outcomes of reads become the events that config expects.
+// TestReader checks that the outcomes of reads become the events that package
+// config expects.
 func TestReader(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
@@ -512,7 +519,7 @@
 	r.Perform(&config.Ready{Watch: []config.WatchPlatform{{Seq: 4, After: ev.Index, Wait: time.Millisecond}}})
 	quiet := <-events
 	is.Equal(quiet.Result, config.ReadNotModified)
-	is.Equal(quiet.Confirmed, f.clock.Now()) // the fake clock stood still: not the end of the wait
+	is.Equal(quiet.Confirmed, f.clock.Now()) // the fake clock did not move: not the end of the wait
 	is.NoErr(f.server.SetOutage(platform.Refusing))
 	is.Equal(fetch(5).Result, config.ReadFailed)
 	is.NoErr(f.server.SetOutage(platform.Up))
@@ -521,9 +528,8 @@
 	is.Equal(fetch(6).Result, config.ReadMalformed)
 }
 
-// Symptom: a daemon goes on watching after another has taken over, or blocks
-// its own stop. Sequence: a watch waits while it is told to stop. Cause: the
-// watch isn't abandoned.
+// Guards against a daemon that keeps watching after another has taken over, or
+// that cannot stop: a waiting watch must be cancelled when it is stopped.
 func TestStopWatching(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
@@ -531,7 +537,7 @@
 	r := NewReader(ReaderOptions{Store: f.view, Now: f.clock.Now, Emit: func(ev *config.PlatformRead) { events <- ev }})
 	_, err := f.writer.Change(t.Context(), putService(opID(1), "calc-lookup", 0))
 	is.NoErr(err)
-	r.Perform(&config.Ready{Watch: []config.WatchPlatform{{Seq: 1, After: document1(is, f.view).index, Wait: time.Hour}}})
+	r.Perform(&config.Ready{Watch: []config.WatchPlatform{{Seq: 1, After: mustReadHead(is, f.view).index, Wait: time.Hour}}})
 	r.Perform(&config.Ready{Stop: []config.StopWatching{{Seq: 1}}})
 	r.Close() // returns only when the watch has ended
 	is.Equal(len(events), 0)
--- a/serve/store/writer.go
+++ b/serve/store/writer.go
@@ -16,12 +16,14 @@
 	"github.com/azurethread/azurethread/serve/platform"
 )
 
-// The bounds on one change.
+// Bounds on one change.
 const (
-	// MaxTries is how often the head is read for one change.
+	// MaxTries is the maximum number of times that the head is read for one
+	// change.
 	MaxTries = 16
-	// firstWait and maxWait bound the waits between tries. They are jittered:
-	// writers that lost a swap to each other would otherwise meet again.
+	// firstWait and maxWait bound the waits between tries. The waits are
+	// jittered, as writers that lost a swap to each other would otherwise
+	// collide again.
 	firstWait = 20 * time.Millisecond
 	maxWait   = time.Second
 )
@@ -29,45 +31,45 @@
 var (
 	// ErrBehind means that a higher revision is known to exist whose content
 	// this daemon lacks, so that it has nothing to build a change on.
-	ErrBehind = errors.New("store: a higher revision is being fetched")
-	// errSwap means that the head changed between read and write.
-	errSwap = errors.New("store: head changed")
+	ErrBehind = errors.New("store: a higher revision exists that has not been fetched yet")
+	// errHeadChanged means that the head changed between read and write.
+	errHeadChanged = errors.New("store: head changed")
 )
 
 // WriterOptions configures a Writer.
 type WriterOptions struct {
 	Store platform.Store
-	// Base returns what config.State.Base returns now. It is called from the
-	// goroutine of Change.
+	// Base returns the present result of config.State.Base. It is called from
+	// the goroutine of Change.
 	Base func() (config.Base, bool)
 	// Now is the daemon's clock.
 	Now func() clock.Time
-	// CountedRevisions numbers revisions one by one instead of by the wall
+	// CountedRevisions numbers revisions consecutively instead of by the wall
 	// clock.
 	CountedRevisions bool
 }
 
-// Writer writes to the platform's document. It is safe for concurrent use;
-// one write runs at a time.
+// Writer writes the platform's document. It is safe for concurrent use; one
+// write runs at a time.
 type Writer struct {
-	o    WriterOptions
-	turn chan struct{} // holds a token while a write runs
+	o       WriterOptions
+	writing chan struct{} // holds a token while a write runs
 }
 
 // NewWriter returns a Writer.
 func NewWriter(o WriterOptions) *Writer {
-	return &Writer{o: o, turn: make(chan struct{}, 1)}
+	return &Writer{o: o, writing: make(chan struct{}, 1)}
 }
 
 // Accepted is a change that the platform has accepted.
 type Accepted struct {
-	// Revision is the one that the operation was given.
+	// Revision is the revision that the operation was given.
 	Revision uint64
-	// Catalogue is the platform's newest, at Revision or above.
+	// Catalogue is the platform's newest catalogue, at Revision or above.
 	Catalogue *catalogue.Catalogue
 	// Confirmed is when Catalogue is known to have been the newest.
 	Confirmed clock.Time
-	// Repeated says that the operation had been accepted before this call, or
+	// Repeated means that the operation had been accepted before this call, or
 	// by an earlier try whose answer was lost.
 	Repeated bool
 }
@@ -77,20 +79,20 @@
 	return &config.Accepted{Catalogue: a.Catalogue, Confirmed: a.Confirmed}
 }
 
-// Change applies op to the platform's catalogue. The error is one of change's,
-// in which case op was not run, or a *verdict.Error that says whether it may
-// have run. Calling again with the same op is safe in every case.
+// Change applies op to the platform's catalogue. The error is either one of
+// package change, and op was not run, or a *verdict.Error that says whether op
+// may have run. Calling again with the same op is always safe.
 func (w *Writer) Change(ctx context.Context, op change.Operation) (Accepted, error) {
-	if err := w.take(ctx); err != nil {
+	if err := w.lock(ctx); err != nil {
 		return Accepted{}, err
 	}
-	defer w.give()
+	defer w.unlock()
 	a := attempt{w: w, op: op}
 	return a.run(ctx)
 }
 
-// Find returns the revision that the operation of the given id was given, and
-// false if the platform's document doesn't list it.
+// Find returns the revision that the operation with the given id was given, or
+// false if the platform's document does not list it.
 func (w *Writer) Find(ctx context.Context, id string) (uint64, bool, error) {
 	h, err := readHead(ctx, w.o.Store)
 	if err != nil {
@@ -100,19 +102,19 @@
 	return o.Revision, found, nil
 }
 
-func (w *Writer) take(ctx context.Context) error {
+func (w *Writer) lock(ctx context.Context) error {
 	select {
-	case w.turn <- struct{}{}:
+	case w.writing <- struct{}{}:
 		return nil
 	case <-ctx.Done():
 		return &verdict.Error{Verdict: verdict.NotRun, Reason: verdict.ReasonDeadline, Err: ctx.Err()}
 	}
 }
 
-func (w *Writer) give() { <-w.turn }
+func (w *Writer) unlock() { <-w.writing }
 
-// revision returns the revision after floor.
-func (w *Writer) revision(floor uint64) uint64 {
+// nextRevision returns a revision above floor.
+func (w *Writer) nextRevision(floor uint64) uint64 {
 	next := floor + 1
 	if w.o.CountedRevisions {
 		return next
@@ -120,27 +122,27 @@
 	return max(next, uint64(w.o.Now())/uint64(time.Millisecond))
 }
 
-// attempt is one Change under way.
+// attempt is one Change in progress.
 type attempt struct {
-	w       *Writer
-	op      change.Operation
-	unknown *unknown // a write whose answer was lost; nil if none is unsettled
+	w         *Writer
+	op        change.Operation
+	unsettled *unsettledWrite // a write whose answer was lost; nil: none
 }
 
-// unknown is a write that may have run.
-type unknown struct {
-	index uint64       // that the write was conditioned on
-	base  config.Point // what the head held there
+// unsettledWrite is a write that may have run.
+type unsettledWrite struct {
+	index uint64       // index that the write was conditioned on
+	base  config.Point // revision and hash of the head at that index
 }
 
 func (a *attempt) run(ctx context.Context) (Accepted, error) {
 	wait := backoff.NewExponentialBackOff()
 	wait.InitialInterval = firstWait
 	wait.MaxInterval = maxWait
-	var err error // of the latest try that the end of ctx has not cut short
+	var err error // of the latest try that ctx did not interrupt
 	for range MaxTries {
 		done, failed := a.try(ctx)
-		if failed == nil || final(failed) {
+		if failed == nil || isPermanent(failed) {
 			return done, a.result(failed)
 		}
 		if err == nil || ctx.Err() == nil {
@@ -153,13 +155,14 @@
 	return Accepted{}, a.result(err)
 }
 
-// final reports whether trying again can't help.
-func final(err error) bool {
-	return rejected(err) || errors.Is(err, platform.ErrTooLarge) || errors.Is(err, errRevisions)
+// isPermanent reports whether another try cannot succeed.
+func isPermanent(err error) bool {
+	return isRejection(err) || errors.Is(err, platform.ErrTooLarge) || errors.Is(err, errRevisionsExhausted)
 }
 
-// rejected reports whether err is change's word against the operation.
-func rejected(err error) bool {
+// isRejection reports whether err is a rejection of the operation by package
+// change.
+func isRejection(err error) bool {
 	var (
 		conflict *change.Conflict
 		refused  *change.Refused
@@ -168,16 +171,16 @@
 	return errors.As(err, &conflict) || errors.As(err, &refused) || errors.As(err, &invalid)
 }
 
-// result gives err the verdict of the whole change: as long as one write is
-// unsettled the operation may have run, whatever the last try met.
+// result gives err the verdict of the whole change: while a write is unsettled
+// the operation may have run, whatever the last try returned.
 func (a *attempt) result(err error) error {
 	if err == nil {
 		return nil
 	}
-	if a.unknown != nil {
+	if a.unsettled != nil {
 		return &verdict.Error{Verdict: verdict.MayHaveRun, Reason: verdict.ReasonConnectionLost, Err: err}
 	}
-	if rejected(err) {
+	if isRejection(err) {
 		return err
 	}
 	return &verdict.Error{Verdict: verdict.NotRun, Reason: a.reason(err), Err: err}
@@ -185,7 +188,7 @@
 
 func (a *attempt) reason(err error) verdict.Reason {
 	switch {
-	case final(err):
+	case isPermanent(err):
 		return verdict.ReasonInternal
 	case errors.Is(err, ErrBehind):
 		return verdict.ReasonNotReady
@@ -205,7 +208,7 @@
 	}
 }
 
-// try reads the head, and writes unless the operation is found in it.
+// try reads the head and, unless the head lists the operation, writes.
 func (a *attempt) try(ctx context.Context) (Accepted, error) {
 	asked := a.w.o.Now()
 	h, err := readHead(ctx, a.w.o.Store)
@@ -213,7 +216,7 @@
 		return Accepted{}, err
 	}
 	if o, found := h.find(a.op.ID); found {
-		a.unknown = nil
+		a.unsettled = nil
 		return Accepted{Revision: o.Revision, Catalogue: h.Catalogue, Confirmed: asked, Repeated: true}, nil
 	}
 	a.settle(h)
@@ -225,37 +228,37 @@
 	if err := a.write(ctx, h, next); err != nil {
 		return Accepted{}, err
 	}
-	a.unknown = nil
+	a.unsettled = nil
 	return Accepted{Revision: next.Revision, Catalogue: next.Catalogue, Confirmed: asked}, nil
 }
 
-// settle decides whether the unsettled write, which h doesn't list, can still
-// take effect or have taken effect. It can't if the head has moved on from its
-// index, in a history that would list it.
+// settle decides whether the unsettled write, which h does not list, may have
+// taken effect or may still do so. It cannot if the head has moved on from its
+// index and still lists all operations since then.
 func (a *attempt) settle(h head) {
-	u := a.unknown
+	u := a.unsettled
 	if u != nil && h.index != u.index && h.remembers(u.base) {
-		a.unknown = nil
+		a.unsettled = nil
 	}
 }
 
-// errRevisions means that no revision is left.
-var errRevisions = errors.New("store: revisions exhausted")
+// errRevisionsExhausted means that no higher revision is left.
+var errRevisionsExhausted = errors.New("store: highest possible revision reached")
 
 // build applies the operation to the newer of the platform's catalogue and the
 // one in force.
 func (a *attempt) build(h head) (document, error) {
 	base, ok := a.w.o.Base()
 	if !ok {
-		return document{}, fmt.Errorf("%w: above %d", ErrBehind, base.Floor)
+		return document{}, fmt.Errorf("%w: highest known revision is %d", ErrBehind, base.Floor)
 	}
-	from, at, err := newest(h, base)
+	from, at, err := newerCatalogue(h, base)
 	if err != nil {
 		return document{}, err
 	}
-	revision := a.w.revision(max(h.Revision, at.Revision, base.Floor))
+	revision := a.w.nextRevision(max(h.Revision, at.Revision, base.Floor))
 	if revision > config.MaxRevision {
-		return document{}, errRevisions
+		return document{}, errRevisionsExhausted
 	}
 	from.Revision = revision - 1
 	c, err := change.Apply(from, a.op, a.w.o.Now())
@@ -265,10 +268,10 @@
 	return h.next(&c, a.op.ID, at)
 }
 
-// newest returns the catalogue to build on. Where the platform shows a lower
-// revision than the one in force, it came back with older data: building on
-// that would undo what had been accepted since.
-func newest(h head, base config.Base) (catalogue.Catalogue, config.Point, error) {
+// newerCatalogue returns the catalogue to build on. A platform with a lower
+// revision than the one in force came back with older data: building on that
+// would undo changes accepted since.
+func newerCatalogue(h head, base config.Base) (catalogue.Catalogue, config.Point, error) {
 	if base.Catalogue != nil && base.Catalogue.Revision > h.Revision {
 		hash, err := config.Hash(base.Catalogue)
 		return *base.Catalogue, config.Point{Revision: base.Catalogue.Revision, Hash: hash}, err
@@ -279,16 +282,16 @@
 	return *h.Catalogue, h.point(), nil
 }
 
-// write puts next in the place of h.
+// write replaces h with next.
 func (a *attempt) write(ctx context.Context, h head, next document) error {
-	err := swap(ctx, a.w.o.Store, h, next)
+	err := writeDocument(ctx, a.w.o.Store, h, next)
 	if mayHaveRun(err) {
-		a.unknown = &unknown{index: h.index, base: h.point()}
+		a.unsettled = &unsettledWrite{index: h.index, base: h.point()}
 	}
 	return err
 }
 
-// mayHaveRun reports whether err leaves open if the write of the head ran.
+// mayHaveRun reports whether err leaves open if the head was written.
 func mayHaveRun(err error) bool {
 	var s *swapError
 	if !errors.As(err, &s) {
@@ -298,17 +301,17 @@
 	return !errors.As(err, &v) || v.Verdict != verdict.NotRun
 }
 
-// swapError is a failed write of the head, as opposed to one of a chunk, which
-// nobody sees without its head.
+// swapError is a failed write of the head. A failed write of a chunk is not
+// one: nobody sees a chunk without its head.
 type swapError struct{ err error }
 
 func (e *swapError) Error() string { return "store: writing the head: " + e.err.Error() }
 
 func (e *swapError) Unwrap() error { return e.err }
 
-// swap writes the chunks of next, and then its head if that is still at the
-// index of h.
-func swap(ctx context.Context, s platform.Store, h head, next document) error {
+// writeDocument writes the chunks of next, and then its head if the platform's
+// head is still at the index of h.
+func writeDocument(ctx context.Context, s platform.Store, h head, next document) error {
 	value, chunks, err := next.encode()
 	if err != nil {
 		return err
@@ -324,7 +327,7 @@
 		removeChunks(ctx, s, h.Obsolete)
 		return nil
 	case errors.Is(err, platform.ErrConflict):
-		return fmt.Errorf("%w: %w", errSwap, err)
+		return fmt.Errorf("%w: %w", errHeadChanged, err)
 	case errors.Is(err, platform.ErrTooLarge):
 		return err
 	default:
@@ -332,8 +335,8 @@
 	}
 }
 
-// writeChunk creates a chunk. One that exists has the same content, from an
-// earlier try: its name holds the hash.
+// writeChunk creates a chunk. An existing one has the same content, written by
+// an earlier try: the hash is part of its key.
 func writeChunk(ctx context.Context, s platform.Store, c chunk) error {
 	_, err := s.CompareAndSwap(ctx, c.key, c.value, 0)
 	if errors.Is(err, platform.ErrConflict) {
@@ -342,9 +345,9 @@
 	return err
 }
 
-// removeChunks removes the chunks of the revision before the one that was
-// replaced; readers may still be reading those of the latter. A failure leaves
-// them in the store, where they only take space.
+// removeChunks removes the chunks of the revision before the replaced one;
+// readers may still be reading the chunks of the replaced one. After a failure
+// they stay in the store, where they only take space.
 func removeChunks(ctx context.Context, s platform.Store, keys []string) {
 	for _, k := range keys {
 		if err := s.Delete(ctx, k, 0); err != nil {
@@ -353,15 +356,15 @@
 	}
 }
 
-// Restore brings the catalogue in force back to a platform that holds older
+// Restore writes the catalogue in force back to a platform that holds older
 // data, and reports whether it wrote. It does nothing if the platform holds
-// that revision or a higher one. Content that differs under the same revision
-// is written under a new one.
+// that revision or a higher one. If the platform holds different content under
+// the same revision, the catalogue is written under a new one.
 func (w *Writer) Restore(ctx context.Context, c *catalogue.Catalogue) (Accepted, bool, error) {
-	if err := w.take(ctx); err != nil {
+	if err := w.lock(ctx); err != nil {
 		return Accepted{}, false, err
 	}
-	defer w.give()
+	defer w.unlock()
 	h, err := readHead(ctx, w.o.Store)
 	if err != nil {
 		return Accepted{}, false, err
@@ -376,14 +379,14 @@
 	case h.Revision > c.Revision || h.point() == at:
 		return Accepted{}, false, nil
 	case h.Revision == c.Revision:
-		restored.Revision = w.revision(c.Revision)
+		restored.Revision = w.nextRevision(c.Revision)
 	}
 	next, err := h.next(&restored, "", at)
 	if err != nil {
 		return Accepted{}, false, err
 	}
 	asked := w.o.Now()
-	if err := swap(ctx, w.o.Store, h, next); err != nil {
+	if err := writeDocument(ctx, w.o.Store, h, next); err != nil {
 		return Accepted{}, false, err
 	}
 	return Accepted{Revision: next.Revision, Catalogue: &restored, Confirmed: asked}, true, nil
