--- a/serve/admin/admintest/memory.go
+++ b/serve/admin/admintest/memory.go
@@ -30,17 +30,17 @@
 	// Lagging are the entry VMs that never apply a revision.
 	Lagging []fleet.VMID
 
-	mu   sync.Mutex
-	cat  *catalogue.Catalogue
-	made map[string]uint64 // revision by operation id
+	mu        sync.Mutex
+	cat       *catalogue.Catalogue
+	revisions map[string]uint64 // revision by operation id
 }
 
 // New returns a Memory that holds an empty catalogue.
 func New() *Memory {
 	return &Memory{
-		Now:  time.Date(2026, 3, 1, 22, 0, 0, 0, time.UTC),
-		cat:  &catalogue.Catalogue{},
-		made: make(map[string]uint64),
+		Now:       time.Date(2026, 3, 1, 22, 0, 0, 0, time.UTC),
+		cat:       &catalogue.Catalogue{},
+		revisions: make(map[string]uint64),
 	}
 }
 
@@ -51,8 +51,8 @@
 	set(m)
 }
 
-// Forget drops the catalogue, as of an entry VM that has just started.
-func (m *Memory) Forget() { m.cat = nil }
+// ClearCatalogue drops the catalogue, as of an entry VM that has just started.
+func (m *Memory) ClearCatalogue() { m.cat = nil }
 
 // Change implements admin.Changer.
 func (m *Memory) Change(_ context.Context, op change.Operation) (admin.Accepted, error) {
@@ -66,21 +66,21 @@
 		return admin.Accepted{}, err
 	}
 	m.cat = &next
-	m.made[op.ID] = next.Revision
+	m.revisions[op.ID] = next.Revision
 	if m.Lose {
 		return admin.Accepted{}, &verdict.Error{Verdict: verdict.MayHaveRun, Reason: verdict.ReasonConnectionLost}
 	}
 	return admin.Accepted{Operation: op.ID, Revision: next.Revision, Settled: true}, nil
 }
 
-// Settle implements admin.Settler.
-func (m *Memory) Settle(_ context.Context, operation string) (admin.Outcome, error) {
+// FindOutcome implements admin.Settler.
+func (m *Memory) FindOutcome(_ context.Context, operation string) (admin.Outcome, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.Silent {
 		return admin.Outcome{}, &verdict.Error{Verdict: verdict.NotRun, Reason: verdict.ReasonConnect, Err: errors.New("platform is silent")}
 	}
-	if r, ok := m.made[operation]; ok {
+	if r, ok := m.revisions[operation]; ok {
 		return admin.Outcome{Operation: operation, Verdict: verdict.Ran, Revision: r}, nil
 	}
 	return admin.Outcome{Operation: operation, Verdict: verdict.NotRun}, nil
--- a/serve/admin/changes.go
+++ b/serve/admin/changes.go
@@ -19,11 +19,11 @@
 	h.route("POST", "shifts", h.addShift)
 	h.route("PUT", "shifts/{id}", h.changeShift)
 	h.route("DELETE", "shifts/{id}", h.removeShift)
-	h.route("POST", "shifts/{id}/approve", h.action(change.KindApprove))
-	h.route("POST", "shifts/{id}/start", h.action(change.KindStart))
-	h.route("POST", "shifts/{id}/pause", h.action(change.KindPause))
-	h.route("POST", "shifts/{id}/resume", h.action(change.KindResume))
-	h.route("POST", "shifts/{id}/rollback", h.action(change.KindRollBack))
+	h.route("POST", "shifts/{id}/approve", h.shiftAction(change.KindApprove))
+	h.route("POST", "shifts/{id}/start", h.shiftAction(change.KindStart))
+	h.route("POST", "shifts/{id}/pause", h.shiftAction(change.KindPause))
+	h.route("POST", "shifts/{id}/resume", h.shiftAction(change.KindResume))
+	h.route("POST", "shifts/{id}/rollback", h.shiftAction(change.KindRollBack))
 }
 
 // decode reads the body into v: one JSON value, no unknown fields, at most
@@ -31,30 +31,30 @@
 func (q *request) decode(v any) error {
 	raw, err := io.ReadAll(io.LimitReader(q.Body, MaxBody+1))
 	if err != nil {
-		return fail(http.StatusBadRequest, CodeBadRequest, "the body could not be read whole")
+		return newFailure(http.StatusBadRequest, CodeBadRequest, "the body could not be read whole")
 	}
 	if len(raw) > MaxBody {
-		return fail(http.StatusRequestEntityTooLarge, CodeTooLarge, "the body is larger than 1 MiB")
+		return newFailure(http.StatusRequestEntityTooLarge, CodeTooLarge, "the body is larger than 1 MiB")
 	}
 	if len(raw) == 0 {
 		return nil
 	}
-	return strict(raw, v)
+	return decodeStrict(raw, v)
 }
 
-func strict(raw []byte, v any) error {
+func decodeStrict(raw []byte, v any) error {
 	d := json.NewDecoder(bytes.NewReader(raw))
 	d.DisallowUnknownFields()
 	if err := d.Decode(v); err != nil {
-		return badJSON(err)
+		return jsonFailure(err)
 	}
 	if _, err := d.Token(); !errors.Is(err, io.EOF) {
-		return fail(http.StatusBadRequest, CodeBadRequest, "the body holds more than one JSON value")
+		return newFailure(http.StatusBadRequest, CodeBadRequest, "the body holds more than one JSON value")
 	}
 	return nil
 }
 
-func badJSON(err error) error {
+func jsonFailure(err error) error {
 	f := &failure{http.StatusBadRequest, Error{Code: CodeBadRequest, Message: "the body is not the JSON expected: " + err.Error()}}
 	f.body.Verdict = verdict.NotRun
 	var wrong *json.UnmarshalTypeError
@@ -64,21 +64,21 @@
 	return f
 }
 
-func (h *Handler) putService(q *request) (reply, error) {
+func (h *Handler) putService(q *request) (response, error) {
 	var body change.PutService
 	if err := q.decode(&body); err != nil {
-		return reply{}, err
+		return response{}, err
 	}
-	if err := q.same("name", "service.name", string(body.Service.Name)); err != nil {
-		return reply{}, err
+	if err := q.checkPathParam("name", "service.name", string(body.Service.Name)); err != nil {
+		return response{}, err
 	}
 	return h.change(q, change.Operation{Kind: change.KindPutService, PutService: &body})
 }
 
-func (h *Handler) removeService(q *request) (reply, error) {
-	expect, err := q.number("expect")
+func (h *Handler) removeService(q *request) (response, error) {
+	expect, err := q.uintParam("expect")
 	if err != nil {
-		return reply{}, err
+		return response{}, err
 	}
 	name := fleet.ServiceName(q.PathValue("name"))
 	return h.change(q, change.Operation{
@@ -87,47 +87,47 @@
 	})
 }
 
-func (h *Handler) addShift(q *request) (reply, error) {
+func (h *Handler) addShift(q *request) (response, error) {
 	var body change.AddShift
 	if err := q.decode(&body); err != nil {
-		return reply{}, err
+		return response{}, err
 	}
 	return h.change(q, change.Operation{Kind: change.KindAddShift, AddShift: &body})
 }
 
-func (h *Handler) changeShift(q *request) (reply, error) {
+func (h *Handler) changeShift(q *request) (response, error) {
 	var body change.ChangeShift
 	if err := q.decode(&body); err != nil {
-		return reply{}, err
+		return response{}, err
 	}
-	if err := q.same("id", "entry.id", body.Entry.ID); err != nil {
-		return reply{}, err
+	if err := q.checkPathParam("id", "entry.id", body.Entry.ID); err != nil {
+		return response{}, err
 	}
 	return h.change(q, change.Operation{Kind: change.KindChangeShift, ChangeShift: &body})
 }
 
-func (h *Handler) removeShift(q *request) (reply, error) {
-	expect, err := q.number("expect")
+func (h *Handler) removeShift(q *request) (response, error) {
+	expect, err := q.uintParam("expect")
 	if err != nil {
-		return reply{}, err
+		return response{}, err
 	}
 	ref := &change.ShiftRef{ID: q.PathValue("id"), Expect: expect}
 	return h.change(q, change.Operation{Kind: change.KindRemove, Shift: ref})
 }
 
-func (h *Handler) action(kind change.Kind) endpoint {
-	return func(q *request) (reply, error) {
+func (h *Handler) shiftAction(kind change.Kind) endpoint {
+	return func(q *request) (response, error) {
 		var body ShiftAction
 		if err := q.decode(&body); err != nil {
-			return reply{}, err
+			return response{}, err
 		}
 		ref := &change.ShiftRef{ID: q.PathValue("id"), Expect: body.Expect, Reason: body.Reason}
 		return h.change(q, change.Operation{Kind: kind, Shift: ref})
 	}
 }
 
-// same refuses a body that names another entry than the path does.
-func (q *request) same(param, field, named string) error {
+// checkPathParam refuses a body that names another entry than the path does.
+func (q *request) checkPathParam(param, field, named string) error {
 	if q.PathValue(param) == named {
 		return nil
 	}
@@ -135,14 +135,14 @@
 }
 
 // change gives op its id and operator, and has it carried out.
-func (h *Handler) change(q *request, op change.Operation) (reply, error) {
+func (h *Handler) change(q *request, op change.Operation) (response, error) {
 	op.Operator = q.operator
 	op.ID = q.Header.Get(OperationHeader)
 	if op.ID == "" {
 		op.ID = h.cfg.NewOperationID()
 	}
 	if len(op.ID) > change.MaxNameLen {
-		return reply{}, fail(http.StatusBadRequest, CodeBadRequest, "the operation id is too long")
+		return response{}, newFailure(http.StatusBadRequest, CodeBadRequest, "the operation id is too long")
 	}
 	q.record.Operation = op.ID
 	q.record.Kind = op.Kind
@@ -153,14 +153,14 @@
 	defer cancel()
 	a, err := h.cfg.Changer.Change(ctx, op)
 	if err != nil {
-		return reply{}, err
+		return response{}, err
 	}
 	a.Operation = op.ID
 	q.record.Revision = a.Revision
 	if !a.Settled {
-		return reply{http.StatusAccepted, a}, nil
+		return response{http.StatusAccepted, a}, nil
 	}
-	return ok(a)
+	return respondOK(a)
 }
 
 // selfApproved reports whether op is an approval by the entry's author.
--- a/serve/admin/failure.go
+++ b/serve/admin/failure.go
@@ -18,8 +18,8 @@
 // Error implements error.
 func (f *failure) Error() string { return f.body.Message }
 
-// fail makes a failure of a request that changed nothing.
-func fail(status int, code Code, message string) error {
+// newFailure makes a failure of a request that changed nothing.
+func newFailure(status int, code Code, message string) error {
 	return &failure{status, Error{Code: code, Message: message, Verdict: verdict.NotRun}}
 }
 
--- a/serve/admin/handler.go
+++ b/serve/admin/handler.go
@@ -19,11 +19,11 @@
 	Change(ctx context.Context, op change.Operation) (Accepted, error)
 }
 
-// Settler says what became of an operation. An id that it has never heard of
+// OutcomeFinder says what became of an operation. An id that it has never heard of
 // is MayHaveRun until the platform proves otherwise. An error means that the
 // question could not be put.
-type Settler interface {
-	Settle(ctx context.Context, operation string) (Outcome, error)
+type OutcomeFinder interface {
+	FindOutcome(ctx context.Context, operation string) (Outcome, error)
 }
 
 // Viewer tells what this entry VM knows. Catalogue returns nil until a
@@ -38,7 +38,7 @@
 // must be set.
 type Config struct {
 	Changer   Changer
-	Settler   Settler
+	Settler   OutcomeFinder
 	Viewer    Viewer
 	Operators Operators
 	Auditor   Auditor
@@ -76,8 +76,8 @@
 	h := &Handler{cfg: cfg, mux: http.NewServeMux(), watches: make(chan struct{}, MaxWatches)}
 	h.readRoutes()
 	h.changeRoutes()
-	h.route("", "", func(*request) (reply, error) {
-		return reply{}, fail(http.StatusNotFound, CodeNotFound, "no such route or method")
+	h.route("", "", func(*request) (response, error) {
+		return response{}, newFailure(http.StatusNotFound, CodeNotFound, "no such route or method")
 	})
 	return h
 }
@@ -92,17 +92,17 @@
 	record   Record
 }
 
-// reply is a success.
-type reply struct {
+// response is a success.
+type response struct {
 	status int
 	body   any
 }
 
-// ok answers 200 with body.
-func ok(body any) (reply, error) { return reply{http.StatusOK, body}, nil }
+// respondOK answers 200 with body.
+func respondOK(body any) (response, error) { return response{http.StatusOK, body}, nil }
 
 // endpoint serves one route.
-type endpoint func(*request) (reply, error)
+type endpoint func(*request) (response, error)
 
 // route registers fn; an empty method is every method.
 func (h *Handler) route(method, path string, fn endpoint) {
@@ -118,7 +118,7 @@
 func (h *Handler) serve(w http.ResponseWriter, r *http.Request, path string, fn endpoint) {
 	q := &request{Request: r}
 	q.record = Record{Remote: r.RemoteAddr, Method: r.Method, Route: path}
-	out, err := h.run(q, fn)
+	out, err := h.authenticateAndCall(q, fn)
 	status, body := out.status, out.body
 	q.record.Outcome = "ok"
 	v := verdict.Ran
@@ -135,20 +135,20 @@
 	// The record precedes the answer: whoever holds the answer can rely on
 	// the record being there.
 	h.cfg.Auditor.Audit(q.record)
-	write(w, status, v, body)
+	writeJSON(w, status, v, body)
 }
 
-func (h *Handler) run(q *request, fn endpoint) (reply, error) {
+func (h *Handler) authenticateAndCall(q *request, fn endpoint) (response, error) {
 	name, known := h.cfg.Operators.authenticate(q.Request)
 	if !known {
-		return reply{}, fail(http.StatusUnauthorized, CodeUnauthenticated, "a valid bearer token is needed")
+		return response{}, newFailure(http.StatusUnauthorized, CodeUnauthenticated, "a valid bearer token is needed")
 	}
 	q.operator = name
 	q.record.Operator = name
 	return fn(q)
 }
 
-func write(w http.ResponseWriter, status int, v verdict.Verdict, body any) {
+func writeJSON(w http.ResponseWriter, status int, v verdict.Verdict, body any) {
 	raw, err := json.Marshal(body)
 	if err != nil {
 		status = http.StatusInternalServerError
--- a/serve/admin/handler_test.go
+++ b/serve/admin/handler_test.go
@@ -147,7 +147,7 @@
 func TestNoCatalogueYet(t *testing.T) {
 	is := is.New(t)
 	b := newBench(t)
-	b.mem.Forget()
+	b.mem.ClearCatalogue()
 	w := b.do(anaToken, "GET", "catalogue", "")
 	is.Equal(w.Code, http.StatusServiceUnavailable)
 	is.True(strings.Contains(w.Body.String(), `"code":"not-ready"`))
--- a/serve/admin/reads.go
+++ b/serve/admin/reads.go
@@ -25,33 +25,33 @@
 func (h *Handler) catalogue() (*catalogue.Catalogue, error) {
 	c := h.cfg.Viewer.Catalogue()
 	if c == nil {
-		return nil, fail(http.StatusServiceUnavailable, CodeNotReady, "no catalogue has been received yet")
+		return nil, newFailure(http.StatusServiceUnavailable, CodeNotReady, "no catalogue has been received yet")
 	}
 	return c, nil
 }
 
-func (h *Handler) getCatalogue(*request) (reply, error) {
+func (h *Handler) getCatalogue(*request) (response, error) {
 	c, err := h.catalogue()
 	if err != nil {
-		return reply{}, err
+		return response{}, err
 	}
-	return ok(c)
+	return respondOK(c)
 }
 
-func (h *Handler) getServices(*request) (reply, error) {
+func (h *Handler) getServices(*request) (response, error) {
 	c, err := h.catalogue()
 	if err != nil {
-		return reply{}, err
+		return response{}, err
 	}
-	return ok(Services{Revision: c.Revision, Services: notNil(c.Services)})
+	return respondOK(Services{Revision: c.Revision, Services: notNil(c.Services)})
 }
 
-func (h *Handler) getShifts(*request) (reply, error) {
+func (h *Handler) getShifts(*request) (response, error) {
 	c, err := h.catalogue()
 	if err != nil {
-		return reply{}, err
+		return response{}, err
 	}
-	return ok(Shifts{Revision: c.Revision, Shifts: notNil(c.Shifts)})
+	return respondOK(Shifts{Revision: c.Revision, Shifts: notNil(c.Shifts)})
 }
 
 // notNil makes an empty list encode as [] rather than null.
@@ -62,64 +62,64 @@
 	return list
 }
 
-func (h *Handler) getShift(q *request) (reply, error) {
+func (h *Handler) getShift(q *request) (response, error) {
 	c, err := h.catalogue()
 	if err != nil {
-		return reply{}, err
+		return response{}, err
 	}
 	s, found := c.Shift(q.PathValue("id"))
 	if !found {
-		return reply{}, fail(http.StatusNotFound, CodeNotFound, "no such shift at revision "+strconv.FormatUint(c.Revision, 10))
+		return response{}, newFailure(http.StatusNotFound, CodeNotFound, "no such shift at revision "+strconv.FormatUint(c.Revision, 10))
 	}
-	return ok(s)
+	return respondOK(s)
 }
 
-func (h *Handler) getStatus(*request) (reply, error) { return ok(h.cfg.Viewer.Status()) }
+func (h *Handler) getStatus(*request) (response, error) { return respondOK(h.cfg.Viewer.Status()) }
 
-func (h *Handler) getInForce(q *request) (reply, error) {
-	rev, err := q.number("revision")
+func (h *Handler) getInForce(q *request) (response, error) {
+	rev, err := q.uintParam("revision")
 	if err != nil {
-		return reply{}, err
+		return response{}, err
 	}
-	return ok(h.cfg.Viewer.InForce(q.Context(), rev))
+	return respondOK(h.cfg.Viewer.InForce(q.Context(), rev))
 }
 
-func (h *Handler) getOperation(q *request) (reply, error) {
+func (h *Handler) getOperation(q *request) (response, error) {
 	ctx, cancel := context.WithTimeout(q.Context(), h.cfg.ChangeTimeout)
 	defer cancel()
 	id := q.PathValue("id")
-	out, err := h.cfg.Settler.Settle(ctx, id)
+	out, err := h.cfg.Settler.FindOutcome(ctx, id)
 	q.record.Operation = id
 	if err != nil {
-		return reply{}, err
+		return response{}, err
 	}
-	return ok(out)
+	return respondOK(out)
 }
 
 // getWatch answers once the revision in force is above "after", or when "wait"
 // has passed. A revision is looked at rather than waited for: the Viewer stays
 // a plain snapshot, and a late sight of 50 ms matters to no reader.
-func (h *Handler) getWatch(q *request) (reply, error) {
-	after, err := q.number("after")
+func (h *Handler) getWatch(q *request) (response, error) {
+	after, err := q.uintParam("after")
 	if err != nil {
-		return reply{}, err
+		return response{}, err
 	}
-	wait, err := q.wait()
+	wait, err := q.waitParam()
 	if err != nil {
-		return reply{}, err
+		return response{}, err
 	}
 	select {
 	case h.watches <- struct{}{}:
 		defer func() { <-h.watches }()
 	default:
-		return reply{}, fail(http.StatusTooManyRequests, CodeTooManyWatches, "too many watches wait here already")
+		return response{}, newFailure(http.StatusTooManyRequests, CodeTooManyWatches, "too many watches wait here already")
 	}
-	changed := h.await(q.Context(), after, wait)
+	changed := h.waitForRevision(q.Context(), after, wait)
 	s := h.cfg.Viewer.Status()
-	return ok(Watch{Revision: s.Revision, Changed: changed, Status: s})
+	return respondOK(Watch{Revision: s.Revision, Changed: changed, Status: s})
 }
 
-func (h *Handler) await(ctx context.Context, after uint64, wait time.Duration) bool {
+func (h *Handler) waitForRevision(ctx context.Context, after uint64, wait time.Duration) bool {
 	end := time.NewTimer(wait)
 	defer end.Stop()
 	tick := time.NewTicker(watchPoll)
@@ -140,27 +140,27 @@
 	}
 }
 
-// number reads a decimal query parameter; an absent one is zero.
-func (q *request) number(name string) (uint64, error) {
+// uintParam reads a decimal query parameter; an absent one is zero.
+func (q *request) uintParam(name string) (uint64, error) {
 	text := q.URL.Query().Get(name)
 	if text == "" {
 		return 0, nil
 	}
 	n, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
-		return 0, fail(http.StatusBadRequest, CodeBadRequest, "query parameter "+name+" must be a whole number")
+		return 0, newFailure(http.StatusBadRequest, CodeBadRequest, "query parameter "+name+" must be a whole number")
 	}
 	return n, nil
 }
 
-func (q *request) wait() (time.Duration, error) {
+func (q *request) waitParam() (time.Duration, error) {
 	text := q.URL.Query().Get("wait")
 	if text == "" {
 		return DefaultWatchWait, nil
 	}
 	d, err := time.ParseDuration(text)
 	if err != nil || d < 0 || d > MaxWatchWait {
-		return 0, fail(http.StatusBadRequest, CodeBadRequest, "query parameter wait must be a duration of at most "+MaxWatchWait.String())
+		return 0, newFailure(http.StatusBadRequest, CodeBadRequest, "query parameter wait must be a duration of at most "+MaxWatchWait.String())
 	}
 	return d, nil
 }
--- a/serve/daemon/admin.go
+++ b/serve/daemon/admin.go
@@ -20,7 +20,7 @@
 // inbound as well: nbhttp's own server closes a connection with answers still
 // queued, and buffers bodies of anybody up to 64 MiB.
 func (d *Daemon) provisionAdmin() error {
-	operators, err := admin.ParseOperators(d.set.Operators)
+	operators, err := admin.ParseOperators(d.settings.Operators)
 	if err != nil {
 		return err
 	}
@@ -35,14 +35,14 @@
 		NewOperationID: uuid.NewString,
 		Stopping:       d.ctx.Done(),
 	}))
-	d.admin, err = inbound.Listen(d.set.AdminAddr, inbound.Options{
+	d.admin, err = inbound.Listen(d.settings.AdminAddr, inbound.Options{
 		Limits: inbound.Limits{
-			HeadBytes:   d.set.MaxHeadBytes,
+			HeadBytes:   d.settings.MaxHeadBytes,
 			BodyBytes:   admin.MaxBody + adminBodySlack,
-			ReadTimeout: d.set.ReadTimeout,
-			IdleTimeout: d.set.IdleTimeout,
+			ReadTimeout: d.settings.ReadTimeout,
+			IdleTimeout: d.settings.IdleTimeout,
 		},
-		WriteTimeout: d.set.WriteTimeout,
+		WriteTimeout: d.settings.WriteTimeout,
 		Pollers:      1,
 		Refusal:      refusalByStatus,
 	})
--- a/serve/daemon/answer.go
+++ b/serve/daemon/answer.go
@@ -16,24 +16,24 @@
 	Reason       verdict.Reason  `json:"reason"`
 	Message      string          `json:"message"`
 	RetryAfterMs int64           `json:"retry_after_ms,omitempty"`
-	// Ask names the entry VM that knows what became of the token.
-	Ask     fleet.VMID `json:"ask,omitempty"`
-	AskAddr string     `json:"ask_addr,omitempty"`
-	// Answered is the status that an earlier send of the token got.
-	Answered int `json:"answered,omitempty"`
+	// TokenOwner names the entry VM that knows what became of the token.
+	TokenOwner     fleet.VMID `json:"ask,omitempty"`
+	TokenOwnerAddr string     `json:"ask_addr,omitempty"`
+	// EarlierStatus is the status that an earlier send of the token got.
+	EarlierStatus int `json:"answered,omitempty"`
 	// Alternatives are other entry VMs to use, when this one is leaving.
 	Alternatives []string `json:"alternatives,omitempty"`
 	// Token replaces the spent one after not-run.
 	Token string `json:"token,omitempty"`
 }
 
-// failure is one reason's status and text.
-type failure struct {
+// reasonResponse is one reason's status and text.
+type reasonResponse struct {
 	status  int
 	message string
 }
 
-var failures = map[verdict.Reason]failure{
+var responseByReason = map[verdict.Reason]reasonResponse{
 	verdict.ReasonUnknownService:   {http.StatusNotFound, "The catalogue holds no such service."},
 	verdict.ReasonRouteDefect:      {http.StatusServiceUnavailable, "The configuration of the route was not understood."},
 	verdict.ReasonQuarantined:      {http.StatusServiceUnavailable, "Requests like this one end the targets that run them."},
@@ -61,17 +61,17 @@
 	verdict.ReasonInternal:         {http.StatusInternalServerError, "The entry VM failed to handle the request."},
 }
 
-func failureOf(r verdict.Reason) failure {
-	f, ok := failures[r]
+func responseFor(r verdict.Reason) reasonResponse {
+	f, ok := responseByReason[r]
 	if !ok {
-		f = failures[verdict.ReasonInternal]
+		f = responseByReason[verdict.ReasonInternal]
 	}
 	return f
 }
 
 // encodeError returns status, header and body of an error answer.
 func encodeError(e errorBody) (int, http.Header, []byte) {
-	f := failureOf(e.Reason)
+	f := responseFor(e.Reason)
 	e.Message = f.message
 	b, err := json.Marshal(e)
 	if err != nil {
--- a/serve/daemon/attempt.go
+++ b/serve/daemon/attempt.go
@@ -14,65 +14,65 @@
 
 // attempt is one send or forward of a call.
 type attempt struct {
-	id     dispatch.AttemptID
-	addr   string
-	remote bool // to an entry VM, not to a target
-	k      *outbound.Call
-	answer *outbound.Answer
-	span   span
+	id           dispatch.AttemptID
+	addr         string
+	toEntryVM    bool // to an entry VM, not to a target
+	outboundCall *outbound.Call
+	answer       *outbound.Answer
+	span         span
 }
 
-// send hands a call to a target.
-func (d *Daemon) send(now clock.Time, s dispatch.Send) {
+// sendToTarget hands a call to a target.
+func (d *Daemon) sendToTarget(now clock.Time, s dispatch.Send) {
 	t, known := d.targets[s.Target]
 	c := d.calls.get(s.Req)
 	if c == nil || !known {
-		d.notSent(s.Req, s.Attempt)
+		d.reportNotSent(s.Req, s.Attempt)
 		return
 	}
 	a := &attempt{id: s.Attempt, addr: t.Addr}
 	a.span = c.span.child("target " + string(s.Target))
 	r := c.req
 	r.Header = c.req.Header.Clone()
-	r.Header[headerDeadline] = []string{left(s.Deadline, now)}
+	r.Header[headerDeadline] = []string{remainingMillis(s.Deadline, now)}
 	delete(r.Header, headerToken)
 	delete(r.Header, headerHops)
 	delete(r.Header, headerWait)
 	delete(r.Header, headerClient)
 	r.Fresh = s.NewConnection
 	a.span.inject(r.Header)
-	d.start(c, a, &r)
+	d.startAttempt(c, a, &r)
 }
 
-// forward hands a call to an entry VM elsewhere, with a token that only that
+// forwardToVM hands a call to an entry VM elsewhere, with a token that only that
 // process admits, so that this hop has the same protection as a caller's.
-func (d *Daemon) forward(now clock.Time, f dispatch.Forward) {
+func (d *Daemon) forwardToVM(now clock.Time, f dispatch.Forward) {
 	vm, known := d.vms[f.VM]
 	c := d.calls.get(f.Req)
 	if c == nil || !known {
-		d.notSent(f.Req, f.Attempt)
+		d.reportNotSent(f.Req, f.Attempt)
 		return
 	}
-	a := &attempt{id: f.Attempt, addr: vm.CallAddr, remote: true}
+	a := &attempt{id: f.Attempt, addr: vm.CallAddr, toEntryVM: true}
 	a.span = c.span.child("entry VM " + string(f.VM))
 	r := c.req
 	r.URI = pathCall + string(c.service) + c.req.URI
 	r.Header = c.req.Header.Clone()
-	r.Header[headerDeadline] = []string{left(f.Deadline, now)}
+	r.Header[headerDeadline] = []string{remainingMillis(f.Deadline, now)}
 	r.Header[headerHops] = []string{"1"}
 	r.Header[headerWait] = []string{strconv.FormatInt(f.ExpectedWait.Milliseconds(), 10)}
-	r.Header[headerClient] = []string{c.client.text()}
-	r.Header[headerToken] = []string{d.mint(vm, now)}
+	r.Header[headerClient] = []string{c.client.encode()}
+	r.Header[headerToken] = []string{d.mintToken(vm, now)}
 	a.span.inject(r.Header)
 	d.metrics.forwarded.Add(1)
-	d.start(c, a, &r)
+	d.startAttempt(c, a, &r)
 }
 
-// start begins an attempt unless the call has ended meanwhile.
-func (d *Daemon) start(c *call, a *attempt, r *outbound.Request) {
-	if !c.add(a) {
+// startAttempt begins an attempt unless the call has ended meanwhile.
+func (d *Daemon) startAttempt(c *call, a *attempt, r *outbound.Request) {
+	if !c.addAttempt(a) {
 		a.span.end(verdict.NotRun, verdict.ReasonCallerGone)
-		d.notSent(c.id, a.id)
+		d.reportNotSent(c.id, a.id)
 		return
 	}
 	d.metrics.attempts.Add(1)
@@ -80,27 +80,27 @@
 		d.attemptDone(c, a, ans, err)
 	})
 	c.mu.Lock()
-	a.k = k
+	a.outboundCall = k
 	c.mu.Unlock()
 }
 
-// notSent reports an attempt of which nothing was handed to a connection.
-func (d *Daemon) notSent(r dispatch.RequestID, a dispatch.AttemptID) {
+// reportNotSent reports an attempt of which nothing was handed to a connection.
+func (d *Daemon) reportNotSent(r dispatch.RequestID, a dispatch.AttemptID) {
 	d.core.Post(&dispatch.Failed{Req: r, Attempt: a, Verdict: verdict.NotRun, Reason: verdict.ReasonNoTarget})
 }
 
 // attemptDone turns the outcome of an attempt into an event.
 func (d *Daemon) attemptDone(c *call, a *attempt, ans *outbound.Answer, err *verdict.Error) {
-	defer d.calls.ended(c)
+	defer d.calls.attemptEnded(c)
 	if err == nil {
-		err = refusedBy(ans, a.remote)
+		err = parseRefusal(ans, a.toEntryVM)
 	}
 	if err != nil {
 		a.span.end(err.Verdict, err.Reason)
 		d.core.Post(&dispatch.Failed{
 			Req: c.id, Attempt: a.id,
 			Verdict: err.Verdict, Reason: err.Reason,
-			RetryAfter: retryAfter(ans),
+			RetryAfter: parseRetryAfter(ans),
 		})
 		return
 	}
@@ -108,13 +108,13 @@
 	c.mu.Lock()
 	a.answer = ans
 	c.mu.Unlock()
-	d.core.Post(&dispatch.Answered{Req: c.id, Attempt: a.id, Status: ans.Status, Load: loadOf(ans.Header)})
+	d.core.Post(&dispatch.Answered{Req: c.id, Attempt: a.id, Status: ans.Status, Load: parseLoad(ans.Header)})
 }
 
-// refusedBy reads an answer that is the receiver's word on a request that it
+// parseRefusal reads an answer that is the receiver's word on a request that it
 // did not answer in substance. A target says so by headerRefused; an entry VM
 // states its verdict and reason.
-func refusedBy(a *outbound.Answer, remote bool) *verdict.Error {
+func parseRefusal(a *outbound.Answer, remote bool) *verdict.Error {
 	if remote {
 		return heads.Failure(a.Header)
 	}
@@ -128,8 +128,8 @@
 	return &verdict.Error{Verdict: verdict.NotRun, Reason: reason}
 }
 
-// retryAfter reads the wait that a refusal asks for.
-func retryAfter(a *outbound.Answer) time.Duration {
+// parseRetryAfter reads the wait that a refusal asks for.
+func parseRetryAfter(a *outbound.Answer) time.Duration {
 	if a == nil {
 		return 0
 	}
@@ -143,8 +143,8 @@
 	return time.Duration(min(s, int64(heads.MaxWait/time.Second))) * time.Second
 }
 
-// loadOf reads the load that a target may state with its answer.
-func loadOf(h http.Header) *dispatch.LoadHint {
+// parseLoad reads the load that a target may state with its answer.
+func parseLoad(h http.Header) *dispatch.LoadHint {
 	v := h.Get(headerLoad)
 	if v == "" {
 		return nil
@@ -169,24 +169,24 @@
 	if c == nil {
 		return
 	}
-	a := c.find(k.Attempt)
+	a := c.findAttempt(k.Attempt)
 	if a == nil {
 		return
 	}
 	reason := verdict.ReasonCallerGone
 	if k.Replace {
 		reason = verdict.ReasonSilent
-		d.metrics.replaced.Add(1)
-		d.pool.Discard(a.addr, suspectIdle)
+		d.metrics.connectionsReplaced.Add(1)
+		d.pool.Discard(a.addr, minSuspectIdle)
 	}
 	c.mu.Lock()
-	h := a.k
+	h := a.outboundCall
 	c.mu.Unlock()
 	if h != nil {
 		h.Cancel(reason)
 	}
 }
 
-// suspectIdle is how long a free connection must have carried nothing to be
+// minSuspectIdle is how long a free connection must have carried nothing to be
 // discarded together with a silent one to the same receiver.
-const suspectIdle = 100 * time.Millisecond
+const minSuspectIdle = 100 * time.Millisecond
--- a/serve/daemon/blocks.go
+++ b/serve/daemon/blocks.go
@@ -10,17 +10,17 @@
 
 // loadBlocks reads the table of client blocks named by the settings.
 func (d *Daemon) loadBlocks() error {
-	if d.set.BlocksFile == "" {
+	if d.settings.BlocksFile == "" {
 		return nil
 	}
-	f, err := os.Open(d.set.BlocksFile)
+	f, err := os.Open(d.settings.BlocksFile)
 	if err != nil {
 		return fmt.Errorf("daemon: --blocks-file: %w", err)
 	}
 	defer f.Close()
 	t, err := block.Load(f, nil)
 	if err != nil {
-		return fmt.Errorf("daemon: --blocks-file %s: %w", d.set.BlocksFile, err)
+		return fmt.Errorf("daemon: --blocks-file %s: %w", d.settings.BlocksFile, err)
 	}
 	d.blocks = &engine.Blocks{Table: t}
 	return nil
--- a/serve/daemon/calls.go
+++ b/serve/daemon/calls.go
@@ -19,22 +19,22 @@
 // call is one request in hand, from its arrival to its final effect.
 type call struct {
 	id       dispatch.RequestID
-	x        *inbound.Exchange
+	exchange *inbound.Exchange
 	service  fleet.ServiceName
 	req      outbound.Request // as it goes to targets and entry VMs
 	client   client
 	deadline clock.Time
-	head     bool // the caller sent HEAD; targets are asked with GET
+	isHead   bool // the caller sent HEAD; targets are asked with GET
 	span     span
 
-	final atomic.Bool // the caller has its answer or has gone
+	finished atomic.Bool // the caller has its answer or has gone
 
 	mu       sync.Mutex
 	attempts []*attempt
-	live     int // attempts that have not ended
+	running  int // attempts that have not ended
 }
 
-func (c *call) find(id dispatch.AttemptID) *attempt {
+func (c *call) findAttempt(id dispatch.AttemptID) *attempt {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, a := range c.attempts {
@@ -45,29 +45,29 @@
 	return nil
 }
 
-// add notes a new attempt. It reports false when the call has had its final
+// addAttempt notes a new attempt. It reports false when the call has had its final
 // effect: nothing may be sent for it any more, as nothing would cancel it.
-func (c *call) add(a *attempt) bool {
+func (c *call) addAttempt(a *attempt) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.final.Load() {
+	if c.finished.Load() {
 		return false
 	}
 	c.attempts = append(c.attempts, a)
-	c.live++
+	c.running++
 	return true
 }
 
 // calls holds the requests in hand.
 type calls struct {
-	next atomic.Uint64
+	lastID atomic.Uint64
 
 	mu   sync.Mutex
 	byID map[dispatch.RequestID]*call
 }
 
 func (t *calls) add(c *call) {
-	c.id = dispatch.RequestID(t.next.Add(1))
+	c.id = dispatch.RequestID(t.lastID.Add(1))
 	t.mu.Lock()
 	t.byID[c.id] = c
 	t.mu.Unlock()
@@ -84,28 +84,28 @@
 // still be cancelled.
 func (t *calls) finish(id dispatch.RequestID) *call {
 	c := t.get(id)
-	if c == nil || !c.final.CompareAndSwap(false, true) {
+	if c == nil || !c.finished.CompareAndSwap(false, true) {
 		return nil
 	}
-	t.forget(c)
+	t.removeIfDone(c)
 	return c
 }
 
-// ended counts an attempt out.
-func (t *calls) ended(c *call) {
+// attemptEnded counts an attempt out.
+func (t *calls) attemptEnded(c *call) {
 	c.mu.Lock()
-	c.live--
+	c.running--
 	c.mu.Unlock()
-	t.forget(c)
+	t.removeIfDone(c)
 }
 
-// forget drops a call that has nothing more to happen to it.
-func (t *calls) forget(c *call) {
-	if !c.final.Load() {
+// removeIfDone drops a call that has nothing more to happen to it.
+func (t *calls) removeIfDone(c *call) {
+	if !c.finished.Load() {
 		return
 	}
 	c.mu.Lock()
-	live := c.live
+	live := c.running
 	c.mu.Unlock()
 	if live > 0 {
 		return
@@ -131,12 +131,12 @@
 // serveCall takes in a request to be sent to a target.
 func (d *Daemon) serveCall(x *inbound.Exchange, service fleet.ServiceName, path string) {
 	now := d.now()
-	deadline, ok := deadlineOf(x.Header, now)
-	hops, hopsOK := hopsOf(x.Header)
-	c := &call{x: x, service: service, deadline: deadline, client: d.clientOf(x)}
+	deadline, ok := parseDeadline(x.Header, now)
+	hops, hopsOK := parseHops(x.Header)
+	c := &call{exchange: x, service: service, deadline: deadline, client: d.clientOf(x)}
 	c.req = outbound.Request{Method: x.Method, URI: path, Header: x.Header, Body: x.Body}
 	if x.Method == http.MethodHead {
-		c.head = true
+		c.isHead = true
 		c.req.Method = http.MethodGet
 	}
 	tok := x.Header.Get(headerToken)
@@ -156,7 +156,7 @@
 		Deadline: deadline,
 		Hops:     hops,
 
-		ExpectedWait: waitOf(x.Header),
+		ExpectedWait: parseExpectedWait(x.Header),
 		BodyBytes:    int64(len(x.Body)),
 	})
 	x.OnGone(func() { d.callerGone(c) })
@@ -171,14 +171,14 @@
 // the engine states the first and prevents the second.
 func (d *Daemon) serveRefused(x *inbound.Exchange) {
 	service, _, _ := splitCall(x.URI)
-	c := &call{x: x, service: service}
+	c := &call{exchange: x, service: service}
 	c.span = d.tracer.start(x.Header, string(service))
 	d.calls.add(c)
 	d.core.Post(&engine.Reject{Req: c.id, Token: x.Header.Get(headerToken), Reason: reasonOfStatus(x.Refused)})
 }
 
-// hopsOf reads how often a request has been forwarded.
-func hopsOf(h http.Header) (hops uint8, ok bool) {
+// parseHops reads how often a request has been forwarded.
+func parseHops(h http.Header) (hops uint8, ok bool) {
 	v := h.Get(headerHops)
 	if v == "" {
 		return 0, true
@@ -206,20 +206,20 @@
 	}
 	d.metrics.callerGone.Add(1)
 	d.core.Post(&dispatch.CallerGone{Req: c.id})
-	c.x.Drop()
+	c.exchange.Drop()
 	c.span.end(verdict.MayHaveRun, verdict.ReasonCallerGone)
 }
 
-// refuse answers an exchange that does not become a call.
-func (d *Daemon) refuse(x *inbound.Exchange, e errorBody) {
-	d.metrics.reply(e.Verdict, e.Reason)
+// writeError answers an exchange that does not become a call.
+func (d *Daemon) writeError(x *inbound.Exchange, e errorBody) {
+	d.metrics.countAnswer(e.Verdict, e.Reason)
 	status, h, b := encodeError(e)
 	x.Respond(status, h, b)
 }
 
 // execute implements executor.
 func (d *Daemon) execute(now clock.Time, r *engine.Ready) {
-	d.learn(r)
+	d.updateAddresses(r)
 	d.lookups.update(r)
 	p := &r.Dispatch
 	for i := range p.Violations {
@@ -229,10 +229,10 @@
 		d.cancelAttempt(p.Cancels[i])
 	}
 	for i := range p.Sends {
-		d.send(now, p.Sends[i])
+		d.sendToTarget(now, p.Sends[i])
 	}
 	for i := range p.Forwards {
-		d.forward(now, p.Forwards[i])
+		d.forwardToVM(now, p.Forwards[i])
 	}
 	for i := range p.Delivers {
 		d.deliver(p.Delivers[i])
@@ -255,7 +255,7 @@
 	if c == nil {
 		return
 	}
-	a := c.find(v.Attempt)
+	a := c.findAttempt(v.Attempt)
 	if a == nil || a.answer == nil {
 		d.violation(dispatch.Violation{Invariant: "deliver-has-answer", Detail: strconv.FormatUint(uint64(v.Req), 10)})
 		d.respondError(c, engine.Refusal{Reply: dispatch.Reply{Req: v.Req, Verdict: verdict.MayHaveRun, Reason: verdict.ReasonInternal}})
@@ -264,9 +264,9 @@
 	ans := a.answer
 	heads.EndToEnd(ans.Header)
 	ans.Header[verdict.Header] = []string{verdict.Ran.String()}
-	d.metrics.reply(verdict.Ran, verdict.ReasonNone)
+	d.metrics.countAnswer(verdict.Ran, verdict.ReasonNone)
 	c.span.end(verdict.Ran, verdict.ReasonNone)
-	c.x.Respond(ans.Status, ans.Header, ans.Body)
+	c.exchange.Respond(ans.Status, ans.Header, ans.Body)
 }
 
 // reply gives a caller its final error answer.
@@ -279,22 +279,22 @@
 func (d *Daemon) respondError(c *call, r engine.Refusal) {
 	c.span.end(r.Verdict, r.Reason)
 	e := errorBody{
-		Verdict:      r.Verdict,
-		Reason:       r.Reason,
-		RetryAfterMs: r.RetryAfter.Milliseconds(),
-		Ask:          r.Ask,
-		Answered:     r.Answer,
+		Verdict:       r.Verdict,
+		Reason:        r.Reason,
+		RetryAfterMs:  r.RetryAfter.Milliseconds(),
+		TokenOwner:    r.Ask,
+		EarlierStatus: r.Answer,
 	}
 	if vm, ok := d.vms[r.Ask]; ok {
-		e.AskAddr = vm.CallAddr
+		e.TokenOwnerAddr = vm.CallAddr
 	}
 	switch {
 	case r.Reason == verdict.ReasonStopping:
-		e.Alternatives = d.alternatives(c.service, c.x.Remote)
+		e.Alternatives = d.alternatives(c.service, c.exchange.Remote)
 	case r.Verdict == verdict.NotRun && d.needsToken(c.service):
-		e.Token = d.mint(d.self, d.now())
+		e.Token = d.mintToken(d.self, d.now())
 	}
-	d.refuse(c.x, e)
+	d.writeError(c.exchange, e)
 }
 
 // needsToken reports whether requests of a service carry one-time tokens. A
--- a/serve/daemon/calls_test.go
+++ b/serve/daemon/calls_test.go
@@ -15,7 +15,7 @@
 // Sequence: a caller leaves just as its call is sent.
 // Cause: the call was dropped from the table for want of attempts while its
 // first one began; the order to cancel that attempt found nothing.
-func TestAttemptOfACallThatEnds(t *testing.T) {
+func TestAttemptAddedWhileCallFinishes(t *testing.T) {
 	is := is.New(t)
 	table := calls{byID: make(map[dispatch.RequestID]*call)}
 	for range 20_000 {
@@ -24,14 +24,14 @@
 		var begun bool
 		var wg sync.WaitGroup
 		wg.Go(func() { table.finish(c.id) })
-		wg.Go(func() { begun = c.add(&attempt{id: 1}) })
+		wg.Go(func() { begun = c.addAttempt(&attempt{id: 1}) })
 		wg.Wait()
 		if !begun {
 			is.True(table.get(c.id) == nil)
 			continue
 		}
 		is.Equal(table.get(c.id), c) // it can be cancelled
-		table.ended(c)
+		table.attemptEnded(c)
 		is.True(table.get(c.id) == nil)
 	}
 }
@@ -41,11 +41,11 @@
 // Sequence: the machine list changes.
 // Cause: targets that had left the list were kept for requests under way,
 // which hold the address themselves.
-func TestTargetsThatLeftTheListAreForgotten(t *testing.T) {
+func TestRemovedTargetsAreForgotten(t *testing.T) {
 	is := is.New(t)
 	d := &Daemon{}
-	d.learnTargets([]fleet.Target{{ID: "t-1", Addr: "127.0.0.1:1"}, {ID: "t-2", Addr: "127.0.0.1:2"}})
-	d.learnTargets([]fleet.Target{{ID: "t-2", Addr: "127.0.0.1:2"}})
+	d.updateTargets([]fleet.Target{{ID: "t-1", Addr: "127.0.0.1:1"}, {ID: "t-2", Addr: "127.0.0.1:2"}})
+	d.updateTargets([]fleet.Target{{ID: "t-2", Addr: "127.0.0.1:2"}})
 	is.Equal(len(d.targets), 1)
 	is.Equal(d.targets["t-2"].Addr, "127.0.0.1:2")
 }
--- a/serve/daemon/control.go
+++ b/serve/daemon/control.go
@@ -15,15 +15,15 @@
 	"github.com/azurethread/azurethread/serve/platform"
 )
 
-// learn notes the addresses that a step has brought. It goes before the effects
+// updateAddresses notes the addresses that a step has brought. It goes before the effects
 // that use them: a step that learns of a target may send to it at once.
-func (d *Daemon) learn(r *engine.Ready) {
+func (d *Daemon) updateAddresses(r *engine.Ready) {
 	if r.Machines != nil {
-		d.learnTargets(r.Machines.Targets)
-		d.listed.Store(true)
+		d.updateTargets(r.Machines.Targets)
+		d.hasMachineList.Store(true)
 	}
 	if r.VMs != nil {
-		d.learnVMs(r.VMs)
+		d.updateVMs(r.VMs)
 		d.eligible.Store(r.Eligible)
 	}
 }
@@ -34,13 +34,13 @@
 		d.config.Store(r.Catalogue)
 		d.log.WithField("revision", r.Catalogue.Revision).Info("configuration in force")
 	}
-	d.watching.Store(r.WatchMachines)
+	d.watchesMachines.Store(r.WatchMachines)
 	for i := range r.Peers {
 		d.sendPeer(r.Peers[i])
 	}
 	d.readPlatform(r)
 	for _, w := range r.Writes {
-		d.loop(func() { d.writeShift(w) })
+		d.startTask(func() { d.writeShift(w) })
 	}
 	if r.Superseded {
 		d.supersededOnce.Do(func() { close(d.superseded) })
@@ -50,8 +50,8 @@
 // knownVMs is an immutable set of entry VMs, for use outside of the core.
 type knownVMs struct{ byID map[fleet.VMID]fleet.VM }
 
-// learnVMs notes where entry VMs are reached and which process runs there.
-func (d *Daemon) learnVMs(vms []fleet.VM) {
+// updateVMs notes where entry VMs are reached and which process runs there.
+func (d *Daemon) updateVMs(vms []fleet.VM) {
 	k := &knownVMs{byID: make(map[fleet.VMID]fleet.VM, len(vms)+1)}
 	for _, vm := range vms {
 		k.byID[vm.ID] = vm
@@ -61,24 +61,24 @@
 	d.known.Store(k)
 }
 
-// incarnation finds the process that tokens for an entry VM are bound to.
-func (d *Daemon) incarnation(id fleet.VMID) (fleet.VM, bool) {
+// vmWithIncarnation finds the process that tokens for an entry VM are bound to.
+func (d *Daemon) vmWithIncarnation(id fleet.VMID) (fleet.VM, bool) {
 	vm, ok := d.known.Load().byID[id]
 	return vm, ok && vm.Incarnation != 0
 }
 
 // Waits of the loops that read the platform.
 const (
-	watchWait  = 10 * time.Second
-	retryPause = 500 * time.Millisecond
-	watchPoll  = 50 * time.Millisecond // while the list is not to be watched
+	longPollWait       = 10 * time.Second
+	retryDelay         = 500 * time.Millisecond
+	watchCheckInterval = 50 * time.Millisecond // while the list is not to be watched
 )
 
-// pause waits before a read that has failed is tried again. It reports false
+// waitForRetry waits before a read that has failed is tried again. It reports false
 // when the daemon stops.
-func (d *Daemon) pause() bool { return d.wait(retryPause) }
+func (d *Daemon) waitForRetry() bool { return d.sleep(retryDelay) }
 
-func (d *Daemon) wait(t time.Duration) bool {
+func (d *Daemon) sleep(t time.Duration) bool {
 	select {
 	case <-time.After(t):
 		return true
@@ -92,17 +92,17 @@
 func (d *Daemon) watchMachines() {
 	var version uint64
 	for d.ctx.Err() == nil {
-		if !d.watching.Load() {
+		if !d.watchesMachines.Load() {
 			version = 0 // the first read of the next turn is a plain one
-			d.wait(watchPoll)
+			d.sleep(watchCheckInterval)
 			continue
 		}
-		l, err := d.platform.Machines(d.ctx, version, watchWait)
+		l, err := d.platform.Machines(d.ctx, version, longPollWait)
 		switch {
 		case errors.Is(err, platform.ErrNotModified):
 			d.core.Post(&machine.Unchanged{})
 		case err != nil:
-			d.pause()
+			d.waitForRetry()
 		default:
 			version = l.Version
 			d.core.Post(&engine.Machines{List: l})
@@ -110,18 +110,18 @@
 	}
 }
 
-// learnTargets notes where targets are reached. Ones that have left the list
+// updateTargets notes where targets are reached. Ones that have left the list
 // get nothing new, and attempts under way hold the address themselves; kept,
 // they would add up with every target that is replaced.
-func (d *Daemon) learnTargets(ts []fleet.Target) {
+func (d *Daemon) updateTargets(ts []fleet.Target) {
 	d.targets = make(map[fleet.TargetID]fleet.Target, len(ts))
 	for _, t := range ts {
 		d.targets[t.ID] = t
 	}
 }
 
-// loadPage is a target's load endpoint.
-type loadPage struct {
+// loadResponse is a target's load endpoint.
+type loadResponse struct {
 	InFlight int  `json:"in_flight"`
 	Slots    int  `json:"slots"`
 	Queued   int  `json:"queued"`
@@ -136,14 +136,14 @@
 	}
 	r := &outbound.Request{Method: http.MethodGet, URI: "/loadz", Header: http.Header{}}
 	k := d.pool.Do(t.Addr, r, func(a *outbound.Answer, err *verdict.Error) {
-		d.probed(id, a, err)
+		d.probeDone(id, a, err)
 	})
-	time.AfterFunc(d.set.ProbeInterval, func() { k.Cancel(verdict.ReasonDeadline) })
+	time.AfterFunc(d.settings.ProbeInterval, func() { k.Cancel(verdict.ReasonDeadline) })
 }
 
-func (d *Daemon) probed(id fleet.TargetID, a *outbound.Answer, err *verdict.Error) {
+func (d *Daemon) probeDone(id fleet.TargetID, a *outbound.Answer, err *verdict.Error) {
 	h := &dispatch.Health{Target: id}
-	var p loadPage
+	var p loadResponse
 	if err == nil && a.Status == http.StatusOK && json.Unmarshal(a.Body, &p) == nil {
 		h.OK = true
 		h.InFlight, h.Slots, h.Cold = p.InFlight, p.Slots, p.Cold
--- a/serve/daemon/daemon.go
+++ b/serve/daemon/daemon.go
@@ -35,11 +35,11 @@
 
 // Daemon is one entry VM.
 type Daemon struct {
-	set      *settings.Settings
-	log      *logrus.Entry
-	platform Platform
-	self     fleet.VM
-	epoch    epoch
+	settings  *settings.Settings
+	log       *logrus.Entry
+	platform  Platform
+	self      fleet.VM
+	monotonic monotonicClock
 
 	core    *Core
 	calls   calls
@@ -64,38 +64,38 @@
 	targets map[fleet.TargetID]fleet.Target
 	vms     map[fleet.VMID]fleet.VM
 
-	blocks     *engine.Blocks // nil without a table
-	reader     *store.Reader
-	writer     *store.Writer
-	platformUp atomic.Bool
-	watching   atomic.Bool // the platform's machine list
-	listed     atomic.Bool // a machine list is in force
-	eligible   atomic.Bool // may try for the lease of the shift runner
+	blocks            *engine.Blocks // nil without a table
+	reader            *store.Reader
+	writer            *store.Writer
+	platformReachable atomic.Bool
+	watchesMachines   atomic.Bool // the platform's machine list
+	hasMachineList    atomic.Bool // a machine list is in force
+	eligible          atomic.Bool // may try for the lease of the shift runner
 
 	adminPages inbound.Handler
 
-	peerAddr  string
-	adminAddr string
-	ctx       context.Context // ends when the daemon stops
-	cancel    context.CancelFunc
-	loops     loops
-	cleaned   sync.Once
+	peerAddr    string
+	adminAddr   string
+	ctx         context.Context // ends when the daemon stops
+	cancel      context.CancelFunc
+	tasks       taskGroup
+	cleanupOnce sync.Once
 }
 
-// epoch turns the monotonic clock into instants that never fall.
-type epoch struct {
-	wall clock.Time
-	at   time.Time
+// monotonicClock turns the monotonic clock into instants that never fall.
+type monotonicClock struct {
+	base    clock.Time
+	started time.Time
 }
 
-func newEpoch() epoch {
+func newMonotonicClock() monotonicClock {
 	t := time.Now()
-	return epoch{wall: clock.FromWall(t), at: t}
+	return monotonicClock{base: clock.FromWall(t), started: t}
 }
 
-func (e epoch) now() clock.Time { return e.wall.Add(time.Since(e.at)) }
+func (e monotonicClock) now() clock.Time { return e.base.Add(time.Since(e.started)) }
 
-func (d *Daemon) now() clock.Time { return d.epoch.now() }
+func (d *Daemon) now() clock.Time { return d.monotonic.now() }
 
 // Option changes how a daemon is set up, for tests.
 type Option func(*Daemon)
@@ -107,13 +107,13 @@
 // it returns an error.
 func Start(set *settings.Settings, p Platform, log *logrus.Logger, opts ...Option) (*Daemon, error) {
 	d := &Daemon{
-		set:      set,
-		log:      log.WithField("vm", set.ID),
-		platform: p,
-		epoch:    newEpoch(),
-		metrics:  newMetrics(),
-		targets:  make(map[fleet.TargetID]fleet.Target),
-		vms:      make(map[fleet.VMID]fleet.VM),
+		settings:  set,
+		log:       log.WithField("vm", set.ID),
+		platform:  p,
+		monotonic: newMonotonicClock(),
+		metrics:   newMetrics(),
+		targets:   make(map[fleet.TargetID]fleet.Target),
+		vms:       make(map[fleet.VMID]fleet.VM),
 	}
 	for _, o := range opts {
 		o(d)
@@ -139,7 +139,7 @@
 	if err := d.loadBlocks(); err != nil {
 		return err
 	}
-	if d.tracer, err = newTracer(d.set.TraceExporter, d.set.TraceSample); err != nil {
+	if d.tracer, err = newTracer(d.settings.TraceExporter, d.settings.TraceSample); err != nil {
 		return err
 	}
 	if err := d.provisionPool(); err != nil {
@@ -155,9 +155,9 @@
 	if err := d.provisionPeers(inc); err != nil {
 		return fmt.Errorf("daemon: --peer-addr: %w", err)
 	}
-	d.self = d.describe(inc)
+	d.self = d.describeSelf(inc)
 	d.newCore()
-	d.expose()
+	d.registerMetrics()
 	d.started.Store(true)
 	return nil
 }
@@ -165,10 +165,10 @@
 func (d *Daemon) provisionPool() error {
 	var err error
 	d.pool, err = outbound.NewPool(outbound.Options{
-		DialTimeout:    d.set.DialTimeout,
-		IdleTimeout:    outboundIdle,
-		MaxAnswerBytes: d.set.MaxAnswerBytes,
-		Pollers:        d.set.Pollers,
+		DialTimeout:    d.settings.DialTimeout,
+		IdleTimeout:    targetIdleTimeout,
+		MaxAnswerBytes: d.settings.MaxAnswerBytes,
+		Pollers:        d.settings.Pollers,
 		Now:            d.now,
 		Dial:           net.DialTimeout,
 	})
@@ -177,42 +177,42 @@
 
 func (d *Daemon) provisionCallers() error {
 	var err error
-	d.callers, err = inbound.Listen(d.set.CallAddr, inbound.Options{
+	d.callers, err = inbound.Listen(d.settings.CallAddr, inbound.Options{
 		Limits: inbound.Limits{
-			HeadBytes:   d.set.MaxHeadBytes,
-			BodyBytes:   d.set.MaxBodyBytes,
-			ReadTimeout: d.set.ReadTimeout,
-			IdleTimeout: d.set.IdleTimeout,
+			HeadBytes:   d.settings.MaxHeadBytes,
+			BodyBytes:   d.settings.MaxBodyBytes,
+			ReadTimeout: d.settings.ReadTimeout,
+			IdleTimeout: d.settings.IdleTimeout,
 		},
-		WriteTimeout: d.set.WriteTimeout,
-		Pollers:      d.set.Pollers,
+		WriteTimeout: d.settings.WriteTimeout,
+		Pollers:      d.settings.Pollers,
 		Refusal:      refusalByStatus,
 		Known:        hasToken,
 	})
 	return err
 }
 
-// outboundIdle is how long a free connection to a target is kept. It is
+// targetIdleTimeout is how long a free connection to a target is kept. It is
 // shorter than the idle timeouts usual at servers, so that the target seldom
 // closes a connection just as a request is written to it.
-const outboundIdle = 15 * time.Second
+const targetIdleTimeout = 15 * time.Second
 
-// describe returns this entry VM as others are to know it. The incarnation is
+// describeSelf returns this entry VM as others are to know it. The incarnation is
 // the start's wall clock: a restart takes a higher one without any store.
-func (d *Daemon) describe(inc fleet.Incarnation) fleet.VM {
+func (d *Daemon) describeSelf(inc fleet.Incarnation) fleet.VM {
 	return fleet.VM{
-		ID:          d.set.ID,
-		Region:      d.set.Region,
-		Domain:      d.set.Domain,
-		Site:        d.set.Site,
-		CallAddr:    orElse(d.set.CallAdvertise, d.callers.Addr()),
-		PeerAddr:    orElse(d.set.PeerAdvertise, d.peerAddr),
-		AdminAddr:   orElse(d.set.AdminAdvertise, d.adminAddr),
+		ID:          d.settings.ID,
+		Region:      d.settings.Region,
+		Domain:      d.settings.Domain,
+		Site:        d.settings.Site,
+		CallAddr:    valueOrDefault(d.settings.CallAdvertise, d.callers.Addr()),
+		PeerAddr:    valueOrDefault(d.settings.PeerAdvertise, d.peerAddr),
+		AdminAddr:   valueOrDefault(d.settings.AdminAdvertise, d.adminAddr),
 		Incarnation: inc,
 	}
 }
 
-func orElse(v, def string) string {
+func valueOrDefault(v, def string) string {
 	if v != "" {
 		return v
 	}
@@ -220,40 +220,40 @@
 }
 
 func (d *Daemon) newCore() {
-	seed := d.set.Seed
+	seed := d.settings.Seed
 	if seed == 0 {
 		seed = uint64(d.now())
 	}
 	eng := engine.New(engine.Options{
 		Self:     d.self,
-		FleetKey: []byte(d.set.FleetKey),
+		FleetKey: []byte(d.settings.FleetKey),
 		Seed:     seed,
 		Now:      d.now(),
-		Dispatch: dispatch.Options{Policy: d.set.Policy},
-		Member:   member.Options{Seeds: d.set.Seeds},
-		NearRTT:  d.set.NearRTT,
-		FarRTT:   d.set.FarRTT,
+		Dispatch: dispatch.Options{Policy: d.settings.Policy},
+		Member:   member.Options{Seeds: d.settings.Seeds},
+		NearRTT:  d.settings.NearRTT,
+		FarRTT:   d.settings.FarRTT,
 	})
-	d.learnVMs([]fleet.VM{d.self})
+	d.updateVMs([]fleet.VM{d.self})
 	alone := steer.New(steer.Inputs{Self: d.self.Region, VMs: []fleet.VM{d.self}})
 	d.lookups.views.Store(&views{shifted: alone, unshifted: alone})
 	d.provisionStore()
 	d.core = newCore(d.now, eng, d)
 }
 
-// expose adds the numbers that other packages count to the metrics.
-func (d *Daemon) expose() {
-	d.metrics.set("peer", func() any { return d.peers.Stats() })
-	d.metrics.set("caller_connections", func() any { return d.callers.Connections() })
-	d.metrics.set("revision", func() any { return revisionNumber(d.config.Load()) })
-	d.metrics.set("known_vms", func() any { return d.KnownVMs() })
-	d.metrics.set("platform_reachable", func() any { return d.platformUp.Load() })
-	d.metrics.set("configuration", func() any {
+// registerMetrics adds the numbers that other packages count to the metrics.
+func (d *Daemon) registerMetrics() {
+	d.metrics.addFunc("peer", func() any { return d.peers.Stats() })
+	d.metrics.addFunc("caller_connections", func() any { return d.callers.Connections() })
+	d.metrics.addFunc("revision", func() any { return revisionNumber(d.config.Load()) })
+	d.metrics.addFunc("known_vms", func() any { return d.KnownVMs() })
+	d.metrics.addFunc("platform_reachable", func() any { return d.platformReachable.Load() })
+	d.metrics.addFunc("configuration", func() any {
 		var c config.Counters
 		d.core.Ask(func(_ clock.Time, e *engine.Engine) { c = e.Config().Counters() })
 		return c
 	})
-	d.metrics.set("loads", func() any {
+	d.metrics.addFunc("loads", func() any {
 		var l []dispatch.ServiceLoad
 		d.core.Ask(func(_ clock.Time, e *engine.Engine) { l = e.OwnLoads() })
 		return l
@@ -268,11 +268,11 @@
 	d.core.Post(&engine.Tick{})
 	d.callers.Serve(d)
 	d.admin.Serve(d.adminPages)
-	d.loop(d.watchMachines)
-	d.loop(d.runDuty)
+	d.startTask(d.watchMachines)
+	d.startTask(d.runShiftLease)
 }
 
-func (d *Daemon) loop(f func()) { d.loops.start(f) }
+func (d *Daemon) startTask(f func()) { d.tasks.start(f) }
 
 // CallAddr returns the address for callers.
 func (d *Daemon) CallAddr() string { return d.self.CallAddr }
@@ -283,7 +283,7 @@
 // Ready reports whether this entry VM can serve: it has a configuration and a
 // machine list, and is not leaving.
 func (d *Daemon) Ready() bool {
-	return d.config.Load() != nil && d.listed.Load() && !d.leaving.Load()
+	return d.config.Load() != nil && d.hasMachineList.Load() && !d.leaving.Load()
 }
 
 // Self returns this entry VM as others know it.
--- a/serve/daemon/lookups.go
+++ b/serve/daemon/lookups.go
@@ -46,13 +46,13 @@
 	if v.shifted == v.unshifted {
 		return ans
 	}
-	if !l.pass(now, s, ans) && ans.Moved {
+	if !l.passesGate(now, s, ans) && ans.Moved {
 		return v.unshifted.Lookup(s, a, out)
 	}
 	return ans
 }
 
-func (l *lookups) pass(now clock.Time, s fleet.ServiceName, a steer.Answer) bool {
+func (l *lookups) passesGate(now clock.Time, s fleet.ServiceName, a steer.Answer) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.gate == nil || l.gate.Pass(now, s, a.Home, a.ShiftID)
--- a/serve/daemon/metrics.go
+++ b/serve/daemon/metrics.go
@@ -10,17 +10,17 @@
 // metrics counts what the daemon does. Every number is in the expvar map that
 // the administration interface serves at /debug/vars.
 type metrics struct {
-	lookups    atomic.Int64
-	attempts   atomic.Int64
-	forwarded  atomic.Int64
-	replaced   atomic.Int64
-	callerGone atomic.Int64
-	violations atomic.Int64
-	badBodies  atomic.Int64
-	unsent     atomic.Int64
-	verdicts   [3]atomic.Int64
-	reasons    *expvar.Map
-	vars       *expvar.Map
+	lookups             atomic.Int64
+	attempts            atomic.Int64
+	forwarded           atomic.Int64
+	connectionsReplaced atomic.Int64
+	callerGone          atomic.Int64
+	violations          atomic.Int64
+	messagesRefused     atomic.Int64
+	messagesUnsent      atomic.Int64
+	verdicts            [3]atomic.Int64
+	reasons             *expvar.Map
+	vars                *expvar.Map
 }
 
 // newMetrics makes a map that is not published: a process may hold more than
@@ -33,11 +33,11 @@
 	gauge("lookups", &m.lookups)
 	gauge("attempts", &m.attempts)
 	gauge("forwarded", &m.forwarded)
-	gauge("connections_replaced", &m.replaced)
+	gauge("connections_replaced", &m.connectionsReplaced)
 	gauge("callers_gone", &m.callerGone)
 	gauge("invariant_violations", &m.violations)
-	gauge("peer_messages_refused", &m.badBodies)
-	gauge("peer_messages_unsent", &m.unsent)
+	gauge("peer_messages_refused", &m.messagesRefused)
+	gauge("peer_messages_unsent", &m.messagesUnsent)
 	for v := range m.verdicts {
 		gauge("answers_"+verdict.Verdict(v).String(), &m.verdicts[v])
 	}
@@ -45,13 +45,13 @@
 	return m
 }
 
-// reply counts a final answer.
-func (m *metrics) reply(v verdict.Verdict, r verdict.Reason) {
+// countAnswer counts a final answer.
+func (m *metrics) countAnswer(v verdict.Verdict, r verdict.Reason) {
 	m.verdicts[v].Add(1)
 	if r != verdict.ReasonNone {
 		m.reasons.Add(string(r), 1)
 	}
 }
 
-// set adds a number read when the metrics are.
-func (m *metrics) set(name string, f func() any) { m.vars.Set(name, expvar.Func(f)) }
+// addFunc adds a number read when the metrics are.
+func (m *metrics) addFunc(name string, f func() any) { m.vars.Set(name, expvar.Func(f)) }
--- a/serve/daemon/pages.go
+++ b/serve/daemon/pages.go
@@ -46,38 +46,38 @@
 	path, query, _ := strings.Cut(x.URI, "?")
 	q, err := url.ParseQuery(query)
 	if err != nil || (x.Method != http.MethodGet && x.Method != http.MethodHead) {
-		d.refuse(x, errorBody{Verdict: verdict.NotRun, Reason: verdict.ReasonBadRequest})
+		d.writeError(x, errorBody{Verdict: verdict.NotRun, Reason: verdict.ReasonBadRequest})
 		return
 	}
 	switch path {
 	case pathLookup:
-		d.lookup(x, q)
+		d.serveLookup(x, q)
 	case pathOutcome:
-		d.outcome(x, q.Get("token"))
+		d.serveOutcome(x, q.Get("token"))
 	case pathReady:
-		d.readiness(x)
+		d.serveReadiness(x)
 	default:
-		d.refuse(x, errorBody{Verdict: verdict.NotRun, Reason: verdict.ReasonBadRequest})
+		d.writeError(x, errorBody{Verdict: verdict.NotRun, Reason: verdict.ReasonBadRequest})
 	}
 }
 
-// lookup answers which entry VMs a client should use.
-func (d *Daemon) lookup(x *inbound.Exchange, q url.Values) {
+// serveLookup answers which entry VMs a client should use.
+func (d *Daemon) serveLookup(x *inbound.Exchange, q url.Values) {
 	service := fleet.ServiceName(q.Get("service"))
-	addr, ok := addrOf(q.Get("client"), x.Remote)
-	tokens, tokensOK := countOf(q.Get("tokens"))
+	addr, ok := parseClientAddr(q.Get("client"), x.Remote)
+	tokens, tokensOK := parseTokenCount(q.Get("tokens"))
 	if service == "" || !ok || !tokensOK {
-		d.refuse(x, errorBody{Verdict: verdict.NotRun, Reason: verdict.ReasonBadRequest})
+		d.writeError(x, errorBody{Verdict: verdict.NotRun, Reason: verdict.ReasonBadRequest})
 		return
 	}
 	cat := d.config.Load()
 	if cat == nil {
-		d.refuse(x, errorBody{Verdict: verdict.NotRun, Reason: verdict.ReasonNotReady, RetryAfterMs: notReadyRetryMs})
+		d.writeError(x, errorBody{Verdict: verdict.NotRun, Reason: verdict.ReasonNotReady, RetryAfterMs: notReadyRetryMs})
 		return
 	}
 	s, known := cat.Service(service)
 	if !known {
-		d.refuse(x, errorBody{Verdict: verdict.NotRun, Reason: verdict.ReasonUnknownService})
+		d.writeError(x, errorBody{Verdict: verdict.NotRun, Reason: verdict.ReasonUnknownService})
 		return
 	}
 	if s.Idempotent {
@@ -93,12 +93,12 @@
 		Home:     a.Home,
 		Region:   a.Region,
 		Shift:    a.ShiftID,
-		Client:   client{home: a.Home, block: a.Block}.text(),
+		Client:   client{home: a.Home, block: a.Block}.encode(),
 		EntryVMs: make([]lookupVM, a.N),
 	}
 	for i, c := range choices[:a.N] {
 		out.EntryVMs[i] = lookupVM{ID: c.VM, Addr: c.Addr, Region: c.Region, Domain: c.Domain}
-		out.EntryVMs[i].Tokens = d.mintFor(c.VM, now, tokens)
+		out.EntryVMs[i].Tokens = d.mintTokens(c.VM, now, tokens)
 	}
 	d.metrics.lookups.Add(1)
 	respondJSON(x, http.StatusOK, out)
@@ -108,8 +108,8 @@
 // should ask again, in milliseconds.
 const notReadyRetryMs = 500
 
-// addrOf reads the client's address or block; empty means the caller itself.
-func addrOf(v string, remote netip.Addr) (netip.Addr, bool) {
+// parseClientAddr reads the client's address or block; empty means the caller itself.
+func parseClientAddr(v string, remote netip.Addr) (netip.Addr, bool) {
 	if v == "" {
 		return remote, true
 	}
@@ -120,8 +120,8 @@
 	return a.Unmap(), err == nil
 }
 
-// countOf reads the number of tokens asked for; 1 when not stated.
-func countOf(v string) (int, bool) {
+// parseTokenCount reads the number of tokens asked for; 1 when not stated.
+func parseTokenCount(v string) (int, bool) {
 	if v == "" {
 		return 1, true
 	}
@@ -131,19 +131,19 @@
 
 // outcomeAnswer is the JSON body of the answer about a token.
 type outcomeAnswer struct {
-	Status       string          `json:"status"`
-	Verdict      verdict.Verdict `json:"verdict"`
-	Pending      bool            `json:"pending"`
-	Answered     int             `json:"answered,omitempty"`
-	Ask          fleet.VMID      `json:"ask,omitempty"`
-	AskAddr      string          `json:"ask_addr,omitempty"`
-	Lost         bool            `json:"lost,omitempty"`
-	RetryAfterMs int64           `json:"retry_after_ms,omitempty"`
+	Status         string          `json:"status"`
+	Verdict        verdict.Verdict `json:"verdict"`
+	Pending        bool            `json:"pending"`
+	EarlierStatus  int             `json:"answered,omitempty"`
+	TokenOwner     fleet.VMID      `json:"ask,omitempty"`
+	TokenOwnerAddr string          `json:"ask_addr,omitempty"`
+	Lost           bool            `json:"lost,omitempty"`
+	RetryAfterMs   int64           `json:"retry_after_ms,omitempty"`
 }
 
-// outcome tells a caller what became of its token. The engine is asked on a
+// serveOutcome tells a caller what became of its token. The engine is asked on a
 // goroutine of its own, as waiting would hold up the poller.
-func (d *Daemon) outcome(x *inbound.Exchange, tok string) {
+func (d *Daemon) serveOutcome(x *inbound.Exchange, tok string) {
 	go func() {
 		var a token.Admission
 		var addr string
@@ -152,18 +152,18 @@
 			addr = d.vms[a.VM].CallAddr
 		})
 		if !ok {
-			d.refuse(x, errorBody{Verdict: verdict.MayHaveRun, Reason: verdict.ReasonStopping})
+			d.writeError(x, errorBody{Verdict: verdict.MayHaveRun, Reason: verdict.ReasonStopping})
 			return
 		}
 		respondJSON(x, http.StatusOK, outcomeAnswer{
-			Status:       a.Status.String(),
-			Verdict:      a.Verdict,
-			Pending:      a.Pending,
-			Answered:     a.Answer,
-			Ask:          a.VM,
-			AskAddr:      addr,
-			Lost:         a.Lost,
-			RetryAfterMs: a.RetryAfter.Milliseconds(),
+			Status:         a.Status.String(),
+			Verdict:        a.Verdict,
+			Pending:        a.Pending,
+			EarlierStatus:  a.Answer,
+			TokenOwner:     a.VM,
+			TokenOwnerAddr: addr,
+			Lost:           a.Lost,
+			RetryAfterMs:   a.RetryAfter.Milliseconds(),
 		})
 	}()
 }
@@ -175,7 +175,7 @@
 	Revision uint64 `json:"revision"`
 }
 
-func (d *Daemon) readiness(x *inbound.Exchange) {
+func (d *Daemon) serveReadiness(x *inbound.Exchange) {
 	a := readinessAnswer{
 		Ready:    d.Ready(),
 		Leaving:  d.leaving.Load(),
--- a/serve/daemon/peers.go
+++ b/serve/daemon/peers.go
@@ -14,37 +14,37 @@
 func (d *Daemon) provisionPeers(inc fleet.Incarnation) error {
 	var err error
 	d.peers, err = peer.New(peer.Options{
-		ID:          d.set.ID,
+		ID:          d.settings.ID,
 		Incarnation: inc,
-		Key:         []byte(d.set.FleetKey),
+		Key:         []byte(d.settings.FleetKey),
 		Link:        d.link,
-	}, d.received, d.sendFailed)
+	}, d.handleEnvelope, d.handleSendFailed)
 	if err != nil {
 		return err
 	}
-	d.peerAddr, err = d.peers.Listen(d.set.PeerAddr)
+	d.peerAddr, err = d.peers.Listen(d.settings.PeerAddr)
 	return err
 }
 
-// received decodes what a frame brought. A body that cannot be read is counted
+// handleEnvelope decodes what a frame brought. A body that cannot be read is counted
 // and left out; the frame's MAC has shown that a member of the fleet sent it,
 // so the fault is a defect or another release, not an attack.
-func (d *Daemon) received(from fleet.VMID, env peer.Envelope) {
+func (d *Daemon) handleEnvelope(from fleet.VMID, env peer.Envelope) {
 	m := &engine.PeerMessage{From: from, Incarnation: env.FromIncarnation}
 	for _, b := range env.Bodies {
 		if err := decodeBody(b, m); err != nil {
-			d.metrics.badBodies.Add(1)
+			d.metrics.messagesRefused.Add(1)
 			d.log.WithError(err).WithField("from", from).Debug("message of another entry VM refused")
 			continue
 		}
 		if b.Kind == peer.KindLoad {
 			continue // goes with the body behind it
 		}
-		d.post(m)
+		d.postIfStarted(m)
 		m = &engine.PeerMessage{From: from, Incarnation: env.FromIncarnation}
 	}
 	if m.Load != nil {
-		d.post(m)
+		d.postIfStarted(m)
 	}
 }
 
@@ -57,25 +57,25 @@
 	case b.Kind == peer.KindLoad:
 		m.Load, err = peer.DecodeLoad(b)
 	case b.Kind == peer.KindConfig:
-		m.Config, err = unwrap[config.Body](b)
+		m.Config, err = decodeMessage[config.Body](b)
 	case b.Kind == peer.KindTally:
-		m.Tally, err = unwrap[tally.Body](b)
+		m.Tally, err = decodeMessage[tally.Body](b)
 	case b.Kind == peer.KindMachine:
-		m.Machine, err = unwrap[machine.Body](b)
+		m.Machine, err = decodeMessage[machine.Body](b)
 	default:
 		err = peer.ErrKind
 	}
 	return err
 }
 
-// wrapper is the form on the wire of a package's messages, of which it carries
+// messageBody is the form on the wire of a package's messages, of which it carries
 // exactly one.
-type wrapper[M any] interface {
+type messageBody[M any] interface {
 	Message() (M, error)
 }
 
-// unwrap decodes the message of type M that a body's wrapper W carries.
-func unwrap[W wrapper[M], M any](b peer.Body) (M, error) {
+// decodeMessage decodes the message of type M that a body's wrapper W carries.
+func decodeMessage[W messageBody[M], M any](b peer.Body) (M, error) {
 	var w W
 	if err := peer.Decode(b, peer.MaxBody, &w); err != nil {
 		var none M
@@ -84,15 +84,15 @@
 	return w.Message()
 }
 
-// post hands an event of a peer to the core, which does not exist yet while
+// postIfStarted hands an event of a peer to the core, which does not exist yet while
 // the daemon is being provisioned.
-func (d *Daemon) post(ev engine.Event) {
+func (d *Daemon) postIfStarted(ev engine.Event) {
 	if d.started.Load() {
 		d.core.Post(ev)
 	}
 }
 
-func (d *Daemon) sendFailed(to fleet.VMID) { d.post(&member.SendFailed{To: to}) }
+func (d *Daemon) handleSendFailed(to fleet.VMID) { d.postIfStarted(&member.SendFailed{To: to}) }
 
 // sendPeer sends a message to another entry VM. Messages are repeated or
 // repaired by the protocols above, so one that cannot be sent is only counted.
@@ -102,13 +102,13 @@
 		err = d.peers.Send(s.To, bodies...)
 	}
 	if err != nil {
-		d.metrics.unsent.Add(1)
+		d.metrics.messagesUnsent.Add(1)
 	}
 }
 
 // encodeBodies puts the load report before the message it rides on.
 func encodeBodies(s engine.PeerSend) ([]peer.Body, error) {
-	var e encoder
+	var e bodyEncoder
 	if s.Load != nil {
 		e.add(peer.EncodeLoad(s.Load))
 	}
@@ -127,13 +127,13 @@
 	return e.bodies, e.err
 }
 
-// encoder collects bodies up to the first error.
-type encoder struct {
+// bodyEncoder collects bodies up to the first error.
+type bodyEncoder struct {
 	bodies []peer.Body
 	err    error
 }
 
-func (e *encoder) add(b peer.Body, err error) {
+func (e *bodyEncoder) add(b peer.Body, err error) {
 	if e.err == nil {
 		e.err = err
 	}
--- a/serve/daemon/platform.go
+++ b/serve/daemon/platform.go
@@ -27,40 +27,40 @@
 		Emit:   d.readDone,
 		Failed: func(err error) { d.log.WithError(err).Warn("platform not readable") },
 	})
-	d.writer = store.NewWriter(store.WriterOptions{Store: d.platform, Base: d.base, Now: d.now})
+	d.writer = store.NewWriter(store.WriterOptions{Store: d.platform, Base: d.changeBase, Now: d.now})
 }
 
 // readDone takes the outcome of a read of the catalogue.
 func (d *Daemon) readDone(ev *config.PlatformRead) {
-	d.platformUp.Store(ev.Result != config.ReadFailed)
+	d.platformReachable.Store(ev.Result != config.ReadFailed)
 	d.core.Post(ev)
 }
 
-// base is what a change is built on where the platform holds less.
-func (d *Daemon) base() (b config.Base, ok bool) {
+// changeBase is what a change is built on where the platform holds less.
+func (d *Daemon) changeBase() (b config.Base, ok bool) {
 	asked := d.core.Ask(func(now clock.Time, e *engine.Engine) { b, ok = e.Config().Base(now) })
 	return b, ok && asked
 }
 
 // readPlatform starts and ends the reads that the configuration asks for.
 func (d *Daemon) readPlatform(r *engine.Ready) {
-	if d.leavingNow() {
+	if d.isStopping() {
 		return
 	}
 	d.reader.Perform(&config.Ready{Stop: r.Unwatch, Fetch: r.Fetch, Watch: r.Watch})
 	for _, p := range r.Restore {
-		d.loop(func() { d.restore(p) })
+		d.startTask(func() { d.restoreCatalogue(p) })
 	}
 }
 
-// leavingNow reports whether the daemon's loops have been told to end.
-func (d *Daemon) leavingNow() bool { return d.ctx.Err() != nil }
+// isStopping reports whether the daemon's loops have been told to end.
+func (d *Daemon) isStopping() bool { return d.ctx.Err() != nil }
 
 // restoreTimeout bounds one attempt to write a newer catalogue back.
 const restoreTimeout = 10 * time.Second
 
-// restore writes the catalogue in force to a platform that holds an older one.
-func (d *Daemon) restore(p config.RestorePlatform) {
+// restoreCatalogue writes the catalogue in force to a platform that holds an older one.
+func (d *Daemon) restoreCatalogue(p config.RestorePlatform) {
 	ctx, cancel := context.WithTimeout(d.ctx, restoreTimeout)
 	defer cancel()
 	a, wrote, err := d.writer.Restore(ctx, p.Catalogue)
@@ -89,15 +89,15 @@
 
 // Change implements admin.Changer.
 func (c changer) Change(ctx context.Context, op change.Operation) (admin.Accepted, error) {
-	a, err := c.d.change(ctx, op)
+	a, err := c.d.applyChange(ctx, op)
 	if err != nil {
 		return admin.Accepted{Operation: op.ID}, err
 	}
 	return admin.Accepted{Operation: op.ID, Revision: a.Revision, Settled: true}, nil
 }
 
-// change writes an operation and tells the spread of what was accepted.
-func (d *Daemon) change(ctx context.Context, op change.Operation) (store.Accepted, error) {
+// applyChange writes an operation and tells the spread of what was accepted.
+func (d *Daemon) applyChange(ctx context.Context, op change.Operation) (store.Accepted, error) {
 	a, err := d.writer.Change(ctx, op)
 	if err != nil {
 		return a, err
@@ -106,9 +106,9 @@
 	return a, nil
 }
 
-// Settle implements admin.Settler. An operation that the platform's document
+// FindOutcome implements admin.Settler. An operation that the platform's document
 // does not list may still be under way, or be too old to be listed.
-func (c changer) Settle(ctx context.Context, operation string) (admin.Outcome, error) {
+func (c changer) FindOutcome(ctx context.Context, operation string) (admin.Outcome, error) {
 	out := admin.Outcome{Operation: operation, Verdict: verdict.MayHaveRun}
 	rev, found, err := c.d.writer.Find(ctx, operation)
 	if err != nil {
@@ -121,15 +121,15 @@
 	return out, nil
 }
 
-// loops counts the goroutines that end with the daemon.
-type loops struct {
+// taskGroup counts the goroutines that end with the daemon.
+type taskGroup struct {
 	mu     sync.Mutex
 	closed bool
 	wg     sync.WaitGroup
 }
 
 // start runs f unless the daemon is stopping.
-func (l *loops) start(f func()) {
+func (l *taskGroup) start(f func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.closed {
@@ -138,7 +138,7 @@
 }
 
 // wait lets no more start and waits for those that run.
-func (l *loops) wait() {
+func (l *taskGroup) wait() {
 	l.mu.Lock()
 	l.closed = true
 	l.mu.Unlock()
--- a/serve/daemon/request.go
+++ b/serve/daemon/request.go
@@ -57,9 +57,9 @@
 	return fleet.ServiceName(name), path, true
 }
 
-// deadlineOf reads the time the caller still waits; 0 when it states none. ok
+// parseDeadline reads the time the caller still waits; 0 when it states none. ok
 // is false for a malformed value.
-func deadlineOf(h http.Header, now clock.Time) (deadline clock.Time, ok bool) {
+func parseDeadline(h http.Header, now clock.Time) (deadline clock.Time, ok bool) {
 	v := h.Get(headerDeadline)
 	d, ok := heads.Wait(v)
 	if v == "" || !ok {
@@ -68,9 +68,9 @@
 	return now.Add(d), true
 }
 
-// waitOf reads the wait that a forwarding entry VM expects; 0 when it states
+// parseExpectedWait reads the wait that a forwarding entry VM expects; 0 when it states
 // none, which only makes this one less ready to queue the request.
-func waitOf(h http.Header) time.Duration {
+func parseExpectedWait(h http.Header) time.Duration {
 	d, _ := heads.Wait(h.Get(headerWait))
 	return d
 }
@@ -82,8 +82,8 @@
 	block uint64
 }
 
-// text is the form of headerClient: the region, a slash, the hash in hex.
-func (c client) text() string {
+// encode is the form of headerClient: the region, a slash, the hash in hex.
+func (c client) encode() string {
 	return string(c.home) + "/" + strconv.FormatUint(c.block, 16)
 }
 
@@ -97,8 +97,8 @@
 	return client{home: fleet.Region(v[:i]), block: b}, err == nil
 }
 
-// left states a deadline as time left, for the next hop.
-func left(deadline, now clock.Time) string {
+// remainingMillis states a deadline as time left, for the next hop.
+func remainingMillis(deadline, now clock.Time) string {
 	ms := max(deadline.Sub(now).Milliseconds(), 0)
 	return strconv.FormatInt(ms, 10)
 }
--- a/serve/daemon/shifts.go
+++ b/serve/daemon/shifts.go
@@ -18,12 +18,12 @@
 // lease of the shift runner, and for how long it may take that as true. A
 // process paused for longer finds that it no longer leads.
 const (
-	dutyCheck = 500 * time.Millisecond
-	dutyTrust = 3 * dutyCheck
+	leaseCheckInterval = 500 * time.Millisecond
+	leaseValidity      = 3 * leaseCheckInterval
 )
 
-// runDuty tries for the lease of the shift runner, and reports on it.
-func (d *Daemon) runDuty() {
+// runShiftLease tries for the lease of the shift runner, and reports on it.
+func (d *Daemon) runShiftLease() {
 	duty := store.NewDuty(store.DutyOptions{
 		Store:       d.platform,
 		Key:         store.ShiftDuty,
@@ -32,8 +32,8 @@
 		Incarnation: d.self.Incarnation,
 		Eligible:    func() bool { return d.eligible.Load() && !d.leaving.Load() },
 	})
-	d.loop(func() { duty.Run(d.ctx) })
-	t := time.NewTicker(dutyCheck)
+	d.startTask(func() { duty.Run(d.ctx) })
+	t := time.NewTicker(leaseCheckInterval)
 	defer t.Stop()
 	held := false
 	for {
@@ -51,7 +51,7 @@
 		}
 		held = now
 		d.core.Post(shift.Platform{Reachable: held})
-		d.core.Post(shift.Duty{Held: held, Until: d.now().Add(dutyTrust)})
+		d.core.Post(shift.Duty{Held: held, Until: d.now().Add(leaseValidity)})
 	}
 }
 
@@ -85,7 +85,7 @@
 	op := operationOf(w)
 	for {
 		ctx, cancel := context.WithTimeout(d.ctx, writeTimeout)
-		_, err := d.change(ctx, op)
+		_, err := d.applyChange(ctx, op)
 		cancel()
 		if err == nil {
 			d.log.WithFields(logrus.Fields{"shift": w.Shift, "share": w.Share, "state": w.State, "hold": w.Hold}).Info("traffic shift written")
@@ -95,7 +95,7 @@
 		d.logChange(op, err)
 		v := verdictOf(err)
 		d.core.Post(shift.WriteResult{ID: w.ID, Verdict: v, Conflict: isConflict(err)})
-		if v != verdict.MayHaveRun || !d.pause() {
+		if v != verdict.MayHaveRun || !d.waitForRetry() {
 			return
 		}
 	}
--- a/serve/daemon/status.go
+++ b/serve/daemon/status.go
@@ -33,7 +33,7 @@
 		Domain:              d.self.Domain,
 		Incarnation:         d.self.Incarnation,
 		Stopping:            d.leaving.Load(),
-		PlatformReachable:   d.platformUp.Load(),
+		PlatformReachable:   d.platformReachable.Load(),
 		InvariantViolations: uint64(d.metrics.violations.Load()),
 	}
 	d.core.Ask(func(now clock.Time, e *engine.Engine) { fillStatus(&s, now, e) })
@@ -100,8 +100,8 @@
 	}
 }
 
-// askTimeout bounds the question to one entry VM for its revision.
-const askTimeout = time.Second
+// revisionTimeout bounds the question to one entry VM for its revision.
+const revisionTimeout = time.Second
 
 // InForce implements admin.Viewer by asking every known entry VM.
 func (v viewer) InForce(ctx context.Context, revision uint64) admin.InForce {
@@ -117,7 +117,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			r, ok := d.revisionOf(ctx, vm)
+			r, ok := d.queryRevision(ctx, vm)
 			mu.Lock()
 			defer mu.Unlock()
 			if ok && r >= revision {
@@ -132,13 +132,13 @@
 	return out
 }
 
-// revisionOf asks an entry VM which revision is in force there.
-func (d *Daemon) revisionOf(ctx context.Context, vm fleet.VM) (uint64, bool) {
+// queryRevision asks an entry VM which revision is in force there.
+func (d *Daemon) queryRevision(ctx context.Context, vm fleet.VM) (uint64, bool) {
 	if vm.ID == d.self.ID {
 		c := d.config.Load()
 		return revisionNumber(c), c != nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, revisionTimeout)
 	defer cancel()
 	done := make(chan *outbound.Answer, 1)
 	r := &outbound.Request{Method: http.MethodGet, URI: pathReady, Header: http.Header{}}
--- a/serve/daemon/stop.go
+++ b/serve/daemon/stop.go
@@ -22,7 +22,7 @@
 	d.core.Post(&dispatch.Stop{})
 	d.core.Post(&member.Leave{})
 	select {
-	case <-time.After(d.set.LeaveDelay):
+	case <-time.After(d.settings.LeaveDelay):
 	case <-ctx.Done():
 	}
 	err := d.callers.Stop(ctx)
@@ -37,21 +37,21 @@
 
 // cleanup ends everything that provision and run have started; only the first
 // call does anything.
-func (d *Daemon) cleanup() { d.cleaned.Do(d.end) }
+func (d *Daemon) cleanup() { d.cleanupOnce.Do(d.releaseResources) }
 
-func (d *Daemon) end() {
+func (d *Daemon) releaseResources() {
 	d.cancel()
 	if d.admin != nil {
-		ctx, cancel := context.WithTimeout(context.Background(), adminFlush)
+		ctx, cancel := context.WithTimeout(context.Background(), adminStopTimeout)
 		defer cancel()
 		_ = d.admin.Stop(ctx) // operators' requests that take longer are cut
 	}
-	d.loops.wait()
+	d.tasks.wait()
 	if d.reader != nil {
 		d.reader.Close()
 	}
 	if d.peers != nil {
-		ctx, cancel := context.WithTimeout(context.Background(), peerFlush)
+		ctx, cancel := context.WithTimeout(context.Background(), peerFlushTimeout)
 		defer cancel()
 		_ = d.peers.Close(ctx) // what is not flushed is repaired by the peers
 	}
@@ -65,7 +65,7 @@
 		d.pool.Close()
 	}
 	if d.tracer != nil {
-		ctx, cancel := context.WithTimeout(context.Background(), traceFlush)
+		ctx, cancel := context.WithTimeout(context.Background(), traceFlushTimeout)
 		defer cancel()
 		if err := d.tracer.close(ctx); err != nil && !errors.Is(err, context.Canceled) {
 			d.log.WithError(err).Warn("traces were not all exported")
@@ -73,11 +73,11 @@
 	}
 }
 
-// adminFlush bounds the end of operators' requests.
-const adminFlush = time.Second
+// adminStopTimeout bounds the end of operators' requests.
+const adminStopTimeout = time.Second
 
-// peerFlush bounds the sending of the last messages to other entry VMs.
-const peerFlush = 500 * time.Millisecond
+// peerFlushTimeout bounds the sending of the last messages to other entry VMs.
+const peerFlushTimeout = 500 * time.Millisecond
 
-// traceFlush bounds the export of the last traces.
-const traceFlush = 2 * time.Second
+// traceFlushTimeout bounds the export of the last traces.
+const traceFlushTimeout = 2 * time.Second
--- a/serve/daemon/tokens.go
+++ b/serve/daemon/tokens.go
@@ -14,8 +14,8 @@
 // tokenLifetime is how long a token of a look-up can be used.
 const tokenLifetime = time.Minute
 
-// mint makes a token that only the process of vm admits.
-func (d *Daemon) mint(vm fleet.VM, now clock.Time) string {
+// mintToken makes a token that only the process of vm admits.
+func (d *Daemon) mintToken(vm fleet.VM, now clock.Time) string {
 	m := d.minters.Get().(*token.Minter)
 	defer d.minters.Put(m)
 	f := token.Fields{VM: vm.ID, Incarnation: vm.Incarnation, Expiry: now.Add(tokenLifetime)}
@@ -25,15 +25,15 @@
 	return m.Mint(f)
 }
 
-// mintFor makes the tokens of a look-up for one entry VM.
-func (d *Daemon) mintFor(id fleet.VMID, now clock.Time, n int) []string {
-	vm, ok := d.incarnation(id)
+// mintTokens makes the tokens of a look-up for one entry VM.
+func (d *Daemon) mintTokens(id fleet.VMID, now clock.Time, n int) []string {
+	vm, ok := d.vmWithIncarnation(id)
 	if !ok || n == 0 {
 		return nil
 	}
 	out := make([]string, n)
 	for i := range out {
-		out[i] = d.mint(vm, now)
+		out[i] = d.mintToken(vm, now)
 	}
 	return out
 }
--- a/serve/peer/bench_test.go
+++ b/serve/peer/bench_test.go
@@ -22,13 +22,13 @@
 	var got atomic.Int64
 	to, vm := benchmarkTransport(b, "to", func(_ fleet.VMID, env Envelope) { got.Add(int64(len(env.Bodies))) })
 	from, _ := benchmarkTransport(b, "from", func(fleet.VMID, Envelope) {})
-	body := text(strings.Repeat("x", size))
+	body := textBody(strings.Repeat("x", size))
 	send := func(n int) {
 		if err := from.Send(vm, body); err != nil {
 			b.Fatal(err)
 		}
 		// Not more in flight than the queue holds, or messages are dropped.
-		for got.Load() < int64(n)-DefaultQueueBytes/int64(2*size+1000) {
+		for got.Load() < int64(n)-DefaultMaxQueueBytes/int64(2*size+1000) {
 			time.Sleep(10 * time.Microsecond)
 		}
 	}
@@ -97,7 +97,7 @@
 		}
 		name := fmt.Sprintf("%s/members=%d/domains=%d/regions=%d", p.Name, x.Members, x.Domains, x.Regions)
 		b.Run(name, func(b *testing.B) {
-			var y measures
+			var y measurements
 			for b.Loop() {
 				var err error
 				if y, _, err = measure(x, 10); err != nil {
--- a/serve/peer/body.go
+++ b/serve/peer/body.go
@@ -38,16 +38,16 @@
 	KindTest Kind = 240
 )
 
-// quiet reports whether messages of a kind need no acknowledgement, because
+// needsNoAck reports whether messages of a kind need no acknowledgement, because
 // they answer another message or ride on one. Acknowledging those as well
 // would add a frame to each exchange.
-func (k Kind) quiet() bool {
+func (k Kind) needsNoAck() bool {
 	return k == KindLoad || (k > KindIngress && k < KindRelay) || (k < KindLoad && member.IsAnswer(uint8(k-KindMember)))
 }
 
-func allQuiet(bodies []Body) bool {
+func noneNeedsAck(bodies []Body) bool {
 	for _, b := range bodies {
-		if !b.Kind.quiet() {
+		if !b.Kind.needsNoAck() {
 			return false
 		}
 	}
--- a/serve/peer/body_test.go
+++ b/serve/peer/body_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestEveryMessageSurvivesTheWire(t *testing.T) {
+func TestMemberMessagesRoundTrip(t *testing.T) {
 	is := is.New(t)
 	seen := make(map[uint8]bool)
 	for _, m := range exampleMessages() {
@@ -53,7 +53,7 @@
 	}
 }
 
-func TestLoadReportSurvivesTheWire(t *testing.T) {
+func TestLoadReportRoundTrip(t *testing.T) {
 	is := is.New(t)
 	r := &load.Report{Scope: load.ScopeFar, Services: []uint32{7, 8}, Rows: []load.Row{
 		{Place: 1, Age: 2, SumAge: 1, ServiceBits: 2, Values: []uint32{1, 2, 3, 4, 5, 6, 7}}}}
@@ -72,7 +72,7 @@
 // Symptom: a message of some bytes makes the process allocate gigabytes.
 // Sequence: an array header announces four billion elements and ends there.
 // Cause: the decoder allocates what the header announces.
-func TestAnnouncedLengthIsNotBelieved(t *testing.T) {
+func TestExcessiveArrayLengthIsRefused(t *testing.T) {
 	is := is.New(t)
 	bomb := []byte{0x94, 1, 2, 3, 0xdd, 0xff, 0xff, 0xff, 0xf0}
 	_, err := DecodeMember(Body{Kind: KindMember + Kind(member.KindPing), Data: bomb})
--- a/serve/peer/capacity_test.go
+++ b/serve/peer/capacity_test.go
@@ -20,21 +20,21 @@
 // TCP headers, and its share of the acknowledgement.
 const segmentBytes = 100
 
-// point is one measurement of docs/capacity/member.json.
-type point struct {
-	Name string   `json:"name"`
-	X    sizes    `json:"x"`
-	Y    measures `json:"y"`
+// capacityPoint is one measurement of docs/capacity/member.json.
+type capacityPoint struct {
+	Name string       `json:"name"`
+	X    fleetSize    `json:"x"`
+	Y    measurements `json:"y"`
 }
 
-type sizes struct {
+type fleetSize struct {
 	Members  int `json:"members"`  // entry VMs of a domain
 	Domains  int `json:"domains"`  // of the whole fleet
 	Regions  int `json:"regions"`  // of the whole fleet
 	Services int `json:"services"` // of the catalogue
 }
 
-type measures struct {
+type measurements struct {
 	// Of one daemon, sent, segments' overhead included: the mean over all,
 	// and the daemon with the most, a representative.
 	BytesPerS    float64 `json:"bytes_per_s"`
@@ -150,7 +150,7 @@
 }
 
 // measure runs a settled fleet at rest for some fake seconds.
-func measure(x sizes, seconds int) (measures, *meter, error) {
+func measure(x fleetSize, seconds int) (measurements, *meter, error) {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
@@ -168,7 +168,7 @@
 	begun := time.Now()
 	m.run(seconds)
 	cpu := time.Since(begun)
-	var y measures
+	var y measurements
 	for _, vm := range vms {
 		b := float64(m.bytes[vm.ID]) / float64(seconds)
 		c := float64(m.msgs[vm.ID]) / float64(seconds)
@@ -204,7 +204,7 @@
 }
 
 // fleetOfSize spreads the domains over the regions as evenly as they go.
-func fleetOfSize(x sizes) []fleet.VM {
+func fleetOfSize(x fleetSize) []fleet.VM {
 	var out []fleet.VM
 	for d := range x.Domains {
 		r := d % x.Regions
@@ -224,12 +224,12 @@
 	is := is.New(t)
 	path := os.Getenv("AZURETHREAD_CAPACITY_MEMBER")
 	if path == "" {
-		y, _, err := measure(sizes{Members: 2, Domains: 6, Regions: 3, Services: 3}, 10)
+		y, _, err := measure(fleetSize{Members: 2, Domains: 6, Regions: 3, Services: 3}, 10)
 		is.NoErr(err)
 		is.True(y.BytesPerS > 0)
 		return
 	}
-	var points []point
+	var points []capacityPoint
 	for _, p := range capacityPoints {
 		y, m, err := measure(p.X, 20)
 		is.NoErr(err)
@@ -242,21 +242,21 @@
 	is.NoErr(os.WriteFile(path, append(out, '\n'), 0o644))
 }
 
-var capacityPoints = []point{
-	{Name: "members", X: sizes{Members: 4, Domains: 6, Regions: 3, Services: 3}},
-	{Name: "members", X: sizes{Members: 8, Domains: 6, Regions: 3, Services: 3}},
-	{Name: "members", X: sizes{Members: 16, Domains: 6, Regions: 3, Services: 3}},
-	{Name: "members", X: sizes{Members: 43, Domains: 6, Regions: 3, Services: 3}},
-	{Name: "members", X: sizes{Members: 86, Domains: 6, Regions: 3, Services: 3}},
-	{Name: "domains", X: sizes{Members: 8, Domains: 6, Regions: 6, Services: 3}},
-	{Name: "domains", X: sizes{Members: 8, Domains: 12, Regions: 6, Services: 3}},
-	{Name: "domains", X: sizes{Members: 8, Domains: 20, Regions: 6, Services: 3}},
-	{Name: "domains", X: sizes{Members: 8, Domains: 40, Regions: 6, Services: 3}},
-	{Name: "domains", X: sizes{Members: 8, Domains: 77, Regions: 6, Services: 3}},
-	{Name: "regions", X: sizes{Members: 8, Domains: 44, Regions: 2, Services: 3}},
-	{Name: "regions", X: sizes{Members: 8, Domains: 44, Regions: 5, Services: 3}},
-	{Name: "regions", X: sizes{Members: 8, Domains: 44, Regions: 11, Services: 3}},
-	{Name: "regions", X: sizes{Members: 8, Domains: 44, Regions: 22, Services: 3}},
-	{Name: "letter", X: sizes{Members: 43, Domains: 77, Regions: 22, Services: 3}},
-	{Name: "statikos", X: sizes{Members: 2, Domains: 6, Regions: 3, Services: 3}},
+var capacityPoints = []capacityPoint{
+	{Name: "members", X: fleetSize{Members: 4, Domains: 6, Regions: 3, Services: 3}},
+	{Name: "members", X: fleetSize{Members: 8, Domains: 6, Regions: 3, Services: 3}},
+	{Name: "members", X: fleetSize{Members: 16, Domains: 6, Regions: 3, Services: 3}},
+	{Name: "members", X: fleetSize{Members: 43, Domains: 6, Regions: 3, Services: 3}},
+	{Name: "members", X: fleetSize{Members: 86, Domains: 6, Regions: 3, Services: 3}},
+	{Name: "domains", X: fleetSize{Members: 8, Domains: 6, Regions: 6, Services: 3}},
+	{Name: "domains", X: fleetSize{Members: 8, Domains: 12, Regions: 6, Services: 3}},
+	{Name: "domains", X: fleetSize{Members: 8, Domains: 20, Regions: 6, Services: 3}},
+	{Name: "domains", X: fleetSize{Members: 8, Domains: 40, Regions: 6, Services: 3}},
+	{Name: "domains", X: fleetSize{Members: 8, Domains: 77, Regions: 6, Services: 3}},
+	{Name: "regions", X: fleetSize{Members: 8, Domains: 44, Regions: 2, Services: 3}},
+	{Name: "regions", X: fleetSize{Members: 8, Domains: 44, Regions: 5, Services: 3}},
+	{Name: "regions", X: fleetSize{Members: 8, Domains: 44, Regions: 11, Services: 3}},
+	{Name: "regions", X: fleetSize{Members: 8, Domains: 44, Regions: 22, Services: 3}},
+	{Name: "letter", X: fleetSize{Members: 43, Domains: 77, Regions: 22, Services: 3}},
+	{Name: "statikos", X: fleetSize{Members: 2, Domains: 6, Regions: 3, Services: 3}},
 }
--- a/serve/peer/conn.go
+++ b/serve/peer/conn.go
@@ -13,32 +13,32 @@
 // conn is one connection. Its fields are guarded by Transport.mu, except
 // split, which only the poller's goroutine of this connection uses.
 type conn struct {
-	t       *Transport
-	nb      *nbio.Conn
-	dialled bool
-	opened  time.Time
-	heard   time.Time
-	split   splitter
-	closed  bool
+	t            *Transport
+	nb           *nbio.Conn
+	dialled      bool
+	opened       time.Time
+	lastReceived time.Time
+	split        splitter
+	closed       bool
 
 	peer        fleet.VMID // wanted when dialled, else from the hello
 	incarnation fleet.Incarnation
 	nonce       []byte
-	out, in     *channel // nil until the hellos were exchanged
-	ready       bool     // the other side has proved to know the key
+	out, in     *frameAuth // nil until the hellos were exchanged
+	established bool       // the other side has proved to know the key
 
-	unacked      []sent // frames to be acknowledged, in order
-	unackedBytes int
-	received     uint64    // last frame to be acknowledged
-	owedBytes    int       // received and not yet acknowledged
-	ackDue       time.Time // zero if everything is acknowledged
+	unacked         []sentFrame // frames to be acknowledged, in order
+	unackedBytes    int
+	ackSeq          uint64    // last frame to be acknowledged
+	ackPendingBytes int       // received and not yet acknowledged
+	ackDue          time.Time // zero if everything is acknowledged
 
-	silenced bool // by Link
-	delayed  []delayedFrame
+	linkBroken bool // by Link
+	delayed    []delayedFrame
 }
 
-// sent is a frame in transit.
-type sent struct {
+// sentFrame is a frame in transit.
+type sentFrame struct {
 	seq    uint64
 	size   int
 	bodies int
@@ -51,21 +51,21 @@
 }
 
 func newConn(t *Transport, nb *nbio.Conn, now time.Time) *conn {
-	c := &conn{t: t, nb: nb, opened: now, heard: now, nonce: make([]byte, nonceSize)}
-	c.split.limit = maxHello
+	c := &conn{t: t, nb: nb, opened: now, lastReceived: now, nonce: make([]byte, nonceSize)}
+	c.split.limit = maxHelloSize
 	if _, err := rand.Read(c.nonce); err != nil {
 		panic(fmt.Sprintf("peer: no randomness: %v", err)) // never returned since Go 1.24
 	}
 	return c
 }
 
-// data takes bytes from the poller and returns the envelopes in them.
-func (c *conn) data(b []byte) ([]Envelope, error) {
+// receive takes bytes from the poller and returns the envelopes in them.
+func (c *conn) receive(b []byte) ([]Envelope, error) {
 	var envs []Envelope
 	err := c.split.push(b, func(frame []byte) error {
 		c.t.mu.Lock()
 		defer c.t.mu.Unlock()
-		env, ok, err := c.frame(frame)
+		env, ok, err := c.handleFrame(frame)
 		if ok {
 			envs = append(envs, env)
 		}
@@ -74,80 +74,80 @@
 	return envs, err
 }
 
-// frame takes one frame. It reports true if it brought messages.
-func (c *conn) frame(frame []byte) (Envelope, bool, error) {
+// handleFrame takes one frame. It reports true if it brought messages.
+func (c *conn) handleFrame(frame []byte) (Envelope, bool, error) {
 	if c.closed {
 		return Envelope{}, false, nil
 	}
-	t, payload, mac, err := open(frame)
+	t, payload, mac, err := parseFrame(frame)
 	if err != nil {
 		return Envelope{}, false, err
 	}
-	c.heard = c.t.now()
+	c.lastReceived = c.t.now()
 	c.t.stats.FramesReceived++
 	c.t.stats.BytesReceived += uint64(lengthSize + len(frame))
 	switch {
 	case c.in == nil && t == typeHello:
-		return Envelope{}, false, c.hello(frame[:len(frame)-macSize], payload, mac)
+		return Envelope{}, false, c.handleHello(frame[:len(frame)-macSize], payload, mac)
 	case c.in != nil && t == typeData:
-		return c.message(frame[:len(frame)-macSize], payload, mac)
+		return c.handleData(frame[:len(frame)-macSize], payload, mac)
 	default:
 		return Envelope{}, false, fmt.Errorf("%w: %d", ErrFrameType, t)
 	}
 }
 
-// hello takes the other side's hello.
-func (c *conn) hello(signed, payload, mac []byte) error {
+// handleHello takes the other side's hello.
+func (c *conn) handleHello(signed, payload, mac []byte) error {
 	var answered []byte
 	if c.dialled {
 		answered = c.nonce
 	}
-	if !equal(helloMAC(c.t.o.Key, answered)(signed), mac) {
+	if !macEqual(helloMAC(c.t.o.Key, answered)(signed), mac) {
 		return ErrWrongKey
 	}
 	var h hello
-	if err := Decode(Body{Data: payload}, maxHello, &h); err != nil {
+	if err := Decode(Body{Data: payload}, maxHelloSize, &h); err != nil {
 		return err
 	}
 	if len(h.Nonce) != nonceSize || h.ID == "" {
 		return fmt.Errorf("%w: hello without nonce or id", ErrMalformed)
 	}
 	if c.dialled {
-		return c.answered(&h)
+		return c.completeAsDialler(&h)
 	}
-	return c.greeted(&h)
+	return c.answerHello(&h)
 }
 
-// answered completes the handshake on the side that dialled.
-func (c *conn) answered(h *hello) error {
+// completeAsDialler completes the handshake on the side that dialled.
+func (c *conn) completeAsDialler(h *hello) error {
 	if h.ID != c.peer && !isAddress(c.peer) {
 		return fmt.Errorf("%w: reached %s in place of %s", ErrMisdirected, h.ID, c.peer)
 	}
 	c.incarnation = h.Incarnation
-	c.out = newChannel(c.t.o.Key, fromDialler, c.nonce, h.Nonce)
-	c.in = newChannel(c.t.o.Key, fromAccepter, c.nonce, h.Nonce)
+	c.out = newFrameAuth(c.t.o.Key, fromDialler, c.nonce, h.Nonce)
+	c.in = newFrameAuth(c.t.o.Key, fromAccepter, c.nonce, h.Nonce)
 	c.establish()
 	// An empty frame proves at once to the other side that we know the key.
 	c.sendAck()
-	c.t.connected(c)
+	c.t.useConn(c)
 	return nil
 }
 
-// greeted answers the hello of the side that dialled. That hello may be a
+// answerHello answers the hello of the side that dialled. That hello may be a
 // recording: only a data frame makes the connection ready.
-func (c *conn) greeted(h *hello) error {
-	if h.Wants != c.t.o.ID && !isAddress(h.Wants) {
-		return fmt.Errorf("%w: %s wants %s", ErrMisdirected, h.ID, h.Wants)
+func (c *conn) answerHello(h *hello) error {
+	if h.Recipient != c.t.o.ID && !isAddress(h.Recipient) {
+		return fmt.Errorf("%w: %s wants %s", ErrMisdirected, h.ID, h.Recipient)
 	}
 	c.peer = h.ID
 	c.incarnation = h.Incarnation
-	c.out = newChannel(c.t.o.Key, fromAccepter, h.Nonce, c.nonce)
-	c.in = newChannel(c.t.o.Key, fromDialler, h.Nonce, c.nonce)
+	c.out = newFrameAuth(c.t.o.Key, fromAccepter, h.Nonce, c.nonce)
+	c.in = newFrameAuth(c.t.o.Key, fromDialler, h.Nonce, c.nonce)
 	return c.sendHello("", h.Nonce)
 }
 
 func (c *conn) establish() {
-	c.ready = true
+	c.established = true
 	c.split.limit = MaxFrame
 }
 
@@ -155,18 +155,18 @@
 	b, err := Encode(0, &hello{
 		ID:          c.t.o.ID,
 		Incarnation: c.t.o.Incarnation,
-		Wants:       wants,
+		Recipient:   wants,
 		Nonce:       c.nonce,
 	})
 	if err != nil {
 		return err
 	}
-	c.write(seal(typeHello, b.Data, helloMAC(c.t.o.Key, answered)))
+	c.write(sealFrame(typeHello, b.Data, helloMAC(c.t.o.Key, answered)))
 	return nil
 }
 
-// message takes a data frame.
-func (c *conn) message(signed, payload, mac []byte) (Envelope, bool, error) {
+// handleData takes a data frame.
+func (c *conn) handleData(signed, payload, mac []byte) (Envelope, bool, error) {
 	if err := c.in.verify(signed, mac); err != nil {
 		return Envelope{}, false, err
 	}
@@ -174,16 +174,16 @@
 	if err != nil {
 		return Envelope{}, false, err
 	}
-	if !c.ready {
+	if !c.established {
 		c.establish()
-		c.t.connected(c)
+		c.t.useConn(c)
 	}
-	c.acknowledge(ack)
+	c.handleAck(ack)
 	if len(bodies) == 0 {
 		return Envelope{}, false, nil
 	}
-	if !allQuiet(bodies) {
-		c.oweAck(len(payload))
+	if !noneNeedsAck(bodies) {
+		c.scheduleAck(len(payload))
 	}
 	env := Envelope{
 		From:            c.peer,
@@ -194,21 +194,21 @@
 	return env, true, nil
 }
 
-// oweAck notes that the frame just received has to be acknowledged. Bulk is
+// scheduleAck notes that the frame just received has to be acknowledged. Bulk is
 // acknowledged at once, or its sender would wait for its window each time.
-func (c *conn) oweAck(size int) {
-	c.received = c.in.seq
-	c.owedBytes += size
+func (c *conn) scheduleAck(size int) {
+	c.ackSeq = c.in.seq
+	c.ackPendingBytes += size
 	if c.ackDue.IsZero() {
-		c.ackDue = c.heard.Add(c.t.o.AckDelay)
+		c.ackDue = c.lastReceived.Add(c.t.o.AckDelay)
 	}
-	if c.owedBytes >= ackBytes {
+	if c.ackPendingBytes >= immediateAckBytes {
 		c.sendAck()
 	}
 }
 
-// acknowledge drops the frames that the other side has.
-func (c *conn) acknowledge(seq uint64) {
+// handleAck drops the frames that the other side has.
+func (c *conn) handleAck(seq uint64) {
 	n := 0
 	for n < len(c.unacked) && c.unacked[n].seq <= seq {
 		c.unackedBytes -= c.unacked[n].size
@@ -216,21 +216,21 @@
 	}
 	c.unacked = append(c.unacked[:0], c.unacked[n:]...)
 	if n > 0 {
-		c.t.drain(c.peer)
+		c.t.sendQueued(c.peer)
 	}
 }
 
 // send writes messages in one frame.
 func (c *conn) send(bodies []Body) error {
-	payload, err := appendData(c.received, bodies)
+	payload, err := appendData(c.ackSeq, bodies)
 	if err != nil {
 		return fmt.Errorf("peer: encode frame: %w", err)
 	}
-	frame := seal(typeData, payload, c.out.sum)
+	frame := sealFrame(typeData, payload, c.out.sum)
 	c.ackDue = time.Time{}
-	c.owedBytes = 0
-	if !allQuiet(bodies) {
-		c.unacked = append(c.unacked, sent{
+	c.ackPendingBytes = 0
+	if !noneNeedsAck(bodies) {
+		c.unacked = append(c.unacked, sentFrame{
 			seq:    c.out.seq,
 			size:   len(frame),
 			bodies: len(bodies),
@@ -248,8 +248,8 @@
 	}
 }
 
-// silentFor is how long the oldest frame in transit has waited.
-func (c *conn) silentFor(now time.Time) time.Duration {
+// unackedFor is how long the oldest frame in transit has waited.
+func (c *conn) unackedFor(now time.Time) time.Duration {
 	if len(c.unacked) == 0 {
 		return 0
 	}
@@ -265,8 +265,8 @@
 		return
 	}
 	delay, ok := c.t.o.Link.Pass(c.t.o.ID, c.peer)
-	if !ok || c.silenced {
-		c.silenced = true
+	if !ok || c.linkBroken {
+		c.linkBroken = true
 		return
 	}
 	if delay == 0 && len(c.delayed) == 0 {
--- a/serve/peer/dial.go
+++ b/serve/peer/dial.go
@@ -8,35 +8,35 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// addressMark begins an id that stands for whoever is at an address.
-const addressMark = "@"
+// addressPrefix begins an id that stands for whoever is at an address.
+const addressPrefix = "@"
 
 // At returns what Send takes for the entry VM at addr, a host:port, whose id is
 // not known. Answers come from the same id.
 func At(addr string) fleet.VM {
-	return fleet.VM{ID: fleet.VMID(addressMark + addr), PeerAddr: addr}
+	return fleet.VM{ID: fleet.VMID(addressPrefix + addr), PeerAddr: addr}
 }
 
-func isAddress(id fleet.VMID) bool { return strings.HasPrefix(string(id), addressMark) }
+func isAddress(id fleet.VMID) bool { return strings.HasPrefix(string(id), addressPrefix) }
 
 // dialIfNeeded starts a connection if there is none, or if the one in use has
 // gone silent.
 func (t *Transport) dialIfNeeded(r *remote) {
 	now := t.now()
-	needed := r.cur == nil && len(r.queue) > 0
-	needed = needed || (r.cur != nil && r.cur.silentFor(now) > t.o.SilentAfter)
+	needed := r.current == nil && len(r.queue) > 0
+	needed = needed || (r.current != nil && r.current.unackedFor(now) > t.o.ReplaceAfter)
 	if !needed || r.dialling || t.closing || r.vm.PeerAddr == "" || now.Before(r.nextDial) {
 		return
 	}
 	r.dialling = true
 	t.stats.Dials++
-	t.stopped.Add(1)
+	t.goroutines.Add(1)
 	go t.dial(r.vm)
 }
 
 // dial runs in a goroutine of its own, since connecting blocks.
 func (t *Transport) dial(vm fleet.VM) {
-	defer t.stopped.Done()
+	defer t.goroutines.Done()
 	nb, err := nbio.DialTimeout("tcp", vm.PeerAddr, t.o.DialTimeout)
 	if err != nil {
 		t.dialFailed(vm.ID)
--- a/serve/peer/frame.go
+++ b/serve/peer/frame.go
@@ -21,15 +21,15 @@
 	// and room for others beside it.
 	MaxFrame = MaxBody + 64<<10
 
-	lengthSize = 4
-	headSize   = 2 // version and type
-	macSize    = 16
-	minFrame   = headSize + macSize
-	nonceSize  = 16
-	// maxHello bounds a frame of a sender that has not proved to know the key.
-	maxHello = 1 << 10
+	lengthSize   = 4
+	headerSize   = 2 // version and type
+	macSize      = 16
+	minFrameSize = headerSize + macSize
+	nonceSize    = 16
+	// maxHelloSize bounds a frame of a sender that has not proved to know the key.
+	maxHelloSize = 1 << 10
 	// FrameOverhead is the size of a frame beyond its payload.
-	FrameOverhead = lengthSize + headSize + macSize
+	FrameOverhead = lengthSize + headerSize + macSize
 )
 
 type frameType uint8
@@ -62,7 +62,7 @@
 	rest := s.buf
 	for len(rest) >= lengthSize {
 		n := int(binary.BigEndian.Uint32(rest))
-		if n < minFrame || n > s.limit {
+		if n < minFrameSize || n > s.limit {
 			return fmt.Errorf("%w: %d bytes, at most %d", ErrFrameSize, n, s.limit)
 		}
 		if len(rest) < lengthSize+n {
@@ -73,13 +73,13 @@
 		}
 		rest = rest[lengthSize+n:]
 	}
-	s.keep(rest)
+	s.keepRest(rest)
 	return nil
 }
 
-// keep moves the incomplete rest to the front, and gives back the memory of
+// keepRest moves the incomplete rest to the front, and gives back the memory of
 // an unusually large frame.
-func (s *splitter) keep(rest []byte) {
+func (s *splitter) keepRest(rest []byte) {
 	const large = 64 << 10
 	if len(rest) == 0 && cap(s.buf) > large {
 		s.buf = nil
@@ -88,20 +88,20 @@
 	s.buf = append(s.buf[:0], rest...)
 }
 
-// open checks the head of a frame and returns its type, payload and mac.
-func open(frame []byte) (frameType, []byte, []byte, error) {
+// parseFrame checks the head of a frame and returns its type, payload and mac.
+func parseFrame(frame []byte) (frameType, []byte, []byte, error) {
 	if frame[0] != Version {
 		return 0, nil, nil, fmt.Errorf("%w: %d", ErrFrameVersion, frame[0])
 	}
 	at := len(frame) - macSize
-	return frameType(frame[1]), frame[headSize:at], frame[at:], nil
+	return frameType(frame[1]), frame[headerSize:at], frame[at:], nil
 }
 
-// seal builds a frame around a payload; sum computes the MAC of head and
+// sealFrame builds a frame around a payload; sum computes the MAC of head and
 // payload.
-func seal(t frameType, payload []byte, sum func(b []byte) []byte) []byte {
+func sealFrame(t frameType, payload []byte, sum func(b []byte) []byte) []byte {
 	out := make([]byte, lengthSize, FrameOverhead+len(payload))
-	binary.BigEndian.PutUint32(out, uint32(minFrame+len(payload)))
+	binary.BigEndian.PutUint32(out, uint32(minFrameSize+len(payload)))
 	out = append(out, Version, byte(t))
 	out = append(out, payload...)
 	return append(out, sum(out[lengthSize:])...)
@@ -111,7 +111,7 @@
 type hello struct {
 	ID          fleet.VMID        `json:"id"`
 	Incarnation fleet.Incarnation `json:"incarnation"`
-	Wants       fleet.VMID        `json:"wants"` // empty in the answer
+	Recipient   fleet.VMID        `json:"wants"` // empty in the answer
 	Nonce       []byte            `json:"nonce"`
 }
 
@@ -133,23 +133,23 @@
 	fromAccepter = "azurethread from accepter"
 )
 
-// channel authenticates the data frames of one direction.
-type channel struct {
+// frameAuth authenticates the data frames of one direction.
+type frameAuth struct {
 	mac hash.Hash
 	seq uint64 // number of the last frame
 	buf [sha256.Size]byte
 }
 
-func newChannel(key []byte, label string, dialler, accepter []byte) *channel {
+func newFrameAuth(key []byte, label string, dialler, accepter []byte) *frameAuth {
 	m := hmac.New(sha256.New, key)
 	m.Write([]byte(label))
 	m.Write(dialler)
 	m.Write(accepter)
-	return &channel{mac: hmac.New(sha256.New, m.Sum(nil))}
+	return &frameAuth{mac: hmac.New(sha256.New, m.Sum(nil))}
 }
 
 // sum returns the MAC of the next frame. It is valid until the next call.
-func (c *channel) sum(b []byte) []byte {
+func (c *frameAuth) sum(b []byte) []byte {
 	c.seq++
 	var n [8]byte
 	binary.BigEndian.PutUint64(n[:], c.seq)
@@ -161,7 +161,7 @@
 
 // verify checks the MAC of the next frame received. Head and payload are the
 // part of the frame before its mac.
-func (c *channel) verify(headAndPayload, mac []byte) error {
+func (c *frameAuth) verify(headAndPayload, mac []byte) error {
 	if !hmac.Equal(c.sum(headAndPayload), mac) {
 		return ErrFrameMAC
 	}
@@ -188,7 +188,7 @@
 	defer decoders.Put(d)
 	r := bytes.NewReader(payload)
 	d.ResetReader(r)
-	if err := arrayLen(d, 2); err != nil {
+	if err := expectArrayLen(d, 2); err != nil {
 		return 0, nil, err
 	}
 	if ack, err = d.DecodeUint64(); err != nil {
@@ -212,7 +212,7 @@
 }
 
 func decodeBody(d *msgpack.Decoder, r *bytes.Reader) (Body, error) {
-	if err := arrayLen(d, 2); err != nil {
+	if err := expectArrayLen(d, 2); err != nil {
 		return Body{}, err
 	}
 	kind, err := d.DecodeUint8()
@@ -230,7 +230,7 @@
 	return Body{Kind: Kind(kind), Data: data}, nil
 }
 
-func arrayLen(d *msgpack.Decoder, want int) error {
+func expectArrayLen(d *msgpack.Decoder, want int) error {
 	n, err := d.DecodeArrayLen()
 	if err != nil || n != want {
 		return fmt.Errorf("%w: array of %d, not %d", ErrMalformed, n, want)
--- a/serve/peer/fuzz_test.go
+++ b/serve/peer/fuzz_test.go
@@ -39,7 +39,7 @@
 }
 
 func checkFrame(t *testing.T, frame []byte) {
-	_, payload, mac, err := open(frame)
+	_, payload, mac, err := parseFrame(frame)
 	if err != nil {
 		return
 	}
@@ -71,5 +71,5 @@
 	}
 	_, _ = DecodeLoad(b)
 	var h hello
-	_ = Decode(b, maxHello, &h)
+	_ = Decode(b, maxHelloSize, &h)
 }
--- a/serve/peer/harness_test.go
+++ b/serve/peer/harness_test.go
@@ -18,8 +18,8 @@
 
 var testKey = []byte("a shared key for tests only")
 
-// patience bounds the wait for what has to happen; no test needs it to pass.
-const patience = 10 * time.Second
+// eventuallyTimeout bounds the wait for what has to happen; no test needs it to pass.
+const eventuallyTimeout = 10 * time.Second
 
 // endpoint is a transport with what it received.
 type endpoint struct {
@@ -38,7 +38,7 @@
 		change(&o)
 	}
 	e := &endpoint{}
-	tr, err := New(o, e.take, e.fail)
+	tr, err := New(o, e.receive, e.recordFailure)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -63,13 +63,13 @@
 	_ = e.Close(ctx)
 }
 
-func (e *endpoint) take(_ fleet.VMID, env Envelope) {
+func (e *endpoint) receive(_ fleet.VMID, env Envelope) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.envs = append(e.envs, env)
 }
 
-func (e *endpoint) fail(to fleet.VMID) {
+func (e *endpoint) recordFailure(to fleet.VMID) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.failed = append(e.failed, to)
@@ -94,12 +94,12 @@
 	return len(e.failed)
 }
 
-func text(s string) Body { return Body{Kind: KindTest, Data: []byte(s)} }
+func textBody(s string) Body { return Body{Kind: KindTest, Data: []byte(s)} }
 
 // eventually waits until a condition holds.
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	end := time.Now().Add(patience)
+	end := time.Now().Add(eventuallyTimeout)
 	for !ok() {
 		if time.Now().After(end) {
 			t.Fatalf("not seen: %s", what)
@@ -112,8 +112,8 @@
 type rawClient struct {
 	net.Conn
 	nonce   []byte
-	out, in *channel
-	wrote   [][]byte
+	out, in *frameAuth
+	written [][]byte
 }
 
 // dialRaw connects without a hello.
@@ -129,46 +129,46 @@
 	return r
 }
 
-// greet completes the handshake as VM id with a key.
-func (r *rawClient) greet(t *testing.T, id, wants fleet.VMID, key []byte) error {
+// handshake completes the handshake as VM id with a key.
+func (r *rawClient) handshake(t *testing.T, id, wants fleet.VMID, key []byte) error {
 	t.Helper()
 	is := is.New(t)
-	b, err := Encode(0, &hello{ID: id, Incarnation: 1, Wants: wants, Nonce: r.nonce})
+	b, err := Encode(0, &hello{ID: id, Incarnation: 1, Recipient: wants, Nonce: r.nonce})
 	is.NoErr(err)
-	r.write(t, seal(typeHello, b.Data, helloMAC(key, nil)))
+	r.write(t, sealFrame(typeHello, b.Data, helloMAC(key, nil)))
 	frame, err := r.readFrame()
 	if err != nil {
 		return err
 	}
-	_, payload, mac, err := open(frame)
+	_, payload, mac, err := parseFrame(frame)
 	is.NoErr(err)
 	is.Equal(helloMAC(key, r.nonce)(frame[:len(frame)-macSize]), mac)
 	var h hello
-	is.NoErr(Decode(Body{Data: payload}, maxHello, &h))
-	r.out = newChannel(key, fromDialler, r.nonce, h.Nonce)
-	r.in = newChannel(key, fromAccepter, r.nonce, h.Nonce)
+	is.NoErr(Decode(Body{Data: payload}, maxHelloSize, &h))
+	r.out = newFrameAuth(key, fromDialler, r.nonce, h.Nonce)
+	r.in = newFrameAuth(key, fromAccepter, r.nonce, h.Nonce)
 	return nil
 }
 
-func (r *rawClient) data(t *testing.T, bodies ...Body) []byte {
+func (r *rawClient) sealData(t *testing.T, bodies ...Body) []byte {
 	t.Helper()
 	payload, err := appendData(0, bodies)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return seal(typeData, payload, r.out.sum)
+	return sealFrame(typeData, payload, r.out.sum)
 }
 
 func (r *rawClient) write(t *testing.T, b []byte) {
 	t.Helper()
-	r.wrote = append(r.wrote, b)
+	r.written = append(r.written, b)
 	if _, err := r.Write(b); err != nil {
 		t.Logf("write: %v", err) // the other side may have closed already
 	}
 }
 
 func (r *rawClient) readFrame() ([]byte, error) {
-	_ = r.SetReadDeadline(time.Now().Add(patience))
+	_ = r.SetReadDeadline(time.Now().Add(eventuallyTimeout))
 	head := make([]byte, lengthSize)
 	if _, err := io.ReadFull(r, head); err != nil {
 		return nil, err
@@ -179,10 +179,10 @@
 	return frame, err
 }
 
-// closedByPeer reads until the other side closes.
-func (r *rawClient) closedByPeer(t *testing.T) {
+// expectClosed reads until the other side closes.
+func (r *rawClient) expectClosed(t *testing.T) {
 	t.Helper()
-	_ = r.SetReadDeadline(time.Now().Add(patience))
+	_ = r.SetReadDeadline(time.Now().Add(eventuallyTimeout))
 	_, err := io.Copy(io.Discard, r)
 	var timeout net.Error
 	if errors.As(err, &timeout) && timeout.Timeout() {
--- a/serve/peer/maintain.go
+++ b/serve/peer/maintain.go
@@ -8,8 +8,8 @@
 
 // maintainLoop does what is due until the transport is closed.
 func (t *Transport) maintainLoop() {
-	defer t.stopped.Done()
-	tick := time.NewTicker(maintainEvery)
+	defer t.goroutines.Done()
+	tick := time.NewTicker(maintainInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -27,10 +27,10 @@
 func (t *Transport) maintain() []fleet.VMID {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, nb := range t.unwanted {
+	for _, nb := range t.toClose {
 		_ = nb.Close()
 	}
-	t.unwanted = nil
+	t.toClose = nil
 	now := t.now()
 	var lost []fleet.VMID
 	for c := range t.conns {
@@ -41,7 +41,7 @@
 	for id, r := range t.remotes {
 		t.expireQueue(r, now)
 		t.dialIfNeeded(r)
-		if r.cur == nil && !r.dialling && len(r.queue) == 0 && now.Sub(r.nextDial) > t.o.IdleAfter {
+		if r.current == nil && !r.dialling && len(r.queue) == 0 && now.Sub(r.nextDial) > t.o.IdleTimeout {
 			delete(t.remotes, id)
 		}
 	}
@@ -50,30 +50,30 @@
 
 // maintainConn reports true if it gave the connection of a VM up.
 func (t *Transport) maintainConn(c *conn, now time.Time) bool {
-	if !c.ready {
-		return t.maintainHello(c, now)
+	if !c.established {
+		return t.expireHandshake(c, now)
 	}
 	if !c.ackDue.IsZero() && !now.Before(c.ackDue) {
 		c.sendAck()
 	}
-	if c.silentFor(now) > t.o.LostAfter {
+	if c.unackedFor(now) > t.o.LostAfter {
 		t.stats.Lost++
 		t.countUnconfirmed(c)
-		current := t.remotes[c.peer] != nil && t.remotes[c.peer].cur == c
+		current := t.remotes[c.peer] != nil && t.remotes[c.peer].current == c
 		t.closeConn(c)
 		return current
 	}
-	if now.Sub(c.heard) > t.o.IdleAfter {
-		t.stats.Idled++
+	if now.Sub(c.lastReceived) > t.o.IdleTimeout {
+		t.stats.IdleClosed++
 		t.closeConn(c)
 	}
 	return false
 }
 
-// maintainHello closes a connection whose handshake takes too long: one that
+// expireHandshake closes a connection whose handshake takes too long: one that
 // sends its hello byte by byte, or never, would hold its place for ever.
-func (t *Transport) maintainHello(c *conn, now time.Time) bool {
-	if now.Sub(c.opened) <= t.o.HelloTimeout {
+func (t *Transport) expireHandshake(c *conn, now time.Time) bool {
+	if now.Sub(c.opened) <= t.o.HandshakeTimeout {
 		return false
 	}
 	t.stats.HelloTimeouts++
@@ -86,7 +86,7 @@
 }
 
 func (t *Transport) expireQueue(r *remote, now time.Time) {
-	for len(r.queue) > 0 && now.Sub(r.queue[0].at) > t.o.QueueFor {
+	for len(r.queue) > 0 && now.Sub(r.queue[0].at) > t.o.QueueTimeout {
 		t.dropOldest(r)
 	}
 }
--- a/serve/peer/options.go
+++ b/serve/peer/options.go
@@ -15,18 +15,18 @@
 	// Key is the secret that all entry VMs share; at least MinKey bytes.
 	Key []byte
 
-	DialTimeout  time.Duration // to get a connection
-	HelloTimeout time.Duration // to complete the handshake
-	AckDelay     time.Duration // before a frame is acknowledged by an empty one
-	SilentAfter  time.Duration // unacknowledged, before a replacement is dialled
-	LostAfter    time.Duration // unacknowledged, before a connection is given up
-	IdleAfter    time.Duration // without any frame, before a connection is closed
-	BackoffMin   time.Duration // after a first failure to connect
-	BackoffMax   time.Duration // after many
-	QueueFor     time.Duration // that a message waits for a connection
-	QueueBytes   int           // that wait for a VM; beyond it the oldest go
-	WindowBytes  int           // unacknowledged on one connection
-	Connections  int           // accepted at once
+	DialTimeout      time.Duration // to get a connection
+	HandshakeTimeout time.Duration // to complete the handshake
+	AckDelay         time.Duration // before a frame is acknowledged by an empty one
+	ReplaceAfter     time.Duration // unacknowledged, before a replacement is dialled
+	LostAfter        time.Duration // unacknowledged, before a connection is given up
+	IdleTimeout      time.Duration // without any frame, before a connection is closed
+	BackoffMin       time.Duration // after a first failure to connect
+	BackoffMax       time.Duration // after many
+	QueueTimeout     time.Duration // that a message waits for a connection
+	MaxQueueBytes    int           // that wait for a VM; beyond it the oldest go
+	WindowBytes      int           // unacknowledged on one connection
+	MaxConnections   int           // accepted at once
 
 	// Link, if set, may hold frames back; for tests.
 	Link Link
@@ -34,27 +34,27 @@
 
 // The defaults of Options.
 const (
-	DefaultDialTimeout  = time.Second
-	DefaultHelloTimeout = time.Second
-	DefaultAckDelay     = 40 * time.Millisecond
-	DefaultSilentAfter  = 500 * time.Millisecond
-	DefaultLostAfter    = 1500 * time.Millisecond
-	DefaultIdleAfter    = 45 * time.Second
-	DefaultBackoffMin   = 50 * time.Millisecond
-	DefaultBackoffMax   = time.Second
-	DefaultQueueFor     = 3 * time.Second
-	DefaultQueueBytes   = MaxFrame + 256<<10
-	DefaultWindowBytes  = MaxFrame + 256<<10
-	DefaultConnections  = 4096
-	// MinKey is the least length of the shared key.
-	MinKey = 16
+	DefaultDialTimeout      = time.Second
+	DefaultHandshakeTimeout = time.Second
+	DefaultAckDelay         = 40 * time.Millisecond
+	DefaultReplaceAfter     = 500 * time.Millisecond
+	DefaultLostAfter        = 1500 * time.Millisecond
+	DefaultIdleTimeout      = 45 * time.Second
+	DefaultBackoffMin       = 50 * time.Millisecond
+	DefaultBackoffMax       = time.Second
+	DefaultQueueTimeout     = 3 * time.Second
+	DefaultMaxQueueBytes    = MaxFrame + 256<<10
+	DefaultWindowBytes      = MaxFrame + 256<<10
+	DefaultMaxConnections   = 4096
+	// MinKeyBytes is the least length of the shared key.
+	MinKeyBytes = 16
 )
 
-// ackBytes received are acknowledged without delay.
-const ackBytes = 64 << 10
+// immediateAckBytes received are acknowledged without delay.
+const immediateAckBytes = 64 << 10
 
-// maintainEvery is the resolution of the durations above.
-const maintainEvery = 20 * time.Millisecond
+// maintainInterval is the resolution of the durations above.
+const maintainInterval = 20 * time.Millisecond
 
 // Errors of New and Send.
 var (
@@ -74,17 +74,17 @@
 
 func (o Options) withDefaults() Options {
 	setDuration(&o.DialTimeout, DefaultDialTimeout)
-	setDuration(&o.HelloTimeout, DefaultHelloTimeout)
+	setDuration(&o.HandshakeTimeout, DefaultHandshakeTimeout)
 	setDuration(&o.AckDelay, DefaultAckDelay)
-	setDuration(&o.SilentAfter, DefaultSilentAfter)
+	setDuration(&o.ReplaceAfter, DefaultReplaceAfter)
 	setDuration(&o.LostAfter, DefaultLostAfter)
-	setDuration(&o.IdleAfter, DefaultIdleAfter)
+	setDuration(&o.IdleTimeout, DefaultIdleTimeout)
 	setDuration(&o.BackoffMin, DefaultBackoffMin)
 	setDuration(&o.BackoffMax, DefaultBackoffMax)
-	setDuration(&o.QueueFor, DefaultQueueFor)
-	setInt(&o.QueueBytes, DefaultQueueBytes)
+	setDuration(&o.QueueTimeout, DefaultQueueTimeout)
+	setInt(&o.MaxQueueBytes, DefaultMaxQueueBytes)
 	setInt(&o.WindowBytes, DefaultWindowBytes)
-	setInt(&o.Connections, DefaultConnections)
+	setInt(&o.MaxConnections, DefaultMaxConnections)
 	return o
 }
 
--- a/serve/peer/queue.go
+++ b/serve/peer/queue.go
@@ -4,8 +4,8 @@
 
 func (t *Transport) enqueue(r *remote, q queued) {
 	r.queue = append(r.queue, q)
-	r.bytes += q.size
-	for r.bytes > t.o.QueueBytes && len(r.queue) > 1 {
+	r.queuedBytes += q.size
+	for r.queuedBytes > t.o.MaxQueueBytes && len(r.queue) > 1 {
 		t.dropOldest(r)
 	}
 }
@@ -16,35 +16,35 @@
 }
 
 func (t *Transport) dequeue(r *remote) {
-	r.bytes -= r.queue[0].size
+	r.queuedBytes -= r.queue[0].size
 	r.queue[0] = queued{}
 	r.queue = r.queue[1:]
 }
 
-// drain sends what waits for a VM, as far as the window of its connection
+// sendQueued sends what waits for a VM, as far as the window of its connection
 // goes. Waiting messages are merged into fewer frames.
-func (t *Transport) drain(id fleet.VMID) {
+func (t *Transport) sendQueued(id fleet.VMID) {
 	r := t.remotes[id]
 	if r == nil {
 		return
 	}
-	for len(r.queue) > 0 && r.cur != nil && !r.cur.closed {
-		if r.cur.unackedBytes > 0 && r.cur.unackedBytes+r.queue[0].size > t.o.WindowBytes {
+	for len(r.queue) > 0 && r.current != nil && !r.current.closed {
+		if r.current.unackedBytes > 0 && r.current.unackedBytes+r.queue[0].size > t.o.WindowBytes {
 			return
 		}
-		if err := r.cur.send(t.merge(r)); err != nil {
+		if err := r.current.send(t.mergeQueued(r)); err != nil {
 			t.stats.Dropped++
 		}
 	}
 }
 
-func (t *Transport) merge(r *remote) []Body {
+func (t *Transport) mergeQueued(r *remote) []Body {
 	first := r.queue[0]
 	bodies, size := first.bodies, first.size
 	t.dequeue(r)
 	for len(r.queue) > 0 {
 		next := r.queue[0]
-		if size+next.size > mergeBytes || len(bodies)+len(next.bodies) > MaxBodies {
+		if size+next.size > maxMergedBytes || len(bodies)+len(next.bodies) > MaxBodies {
 			break
 		}
 		bodies = append(bodies[:len(bodies):len(bodies)], next.bodies...)
--- a/serve/peer/stats.go
+++ b/serve/peer/stats.go
@@ -17,7 +17,7 @@
 	RefusedType        uint64 `json:"refused_type"`
 	RefusedKey         uint64 `json:"refused_key"`  // hello not made with the shared key
 	RefusedMAC         uint64 `json:"refused_mac"`  // frame replayed, reordered or forged
-	RefusedForm        uint64 `json:"refused_form"` // payload malformed
+	RefusedMalformed   uint64 `json:"refused_form"` // payload malformed
 	RefusedMisdirected uint64 `json:"refused_misdirected"`
 	RefusedConnections uint64 `json:"refused_connections"` // too many at once
 	HelloTimeouts      uint64 `json:"hello_timeouts"`
@@ -26,15 +26,15 @@
 	DialsFailed  uint64 `json:"dials_failed"`
 	Replaced     uint64 `json:"replaced"` // silent connections
 	Lost         uint64 `json:"lost"`     // connections given up or closed by the other side
-	Idled        uint64 `json:"idled"`
+	IdleClosed   uint64 `json:"idled"`
 	Dropped      uint64 `json:"dropped"` // messages pushed out of a queue or too old
 	Unconfirmed  uint64 `json:"unconfirmed"`
 	Connections  uint64 `json:"connections"`
 	QueuedBodies uint64 `json:"queued_bodies"`
 }
 
-// refuse counts the cause for which a connection is closed.
-func (s *Stats) refuse(err error) {
+// countRefusal counts the cause for which a connection is closed.
+func (s *Stats) countRefusal(err error) {
 	switch {
 	case errors.Is(err, ErrFrameSize):
 		s.RefusedSize++
@@ -49,6 +49,6 @@
 	case errors.Is(err, ErrMisdirected):
 		s.RefusedMisdirected++
 	default:
-		s.RefusedForm++
+		s.RefusedMalformed++
 	}
 }
--- a/serve/peer/transport.go
+++ b/serve/peer/transport.go
@@ -18,42 +18,42 @@
 // concurrent use, and it must not block.
 type Handler func(from fleet.VMID, env Envelope)
 
-// Failed is told that no connection to a VM could be had or that it was
+// FailureHandler is told that no connection to a VM could be had or that it was
 // given up. It may come from any goroutine.
-type Failed func(to fleet.VMID)
+type FailureHandler func(to fleet.VMID)
 
 // Transport connects one entry VM with others. Its methods are safe for
 // concurrent use.
 type Transport struct {
-	o       Options
-	handle  Handler
-	failed  Failed
-	engine  *nbio.Engine
-	stop    chan struct{}
-	stopped sync.WaitGroup
+	o          Options
+	handle     Handler
+	failed     FailureHandler
+	engine     *nbio.Engine
+	stop       chan struct{}
+	goroutines sync.WaitGroup
 
-	looping    chan struct{} // closed once the engine's loops run
-	firstClose sync.Once
+	loopsStarted chan struct{} // closed once the engine's loops run
+	firstClose   sync.Once
 
 	mu       sync.Mutex
 	stats    Stats
 	draining bool // Close has begun
 	remotes  map[fleet.VMID]*remote
 	conns    map[*conn]struct{}
-	unwanted []*nbio.Conn // to be closed
+	toClose  []*nbio.Conn // to be closed
 	accepted int
 	closing  bool
 }
 
 // remote is another entry VM.
 type remote struct {
-	vm       fleet.VM
-	cur      *conn // the connection in use; nil while there is none
-	dialling bool
-	failures int
-	nextDial time.Time
-	queue    []queued
-	bytes    int
+	vm          fleet.VM
+	current     *conn // the connection in use; nil while there is none
+	dialling    bool
+	failures    int
+	nextDial    time.Time
+	queue       []queued
+	queuedBytes int
 }
 
 // queued is a Send that waits for a connection or for its window.
@@ -64,9 +64,9 @@
 }
 
 // New returns a transport that doesn't listen yet. failed may be nil.
-func New(o Options, handle Handler, failed Failed) (*Transport, error) {
-	if len(o.Key) < MinKey {
-		return nil, fmt.Errorf("%w: %d bytes, at least %d", ErrKey, len(o.Key), MinKey)
+func New(o Options, handle Handler, failed FailureHandler) (*Transport, error) {
+	if len(o.Key) < MinKeyBytes {
+		return nil, fmt.Errorf("%w: %d bytes, at least %d", ErrKey, len(o.Key), MinKeyBytes)
 	}
 	if o.ID == "" {
 		return nil, ErrID
@@ -75,13 +75,13 @@
 		failed = func(fleet.VMID) {}
 	}
 	return &Transport{
-		o:       o.withDefaults(),
-		handle:  handle,
-		failed:  failed,
-		stop:    make(chan struct{}),
-		looping: make(chan struct{}),
-		remotes: make(map[fleet.VMID]*remote),
-		conns:   make(map[*conn]struct{}),
+		o:            o.withDefaults(),
+		handle:       handle,
+		failed:       failed,
+		stop:         make(chan struct{}),
+		loopsStarted: make(chan struct{}),
+		remotes:      make(map[fleet.VMID]*remote),
+		conns:        make(map[*conn]struct{}),
 	}, nil
 }
 
@@ -106,7 +106,7 @@
 		t.engine = nil // Close must not stop it: nbio panics on one that has no loops
 		return "", fmt.Errorf("peer: listen on %s: %w", addr, err)
 	}
-	t.stopped.Add(1)
+	t.goroutines.Add(1)
 	go t.maintainLoop()
 	addr = t.engine.Addrs[0]
 	return addr, t.awaitLoops(addr)
@@ -125,7 +125,7 @@
 	if err := c.Close(); err != nil {
 		return fmt.Errorf("peer: listen on %s: %w", addr, err)
 	}
-	<-t.looping
+	<-t.loopsStarted
 	return nil
 }
 
@@ -161,12 +161,12 @@
 	if t.draining {
 		return ErrClosed
 	}
-	r, err := t.remote(to)
+	r, err := t.remoteFor(to)
 	if err != nil {
 		return err
 	}
 	t.enqueue(r, queued{bodies: bodies, size: size, at: t.now()})
-	t.drain(to.ID)
+	t.sendQueued(to.ID)
 	t.dialIfNeeded(r)
 	return nil
 }
@@ -176,13 +176,13 @@
 	bodyOverhead = 1 + 2 + 5
 	// dataOverhead is the most that the rest of a data frame's payload takes.
 	dataOverhead = 1 + 9 + 3
-	// mergeBytes bounds a frame made of several queued Sends.
-	mergeBytes = 64 << 10
+	// maxMergedBytes bounds a frame made of several queued Sends.
+	maxMergedBytes = 64 << 10
 )
 
-// remote finds or makes the entry for a VM. A higher incarnation than that of
+// remoteFor finds or makes the entry for a VM. A higher incarnation than that of
 // the connection in use means that its process is gone.
-func (t *Transport) remote(to fleet.VM) (*remote, error) {
+func (t *Transport) remoteFor(to fleet.VM) (*remote, error) {
 	r := t.remotes[to.ID]
 	if r == nil {
 		if to.PeerAddr == "" {
@@ -191,7 +191,7 @@
 		r = &remote{vm: to}
 		t.remotes[to.ID] = r
 	}
-	if to.PeerAddr == "" && r.cur == nil && r.vm.PeerAddr == "" {
+	if to.PeerAddr == "" && r.current == nil && r.vm.PeerAddr == "" {
 		return nil, fmt.Errorf("%w: %s", ErrNoAddress, to.ID)
 	}
 	if to.PeerAddr != "" && to.Incarnation >= r.vm.Incarnation {
@@ -200,8 +200,8 @@
 		}
 		r.vm = to
 	}
-	if r.cur != nil && r.cur.incarnation < to.Incarnation {
-		t.closeConn(r.cur)
+	if r.current != nil && r.current.incarnation < to.Incarnation {
+		t.closeConn(r.current)
 	}
 	return r, nil
 }
@@ -213,7 +213,7 @@
 	if t.closing {
 		return false
 	}
-	if !c.dialled && t.accepted >= t.o.Connections {
+	if !c.dialled && t.accepted >= t.o.MaxConnections {
 		t.stats.RefusedConnections++
 		return false
 	}
@@ -242,7 +242,7 @@
 func (t *Transport) closeLater(nb *nbio.Conn) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.unwanted = append(t.unwanted, nb)
+	t.toClose = append(t.toClose, nb)
 }
 
 func (t *Transport) onData(nb *nbio.Conn, b []byte) {
@@ -250,7 +250,7 @@
 	if !ok {
 		return
 	}
-	envs, err := c.data(b)
+	envs, err := c.receive(b)
 	for _, env := range envs {
 		t.handle(env.From, env)
 	}
@@ -258,7 +258,7 @@
 		return
 	}
 	t.mu.Lock()
-	t.stats.refuse(err)
+	t.stats.countRefusal(err)
 	t.mu.Unlock()
 	_ = nb.CloseWithError(err)
 }
@@ -279,19 +279,19 @@
 // onClose is called by nbio once for each connection, in a goroutine of its
 // own.
 func (t *Transport) onClose(nb *nbio.Conn, _ error) {
-	t.firstClose.Do(func() { close(t.looping) })
+	t.firstClose.Do(func() { close(t.loopsStarted) })
 	c, ok := nb.Session().(*conn)
 	if !ok {
 		return
 	}
-	if t.forget(c) {
+	if t.removeConn(c) {
 		t.failed(c.peer)
 	}
 }
 
-// forget removes a closed connection. It reports true if that leaves a VM
+// removeConn removes a closed connection. It reports true if that leaves a VM
 // without one that it had or was to get.
-func (t *Transport) forget(c *conn) bool {
+func (t *Transport) removeConn(c *conn) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	c.closed = true
@@ -306,14 +306,14 @@
 	if r == nil || t.closing {
 		return false
 	}
-	if c.dialled && !c.ready {
+	if c.dialled && !c.established {
 		t.backOff(r)
 		return true
 	}
-	if r.cur != c {
+	if r.current != c {
 		return false
 	}
-	r.cur = nil
+	r.current = nil
 	t.stats.Lost++
 	t.countUnconfirmed(c)
 	t.dialIfNeeded(r)
@@ -326,10 +326,10 @@
 	}
 }
 
-// connected makes a connection that has completed the handshake the one in
+// useConn makes a connection that has completed the handshake the one in
 // use. A silent one is closed; any other one closes once idle, since both
 // sides may have dialled at once and must not each close what the other uses.
-func (t *Transport) connected(c *conn) {
+func (t *Transport) useConn(c *conn) {
 	r := t.remotes[c.peer]
 	if r == nil {
 		r = &remote{vm: fleet.VM{ID: c.peer, Incarnation: c.incarnation}}
@@ -340,17 +340,17 @@
 	}
 	r.failures = 0
 	r.nextDial = time.Time{}
-	old := r.cur
+	old := r.current
 	if old != nil && old.incarnation > c.incarnation {
 		return
 	}
-	r.cur = c
-	if old != nil && old.silentFor(t.now()) > t.o.SilentAfter {
+	r.current = c
+	if old != nil && old.unackedFor(t.now()) > t.o.ReplaceAfter {
 		t.stats.Replaced++
 		t.countUnconfirmed(old)
 		t.closeConn(old)
 	}
-	t.drain(c.peer)
+	t.sendQueued(c.peer)
 }
 
 // closeConn closes a connection for a reason of our own.
@@ -363,8 +363,8 @@
 	if !c.dialled {
 		t.accepted--
 	}
-	if r := t.remotes[c.peer]; r != nil && r.cur == c {
-		r.cur = nil
+	if r := t.remotes[c.peer]; r != nil && r.current == c {
+		r.current = nil
 	}
 	_ = c.nb.Close()
 }
@@ -387,13 +387,13 @@
 	t.closing = true
 	t.mu.Unlock()
 	close(t.stop)
-	t.stopped.Wait()
+	t.goroutines.Wait()
 	t.engine.Stop()
 	return err
 }
 
 func (t *Transport) flush(ctx context.Context) error {
-	tick := time.NewTicker(maintainEvery / 4)
+	tick := time.NewTicker(maintainInterval / 4)
 	defer tick.Stop()
 	for {
 		if t.flushed() {
@@ -423,4 +423,4 @@
 	return true
 }
 
-func equal(a, b []byte) bool { return hmac.Equal(a, b) }
+func macEqual(a, b []byte) bool { return hmac.Equal(a, b) }
--- a/serve/peer/transport_test.go
+++ b/serve/peer/transport_test.go
@@ -17,18 +17,18 @@
 	"github.com/azurethread/azurethread/decide/member"
 )
 
-func TestMessagesBothWays(t *testing.T) {
+func TestMessagesInBothDirections(t *testing.T) {
 	is := is.New(t)
 	a, b := newEndpoint(t, "a", nil), newEndpoint(t, "b", func(o *Options) { o.Incarnation = 7 })
 	for i := range 200 {
-		is.NoErr(a.Send(b.vm, text(fmt.Sprint(i)), text("x")))
+		is.NoErr(a.Send(b.vm, textBody(fmt.Sprint(i)), textBody("x")))
 	}
 	eventually(t, "all messages", func() bool { return len(b.bodies()) == 400 })
 	for i := range 200 {
 		is.Equal(b.bodies()[2*i], fmt.Sprint(i))
 	}
 	// The answer takes the connection that a opened: no address is needed.
-	is.NoErr(b.Send(fleet.VM{ID: "a"}, text("back")))
+	is.NoErr(b.Send(fleet.VM{ID: "a"}, textBody("back")))
 	eventually(t, "the answer", func() bool { return len(a.bodies()) == 1 })
 	is.Equal(a.envs[0].From, fleet.VMID("b"))
 	is.Equal(a.envs[0].FromIncarnation, fleet.Incarnation(7))
@@ -38,9 +38,9 @@
 func TestLargestMessage(t *testing.T) {
 	is := is.New(t)
 	a, b := newEndpoint(t, "a", nil), newEndpoint(t, "b", nil)
-	large := text(strings.Repeat("x", MaxBody))
+	large := textBody(strings.Repeat("x", MaxBody))
 	is.NoErr(a.Send(b.vm, large))
-	is.NoErr(a.Send(b.vm, text("after")))
+	is.NoErr(a.Send(b.vm, textBody("after")))
 	eventually(t, "both", func() bool { return len(b.bodies()) == 2 })
 	is.Equal(b.bodies()[0], string(large.Data))
 	err := a.Send(b.vm, large, large)
@@ -70,7 +70,7 @@
 	is := is.New(t)
 	b := newEndpoint(t, "b", nil)
 	stranger := newEndpoint(t, "a", func(o *Options) { o.Key = []byte("another key, as long as ours") })
-	is.NoErr(stranger.Send(b.vm, text("let me in")))
+	is.NoErr(stranger.Send(b.vm, textBody("let me in")))
 	eventually(t, "the refusal", func() bool { return b.Stats().RefusedKey > 0 })
 	eventually(t, "the failure", func() bool { return stranger.failures() > 0 })
 	is.Equal(len(b.bodies()), 0)
@@ -83,18 +83,18 @@
 	b := newEndpoint(t, "b", nil)
 	c := dialRaw(t, b.vm.PeerAddr)
 	c.write(t, []byte{0x7f, 0xff, 0xff, 0xff, Version, byte(typeHello)})
-	c.closedByPeer(t)
+	c.expectClosed(t)
 	// A hello may not even be as large as a data frame.
 	c = dialRaw(t, b.vm.PeerAddr)
 	c.write(t, []byte{0, 0, 0xff, 0xff, Version, byte(typeHello)})
-	c.closedByPeer(t)
+	c.expectClosed(t)
 	// After the handshake the bound is that of data frames.
 	c = dialRaw(t, b.vm.PeerAddr)
-	is.NoErr(c.greet(t, "a", "b", testKey))
-	c.write(t, c.data(t, text("fine")))
+	is.NoErr(c.handshake(t, "a", "b", testKey))
+	c.write(t, c.sealData(t, textBody("fine")))
 	eventually(t, "a frame", func() bool { return len(b.bodies()) == 1 })
 	c.write(t, []byte{0, 0x20, 0, 0, Version, byte(typeData)})
-	c.closedByPeer(t)
+	c.expectClosed(t)
 	is.Equal(b.Stats().RefusedSize, uint64(3))
 }
 
@@ -105,7 +105,7 @@
 func TestMalformedFramesAreRefused(t *testing.T) {
 	is := is.New(t)
 	b := newEndpoint(t, "b", nil)
-	good, err := appendData(0, []Body{text("x")})
+	good, err := appendData(0, []Body{textBody("x")})
 	is.NoErr(err)
 	payloads := map[string][]byte{
 		"empty":          {},
@@ -117,20 +117,20 @@
 	}
 	for name, p := range payloads {
 		c := dialRaw(t, b.vm.PeerAddr)
-		is.NoErr(c.greet(t, "a", "b", testKey))
-		c.write(t, seal(typeData, p, c.out.sum))
-		c.closedByPeer(t)
+		is.NoErr(c.handshake(t, "a", "b", testKey))
+		c.write(t, sealFrame(typeData, p, c.out.sum))
+		c.expectClosed(t)
 		t.Log(name)
 	}
-	is.Equal(b.Stats().RefusedForm, uint64(len(payloads)))
+	is.Equal(b.Stats().RefusedMalformed, uint64(len(payloads)))
 
 	c := dialRaw(t, b.vm.PeerAddr)
 	c.write(t, append([]byte{0, 0, 0, 20, Version + 1, byte(typeHello)}, make([]byte, 18)...))
-	c.closedByPeer(t)
+	c.expectClosed(t)
 	is.Equal(b.Stats().RefusedVersion, uint64(1))
 	c = dialRaw(t, b.vm.PeerAddr)
 	c.write(t, append([]byte{0, 0, 0, 20, Version, byte(typeData)}, make([]byte, 18)...))
-	c.closedByPeer(t)
+	c.expectClosed(t)
 	is.Equal(b.Stats().RefusedType, uint64(1))
 	is.Equal(len(b.bodies()), 0)
 }
@@ -143,33 +143,33 @@
 	is := is.New(t)
 	b := newEndpoint(t, "b", nil)
 	c := dialRaw(t, b.vm.PeerAddr)
-	is.NoErr(c.greet(t, "a", "b", testKey))
-	frame := c.data(t, text("once"))
+	is.NoErr(c.handshake(t, "a", "b", testKey))
+	frame := c.sealData(t, textBody("once"))
 	c.write(t, frame)
 	eventually(t, "the frame", func() bool { return len(b.bodies()) == 1 })
 	c.write(t, frame)
-	c.closedByPeer(t)
+	c.expectClosed(t)
 	is.Equal(b.Stats().RefusedMAC, uint64(1))
 
 	other := dialRaw(t, b.vm.PeerAddr)
-	is.NoErr(other.greet(t, "a", "b", testKey))
+	is.NoErr(other.handshake(t, "a", "b", testKey))
 	other.write(t, frame)
-	other.closedByPeer(t)
+	other.expectClosed(t)
 	is.Equal(b.Stats().RefusedMAC, uint64(2))
 
 	again := dialRaw(t, b.vm.PeerAddr)
-	for _, w := range c.wrote {
+	for _, w := range c.written {
 		again.write(t, w)
 	}
-	again.closedByPeer(t)
+	again.expectClosed(t)
 	is.Equal(b.Stats().RefusedMAC, uint64(3))
 
 	// A frame left out shows as well.
 	gap := dialRaw(t, b.vm.PeerAddr)
-	is.NoErr(gap.greet(t, "a", "b", testKey))
-	gap.data(t, text("lost"))
-	gap.write(t, gap.data(t, text("next")))
-	gap.closedByPeer(t)
+	is.NoErr(gap.handshake(t, "a", "b", testKey))
+	gap.sealData(t, textBody("lost"))
+	gap.write(t, gap.sealData(t, textBody("next")))
+	gap.expectClosed(t)
 	is.Equal(b.Stats().RefusedMAC, uint64(4))
 	is.Equal(len(b.bodies()), 1)
 }
@@ -181,9 +181,9 @@
 	is := is.New(t)
 	b := newEndpoint(t, "b", nil)
 	c := dialRaw(t, b.vm.PeerAddr)
-	h, err := Encode(0, &hello{ID: "a", Wants: "b", Nonce: c.nonce})
+	h, err := Encode(0, &hello{ID: "a", Recipient: "b", Nonce: c.nonce})
 	is.NoErr(err)
-	c.write(t, seal(typeHello, h.Data, helloMAC(testKey, nil)))
+	c.write(t, sealFrame(typeHello, h.Data, helloMAC(testKey, nil)))
 	frame, err := c.readFrame()
 	is.NoErr(err)
 	recorded := append([]byte{0, 0, 0, byte(len(frame))}, frame...)
@@ -198,18 +198,18 @@
 		}
 	}()
 	a := newEndpoint(t, "a", nil)
-	is.NoErr(a.Send(fleet.VM{ID: "b", PeerAddr: l.Addr().String()}, text("secret")))
+	is.NoErr(a.Send(fleet.VM{ID: "b", PeerAddr: l.Addr().String()}, textBody("secret")))
 	eventually(t, "the refusal", func() bool { return a.Stats().RefusedKey == 1 })
 }
 
 // Symptom: messages for one VM reach another. Sequence: a VM is replaced, and
 // its IP number is given to a VM of another name. Cause: addresses outlive
 // the VMs behind them.
-func TestAddressOfAnotherVM(t *testing.T) {
+func TestMisdirectedHelloIsRefused(t *testing.T) {
 	is := is.New(t)
 	a, b := newEndpoint(t, "a", nil), newEndpoint(t, "b", nil)
 	wrong := fleet.VM{ID: "c", PeerAddr: b.vm.PeerAddr}
-	is.NoErr(a.Send(wrong, text("for c")))
+	is.NoErr(a.Send(wrong, textBody("for c")))
 	eventually(t, "the refusal", func() bool { return b.Stats().RefusedMisdirected > 0 })
 	eventually(t, "the failure", func() bool { return a.failures() > 0 })
 	is.Equal(len(b.bodies()), 0)
@@ -220,19 +220,19 @@
 func TestSlowHelloIsClosed(t *testing.T) {
 	is := is.New(t)
 	b := newEndpoint(t, "b", func(o *Options) {
-		o.HelloTimeout = 50 * time.Millisecond
-		o.Connections = 2
+		o.HandshakeTimeout = 50 * time.Millisecond
+		o.MaxConnections = 2
 	})
 	slow := []*rawClient{dialRaw(t, b.vm.PeerAddr), dialRaw(t, b.vm.PeerAddr)}
 	eventually(t, "both", func() bool { return b.Stats().Connections == 2 })
-	dialRaw(t, b.vm.PeerAddr).closedByPeer(t)
+	dialRaw(t, b.vm.PeerAddr).expectClosed(t)
 	is.Equal(b.Stats().RefusedConnections, uint64(1))
 	for _, c := range slow {
-		c.closedByPeer(t)
+		c.expectClosed(t)
 	}
 	is.Equal(b.Stats().HelloTimeouts, uint64(2))
 	a := newEndpoint(t, "a", nil)
-	is.NoErr(a.Send(b.vm, text("in")))
+	is.NoErr(a.Send(b.vm, textBody("in")))
 	eventually(t, "a peer", func() bool { return len(b.bodies()) == 1 })
 }
 
@@ -263,18 +263,18 @@
 	link := &switchLink{}
 	a := newEndpoint(t, "a", func(o *Options) {
 		o.Link = link
-		o.SilentAfter = 100 * time.Millisecond
+		o.ReplaceAfter = 100 * time.Millisecond
 		o.LostAfter = time.Hour
 	})
 	b := newEndpoint(t, "b", nil)
-	is.NoErr(a.Send(b.vm, text("before")))
+	is.NoErr(a.Send(b.vm, textBody("before")))
 	eventually(t, "a frame", func() bool { return len(b.bodies()) == 1 })
 
 	link.set(true)
-	is.NoErr(a.Send(b.vm, text("swallowed"))) // from here on this connection is silent
+	is.NoErr(a.Send(b.vm, textBody("swallowed"))) // from here on this connection is silent
 	link.set(false)
 	eventually(t, "the replacement", func() bool { return a.Stats().Replaced == 1 })
-	is.NoErr(a.Send(b.vm, text("after")))
+	is.NoErr(a.Send(b.vm, textBody("after")))
 	eventually(t, "a frame on the new connection", func() bool { return len(b.bodies()) == 2 })
 	is.Equal(b.bodies()[1], "after")
 	is.Equal(a.Stats().Unconfirmed, uint64(1))
@@ -284,25 +284,25 @@
 // all frames are lost for a while, those of new handshakes included. Cause:
 // the old connections are silent for good, and the attempts to replace them
 // fail as long as the outage lasts.
-func TestOutageEnds(t *testing.T) {
+func TestReconnectsAfterOutage(t *testing.T) {
 	is := is.New(t)
 	link := &switchLink{}
 	a := newEndpoint(t, "a", func(o *Options) {
 		o.Link = link
-		o.SilentAfter = 50 * time.Millisecond
+		o.ReplaceAfter = 50 * time.Millisecond
 		o.LostAfter = 150 * time.Millisecond
-		o.HelloTimeout = 50 * time.Millisecond
+		o.HandshakeTimeout = 50 * time.Millisecond
 		o.BackoffMin, o.BackoffMax = time.Millisecond, 20*time.Millisecond
 	})
 	b := newEndpoint(t, "b", nil)
-	is.NoErr(a.Send(b.vm, text("before")))
+	is.NoErr(a.Send(b.vm, textBody("before")))
 	eventually(t, "a frame", func() bool { return len(b.bodies()) == 1 })
 	link.set(true)
-	is.NoErr(a.Send(b.vm, text("lost")))
+	is.NoErr(a.Send(b.vm, textBody("lost")))
 	eventually(t, "the failure", func() bool { return a.failures() > 0 })
 	link.set(false)
 	eventually(t, "a frame after the outage", func() bool {
-		is.NoErr(a.Send(b.vm, text("after")))
+		is.NoErr(a.Send(b.vm, textBody("after")))
 		return slices.Contains(b.bodies(), "after")
 	})
 }
@@ -310,15 +310,15 @@
 // Symptom: the process that serves callers stands still, or its memory grows,
 // because of one VM. Sequence: that VM accepts connections and never reads.
 // Cause: a send that waits, or keeps everything that waits.
-func TestStuckPeerBlocksNobody(t *testing.T) {
+func TestStuckPeerDoesNotBlockOthers(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
 	defer l.Close()
 	const limit = 100 << 10
-	a := newEndpoint(t, "a", func(o *Options) { o.QueueBytes = limit })
+	a := newEndpoint(t, "a", func(o *Options) { o.MaxQueueBytes = limit })
 	stuck := fleet.VM{ID: "stuck", PeerAddr: l.Addr().String()}
-	body := text(strings.Repeat("x", 1000))
+	body := textBody(strings.Repeat("x", 1000))
 	for range 1000 {
 		is.NoErr(a.Send(stuck, body))
 	}
@@ -326,7 +326,7 @@
 	is.True(s.QueuedBodies <= limit/1000)
 	is.Equal(s.Dropped+s.QueuedBodies, uint64(1000))
 	b := newEndpoint(t, "b", nil)
-	is.NoErr(a.Send(b.vm, text("hello")))
+	is.NoErr(a.Send(b.vm, textBody("hello")))
 	eventually(t, "another VM", func() bool { return len(b.bodies()) == 1 })
 }
 
@@ -337,10 +337,10 @@
 	is := is.New(t)
 	a := newEndpoint(t, "a", func(o *Options) { o.BackoffMin = time.Millisecond })
 	first := newEndpoint(t, "b", nil)
-	is.NoErr(a.Send(first.vm, text("one")))
+	is.NoErr(a.Send(first.vm, textBody("one")))
 	eventually(t, "a frame", func() bool { return len(first.bodies()) == 1 })
 	second := newEndpoint(t, "b", func(o *Options) { o.Incarnation = 2 })
-	is.NoErr(a.Send(second.vm, text("two")))
+	is.NoErr(a.Send(second.vm, textBody("two")))
 	eventually(t, "a frame at the second", func() bool { return len(second.bodies()) == 1 })
 	is.Equal(len(first.bodies()), 1)
 	is.Equal(second.bodies()[0], "two")
@@ -349,26 +349,26 @@
 // Symptom: what was sent just before a planned stop never arrives. Sequence:
 // messages are handed over and the transport is closed at once. Cause: they
 // were still in the queue, waiting for a connection.
-func TestCloseDeliversFirst(t *testing.T) {
+func TestCloseFlushesQueue(t *testing.T) {
 	is := is.New(t)
 	a, b := newEndpoint(t, "a", nil), newEndpoint(t, "b", nil)
 	for i := range 50 {
-		is.NoErr(a.Send(b.vm, text(fmt.Sprint(i))))
+		is.NoErr(a.Send(b.vm, textBody(fmt.Sprint(i))))
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), eventuallyTimeout)
 	defer cancel()
 	is.NoErr(a.Close(ctx))
 	is.Equal(len(b.bodies()), 50)
-	is.True(errors.Is(a.Send(b.vm, text("late")), ErrClosed))
+	is.True(errors.Is(a.Send(b.vm, textBody("late")), ErrClosed))
 	is.True(errors.Is(a.Close(ctx), ErrClosed))
 }
 
-func TestSettingsAreChecked(t *testing.T) {
+func TestOptionsAreChecked(t *testing.T) {
 	is := is.New(t)
 	_, err := New(Options{ID: "a", Key: []byte("short")}, nil, nil)
 	is.True(errors.Is(err, ErrKey))
 	_, err = New(Options{Key: testKey}, nil, nil)
 	is.True(errors.Is(err, ErrID))
 	a := newEndpoint(t, "a", nil)
-	is.True(errors.Is(a.Send(fleet.VM{ID: "nowhere"}, text("x")), ErrNoAddress))
+	is.True(errors.Is(a.Send(fleet.VM{ID: "nowhere"}, textBody("x")), ErrNoAddress))
 }
--- a/serve/settings/settings_test.go
+++ b/serve/settings/settings_test.go
@@ -43,7 +43,7 @@
 }
 
 // A flag goes before its environment variable, which goes before the default.
-func TestSources(t *testing.T) {
+func TestPrecedence(t *testing.T) {
 	is := is.New(t)
 	t.Setenv("AZURETHREAD_IDLE_TIMEOUT", "7s")
 	t.Setenv("AZURETHREAD_SITE", "rack-1")
@@ -133,17 +133,17 @@
 
 // The marks around the table that this test writes.
 const (
-	page       = "../../docs/CONFIGURATION.md"
-	tableBegin = "<!-- settings: begin, written by go test ./serve/settings -update -->\n"
-	tableEnd   = "<!-- settings: end -->"
+	configurationPage = "../../docs/CONFIGURATION.md"
+	tableBegin        = "<!-- settings: begin, written by go test ./serve/settings -update -->\n"
+	tableEnd          = "<!-- settings: end -->"
 )
 
 // Symptom: the page describes settings that are not those of the program.
 // Sequence: a flag is added or changed.
 // Cause: a page kept by hand. Run with -update to write its table.
-func TestPage(t *testing.T) {
+func TestPageMatchesFlags(t *testing.T) {
 	is := is.New(t)
-	b, err := os.ReadFile(page)
+	b, err := os.ReadFile(configurationPage)
 	is.NoErr(err)
 	before, rest, ok := strings.Cut(string(b), tableBegin)
 	is.True(ok)
@@ -151,7 +151,7 @@
 	is.True(ok)
 	want := table()
 	if *update {
-		is.NoErr(os.WriteFile(page, []byte(before+tableBegin+want+tableEnd+after), 0o644))
+		is.NoErr(os.WriteFile(configurationPage, []byte(before+tableBegin+want+tableEnd+after), 0o644))
 		return
 	}
 	is.Equal(have, want) // run go test ./serve/settings -update
