--- a/serve/daemon/admin.go
+++ b/serve/daemon/admin.go
@@ -12,13 +12,13 @@
 	"github.com/azurethread/azurethread/serve/inbound"
 )
 
-// adminBodySlack is added to the administration API's own bound on bodies, so
-// that its answer to a larger one, with the field's name, goes out.
+// adminBodySlack is added to the body limit of the administration API, so that
+// the API itself answers a slightly larger body with its own JSON error.
 const adminBodySlack = 64 << 10
 
-// provisionAdmin starts the administration interface. It is served by package
-// inbound as well: nbhttp's own server closes a connection with answers still
-// queued, and buffers bodies of anybody up to 64 MiB.
+// provisionAdmin starts the administration interface. It uses package inbound
+// rather than nbhttp's server, which closes a connection with answers still
+// queued and buffers bodies of up to 64 MiB from unauthenticated clients.
 func (d *Daemon) provisionAdmin() error {
 	operators, err := admin.ParseOperators(d.settings.Operators)
 	if err != nil {
@@ -51,16 +51,16 @@
 	}
 	d.adminAddr = d.admin.Addr()
 	d.adminPages = inbound.Standard(mux, func(v any) {
-		d.log.WithField("panic", v).WithField("stack", string(debug.Stack())).Error("administration page failed")
+		d.log.WithField("panic", v).WithField("stack", string(debug.Stack())).Error("administration handler panicked")
 	})
 	return nil
 }
 
-// serveVars serves the daemon's metrics in expvar's form.
+// serveVars serves the daemon's metrics as JSON in the format of expvar.
 func (d *Daemon) serveVars(w http.ResponseWriter, _ *http.Request) {
 	b := []byte(d.metrics.vars.String())
 	if !json.Valid(b) {
-		http.Error(w, "metrics are not readable", http.StatusInternalServerError)
+		http.Error(w, "metrics could not be encoded as JSON", http.StatusInternalServerError)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json; charset=utf-8")
--- a/serve/daemon/answer.go
+++ b/serve/daemon/answer.go
@@ -16,18 +16,18 @@
 	Reason       verdict.Reason  `json:"reason"`
 	Message      string          `json:"message"`
 	RetryAfterMs int64           `json:"retry_after_ms,omitempty"`
-	// TokenOwner names the entry VM that knows what became of the token.
+	// TokenOwner is the entry VM that holds the outcome of the token.
 	TokenOwner     fleet.VMID `json:"ask,omitempty"`
 	TokenOwnerAddr string     `json:"ask_addr,omitempty"`
-	// EarlierStatus is the status that an earlier send of the token got.
+	// EarlierStatus is the HTTP status that an earlier send of the token got.
 	EarlierStatus int `json:"answered,omitempty"`
-	// Alternatives are other entry VMs to use, when this one is leaving.
+	// Alternatives are addresses of other entry VMs, if this one is leaving.
 	Alternatives []string `json:"alternatives,omitempty"`
-	// Token replaces the spent one after not-run.
+	// Token replaces the used one after a not-run answer.
 	Token string `json:"token,omitempty"`
 }
 
-// reasonResponse is one reason's status and text.
+// reasonResponse is the HTTP status and message of a reason.
 type reasonResponse struct {
 	status  int
 	message string
@@ -36,24 +36,24 @@
 var responseByReason = map[verdict.Reason]reasonResponse{
 	verdict.ReasonUnknownService:   {http.StatusNotFound, "The catalogue holds no such service."},
 	verdict.ReasonRouteDefect:      {http.StatusServiceUnavailable, "The configuration of the route was not understood."},
-	verdict.ReasonQuarantined:      {http.StatusServiceUnavailable, "Requests like this one end the targets that run them."},
+	verdict.ReasonQuarantined:      {http.StatusServiceUnavailable, "Requests like this one crash the targets that execute them."},
 	verdict.ReasonNotReady:         {http.StatusServiceUnavailable, "This entry VM has no configuration yet."},
 	verdict.ReasonStopping:         {http.StatusServiceUnavailable, "This entry VM is leaving. Use another one."},
 	verdict.ReasonOverload:         {http.StatusServiceUnavailable, "There is no capacity for the request now."},
 	verdict.ReasonQueueFull:        {http.StatusServiceUnavailable, "The queue is full."},
-	verdict.ReasonDeadline:         {http.StatusGatewayTimeout, "The deadline passes before an answer can be had."},
-	verdict.ReasonNoTarget:         {http.StatusServiceUnavailable, "No target of the service can take work."},
+	verdict.ReasonDeadline:         {http.StatusGatewayTimeout, "The request cannot be answered before its deadline."},
+	verdict.ReasonNoTarget:         {http.StatusServiceUnavailable, "No target of the service can accept requests."},
 	verdict.ReasonConnect:          {http.StatusBadGateway, "No connection to a target could be opened."},
 	verdict.ReasonConnectionLost:   {http.StatusBadGateway, "The connection to the target was lost."},
 	verdict.ReasonSilent:           {http.StatusBadGateway, "The target did not answer in time."},
-	verdict.ReasonAnswerCut:        {http.StatusBadGateway, "The target's answer was not whole."},
-	verdict.ReasonGateway:          {http.StatusBadGateway, "The entry VM that carried the request to its target was lost."},
+	verdict.ReasonAnswerCut:        {http.StatusBadGateway, "The target's answer was incomplete."},
+	verdict.ReasonGateway:          {http.StatusBadGateway, "The entry VM that forwarded the request to its target was lost."},
 	verdict.ReasonShed:             {http.StatusServiceUnavailable, "The targets refused the request."},
 	verdict.ReasonBodyTooLarge:     {http.StatusRequestEntityTooLarge, "The request body is larger than the limit."},
 	verdict.ReasonBadRequest:       {http.StatusBadRequest, "The request is malformed."},
 	verdict.ReasonTokenRequired:    {http.StatusPreconditionRequired, "The service is not idempotent: send a one-time token from a look-up."},
-	verdict.ReasonTokenInvalid:     {http.StatusUnauthorized, "The token was not made by this system."},
-	verdict.ReasonTokenElsewhere:   {http.StatusConflict, "The token belongs to another entry VM, which must be asked."},
+	verdict.ReasonTokenInvalid:     {http.StatusUnauthorized, "The token was not issued by this system."},
+	verdict.ReasonTokenElsewhere:   {http.StatusConflict, "The token belongs to another entry VM. Ask that one."},
 	verdict.ReasonTokenUsed:        {http.StatusConflict, "The token has been used."},
 	verdict.ReasonTokenExpired:     {http.StatusGone, "The token has expired."},
 	verdict.ReasonHopLimit:         {http.StatusServiceUnavailable, "The request may not be forwarded again."},
@@ -69,13 +69,13 @@
 	return f
 }
 
-// encodeError returns status, header and body of an error answer.
+// encodeError returns the status, header and body of an error answer.
 func encodeError(e errorBody) (int, http.Header, []byte) {
 	f := responseFor(e.Reason)
 	e.Message = f.message
 	b, err := json.Marshal(e)
 	if err != nil {
-		b = []byte("{}") // errorBody holds nothing that cannot be encoded
+		b = []byte("{}") // unreachable: every field of errorBody can be encoded
 	}
 	h := http.Header{
 		"Content-Type":  {"application/json"},
@@ -95,20 +95,20 @@
 	return f.status, h, b
 }
 
-// refusalByStatus is the answer to messages without a token that inbound
-// refuses itself.
+// refusalByStatus returns the header and body of the answer to a request
+// without a token that inbound refuses itself.
 func refusalByStatus(status int) (http.Header, []byte) {
 	e := errorBody{Verdict: verdict.NotRun, Reason: reasonOfStatus(status)}
 	if status == http.StatusRequestTimeout {
-		// What has come of it may hold a token that was sent before; only the
-		// ledger could tell what became of that send.
+		// The part not received may hold a token that was sent before, and only
+		// the token ledger knows the outcome of that send.
 		e.Verdict = verdict.MayHaveRun
 	}
 	_, h, b := encodeError(e)
 	return h, b
 }
 
-// reasonOfStatus is why inbound refused a message.
+// reasonOfStatus returns the reason for which inbound refused a request.
 func reasonOfStatus(status int) verdict.Reason {
 	switch status {
 	case http.StatusRequestEntityTooLarge, http.StatusRequestHeaderFieldsTooLarge:
--- a/serve/daemon/attempt.go
+++ b/serve/daemon/attempt.go
@@ -12,17 +12,17 @@
 	"github.com/azurethread/azurethread/serve/outbound"
 )
 
-// attempt is one send or forward of a call.
+// attempt is one send of a call to a target or to another entry VM.
 type attempt struct {
 	id           dispatch.AttemptID
 	addr         string
-	toEntryVM    bool // to an entry VM, not to a target
+	toEntryVM    bool // the receiver is an entry VM, not a target
 	outboundCall *outbound.Call
 	answer       *outbound.Answer
 	span         span
 }
 
-// sendToTarget hands a call to a target.
+// sendToTarget sends a call to a target.
 func (d *Daemon) sendToTarget(now clock.Time, s dispatch.Send) {
 	t, known := d.targets[s.Target]
 	c := d.calls.get(s.Req)
@@ -44,8 +44,9 @@
 	d.startAttempt(c, a, &r)
 }
 
-// forwardToVM hands a call to an entry VM elsewhere, with a token that only that
-// process admits, so that this hop has the same protection as a caller's.
+// forwardToVM forwards a call to another entry VM, with a new token that only
+// that process accepts, so that this hop is protected against repetition like a
+// request from a caller.
 func (d *Daemon) forwardToVM(now clock.Time, f dispatch.Forward) {
 	vm, known := d.vms[f.VM]
 	c := d.calls.get(f.Req)
@@ -68,7 +69,7 @@
 	d.startAttempt(c, a, &r)
 }
 
-// startAttempt begins an attempt unless the call has ended meanwhile.
+// startAttempt starts an attempt unless the call has finished in the meantime.
 func (d *Daemon) startAttempt(c *call, a *attempt, r *outbound.Request) {
 	if !c.addAttempt(a) {
 		a.span.end(verdict.NotRun, verdict.ReasonCallerGone)
@@ -84,12 +85,12 @@
 	c.mu.Unlock()
 }
 
-// reportNotSent reports an attempt of which nothing was handed to a connection.
+// reportNotSent reports an attempt of which nothing was written to a connection.
 func (d *Daemon) reportNotSent(r dispatch.RequestID, a dispatch.AttemptID) {
 	d.core.Post(&dispatch.Failed{Req: r, Attempt: a, Verdict: verdict.NotRun, Reason: verdict.ReasonNoTarget})
 }
 
-// attemptDone turns the outcome of an attempt into an event.
+// attemptDone posts the outcome of an attempt as an event.
 func (d *Daemon) attemptDone(c *call, a *attempt, ans *outbound.Answer, err *verdict.Error) {
 	defer d.calls.attemptEnded(c)
 	if err == nil {
@@ -111,9 +112,9 @@
 	d.core.Post(&dispatch.Answered{Req: c.id, Attempt: a.id, Status: ans.Status, Load: parseLoad(ans.Header)})
 }
 
-// parseRefusal reads an answer that is the receiver's word on a request that it
-// did not answer in substance. A target says so by headerRefused; an entry VM
-// states its verdict and reason.
+// parseRefusal returns the error that an answer reports, or nil if the answer is
+// a result. A target marks a refused request with headerRefused; an entry VM
+// sends its verdict and reason.
 func parseRefusal(a *outbound.Answer, remote bool) *verdict.Error {
 	if remote {
 		return heads.Failure(a.Header)
@@ -128,7 +129,7 @@
 	return &verdict.Error{Verdict: verdict.NotRun, Reason: reason}
 }
 
-// parseRetryAfter reads the wait that a refusal asks for.
+// parseRetryAfter returns the delay that a refusal asks for; 0 if it names none.
 func parseRetryAfter(a *outbound.Answer) time.Duration {
 	if a == nil {
 		return 0
@@ -143,7 +144,7 @@
 	return time.Duration(min(s, int64(heads.MaxWait/time.Second))) * time.Second
 }
 
-// parseLoad reads the load that a target may state with its answer.
+// parseLoad returns the load that a target may report with its answer.
 func parseLoad(h http.Header) *dispatch.LoadHint {
 	v := h.Get(headerLoad)
 	if v == "" {
@@ -163,7 +164,7 @@
 	return nil
 }
 
-// cancelAttempt ends an attempt.
+// cancelAttempt cancels an attempt that is under way.
 func (d *Daemon) cancelAttempt(k dispatch.Cancel) {
 	c := d.calls.get(k.Req)
 	if c == nil {
@@ -187,6 +188,6 @@
 	}
 }
 
-// minSuspectIdle is how long a free connection must have carried nothing to be
-// discarded together with a silent one to the same receiver.
+// minSuspectIdle is how long a free connection must have been idle to be closed
+// together with a silent connection to the same receiver.
 const minSuspectIdle = 100 * time.Millisecond
--- a/serve/daemon/blocks.go
+++ b/serve/daemon/blocks.go
@@ -8,7 +8,7 @@
 	"github.com/azurethread/azurethread/decide/engine"
 )
 
-// loadBlocks reads the table of client blocks named by the settings.
+// loadBlocks reads the table of client blocks from the configured file.
 func (d *Daemon) loadBlocks() error {
 	if d.settings.BlocksFile == "" {
 		return nil
--- a/serve/daemon/calls.go
+++ b/serve/daemon/calls.go
@@ -16,22 +16,22 @@
 	"github.com/azurethread/azurethread/serve/outbound"
 )
 
-// call is one request in hand, from its arrival to its final effect.
+// call is one request, from its arrival to its final effect.
 type call struct {
 	id       dispatch.RequestID
 	exchange *inbound.Exchange
 	service  fleet.ServiceName
-	req      outbound.Request // as it goes to targets and entry VMs
+	req      outbound.Request // as sent to targets and entry VMs
 	client   client
 	deadline clock.Time
-	isHead   bool // the caller sent HEAD; targets are asked with GET
+	isHead   bool // the caller sent HEAD; targets receive GET
 	span     span
 
-	finished atomic.Bool // the caller has its answer or has gone
+	finished atomic.Bool // the caller has been answered or has disconnected
 
 	mu       sync.Mutex
 	attempts []*attempt
-	running  int // attempts that have not ended
+	running  int // number of attempts that have not ended
 }
 
 func (c *call) findAttempt(id dispatch.AttemptID) *attempt {
@@ -45,8 +45,8 @@
 	return nil
 }
 
-// addAttempt notes a new attempt. It reports false when the call has had its final
-// effect: nothing may be sent for it any more, as nothing would cancel it.
+// addAttempt registers a new attempt. It reports false if the call has had its
+// final effect: then nothing may be sent, because nothing would cancel it.
 func (c *call) addAttempt(a *attempt) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -58,7 +58,7 @@
 	return true
 }
 
-// calls holds the requests in hand.
+// calls is the table of requests being handled.
 type calls struct {
 	lastID atomic.Uint64
 
@@ -79,9 +79,9 @@
 	return t.byID[id]
 }
 
-// finish claims the final effect of a call; nil when it has had it. The call
-// stays in the table while attempts of it are under way, so that they can
-// still be cancelled.
+// finish marks a call as finished and returns it, or nil if it was finished
+// already. The call stays in the table while attempts are under way, so that
+// they can still be cancelled.
 func (t *calls) finish(id dispatch.RequestID) *call {
 	c := t.get(id)
 	if c == nil || !c.finished.CompareAndSwap(false, true) {
@@ -91,7 +91,7 @@
 	return c
 }
 
-// attemptEnded counts an attempt out.
+// attemptEnded records the end of an attempt.
 func (t *calls) attemptEnded(c *call) {
 	c.mu.Lock()
 	c.running--
@@ -99,7 +99,7 @@
 	t.removeIfDone(c)
 }
 
-// removeIfDone drops a call that has nothing more to happen to it.
+// removeIfDone removes a finished call without running attempts from the table.
 func (t *calls) removeIfDone(c *call) {
 	if !c.finished.Load() {
 		return
@@ -128,7 +128,7 @@
 	d.servePage(x)
 }
 
-// serveCall takes in a request to be sent to a target.
+// serveCall accepts a request that is to be sent to a target.
 func (d *Daemon) serveCall(x *inbound.Exchange, service fleet.ServiceName, path string) {
 	now := d.now()
 	deadline, ok := parseDeadline(x.Header, now)
@@ -162,13 +162,13 @@
 	x.OnGone(func() { d.callerGone(c) })
 }
 
-// hasToken tells inbound which of the messages that it refuses may have been
-// sent before.
+// hasToken reports whether a request that inbound refuses may have been sent
+// before: only one with a token may be a repetition.
 func hasToken(h http.Header) bool { return h.Get(headerToken) != "" }
 
-// serveRefused answers a message with a token that inbound has refused. An
-// earlier send of the token may have run, and a copy under way may yet arrive:
-// the engine states the first and prevents the second.
+// serveRefused answers a request with a token that inbound has refused. An
+// earlier send of the token may have run, and a copy of the request may still
+// arrive: the engine reports the former and prevents the latter from running.
 func (d *Daemon) serveRefused(x *inbound.Exchange) {
 	service, _, _ := splitCall(x.URI)
 	c := &call{exchange: x, service: service}
@@ -177,7 +177,7 @@
 	d.core.Post(&engine.Reject{Req: c.id, Token: x.Header.Get(headerToken), Reason: reasonOfStatus(x.Refused)})
 }
 
-// parseHops reads how often a request has been forwarded.
+// parseHops returns how often a request has been forwarded.
 func parseHops(h http.Header) (hops uint8, ok bool) {
 	v := h.Get(headerHops)
 	if v == "" {
@@ -187,10 +187,11 @@
 	return uint8(n), err == nil
 }
 
-// clientOf tells where a request comes from. What a look-up gave the caller
-// goes before the address of the connection: behind a relay, and between entry
-// VMs, that address is not the client's. The figure serves only to count
-// traffic by shift; it opens nothing.
+// clientOf returns where a request comes from. The header that a look-up gave
+// the caller takes precedence over the address of the connection, which is not
+// the client's behind a relay or between entry VMs. The header is not
+// authenticated: the result is only used to count traffic by shift and grants no
+// access.
 func (d *Daemon) clientOf(x *inbound.Exchange) client {
 	if v := x.Header.Get(headerClient); v != "" {
 		if c, ok := parseClient(v); ok {
@@ -210,7 +211,7 @@
 	c.span.end(verdict.MayHaveRun, verdict.ReasonCallerGone)
 }
 
-// writeError answers an exchange that does not become a call.
+// writeError sends an error answer.
 func (d *Daemon) writeError(x *inbound.Exchange, e errorBody) {
 	d.metrics.countAnswer(e.Verdict, e.Reason)
 	status, h, b := encodeError(e)
@@ -249,7 +250,7 @@
 	d.executeControl(r)
 }
 
-// deliver passes a whole answer to the caller.
+// deliver sends a target's complete answer to the caller.
 func (d *Daemon) deliver(v dispatch.Deliver) {
 	c := d.calls.finish(v.Req)
 	if c == nil {
@@ -269,7 +270,7 @@
 	c.exchange.Respond(ans.Status, ans.Header, ans.Body)
 }
 
-// reply gives a caller its final error answer.
+// reply sends a caller its final error answer.
 func (d *Daemon) reply(r engine.Refusal) {
 	if c := d.calls.finish(r.Req); c != nil {
 		d.respondError(c, r)
@@ -298,7 +299,7 @@
 }
 
 // needsToken reports whether requests of a service carry one-time tokens. A
-// refusal spends the token, so it brings a fresh one.
+// refusal uses up the token, so its answer carries a new one.
 func (d *Daemon) needsToken(n fleet.ServiceName) bool {
 	c := d.config.Load()
 	if c == nil {
--- a/serve/daemon/calls_test.go
+++ b/serve/daemon/calls_test.go
@@ -10,37 +10,35 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// Symptom: a target works on for a caller that has gone, and the connection to
-// it stays open for good if it never answers.
-// Sequence: a caller leaves just as its call is sent.
-// Cause: the call was dropped from the table for want of attempts while its
-// first one began; the order to cancel that attempt found nothing.
+// Guards against attempts that can never be cancelled: a caller disconnects just
+// as its call is sent, and the call, still without attempts, is removed from the
+// table while its first attempt starts. The cancellation then finds no call, the
+// target works for a caller that has gone, and the connection stays open if it
+// never answers.
 func TestAttemptAddedWhileCallFinishes(t *testing.T) {
 	is := is.New(t)
 	table := calls{byID: make(map[dispatch.RequestID]*call)}
 	for range 20_000 {
 		c := &call{}
 		table.add(c)
-		var begun bool
+		var started bool
 		var wg sync.WaitGroup
 		wg.Go(func() { table.finish(c.id) })
-		wg.Go(func() { begun = c.addAttempt(&attempt{id: 1}) })
+		wg.Go(func() { started = c.addAttempt(&attempt{id: 1}) })
 		wg.Wait()
-		if !begun {
+		if !started {
 			is.True(table.get(c.id) == nil)
 			continue
 		}
-		is.Equal(table.get(c.id), c) // it can be cancelled
+		is.Equal(table.get(c.id), c) // still in the table, so it can be cancelled
 		table.attemptEnded(c)
 		is.True(table.get(c.id) == nil)
 	}
 }
 
-// Symptom: the memory of an entry VM grows by every target that has ever been
-// replaced.
-// Sequence: the machine list changes.
-// Cause: targets that had left the list were kept for requests under way,
-// which hold the address themselves.
+// Guards against a memory leak: targets removed from the machine list were kept
+// for running requests, which hold the address themselves, so memory grew with
+// every replaced target.
 func TestRemovedTargetsAreForgotten(t *testing.T) {
 	is := is.New(t)
 	d := &Daemon{}
--- a/serve/daemon/control.go
+++ b/serve/daemon/control.go
@@ -15,8 +15,9 @@
 	"github.com/azurethread/azurethread/serve/platform"
 )
 
-// updateAddresses notes the addresses that a step has brought. It goes before the effects
-// that use them: a step that learns of a target may send to it at once.
+// updateAddresses stores the addresses of targets and entry VMs that a step has
+// changed. It runs before the other effects, because a step that adds a target
+// may send to it at once.
 func (d *Daemon) updateAddresses(r *engine.Ready) {
 	if r.Machines != nil {
 		d.updateTargets(r.Machines.Targets)
@@ -28,7 +29,7 @@
 	}
 }
 
-// executeControl carries out the effects that are not about requests.
+// executeControl executes the effects that do not concern requests.
 func (d *Daemon) executeControl(r *engine.Ready) {
 	if r.Catalogue != nil {
 		d.config.Store(r.Catalogue)
@@ -47,10 +48,10 @@
 	}
 }
 
-// knownVMs is an immutable set of entry VMs, for use outside of the core.
+// knownVMs is an immutable set of entry VMs, for use outside the core.
 type knownVMs struct{ byID map[fleet.VMID]fleet.VM }
 
-// updateVMs notes where entry VMs are reached and which process runs there.
+// updateVMs stores the addresses and incarnations of the entry VMs.
 func (d *Daemon) updateVMs(vms []fleet.VM) {
 	k := &knownVMs{byID: make(map[fleet.VMID]fleet.VM, len(vms)+1)}
 	for _, vm := range vms {
@@ -61,21 +62,22 @@
 	d.known.Store(k)
 }
 
-// vmWithIncarnation finds the process that tokens for an entry VM are bound to.
+// vmWithIncarnation returns an entry VM whose incarnation is known, to which
+// tokens can be bound.
 func (d *Daemon) vmWithIncarnation(id fleet.VMID) (fleet.VM, bool) {
 	vm, ok := d.known.Load().byID[id]
 	return vm, ok && vm.Incarnation != 0
 }
 
-// Waits of the loops that read the platform.
+// Delays of the loops that read the platform.
 const (
 	longPollWait       = 10 * time.Second
 	retryDelay         = 500 * time.Millisecond
-	watchCheckInterval = 50 * time.Millisecond // while the list is not to be watched
+	watchCheckInterval = 50 * time.Millisecond // while this daemon does not watch the list
 )
 
-// waitForRetry waits before a read that has failed is tried again. It reports false
-// when the daemon stops.
+// waitForRetry waits before a failed read is retried. It reports false if the
+// daemon is stopping.
 func (d *Daemon) waitForRetry() bool { return d.sleep(retryDelay) }
 
 func (d *Daemon) sleep(t time.Duration) bool {
@@ -87,13 +89,13 @@
 	}
 }
 
-// watchMachines follows the platform's machine list while the engine asks for
-// it: a few daemons of each failure domain do so for all others.
+// watchMachines watches the platform's machine list while the engine requests
+// it. Only a few daemons of each failure domain do, on behalf of the others.
 func (d *Daemon) watchMachines() {
 	var version uint64
 	for d.ctx.Err() == nil {
 		if !d.watchesMachines.Load() {
-			version = 0 // the first read of the next turn is a plain one
+			version = 0 // the next watch starts with a read that does not wait
 			d.sleep(watchCheckInterval)
 			continue
 		}
@@ -110,9 +112,9 @@
 	}
 }
 
-// updateTargets notes where targets are reached. Ones that have left the list
-// get nothing new, and attempts under way hold the address themselves; kept,
-// they would add up with every target that is replaced.
+// updateTargets replaces the addresses of targets. Targets that were removed
+// from the list get no new requests, and running attempts hold the address
+// themselves; keeping them would leak memory with every replaced target.
 func (d *Daemon) updateTargets(ts []fleet.Target) {
 	d.targets = make(map[fleet.TargetID]fleet.Target, len(ts))
 	for _, t := range ts {
@@ -120,7 +122,7 @@
 	}
 }
 
-// loadResponse is a target's load endpoint.
+// loadResponse is the JSON body of a target's load endpoint.
 type loadResponse struct {
 	InFlight int  `json:"in_flight"`
 	Slots    int  `json:"slots"`
@@ -128,7 +130,7 @@
 	Cold     bool `json:"cold"`
 }
 
-// probe reads a target's load endpoint and reports it as a Health event.
+// probe reads a target's load endpoint and posts the result as a Health event.
 func (d *Daemon) probe(id fleet.TargetID) {
 	t, ok := d.targets[id]
 	if !ok {
--- a/serve/daemon/core.go
+++ b/serve/daemon/core.go
@@ -6,16 +6,16 @@
 	"github.com/azurethread/azurethread/serve/core"
 )
 
-// executor carries out effects. It must not block.
+// executor executes the effects of a step. It must not block.
 type executor interface {
 	execute(now clock.Time, r *engine.Ready)
 }
 
-// Core steps the engine.
+// Core runs the engine, one event at a time.
 type Core = core.Core[*engine.Engine]
 
 func newCore(now func() clock.Time, eng *engine.Engine, exec executor) *Core {
-	var ready engine.Ready // touched only by the goroutine that is stepping
+	var ready engine.Ready // used only by the goroutine that runs the step
 	step := func(now clock.Time, ev any) clock.Time {
 		ready.Reset()
 		eng.Step(now, ev, &ready)
--- a/serve/daemon/daemon.go
+++ b/serve/daemon/daemon.go
@@ -27,13 +27,13 @@
 	"github.com/azurethread/azurethread/serve/store"
 )
 
-// Platform is what the daemon needs of the platform.
+// Platform is the part of the platform's API that the daemon uses.
 type Platform interface {
 	platform.Store
 	platform.Machines
 }
 
-// Daemon is one entry VM.
+// Daemon is the process of one entry VM.
 type Daemon struct {
 	settings  *settings.Settings
 	log       *logrus.Entry
@@ -56,21 +56,21 @@
 	config  atomic.Pointer[catalogue.Catalogue]
 	leaving atomic.Bool
 
-	superseded     chan struct{} // closed when another process runs under this id
+	superseded     chan struct{} // closed when a newer process uses this id
 	supersededOnce sync.Once
 	minters        sync.Pool
 
-	// Addresses, touched only between steps of the core.
+	// Addresses, used only by the goroutine that is running the core.
 	targets map[fleet.TargetID]fleet.Target
 	vms     map[fleet.VMID]fleet.VM
 
-	blocks            *engine.Blocks // nil without a table
+	blocks            *engine.Blocks // nil if no file is configured
 	reader            *store.Reader
 	writer            *store.Writer
 	platformReachable atomic.Bool
-	watchesMachines   atomic.Bool // the platform's machine list
-	hasMachineList    atomic.Bool // a machine list is in force
-	eligible          atomic.Bool // may try for the lease of the shift runner
+	watchesMachines   atomic.Bool // watches the platform's machine list
+	hasMachineList    atomic.Bool // a machine list has been received
+	eligible          atomic.Bool // may acquire the lease of the shift runner
 
 	adminPages inbound.Handler
 
@@ -82,7 +82,7 @@
 	cleanupOnce sync.Once
 }
 
-// monotonicClock turns the monotonic clock into instants that never fall.
+// monotonicClock returns wall-clock times that never decrease.
 type monotonicClock struct {
 	base    clock.Time
 	started time.Time
@@ -97,14 +97,14 @@
 
 func (d *Daemon) now() clock.Time { return d.monotonic.now() }
 
-// Option changes how a daemon is set up, for tests.
+// Option changes the set-up of a daemon in tests.
 type Option func(*Daemon)
 
-// WithLink puts l on the way of frames to other entry VMs.
+// WithLink passes frames to other entry VMs through l.
 func WithLink(l peer.Link) Option { return func(d *Daemon) { d.link = l } }
 
-// Start provisions a daemon and begins to serve. Nothing is left running when
-// it returns an error.
+// Start sets up a daemon and starts to serve. If it returns an error, nothing is
+// left running.
 func Start(set *settings.Settings, p Platform, log *logrus.Logger, opts ...Option) (*Daemon, error) {
 	d := &Daemon{
 		settings:  set,
@@ -192,13 +192,14 @@
 	return err
 }
 
-// targetIdleTimeout is how long a free connection to a target is kept. It is
-// shorter than the idle timeouts usual at servers, so that the target seldom
-// closes a connection just as a request is written to it.
+// targetIdleTimeout is how long an idle connection to a target is kept. It is
+// shorter than the usual idle timeouts of servers, so that a target rarely
+// closes a connection while a request is being written to it.
 const targetIdleTimeout = 15 * time.Second
 
-// describeSelf returns this entry VM as others are to know it. The incarnation is
-// the start's wall clock: a restart takes a higher one without any store.
+// describeSelf returns this entry VM as advertised to others. The incarnation is
+// the wall-clock time of the start, so a restart gets a higher one without
+// stored state.
 func (d *Daemon) describeSelf(inc fleet.Incarnation) fleet.VM {
 	return fleet.VM{
 		ID:          d.settings.ID,
@@ -241,7 +242,7 @@
 	d.core = newCore(d.now, eng, d)
 }
 
-// registerMetrics adds the numbers that other packages count to the metrics.
+// registerMetrics adds the metrics that other packages count.
 func (d *Daemon) registerMetrics() {
 	d.metrics.addFunc("peer", func() any { return d.peers.Stats() })
 	d.metrics.addFunc("caller_connections", func() any { return d.callers.Connections() })
@@ -260,7 +261,7 @@
 	})
 }
 
-// run starts the daemon's loops.
+// run starts the servers and the background tasks.
 func (d *Daemon) run() {
 	if d.blocks != nil {
 		d.core.Post(d.blocks)
@@ -274,10 +275,10 @@
 
 func (d *Daemon) startTask(f func()) { d.tasks.start(f) }
 
-// CallAddr returns the address for callers.
+// CallAddr returns the advertised address for callers.
 func (d *Daemon) CallAddr() string { return d.self.CallAddr }
 
-// AdminAddr returns the address for operators.
+// AdminAddr returns the advertised address for operators.
 func (d *Daemon) AdminAddr() string { return d.self.AdminAddr }
 
 // Ready reports whether this entry VM can serve: it has a configuration and a
@@ -286,13 +287,13 @@
 	return d.config.Load() != nil && d.hasMachineList.Load() && !d.leaving.Load()
 }
 
-// Self returns this entry VM as others know it.
+// Self returns this entry VM as advertised to others.
 func (d *Daemon) Self() fleet.VM { return d.self }
 
-// Revision returns the catalogue revision in force here; 0 before the first.
+// Revision returns the revision of the catalogue in force; 0 before the first.
 func (d *Daemon) Revision() uint64 { return revisionNumber(d.config.Load()) }
 
-// PeerStats returns what the transport between entry VMs has counted.
+// PeerStats returns the counters of the transport between entry VMs.
 func (d *Daemon) PeerStats() peer.Stats { return d.peers.Stats() }
 
 // Connections returns the number of callers' open connections.
@@ -309,16 +310,16 @@
 	return n
 }
 
-// Superseded is closed when another process, started later, runs under this
-// entry VM's id. Both would be reached under one name, so this one should stop.
+// Superseded returns a channel that is closed when a process that started later
+// uses this entry VM's id. An id must name one process, so this one should stop.
 func (d *Daemon) Superseded() <-chan struct{} { return d.superseded }
 
-// Violations returns how many broken invariants have been seen.
+// Violations returns the number of invariant violations since the start.
 func (d *Daemon) Violations() int64 { return d.metrics.violations.Load() }
 
-// violation counts and logs a broken invariant. It does not end the process:
-// callers are still better served than not.
+// violation counts and logs an invariant violation. The process continues, since
+// serving callers matters more than stopping.
 func (d *Daemon) violation(v dispatch.Violation) {
 	d.metrics.violations.Add(1)
-	d.log.WithFields(logrus.Fields{"invariant": v.Invariant, "detail": v.Detail}).Error("invariant broken")
+	d.log.WithFields(logrus.Fields{"invariant": v.Invariant, "detail": v.Detail}).Error("invariant violated")
 }
--- a/serve/daemon/doc.go
+++ b/serve/daemon/doc.go
@@ -1,8 +1,9 @@
-// Package daemon is the process of one entry VM: it turns bytes into events
-// for the decision code of decide/engine, and the effects it states into
-// bytes. It decides nothing itself.
+// Package daemon is the process of one entry VM. It translates input from
+// sockets and timers into events for the reducer of decide/engine, and the
+// effects that the reducer returns into network operations. It makes no
+// decisions itself.
 //
 // All events pass through a Core, which steps the engine one event at a time
-// and carries out the effects in order. Nothing on that path blocks: answers
-// of targets, timers and operators' changes come back as further events.
+// and executes the effects in order. Nothing on that path blocks: answers of
+// targets, timers and operators' changes are posted as further events.
 package daemon
--- a/serve/daemon/lookups.go
+++ b/serve/daemon/lookups.go
@@ -12,7 +12,7 @@
 	"github.com/azurethread/azurethread/decide/steer"
 )
 
-// lookups answers look-ups on callers' goroutines, beside the core.
+// lookups answers look-ups on the callers' goroutines, without the core.
 type lookups struct {
 	views atomic.Pointer[views]
 
@@ -20,13 +20,13 @@
 	gate *shift.Gate // nil until a configuration is in force
 }
 
-// views are what look-ups are answered from at one moment.
+// views are the routing views that a look-up uses, replaced together.
 type views struct {
 	shifted   *steer.View
-	unshifted *steer.View // the same one where no traffic is shifted
+	unshifted *steer.View // without traffic shifts; the same view if there are none
 }
 
-// update takes over what a step has changed.
+// update stores the views and the gate that a step has changed.
 func (l *lookups) update(r *engine.Ready) {
 	if r.View != nil {
 		l.views.Store(&views{shifted: r.View, unshifted: r.Unshifted})
@@ -38,8 +38,9 @@
 	}
 }
 
-// answer looks a client up. A move that would carry the share of look-ups
-// moved here over its cap is not answered; the client stays at home.
+// answer looks up the entry VMs for a client. If moving the client would raise
+// the share of look-ups moved by this entry VM above its cap, the client stays
+// in its home region.
 func (l *lookups) answer(now clock.Time, s fleet.ServiceName, a netip.Addr, out []steer.Choice) steer.Answer {
 	v := l.views.Load()
 	ans := v.shifted.Lookup(s, a, out)
@@ -58,7 +59,8 @@
 	return l.gate == nil || l.gate.Pass(now, s, a.Home, a.ShiftID)
 }
 
-// client tells the home and the block of an address, without counting it.
+// client returns the home region and block of an address. The look-up is not
+// counted.
 func (l *lookups) client(a netip.Addr) client {
 	ans := l.views.Load().unshifted.Lookup("", a, nil)
 	return client{home: ans.Home, block: ans.Block}
--- a/serve/daemon/metrics.go
+++ b/serve/daemon/metrics.go
@@ -7,8 +7,8 @@
 	"github.com/azurethread/azurethread/decide/verdict"
 )
 
-// metrics counts what the daemon does. Every number is in the expvar map that
-// the administration interface serves at /debug/vars.
+// metrics holds the daemon's counters. All are in the expvar map that the
+// administration interface serves at /debug/vars.
 type metrics struct {
 	lookups             atomic.Int64
 	attempts            atomic.Int64
@@ -23,8 +23,8 @@
 	vars                *expvar.Map
 }
 
-// newMetrics makes a map that is not published: a process may hold more than
-// one daemon, as the demo does, and expvar's names are global.
+// newMetrics returns metrics that are not published in expvar: a process may
+// run several daemons, as the demo does, and expvar's names are global.
 func newMetrics() *metrics {
 	m := &metrics{reasons: new(expvar.Map).Init(), vars: new(expvar.Map).Init()}
 	gauge := func(name string, v *atomic.Int64) {
@@ -45,7 +45,7 @@
 	return m
 }
 
-// countAnswer counts a final answer.
+// countAnswer counts a final answer by verdict and reason.
 func (m *metrics) countAnswer(v verdict.Verdict, r verdict.Reason) {
 	m.verdicts[v].Add(1)
 	if r != verdict.ReasonNone {
@@ -53,5 +53,5 @@
 	}
 }
 
-// addFunc adds a number read when the metrics are.
+// addFunc adds a value that is computed when the metrics are read.
 func (m *metrics) addFunc(name string, f func() any) { m.vars.Set(name, expvar.Func(f)) }
--- a/serve/daemon/pages.go
+++ b/serve/daemon/pages.go
@@ -25,7 +25,7 @@
 	Home     fleet.Region      `json:"home"`
 	Region   fleet.Region      `json:"region"`
 	Shift    string            `json:"shift,omitempty"`
-	// Client is to be sent with each request as headerClient.
+	// Client is the value that the caller sends in headerClient with each request.
 	Client   string     `json:"client"`
 	EntryVMs []lookupVM `json:"entry_vms"`
 }
@@ -38,10 +38,10 @@
 	Tokens []string     `json:"tokens,omitempty"`
 }
 
-// maxTokens bounds the tokens of one look-up, for each entry VM answered.
+// maxTokens is the maximum number of tokens per entry VM in a look-up's answer.
 const maxTokens = 64
 
-// servePage serves everything that is not a call.
+// servePage serves all requests that are not calls.
 func (d *Daemon) servePage(x *inbound.Exchange) {
 	path, query, _ := strings.Cut(x.URI, "?")
 	q, err := url.ParseQuery(query)
@@ -61,7 +61,7 @@
 	}
 }
 
-// serveLookup answers which entry VMs a client should use.
+// serveLookup returns the entry VMs that a client should use.
 func (d *Daemon) serveLookup(x *inbound.Exchange, q url.Values) {
 	service := fleet.ServiceName(q.Get("service"))
 	addr, ok := parseClientAddr(q.Get("client"), x.Remote)
@@ -104,11 +104,11 @@
 	respondJSON(x, http.StatusOK, out)
 }
 
-// notReadyRetryMs is when a caller of an entry VM without a configuration
-// should ask again, in milliseconds.
+// notReadyRetryMs is the retry delay, in milliseconds, sent to callers of an
+// entry VM that has no configuration yet.
 const notReadyRetryMs = 500
 
-// parseClientAddr reads the client's address or block; empty means the caller itself.
+// parseClientAddr parses the client's address or block; empty means the caller.
 func parseClientAddr(v string, remote netip.Addr) (netip.Addr, bool) {
 	if v == "" {
 		return remote, true
@@ -120,7 +120,7 @@
 	return a.Unmap(), err == nil
 }
 
-// parseTokenCount reads the number of tokens asked for; 1 when not stated.
+// parseTokenCount parses the number of tokens requested; empty means 1.
 func parseTokenCount(v string) (int, bool) {
 	if v == "" {
 		return 1, true
@@ -129,7 +129,7 @@
 	return n, err == nil && n >= 0 && n <= maxTokens
 }
 
-// outcomeAnswer is the JSON body of the answer about a token.
+// outcomeAnswer is the JSON body of the answer to a query for a token's outcome.
 type outcomeAnswer struct {
 	Status         string          `json:"status"`
 	Verdict        verdict.Verdict `json:"verdict"`
@@ -141,8 +141,8 @@
 	RetryAfterMs   int64           `json:"retry_after_ms,omitempty"`
 }
 
-// serveOutcome tells a caller what became of its token. The engine is asked on a
-// goroutine of its own, as waiting would hold up the poller.
+// serveOutcome returns the outcome of a caller's token. The engine is queried in
+// a separate goroutine, because waiting would block the poller.
 func (d *Daemon) serveOutcome(x *inbound.Exchange, tok string) {
 	go func() {
 		var a token.Admission
@@ -168,7 +168,7 @@
 	}()
 }
 
-// readinessAnswer is the JSON body of the readiness page.
+// readinessAnswer is the JSON body of the readiness endpoint.
 type readinessAnswer struct {
 	Ready    bool   `json:"ready"`
 	Leaving  bool   `json:"leaving"`
--- a/serve/daemon/peers.go
+++ b/serve/daemon/peers.go
@@ -26,19 +26,19 @@
 	return err
 }
 
-// handleEnvelope decodes what a frame brought. A body that cannot be read is counted
-// and left out; the frame's MAC has shown that a member of the fleet sent it,
-// so the fault is a defect or another release, not an attack.
+// handleEnvelope decodes the messages of a frame. A message that cannot be
+// decoded is counted and skipped. The frame's MAC proves that a member of the
+// fleet sent it, so the cause is a defect or another release, not an attack.
 func (d *Daemon) handleEnvelope(from fleet.VMID, env peer.Envelope) {
 	m := &engine.PeerMessage{From: from, Incarnation: env.FromIncarnation}
 	for _, b := range env.Bodies {
 		if err := decodeBody(b, m); err != nil {
 			d.metrics.messagesRefused.Add(1)
-			d.log.WithError(err).WithField("from", from).Debug("message of another entry VM refused")
+			d.log.WithError(err).WithField("from", from).Debug("undecodable message from another entry VM skipped")
 			continue
 		}
 		if b.Kind == peer.KindLoad {
-			continue // goes with the body behind it
+			continue // posted with the message that follows it
 		}
 		d.postIfStarted(m)
 		m = &engine.PeerMessage{From: from, Incarnation: env.FromIncarnation}
@@ -68,13 +68,12 @@
 	return err
 }
 
-// messageBody is the form on the wire of a package's messages, of which it carries
-// exactly one.
+// messageBody is the wire format of a package's messages. It holds exactly one.
 type messageBody[M any] interface {
 	Message() (M, error)
 }
 
-// decodeMessage decodes the message of type M that a body's wrapper W carries.
+// decodeMessage decodes the message of type M from its wire format W.
 func decodeMessage[W messageBody[M], M any](b peer.Body) (M, error) {
 	var w W
 	if err := peer.Decode(b, peer.MaxBody, &w); err != nil {
@@ -84,8 +83,8 @@
 	return w.Message()
 }
 
-// postIfStarted hands an event of a peer to the core, which does not exist yet while
-// the daemon is being provisioned.
+// postIfStarted posts an event from a peer to the core. Events that arrive while
+// the daemon is being set up are dropped, because the core does not exist yet.
 func (d *Daemon) postIfStarted(ev engine.Event) {
 	if d.started.Load() {
 		d.core.Post(ev)
@@ -94,8 +93,8 @@
 
 func (d *Daemon) handleSendFailed(to fleet.VMID) { d.postIfStarted(&member.SendFailed{To: to}) }
 
-// sendPeer sends a message to another entry VM. Messages are repeated or
-// repaired by the protocols above, so one that cannot be sent is only counted.
+// sendPeer sends a message to another entry VM. A message that cannot be sent is
+// only counted, since the protocols above repeat or repair their messages.
 func (d *Daemon) sendPeer(s engine.PeerSend) {
 	bodies, err := encodeBodies(s)
 	if err == nil {
@@ -106,7 +105,7 @@
 	}
 }
 
-// encodeBodies puts the load report before the message it rides on.
+// encodeBodies encodes a message, preceded by the load report sent with it.
 func encodeBodies(s engine.PeerSend) ([]peer.Body, error) {
 	var e bodyEncoder
 	if s.Load != nil {
@@ -127,7 +126,7 @@
 	return e.bodies, e.err
 }
 
-// bodyEncoder collects bodies up to the first error.
+// bodyEncoder collects encoded bodies and the first error.
 type bodyEncoder struct {
 	bodies []peer.Body
 	err    error
--- a/serve/daemon/platform.go
+++ b/serve/daemon/platform.go
@@ -19,30 +19,31 @@
 	"github.com/azurethread/azurethread/serve/store"
 )
 
-// provisionStore sets up the reading and writing of the catalogue.
+// provisionStore creates the reader and the writer of the catalogue.
 func (d *Daemon) provisionStore() {
 	d.reader = store.NewReader(store.ReaderOptions{
 		Store:  d.platform,
 		Now:    d.now,
 		Emit:   d.readDone,
-		Failed: func(err error) { d.log.WithError(err).Warn("platform not readable") },
+		Failed: func(err error) { d.log.WithError(err).Warn("reading the catalogue from the platform failed") },
 	})
 	d.writer = store.NewWriter(store.WriterOptions{Store: d.platform, Base: d.changeBase, Now: d.now})
 }
 
-// readDone takes the outcome of a read of the catalogue.
+// readDone handles the outcome of a read of the catalogue.
 func (d *Daemon) readDone(ev *config.PlatformRead) {
 	d.platformReachable.Store(ev.Result != config.ReadFailed)
 	d.core.Post(ev)
 }
 
-// changeBase is what a change is built on where the platform holds less.
+// changeBase returns the catalogue that a change is based on if the platform holds
+// an older one or none.
 func (d *Daemon) changeBase() (b config.Base, ok bool) {
 	asked := d.core.Ask(func(now clock.Time, e *engine.Engine) { b, ok = e.Config().Base(now) })
 	return b, ok && asked
 }
 
-// readPlatform starts and ends the reads that the configuration asks for.
+// readPlatform starts and stops the reads that the configuration protocol requests.
 func (d *Daemon) readPlatform(r *engine.Ready) {
 	if d.isStopping() {
 		return
@@ -53,22 +54,23 @@
 	}
 }
 
-// isStopping reports whether the daemon's loops have been told to end.
+// isStopping reports whether the daemon's tasks have been cancelled.
 func (d *Daemon) isStopping() bool { return d.ctx.Err() != nil }
 
-// restoreTimeout bounds one attempt to write a newer catalogue back.
+// restoreTimeout limits one attempt to write a newer catalogue back.
 const restoreTimeout = 10 * time.Second
 
-// restoreCatalogue writes the catalogue in force to a platform that holds an older one.
+// restoreCatalogue writes the catalogue in force back to a platform that holds an
+// older one.
 func (d *Daemon) restoreCatalogue(p config.RestorePlatform) {
 	ctx, cancel := context.WithTimeout(d.ctx, restoreTimeout)
 	defer cancel()
 	a, wrote, err := d.writer.Restore(ctx, p.Catalogue)
 	switch {
 	case err != nil:
-		d.log.WithError(err).Warn("newer catalogue not written back to the platform")
+		d.log.WithError(err).Warn("writing the newer catalogue back to the platform failed")
 	case wrote:
-		d.log.WithField("revision", a.Revision).Warn("platform held older data; newer catalogue written back")
+		d.log.WithField("revision", a.Revision).Warn("platform held an older catalogue; newer one written back")
 		d.core.Post(a.Event())
 	}
 }
@@ -84,7 +86,7 @@
 	return err
 }
 
-// changer implements admin.Changer and admin.Settler.
+// changer implements admin.Changer and admin.OutcomeFinder.
 type changer struct{ d *Daemon }
 
 // Change implements admin.Changer.
@@ -96,7 +98,8 @@
 	return admin.Accepted{Operation: op.ID, Revision: a.Revision, Settled: true}, nil
 }
 
-// applyChange writes an operation and tells the spread of what was accepted.
+// applyChange writes an operation to the platform and posts the accepted revision
+// to the core, which spreads it.
 func (d *Daemon) applyChange(ctx context.Context, op change.Operation) (store.Accepted, error) {
 	a, err := d.writer.Change(ctx, op)
 	if err != nil {
@@ -106,8 +109,9 @@
 	return a, nil
 }
 
-// FindOutcome implements admin.Settler. An operation that the platform's document
-// does not list may still be under way, or be too old to be listed.
+// FindOutcome implements admin.OutcomeFinder. An operation that the platform's
+// document does not list may still be under way or may be too old to be listed,
+// so its verdict is MayHaveRun.
 func (c changer) FindOutcome(ctx context.Context, operation string) (admin.Outcome, error) {
 	out := admin.Outcome{Operation: operation, Verdict: verdict.MayHaveRun}
 	rev, found, err := c.d.writer.Find(ctx, operation)
@@ -121,14 +125,14 @@
 	return out, nil
 }
 
-// taskGroup counts the goroutines that end with the daemon.
+// taskGroup tracks the goroutines that end with the daemon.
 type taskGroup struct {
 	mu     sync.Mutex
 	closed bool
 	wg     sync.WaitGroup
 }
 
-// start runs f unless the daemon is stopping.
+// start runs f in a goroutine unless the group is closed.
 func (l *taskGroup) start(f func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -137,7 +141,7 @@
 	}
 }
 
-// wait lets no more start and waits for those that run.
+// wait closes the group and waits for the running goroutines.
 func (l *taskGroup) wait() {
 	l.mu.Lock()
 	l.closed = true
@@ -145,14 +149,15 @@
 	l.wg.Wait()
 }
 
-// isConflict reports whether an entry was no longer as expected.
+// isConflict reports whether a change failed because its entry had another
+// revision than expected.
 func isConflict(err error) bool {
 	var c *change.Conflict
 	return errors.As(err, &c)
 }
 
-// verdictOf returns what an error of a change says: refusals of the catalogue
-// have not run.
+// verdictOf returns the verdict of a failed change. An error without a verdict is
+// a refusal by the catalogue, which means not-run.
 func verdictOf(err error) verdict.Verdict {
 	var v *verdict.Error
 	if errors.As(err, &v) {
@@ -162,5 +167,5 @@
 }
 
 func (d *Daemon) logChange(op change.Operation, err error) {
-	d.log.WithError(err).WithFields(logrus.Fields{"operation": op.ID, "kind": op.Kind}).Warn("change by the shift runner not made")
+	d.log.WithError(err).WithFields(logrus.Fields{"operation": op.ID, "kind": op.Kind}).Warn("change by the shift runner failed")
 }
--- a/serve/daemon/request.go
+++ b/serve/daemon/request.go
@@ -26,17 +26,17 @@
 	headerToken    = "Azurethread-Token"       // one-time token of a non-idempotent request
 	headerDeadline = "Azurethread-Deadline-Ms" // time left, in milliseconds
 	headerHops     = "Azurethread-Hops"        // times the request has been forwarded
-	headerClient   = "Azurethread-Client"      // the client's home region and block, as a look-up gave it
-	headerWait     = "Azurethread-Wait-Ms"     // on forwarded requests: the wait expected at the sender
+	headerClient   = "Azurethread-Client"      // the client's home region and block, from a look-up
+	headerWait     = "Azurethread-Wait-Ms"     // on forwarded requests: the queueing delay expected at the sender
 	headerReason   = verdict.HeaderReason
-	headerRefused  = "Azurethread-Refused" // a target's own word that it has not run a request
-	headerLoad     = "Azurethread-Load"    // in flight/slots of the answering target
+	headerRefused  = "Azurethread-Refused" // set by a target that has not executed a request
+	headerLoad     = "Azurethread-Load"    // "in flight/slots" of the answering target
 	headerRetry    = "Retry-After"         // seconds
 	headerRetryMs  = "Azurethread-Retry-After-Ms"
 )
 
-// splitCall takes the service and the path at the target out of a request's
-// URI. ok is false for another path or an empty service.
+// splitCall splits the URI of a call into the service and the path at the target.
+// ok is false for other paths and for an empty service.
 func splitCall(uri string) (service fleet.ServiceName, path string, ok bool) {
 	rest, found := strings.CutPrefix(uri, pathCall)
 	if !found {
@@ -57,8 +57,8 @@
 	return fleet.ServiceName(name), path, true
 }
 
-// parseDeadline reads the time the caller still waits; 0 when it states none. ok
-// is false for a malformed value.
+// parseDeadline returns the deadline of a request; 0 if it has none. ok is false
+// for a malformed value.
 func parseDeadline(h http.Header, now clock.Time) (deadline clock.Time, ok bool) {
 	v := h.Get(headerDeadline)
 	d, ok := heads.Wait(v)
@@ -68,26 +68,27 @@
 	return now.Add(d), true
 }
 
-// parseExpectedWait reads the wait that a forwarding entry VM expects; 0 when it states
-// none, which only makes this one less ready to queue the request.
+// parseExpectedWait returns the queueing delay that a forwarding entry VM expects.
+// It is 0 if absent or malformed, which only makes this entry VM less willing to
+// queue the request.
 func parseExpectedWait(h http.Header) time.Duration {
 	d, _ := heads.Wait(h.Get(headerWait))
 	return d
 }
 
-// client is where a request comes from: the home region of its block of
-// clients, and the hash of the block.
+// client is the origin of a request: the home region of its client block and the
+// hash of the block.
 type client struct {
 	home  fleet.Region
 	block uint64
 }
 
-// encode is the form of headerClient: the region, a slash, the hash in hex.
+// encode returns the value of headerClient: the region, a slash and the hash in hex.
 func (c client) encode() string {
 	return string(c.home) + "/" + strconv.FormatUint(c.block, 16)
 }
 
-// parseClient reads the form of headerClient.
+// parseClient parses the value of headerClient.
 func parseClient(v string) (client, bool) {
 	i := strings.LastIndexByte(v, '/')
 	if i < 0 {
@@ -97,7 +98,8 @@
 	return client{home: fleet.Region(v[:i]), block: b}, err == nil
 }
 
-// remainingMillis states a deadline as time left, for the next hop.
+// remainingMillis returns the time until a deadline as the header value for the
+// next hop.
 func remainingMillis(deadline, now clock.Time) string {
 	ms := max(deadline.Sub(now).Milliseconds(), 0)
 	return strconv.FormatInt(ms, 10)
--- a/serve/daemon/shifts.go
+++ b/serve/daemon/shifts.go
@@ -14,15 +14,17 @@
 	"github.com/azurethread/azurethread/serve/store"
 )
 
-// dutyCheck is how often the engine is told whether this process holds the
-// lease of the shift runner, and for how long it may take that as true. A
-// process paused for longer finds that it no longer leads.
 const (
+	// leaseCheckInterval is the interval at which the engine is informed whether
+	// this process holds the lease of the shift runner.
 	leaseCheckInterval = 500 * time.Millisecond
-	leaseValidity      = 3 * leaseCheckInterval
+	// leaseValidity is how long the engine may rely on that information. A
+	// process that was paused for longer stops acting as the shift runner.
+	leaseValidity = 3 * leaseCheckInterval
 )
 
-// runShiftLease tries for the lease of the shift runner, and reports on it.
+// runShiftLease tries to acquire the lease of the shift runner and reports its
+// state to the engine.
 func (d *Daemon) runShiftLease() {
 	duty := store.NewDuty(store.DutyOptions{
 		Store:       d.platform,
@@ -47,7 +49,7 @@
 			continue
 		}
 		if now != held {
-			d.log.WithField("held", now).Info("lease of the shift runner")
+			d.log.WithField("held", now).Info("lease of the shift runner changed")
 		}
 		held = now
 		d.core.Post(shift.Platform{Reachable: held})
@@ -55,7 +57,7 @@
 	}
 }
 
-// operationOf turns a write of the runner into a change of the catalogue.
+// operationOf converts a write of the shift runner into a change of the catalogue.
 func operationOf(w shift.Write) change.Operation {
 	op := change.Operation{ID: uuid.NewString(), Operator: change.RunnerName}
 	if w.State == catalogue.RolledBack {
@@ -75,12 +77,13 @@
 	return op
 }
 
-// writeTimeout bounds one attempt of a write of the runner.
+// writeTimeout limits one attempt of a write of the shift runner.
 const writeTimeout = 5 * time.Second
 
-// writeShift makes a write of the runner and reports what is known of it. A
-// write whose outcome is unknown is repeated under the same operation id until
-// the platform tells: the runner makes no other for that shift meanwhile.
+// writeShift performs a write of the shift runner and reports its outcome. A
+// write whose outcome is unknown is repeated with the same operation id until
+// the outcome is known; until then the runner makes no other write for that
+// shift.
 func (d *Daemon) writeShift(w shift.Write) {
 	op := operationOf(w)
 	for {
--- a/serve/daemon/status.go
+++ b/serve/daemon/status.go
@@ -61,7 +61,7 @@
 	}
 }
 
-// fillMembers lists the entry VMs and returns the regions they are in.
+// fillMembers lists the entry VMs and returns their regions.
 func fillMembers(s *admin.Status, e *engine.Engine) []fleet.Region {
 	var regions []fleet.Region
 	for _, v := range e.Member().Domains(nil) {
@@ -100,10 +100,10 @@
 	}
 }
 
-// revisionTimeout bounds the question to one entry VM for its revision.
+// revisionTimeout limits the query to one entry VM for its revision.
 const revisionTimeout = time.Second
 
-// InForce implements admin.Viewer by asking every known entry VM.
+// InForce implements admin.Viewer by querying every live entry VM.
 func (v viewer) InForce(ctx context.Context, revision uint64) admin.InForce {
 	d := v.d
 	out := admin.InForce{Revision: revision, Missing: []fleet.VMID{}}
@@ -132,7 +132,7 @@
 	return out
 }
 
-// queryRevision asks an entry VM which revision is in force there.
+// queryRevision returns the revision in force at an entry VM.
 func (d *Daemon) queryRevision(ctx context.Context, vm fleet.VM) (uint64, bool) {
 	if vm.ID == d.self.ID {
 		c := d.config.Load()
--- a/serve/daemon/stop.go
+++ b/serve/daemon/stop.go
@@ -9,13 +9,13 @@
 	"github.com/azurethread/azurethread/decide/member"
 )
 
-// Kill ends the daemon at once, as a crash would: requests in flight are cut
-// and nobody is told.
+// Kill stops the daemon at once, like a crash: requests in flight are aborted and
+// neither callers nor other entry VMs are notified.
 func (d *Daemon) Kill() { d.cleanup() }
 
-// Stop shuts the daemon down: it leaves the look-ups, refuses new requests as
-// not-run and lets the ones in flight end. It returns an error when ctx ended
-// before they did.
+// Stop shuts the daemon down: look-ups no longer return it, new requests are
+// refused as not-run, and requests in flight may finish. It returns an error if
+// ctx ended before they did.
 func (d *Daemon) Stop(ctx context.Context) error {
 	d.leaving.Store(true)
 	d.log.Info("entry VM is leaving")
@@ -35,8 +35,8 @@
 	return nil
 }
 
-// cleanup ends everything that provision and run have started; only the first
-// call does anything.
+// cleanup stops everything that provision and run have started. Only the first
+// call has an effect.
 func (d *Daemon) cleanup() { d.cleanupOnce.Do(d.releaseResources) }
 
 func (d *Daemon) releaseResources() {
@@ -44,7 +44,7 @@
 	if d.admin != nil {
 		ctx, cancel := context.WithTimeout(context.Background(), adminStopTimeout)
 		defer cancel()
-		_ = d.admin.Stop(ctx) // operators' requests that take longer are cut
+		_ = d.admin.Stop(ctx) // operators' requests that take longer are aborted
 	}
 	d.tasks.wait()
 	if d.reader != nil {
@@ -53,7 +53,7 @@
 	if d.peers != nil {
 		ctx, cancel := context.WithTimeout(context.Background(), peerFlushTimeout)
 		defer cancel()
-		_ = d.peers.Close(ctx) // what is not flushed is repaired by the peers
+		_ = d.peers.Close(ctx) // the protocols repair what is not flushed
 	}
 	if d.core != nil {
 		d.core.Close()
@@ -68,16 +68,16 @@
 		ctx, cancel := context.WithTimeout(context.Background(), traceFlushTimeout)
 		defer cancel()
 		if err := d.tracer.close(ctx); err != nil && !errors.Is(err, context.Canceled) {
-			d.log.WithError(err).Warn("traces were not all exported")
+			d.log.WithError(err).Warn("not all traces were exported")
 		}
 	}
 }
 
-// adminStopTimeout bounds the end of operators' requests.
+// adminStopTimeout limits the wait for operators' requests to finish.
 const adminStopTimeout = time.Second
 
-// peerFlushTimeout bounds the sending of the last messages to other entry VMs.
+// peerFlushTimeout limits the sending of the last messages to other entry VMs.
 const peerFlushTimeout = 500 * time.Millisecond
 
-// traceFlushTimeout bounds the export of the last traces.
+// traceFlushTimeout limits the export of the last traces.
 const traceFlushTimeout = 2 * time.Second
--- a/serve/daemon/stop_test.go
+++ b/serve/daemon/stop_test.go
@@ -11,9 +11,9 @@
 	"github.com/azurethread/azurethread/serve/outbound"
 )
 
-// Symptom: a process with several daemons panics as it ends.
-// Sequence: a daemon that has been stopped is killed along with the others.
-// Cause: the second clean-up closed what was closed.
+// Guards against a panic when a process with several daemons ends: a daemon that
+// was stopped before is killed with the others, and the second clean-up closed
+// resources twice.
 func TestKillAfterStop(t *testing.T) {
 	is := is.New(t)
 	pool, err := outbound.NewPool(outbound.Options{
--- a/serve/daemon/tokens.go
+++ b/serve/daemon/tokens.go
@@ -11,10 +11,10 @@
 	"github.com/azurethread/azurethread/decide/token"
 )
 
-// tokenLifetime is how long a token of a look-up can be used.
+// tokenLifetime is how long a token is valid after it was issued.
 const tokenLifetime = time.Minute
 
-// mintToken makes a token that only the process of vm admits.
+// mintToken creates a token that only the current process of vm accepts.
 func (d *Daemon) mintToken(vm fleet.VM, now clock.Time) string {
 	m := d.minters.Get().(*token.Minter)
 	defer d.minters.Put(m)
@@ -25,7 +25,7 @@
 	return m.Mint(f)
 }
 
-// mintTokens makes the tokens of a look-up for one entry VM.
+// mintTokens creates n tokens for one entry VM in a look-up's answer.
 func (d *Daemon) mintTokens(id fleet.VMID, now clock.Time, n int) []string {
 	vm, ok := d.vmWithIncarnation(id)
 	if !ok || n == 0 {
@@ -38,7 +38,8 @@
 	return out
 }
 
-// alternatives names other entry VMs to a caller that is sent away.
+// alternatives returns the addresses of other entry VMs for a caller that is
+// refused because this one is leaving.
 func (d *Daemon) alternatives(service fleet.ServiceName, client netip.Addr) []string {
 	var choices [steer.MaxChoices]steer.Choice
 	a := d.lookups.answer(d.now(), service, client, choices[:])
--- a/serve/daemon/trace.go
+++ b/serve/daemon/trace.go
@@ -15,9 +15,9 @@
 	"github.com/azurethread/azurethread/decide/verdict"
 )
 
-// tracer makes a span for each hop: one for a request in this entry VM, and
-// one below it for each attempt at a target or at another entry VM. Without an
-// exporter no spans are made and a caller's traceparent passes unchanged.
+// tracer creates a span for each request in this entry VM, with a child span for
+// each attempt at a target or at another entry VM. Without an exporter it creates
+// no spans, and a caller's traceparent is passed on unchanged.
 type tracer struct {
 	provider *sdktrace.TracerProvider
 	tracer   trace.Tracer
@@ -25,7 +25,7 @@
 
 var propagator = propagation.TraceContext{}
 
-// newTracer sets up the exporter named by the setting: "none" or "stdout".
+// newTracer returns a tracer with the configured exporter: "none" or "stdout".
 func newTracer(exporter string, sample float64) (*tracer, error) {
 	if exporter != "stdout" {
 		return &tracer{}, nil
@@ -41,7 +41,7 @@
 	return &tracer{provider: p, tracer: p.Tracer("azurethread")}, nil
 }
 
-// close sends what is left to the exporter.
+// close exports the remaining spans.
 func (t *tracer) close(ctx context.Context) error {
 	if t.provider == nil {
 		return nil
@@ -49,7 +49,7 @@
 	return t.provider.Shutdown(ctx)
 }
 
-// start begins the span of a request, below the caller's if it sent one.
+// start starts the span of a request, as a child of the caller's if there is one.
 func (t *tracer) start(h http.Header, service string) span {
 	if t.tracer == nil {
 		return span{}
@@ -59,14 +59,14 @@
 	return span{t: t, ctx: ctx, s: s}
 }
 
-// span is one hop; the zero value records nothing.
+// span is the span of a request or an attempt; the zero value records nothing.
 type span struct {
 	t   *tracer
 	ctx context.Context
 	s   trace.Span
 }
 
-// child begins the span of an attempt.
+// child starts the span of an attempt.
 func (p span) child(name string) span {
 	if p.t == nil {
 		return span{}
@@ -75,14 +75,14 @@
 	return span{t: p.t, ctx: ctx, s: s}
 }
 
-// inject passes the span on to the receiver.
+// inject adds the span context to the header sent to the receiver.
 func (p span) inject(h http.Header) {
 	if p.t != nil {
 		propagator.Inject(p.ctx, propagation.HeaderCarrier(h))
 	}
 }
 
-// end closes the span with its outcome.
+// end ends the span and records its verdict and reason.
 func (p span) end(v verdict.Verdict, r verdict.Reason) {
 	if p.t == nil {
 		return
