--- a/serve/peer/body.go
+++ b/serve/peer/body.go
@@ -14,10 +14,10 @@
 	"github.com/azurethread/azurethread/decide/member"
 )
 
-// Kind numbers the messages of all packages on the wire.
+// Kind identifies the type of a message on the wire, across all packages.
 type Kind uint8
 
-// The ranges of kinds. Numbers are never reused.
+// The ranges of kinds. Numbers of removed kinds are never reused.
 const (
 	// KindMember is the first of 32 kinds: KindMember + member.Msg.Kind().
 	KindMember Kind = 0
@@ -25,21 +25,21 @@
 	KindLoad Kind = 32
 	// KindConfig is the first of 32 kinds of the configuration protocol.
 	KindConfig Kind = 64
-	// KindTally is the gathering of shift evidence.
+	// KindTally is the kind of messages that gather evidence for traffic shifts.
 	KindTally Kind = 96
-	// KindMachine is the spread of the machine list.
+	// KindMachine is the kind of messages that spread the machine list.
 	KindMachine Kind = 128
-	// KindIngress is the first of 32 kinds of the placement of requests.
+	// KindIngress is the first of 32 kinds for the placement of requests.
 	KindIngress Kind = 160
-	// KindRelay is the first of 32 kinds by which entry VMs pass on what the
-	// metadata store says.
+	// KindRelay is the first of 32 kinds by which entry VMs relay the contents
+	// of the metadata store.
 	KindRelay Kind = 192
 	// KindTest is the first kind that no daemon uses.
 	KindTest Kind = 240
 )
 
 // needsNoAck reports whether messages of a kind need no acknowledgement, because
-// they answer another message or ride on one. Acknowledging those as well
+// they answer another message or are sent along with one. Acknowledging them
 // would add a frame to each exchange.
 func (k Kind) needsNoAck() bool {
 	return k == KindLoad || (k > KindIngress && k < KindRelay) || (k < KindLoad && member.IsAnswer(uint8(k-KindMember)))
@@ -60,22 +60,22 @@
 	Data []byte
 }
 
-// Envelope is what one frame brings from another entry VM.
+// Envelope holds the messages of one frame from another entry VM.
 type Envelope struct {
 	From            fleet.VMID
 	FromIncarnation fleet.Incarnation
-	Seq             uint64 // number of the frame on its connection
+	Seq             uint64 // sequence number of the frame on its connection
 	Bodies          []Body
 }
 
 const (
-	// MaxBodies bounds the messages of one frame.
+	// MaxBodies is the maximum number of messages in one frame.
 	MaxBodies = 64
-	// MaxBody bounds one encoded message.
+	// MaxBody is the maximum size of one encoded message, in bytes.
 	MaxBody = 1 << 20
-	// MaxMemberBody bounds a membership or load message. Decoding turns a
-	// byte into up to about 150 bytes of structs, so this bounds what a
-	// faulty peer can make us allocate.
+	// MaxMemberBody is the maximum size of a membership or load message, in
+	// bytes. Decoding turns one byte into up to about 150 bytes of structs, so
+	// this limits the memory that a faulty peer can make this process allocate.
 	MaxMemberBody = 256 << 10
 )
 
@@ -100,9 +100,9 @@
 	return d
 }}
 
-// Encode encodes a struct whose fields have json tags. Structs become arrays
-// of their fields' values, so fields may only be added together with a new
-// kind or a new Version.
+// Encode encodes a struct whose fields have json tags. Structs are encoded as
+// arrays of their fields' values, so adding a field requires a new kind or a new
+// Version.
 func Encode(kind Kind, v any) (Body, error) {
 	var buf bytes.Buffer
 	e := encoders.Get().(*msgpack.Encoder)
@@ -117,11 +117,11 @@
 	return Body{Kind: kind, Data: buf.Bytes()}, nil
 }
 
-// Decode fills v, a pointer to a struct, from a body of at most limit bytes.
+// Decode decodes a body of at most limit bytes into v, a pointer to a struct.
 //
-// The structure is walked once before it is decoded: the decoder allocates
-// what an array's header announces, so a few bytes that announce four billion
-// elements would otherwise take all memory.
+// The structure is checked before it is decoded: the decoder allocates the
+// length that an array header declares, so a few bytes that declare four billion
+// elements would otherwise exhaust the memory.
 func Decode(b Body, limit int, v any) error {
 	if len(b.Data) > limit {
 		return fmt.Errorf("%w: kind %d has %d bytes", ErrTooLarge, b.Kind, len(b.Data))
@@ -131,7 +131,7 @@
 		return fmt.Errorf("%w: kind %d: %w", ErrMalformed, b.Kind, err)
 	}
 	if len(rest) > 0 {
-		return fmt.Errorf("%w: kind %d has %d bytes too many", ErrMalformed, b.Kind, len(rest))
+		return fmt.Errorf("%w: kind %d has %d trailing bytes", ErrMalformed, b.Kind, len(rest))
 	}
 	d := decoders.Get().(*msgpack.Decoder)
 	defer decoders.Put(d)
--- a/serve/peer/conn.go
+++ b/serve/peer/conn.go
@@ -10,8 +10,8 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// conn is one connection. Its fields are guarded by Transport.mu, except
-// split, which only the poller's goroutine of this connection uses.
+// conn is one connection. Its fields are guarded by Transport.mu, except split,
+// which only this connection's poller goroutine uses.
 type conn struct {
 	t            *Transport
 	nb           *nbio.Conn
@@ -21,19 +21,19 @@
 	split        splitter
 	closed       bool
 
-	peer        fleet.VMID // wanted when dialled, else from the hello
+	peer        fleet.VMID // intended recipient if dialled, else from the hello
 	incarnation fleet.Incarnation
 	nonce       []byte
-	out, in     *frameAuth // nil until the hellos were exchanged
-	established bool       // the other side has proved to know the key
+	out, in     *frameAuth // nil until the hellos have been exchanged
+	established bool       // the other side has proved that it knows the key
 
-	unacked         []sentFrame // frames to be acknowledged, in order
+	unacked         []sentFrame // frames awaiting acknowledgement, in order
 	unackedBytes    int
-	ackSeq          uint64    // last frame to be acknowledged
-	ackPendingBytes int       // received and not yet acknowledged
+	ackSeq          uint64    // last frame to acknowledge
+	ackPendingBytes int       // bytes received and not yet acknowledged
 	ackDue          time.Time // zero if everything is acknowledged
 
-	linkBroken bool // by Link
+	linkBroken bool // Link has dropped a frame
 	delayed    []delayedFrame
 }
 
@@ -59,7 +59,8 @@
 	return c
 }
 
-// receive takes bytes from the poller and returns the envelopes in them.
+// receive processes bytes from the poller and returns the envelopes they
+// complete.
 func (c *conn) receive(b []byte) ([]Envelope, error) {
 	var envs []Envelope
 	err := c.split.push(b, func(frame []byte) error {
@@ -74,7 +75,7 @@
 	return envs, err
 }
 
-// handleFrame takes one frame. It reports true if it brought messages.
+// handleFrame processes one frame. It reports true if the frame held messages.
 func (c *conn) handleFrame(frame []byte) (Envelope, bool, error) {
 	if c.closed {
 		return Envelope{}, false, nil
@@ -96,7 +97,7 @@
 	}
 }
 
-// handleHello takes the other side's hello.
+// handleHello processes the other side's hello.
 func (c *conn) handleHello(signed, payload, mac []byte) error {
 	var answered []byte
 	if c.dialled {
@@ -110,7 +111,7 @@
 		return err
 	}
 	if len(h.Nonce) != nonceSize || h.ID == "" {
-		return fmt.Errorf("%w: hello without nonce or id", ErrMalformed)
+		return fmt.Errorf("%w: hello without a valid nonce or id", ErrMalformed)
 	}
 	if c.dialled {
 		return c.completeAsDialler(&h)
@@ -121,23 +122,23 @@
 // completeAsDialler completes the handshake on the side that dialled.
 func (c *conn) completeAsDialler(h *hello) error {
 	if h.ID != c.peer && !isAddress(c.peer) {
-		return fmt.Errorf("%w: reached %s in place of %s", ErrMisdirected, h.ID, c.peer)
+		return fmt.Errorf("%w: reached %s instead of %s", ErrMisdirected, h.ID, c.peer)
 	}
 	c.incarnation = h.Incarnation
 	c.out = newFrameAuth(c.t.o.Key, fromDialler, c.nonce, h.Nonce)
 	c.in = newFrameAuth(c.t.o.Key, fromAccepter, c.nonce, h.Nonce)
 	c.establish()
-	// An empty frame proves at once to the other side that we know the key.
+	// An empty frame proves to the other side at once that this side knows the key.
 	c.sendAck()
 	c.t.useConn(c)
 	return nil
 }
 
 // answerHello answers the hello of the side that dialled. That hello may be a
-// recording: only a data frame makes the connection ready.
+// recording, so the connection is established only by a valid data frame.
 func (c *conn) answerHello(h *hello) error {
 	if h.Recipient != c.t.o.ID && !isAddress(h.Recipient) {
-		return fmt.Errorf("%w: %s wants %s", ErrMisdirected, h.ID, h.Recipient)
+		return fmt.Errorf("%w: %s intended to reach %s", ErrMisdirected, h.ID, h.Recipient)
 	}
 	c.peer = h.ID
 	c.incarnation = h.Incarnation
@@ -151,11 +152,11 @@
 	c.split.limit = MaxFrame
 }
 
-func (c *conn) sendHello(wants fleet.VMID, answered []byte) error {
+func (c *conn) sendHello(recipient fleet.VMID, answered []byte) error {
 	b, err := Encode(0, &hello{
 		ID:          c.t.o.ID,
 		Incarnation: c.t.o.Incarnation,
-		Recipient:   wants,
+		Recipient:   recipient,
 		Nonce:       c.nonce,
 	})
 	if err != nil {
@@ -165,7 +166,7 @@
 	return nil
 }
 
-// handleData takes a data frame.
+// handleData processes a data frame.
 func (c *conn) handleData(signed, payload, mac []byte) (Envelope, bool, error) {
 	if err := c.in.verify(signed, mac); err != nil {
 		return Envelope{}, false, err
@@ -194,8 +195,9 @@
 	return env, true, nil
 }
 
-// scheduleAck notes that the frame just received has to be acknowledged. Bulk is
-// acknowledged at once, or its sender would wait for its window each time.
+// scheduleAck records that the frame just received has to be acknowledged. Large
+// amounts of data are acknowledged at once; otherwise their sender would wait
+// for its window each time.
 func (c *conn) scheduleAck(size int) {
 	c.ackSeq = c.in.seq
 	c.ackPendingBytes += size
@@ -207,7 +209,7 @@
 	}
 }
 
-// handleAck drops the frames that the other side has.
+// handleAck removes the frames that the other side has acknowledged.
 func (c *conn) handleAck(seq uint64) {
 	n := 0
 	for n < len(c.unacked) && c.unacked[n].seq <= seq {
@@ -248,7 +250,8 @@
 	}
 }
 
-// unackedFor is how long the oldest frame in transit has waited.
+// unackedFor returns how long the oldest unacknowledged frame has waited; 0 if
+// there is none.
 func (c *conn) unackedFor(now time.Time) time.Duration {
 	if len(c.unacked) == 0 {
 		return 0
@@ -256,7 +259,7 @@
 	return now.Sub(c.unacked[0].at)
 }
 
-// write hands a frame to the connection, by way of Link if there is one.
+// write writes a frame to the connection, through Link if it is set.
 func (c *conn) write(frame []byte) {
 	c.t.stats.FramesSent++
 	c.t.stats.BytesSent += uint64(len(frame))
@@ -287,9 +290,9 @@
 	}
 }
 
-// writeNow never blocks: nbio keeps what the socket doesn't take, and the
-// window bounds how much that is. An error closes the connection, which is
-// handled there.
+// writeNow never blocks: nbio buffers what the socket does not accept, and the
+// window limits that amount. Errors are ignored, since nbio then closes the
+// connection and onClose handles that.
 func (c *conn) writeNow(frame []byte) {
 	_, _ = c.nb.Write(frame)
 }
--- a/serve/peer/dial.go
+++ b/serve/peer/dial.go
@@ -8,19 +8,19 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// addressPrefix begins an id that stands for whoever is at an address.
+// addressPrefix marks an id that stands for whichever VM is at an address.
 const addressPrefix = "@"
 
-// At returns what Send takes for the entry VM at addr, a host:port, whose id is
-// not known. Answers come from the same id.
+// At returns a VM to pass to Send for the entry VM at addr, a host:port, whose id
+// is not known. Its answers arrive under the id of that placeholder.
 func At(addr string) fleet.VM {
 	return fleet.VM{ID: fleet.VMID(addressPrefix + addr), PeerAddr: addr}
 }
 
 func isAddress(id fleet.VMID) bool { return strings.HasPrefix(string(id), addressPrefix) }
 
-// dialIfNeeded starts a connection if there is none, or if the one in use has
-// gone silent.
+// dialIfNeeded starts a connection if messages are queued and there is none, or
+// if the one in use no longer gets acknowledgements.
 func (t *Transport) dialIfNeeded(r *remote) {
 	now := t.now()
 	needed := r.current == nil && len(r.queue) > 0
@@ -34,7 +34,7 @@
 	go t.dial(r.vm)
 }
 
-// dial runs in a goroutine of its own, since connecting blocks.
+// dial runs in a separate goroutine, since connecting blocks.
 func (t *Transport) dial(vm fleet.VM) {
 	defer t.goroutines.Done()
 	nb, err := nbio.DialTimeout("tcp", vm.PeerAddr, t.o.DialTimeout)
@@ -75,8 +75,7 @@
 	t.failed(id)
 }
 
-// backOff delays the next dial, doubling the wait from one failure to the
-// next.
+// backOff delays the next dial, doubling the delay with each failure.
 func (t *Transport) backOff(r *remote) {
 	t.stats.DialsFailed++
 	r.dialling = false
--- a/serve/peer/doc.go
+++ b/serve/peer/doc.go
@@ -13,27 +13,29 @@
 // # Handshake
 //
 // The side that dialled sends a hello: its VM id, its incarnation, the id of
-// the VM it wants and a nonce. The other side answers with its own hello,
-// whose MAC also covers the first nonce, so it proves to know the shared key
-// and to be no recording. Both then derive one key for each direction from
-// the shared key and the two nonces. Each data frame's MAC covers its number
-// in its direction, which is not sent: a frame that is replayed, reordered,
-// left out or taken from another connection has a MAC that doesn't fit, and
-// the connection is closed. The first data frame proves the dialler.
+// the intended recipient and a nonce. The other side answers with its own
+// hello, whose MAC also covers the first nonce: this proves that it knows the
+// shared key and that the answer is not a recording. Both then derive one key
+// for each direction from the shared key and the two nonces. The MAC of a data
+// frame covers its sequence number in its direction, which is not sent. If a
+// frame is replayed, reordered, omitted or taken from another connection, the
+// MAC does not match and the connection is closed. The first data frame
+// authenticates the side that dialled.
 //
 // # Silent connections
 //
 // A firewall or router on the path may drop the state of one connection: its
-// segments vanish, while others arrive and writes still succeed. Each data
-// frame therefore states the last frame received, and a frame with messages
-// is acknowledged within Options.AckDelay, by whatever goes back or by an
-// empty frame. A connection whose frames stay unacknowledged for
-// Options.SilentAfter is replaced as soon as a new one completes the
+// segments are lost, while other connections work and writes still succeed.
+// Each data frame therefore acknowledges the last frame received, and a frame
+// with messages is acknowledged within Options.AckDelay, by the next frame sent
+// back or by an empty one. Frames that hold only answers or load reports need no
+// acknowledgement. A connection whose frames stay unacknowledged for
+// Options.ReplaceAfter is replaced as soon as a new one completes the
 // handshake.
 //
 // # Loss
 //
-// Sending never blocks. What doesn't fit the queue of a VM pushes out what
-// has waited longest, and frames in transit on a replaced connection are not
-// sent again: every protocol above repeats or repairs its messages.
+// Sending never blocks. If the queue of a VM is full, the oldest messages are
+// dropped, and frames in transit on a replaced connection are not sent again:
+// every protocol above repeats or repairs its messages.
 package peer
--- a/serve/peer/frame.go
+++ b/serve/peer/frame.go
@@ -17,7 +17,7 @@
 const (
 	// Version is the version of the frame format and of all messages in it.
 	Version = 1
-	// MaxFrame bounds the length that a frame may state: the largest message
+	// MaxFrame is the maximum value of a frame's length field: the largest message
 	// and room for others beside it.
 	MaxFrame = MaxBody + 64<<10
 
@@ -26,9 +26,10 @@
 	macSize      = 16
 	minFrameSize = headerSize + macSize
 	nonceSize    = 16
-	// maxHelloSize bounds a frame of a sender that has not proved to know the key.
+	// maxHelloSize is the maximum length of a frame from a sender that has not yet
+	// proved that it knows the key.
 	maxHelloSize = 1 << 10
-	// FrameOverhead is the size of a frame beyond its payload.
+	// FrameOverhead is the size of a frame without its payload.
 	FrameOverhead = lengthSize + headerSize + macSize
 )
 
@@ -39,24 +40,24 @@
 	typeData  frameType = 2
 )
 
-// Errors for which a connection is closed.
+// Errors that close a connection.
 var (
 	ErrFrameSize    = errors.New("peer: frame size out of bounds")
 	ErrFrameVersion = errors.New("peer: unknown frame version")
 	ErrFrameType    = errors.New("peer: unexpected frame type")
-	ErrWrongKey     = errors.New("peer: hello not made with the shared key")
+	ErrWrongKey     = errors.New("peer: hello not authenticated by the shared key")
 	ErrFrameMAC     = errors.New("peer: frame replayed, reordered or forged")
 	ErrMisdirected  = errors.New("peer: hello for another VM")
 )
 
-// splitter cuts a byte stream into frames.
+// splitter splits a byte stream into frames.
 type splitter struct {
 	buf   []byte
 	limit int
 }
 
-// push appends data and calls f with each complete frame, without its length.
-// The frame is valid only during the call.
+// push appends data and calls f with each complete frame, without its length
+// field. The frame is valid only during the call.
 func (s *splitter) push(data []byte, f func(frame []byte) error) error {
 	s.buf = append(s.buf, data...)
 	rest := s.buf
@@ -77,8 +78,8 @@
 	return nil
 }
 
-// keepRest moves the incomplete rest to the front, and gives back the memory of
-// an unusually large frame.
+// keepRest moves the incomplete rest to the front of the buffer. If nothing is
+// left, it frees a buffer that a large frame has grown.
 func (s *splitter) keepRest(rest []byte) {
 	const large = 64 << 10
 	if len(rest) == 0 && cap(s.buf) > large {
@@ -88,7 +89,7 @@
 	s.buf = append(s.buf[:0], rest...)
 }
 
-// parseFrame checks the head of a frame and returns its type, payload and mac.
+// parseFrame checks the version of a frame and returns its type, payload and MAC.
 func parseFrame(frame []byte) (frameType, []byte, []byte, error) {
 	if frame[0] != Version {
 		return 0, nil, nil, fmt.Errorf("%w: %d", ErrFrameVersion, frame[0])
@@ -97,7 +98,7 @@
 	return frameType(frame[1]), frame[headerSize:at], frame[at:], nil
 }
 
-// sealFrame builds a frame around a payload; sum computes the MAC of head and
+// sealFrame builds a frame with a payload; sum computes the MAC of header and
 // payload.
 func sealFrame(t frameType, payload []byte, sum func(b []byte) []byte) []byte {
 	out := make([]byte, lengthSize, FrameOverhead+len(payload))
@@ -115,8 +116,8 @@
 	Nonce       []byte            `json:"nonce"`
 }
 
-// helloMAC binds a hello to the shared key and, in the answer, to the nonce
-// of the hello that it answers.
+// helloMAC returns the MAC function of a hello. It uses the shared key and, for
+// an answer, covers the nonce of the hello that it answers.
 func helloMAC(key, answered []byte) func(b []byte) []byte {
 	return func(b []byte) []byte {
 		m := hmac.New(sha256.New, key)
@@ -127,16 +128,16 @@
 	}
 }
 
-// The labels of the keys of the two directions.
+// Labels for deriving the keys of the two directions.
 const (
 	fromDialler  = "azurethread from dialler"
 	fromAccepter = "azurethread from accepter"
 )
 
-// frameAuth authenticates the data frames of one direction.
+// frameAuth computes and verifies the MACs of the data frames of one direction.
 type frameAuth struct {
 	mac hash.Hash
-	seq uint64 // number of the last frame
+	seq uint64 // sequence number of the last frame
 	buf [sha256.Size]byte
 }
 
@@ -148,7 +149,7 @@
 	return &frameAuth{mac: hmac.New(sha256.New, m.Sum(nil))}
 }
 
-// sum returns the MAC of the next frame. It is valid until the next call.
+// sum returns the MAC of the next frame. The slice is valid until the next call.
 func (c *frameAuth) sum(b []byte) []byte {
 	c.seq++
 	var n [8]byte
@@ -159,8 +160,8 @@
 	return c.mac.Sum(c.buf[:0])[:macSize]
 }
 
-// verify checks the MAC of the next frame received. Head and payload are the
-// part of the frame before its mac.
+// verify checks the MAC of the next frame received. headAndPayload is the part of
+// the frame before its MAC.
 func (c *frameAuth) verify(headAndPayload, mac []byte) error {
 	if !hmac.Equal(c.sum(headAndPayload), mac) {
 		return ErrFrameMAC
@@ -168,8 +169,8 @@
 	return nil
 }
 
-// appendData encodes the payload of a data frame: the number of the last
-// frame with messages that was received, and the messages.
+// appendData encodes the payload of a data frame: ack, the sequence number of the
+// last frame with messages that was received, and the messages.
 func appendData(ack uint64, bodies []Body) ([]byte, error) {
 	var buf bytes.Buffer
 	e := encoders.Get().(*msgpack.Encoder)
--- a/serve/peer/maintain.go
+++ b/serve/peer/maintain.go
@@ -6,7 +6,7 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// maintainLoop does what is due until the transport is closed.
+// maintainLoop runs maintain periodically until the transport is closed.
 func (t *Transport) maintainLoop() {
 	defer t.goroutines.Done()
 	tick := time.NewTicker(maintainInterval)
@@ -23,7 +23,7 @@
 	}
 }
 
-// maintain does what is due and returns the VMs whose connection it gave up.
+// maintain handles expired timers and returns the VMs whose connection it gave up.
 func (t *Transport) maintain() []fleet.VMID {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -48,7 +48,8 @@
 	return lost
 }
 
-// maintainConn reports true if it gave the connection of a VM up.
+// maintainConn handles a connection's timers. It reports true if it gave up the
+// connection in use to a VM.
 func (t *Transport) maintainConn(c *conn, now time.Time) bool {
 	if !c.established {
 		return t.expireHandshake(c, now)
@@ -70,8 +71,9 @@
 	return false
 }
 
-// expireHandshake closes a connection whose handshake takes too long: one that
-// sends its hello byte by byte, or never, would hold its place for ever.
+// expireHandshake closes a connection whose handshake takes too long. Otherwise
+// connections that send their hello slowly or not at all would use up the limit
+// on connections permanently. It reports true if this side had dialled.
 func (t *Transport) expireHandshake(c *conn, now time.Time) bool {
 	if now.Sub(c.opened) <= t.o.HandshakeTimeout {
 		return false
--- a/serve/peer/options.go
+++ b/serve/peer/options.go
@@ -7,28 +7,28 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// Options are the settings of a Transport. A zero duration or size takes its
+// Options are the settings of a Transport. A zero duration or size means the
 // default.
 type Options struct {
 	ID          fleet.VMID
 	Incarnation fleet.Incarnation
-	// Key is the secret that all entry VMs share; at least MinKey bytes.
+	// Key is the secret shared by all entry VMs, of at least MinKeyBytes bytes.
 	Key []byte
 
-	DialTimeout      time.Duration // to get a connection
-	HandshakeTimeout time.Duration // to complete the handshake
-	AckDelay         time.Duration // before a frame is acknowledged by an empty one
-	ReplaceAfter     time.Duration // unacknowledged, before a replacement is dialled
-	LostAfter        time.Duration // unacknowledged, before a connection is given up
-	IdleTimeout      time.Duration // without any frame, before a connection is closed
-	BackoffMin       time.Duration // after a first failure to connect
-	BackoffMax       time.Duration // after many
-	QueueTimeout     time.Duration // that a message waits for a connection
-	MaxQueueBytes    int           // that wait for a VM; beyond it the oldest go
-	WindowBytes      int           // unacknowledged on one connection
-	MaxConnections   int           // accepted at once
+	DialTimeout      time.Duration // for connecting
+	HandshakeTimeout time.Duration // for completing the handshake
+	AckDelay         time.Duration // until a frame is acknowledged by an empty one
+	ReplaceAfter     time.Duration // without an acknowledgement, until a replacement is dialled
+	LostAfter        time.Duration // without an acknowledgement, until the connection is given up
+	IdleTimeout      time.Duration // without any frame, until the connection is closed
+	BackoffMin       time.Duration // delay after the first failure to connect
+	BackoffMax       time.Duration // maximum delay after repeated failures
+	QueueTimeout     time.Duration // how long a message may wait for a connection
+	MaxQueueBytes    int           // queued for a VM; beyond it the oldest messages are dropped
+	WindowBytes      int           // unacknowledged bytes on one connection
+	MaxConnections   int           // accepted connections open at once
 
-	// Link, if set, may hold frames back; for tests.
+	// Link, if set, may delay or drop frames; for tests.
 	Link Link
 }
 
@@ -46,14 +46,15 @@
 	DefaultMaxQueueBytes    = MaxFrame + 256<<10
 	DefaultWindowBytes      = MaxFrame + 256<<10
 	DefaultMaxConnections   = 4096
-	// MinKeyBytes is the least length of the shared key.
+	// MinKeyBytes is the minimum length of the shared key.
 	MinKeyBytes = 16
 )
 
-// immediateAckBytes received are acknowledged without delay.
+// immediateAckBytes is the amount of unacknowledged received data that is
+// acknowledged without delay.
 const immediateAckBytes = 64 << 10
 
-// maintainInterval is the resolution of the durations above.
+// maintainInterval is the resolution of the durations in Options.
 const maintainInterval = 20 * time.Millisecond
 
 // Errors of New and Send.
@@ -64,10 +65,9 @@
 	ErrClosed    = errors.New("peer: transport closed")
 )
 
-// Link decides what becomes of a frame on its way to another VM: it arrives
-// after delay, or it never does. Once a frame is lost, its connection stays
-// silent, as a real one would after a firewall on the path has dropped its
-// state.
+// Link simulates the network to another VM: a frame arrives after delay, or is
+// lost if ok is false. Once a frame is lost, all later frames of its connection
+// are lost too, as after a firewall on the path has dropped its state.
 type Link interface {
 	Pass(from, to fleet.VMID) (delay time.Duration, ok bool)
 }
--- a/serve/peer/queue.go
+++ b/serve/peer/queue.go
@@ -21,8 +21,8 @@
 	r.queue = r.queue[1:]
 }
 
-// sendQueued sends what waits for a VM, as far as the window of its connection
-// goes. Waiting messages are merged into fewer frames.
+// sendQueued sends the messages queued for a VM, as far as the window of its
+// connection permits. Queued messages are merged into fewer frames.
 func (t *Transport) sendQueued(id fleet.VMID) {
 	r := t.remotes[id]
 	if r == nil {
--- a/serve/peer/transport.go
+++ b/serve/peer/transport.go
@@ -13,16 +13,16 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// Handler takes what another entry VM sent. Calls for one connection come in
-// order; those for several may come at once, so it has to be safe for
-// concurrent use, and it must not block.
+// Handler processes the messages of a frame from another entry VM. Calls for one
+// connection are made in order, those for different connections concurrently. It
+// must not block.
 type Handler func(from fleet.VMID, env Envelope)
 
-// FailureHandler is told that no connection to a VM could be had or that it was
-// given up. It may come from any goroutine.
+// FailureHandler is called when connecting to a VM has failed or the connection
+// to it was lost. It may be called from any goroutine.
 type FailureHandler func(to fleet.VMID)
 
-// Transport connects one entry VM with others. Its methods are safe for
+// Transport exchanges messages between one entry VM and others. Its methods are safe for
 // concurrent use.
 type Transport struct {
 	o          Options
@@ -32,7 +32,7 @@
 	stop       chan struct{}
 	goroutines sync.WaitGroup
 
-	loopsStarted chan struct{} // closed once the engine's loops run
+	loopsStarted chan struct{} // closed once the engine's event loops run
 	firstClose   sync.Once
 
 	mu       sync.Mutex
@@ -40,12 +40,12 @@
 	draining bool // Close has begun
 	remotes  map[fleet.VMID]*remote
 	conns    map[*conn]struct{}
-	toClose  []*nbio.Conn // to be closed
+	toClose  []*nbio.Conn // closed by the next maintain
 	accepted int
 	closing  bool
 }
 
-// remote is another entry VM.
+// remote is the state of another entry VM.
 type remote struct {
 	vm          fleet.VM
 	current     *conn // the connection in use; nil while there is none
@@ -56,14 +56,14 @@
 	queuedBytes int
 }
 
-// queued is a Send that waits for a connection or for its window.
+// queued holds the messages of one Send that wait for a connection or its window.
 type queued struct {
 	bodies []Body
 	size   int
 	at     time.Time
 }
 
-// New returns a transport that doesn't listen yet. failed may be nil.
+// New returns a transport that is not listening yet. failed may be nil.
 func New(o Options, handle Handler, failed FailureHandler) (*Transport, error) {
 	if len(o.Key) < MinKeyBytes {
 		return nil, fmt.Errorf("%w: %d bytes, at least %d", ErrKey, len(o.Key), MinKeyBytes)
@@ -85,25 +85,25 @@
 	}, nil
 }
 
-// Listen starts the transport on a TCP address and returns the address with
-// the port in use.
+// Listen starts the transport on a TCP address and returns the address with the
+// actual port.
 func (t *Transport) Listen(addr string) (string, error) {
 	t.engine = nbio.NewEngine(nbio.Config{
 		Name:    "peer " + string(t.o.ID),
 		Network: "tcp",
 		Addrs:   []string{addr},
 		NPoller: 1,
-		// Frames between entry VMs are small; the buffer is one a poller.
+		// Frames between entry VMs are small, and each poller has one buffer.
 		ReadBufferSize: 16 << 10,
-		// A peer that asks without reading the answers must not fill our
-		// memory: beyond this nbio closes its connection.
+		// Limits the memory used by a peer that sends requests and does not read
+		// the answers: beyond this, nbio closes its connection.
 		MaxWriteBufferSize: 2 * t.o.WindowBytes,
 	})
 	t.engine.OnOpen(t.onOpen)
 	t.engine.OnData(t.onData)
 	t.engine.OnClose(t.onClose)
 	if err := t.engine.Start(); err != nil {
-		t.engine = nil // Close must not stop it: nbio panics on one that has no loops
+		t.engine = nil // Close must not stop it: nbio panics on an engine that was not started
 		return "", fmt.Errorf("peer: listen on %s: %w", addr, err)
 	}
 	t.goroutines.Add(1)
@@ -112,11 +112,11 @@
 	return addr, t.awaitLoops(addr)
 }
 
-// awaitLoops returns once the engine's loops run. Symptom without it: Close
-// right after Listen never returns, and a goroutine spins on a closed
-// listener. Cause: each loop of nbio begins by clearing the flag that Stop
-// sets, so a Stop before that is forgotten. A connection that was accepted
-// and whose end was read proves that both loops have begun.
+// awaitLoops returns once the engine's event loops run. Without it, a Close right
+// after Listen would never return and leave a goroutine spinning on a closed
+// listener: each loop of nbio starts by clearing the flag that Stop sets, so an
+// earlier Stop has no effect. A connection that was accepted and whose close was
+// read proves that both loops have started.
 func (t *Transport) awaitLoops(addr string) error {
 	c, err := net.DialTimeout("tcp", addr, t.o.DialTimeout)
 	if err != nil {
@@ -131,7 +131,7 @@
 
 func (t *Transport) now() time.Time { return time.Now() }
 
-// Stats returns the present counters.
+// Stats returns the current counters.
 func (t *Transport) Stats() Stats {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -145,9 +145,9 @@
 	return s
 }
 
-// Send hands messages for one entry VM over, to go in one frame. It never
-// blocks; an error says that they were not even queued. Delivery is not
-// assured.
+// Send queues messages for one entry VM, to be sent in one frame. It never
+// blocks. An error means that they were not queued; without one, delivery is
+// still not guaranteed.
 func (t *Transport) Send(to fleet.VM, bodies ...Body) error {
 	size := 0
 	for _, b := range bodies {
@@ -172,16 +172,17 @@
 }
 
 const (
-	// bodyOverhead is the most that a body's encoding adds to its data.
+	// bodyOverhead is the maximum number of bytes that encoding adds to a body.
 	bodyOverhead = 1 + 2 + 5
-	// dataOverhead is the most that the rest of a data frame's payload takes.
+	// dataOverhead is the maximum size of the rest of a data frame's payload.
 	dataOverhead = 1 + 9 + 3
-	// maxMergedBytes bounds a frame made of several queued Sends.
+	// maxMergedBytes is the maximum size of a frame merged from several Sends.
 	maxMergedBytes = 64 << 10
 )
 
-// remoteFor finds or makes the entry for a VM. A higher incarnation than that of
-// the connection in use means that its process is gone.
+// remoteFor returns the state of a VM and creates it if necessary. If the VM has a
+// higher incarnation than the connection in use, the process at the other end of
+// that connection is gone, and the connection is closed.
 func (t *Transport) remoteFor(to fleet.VM) (*remote, error) {
 	r := t.remotes[to.ID]
 	if r == nil {
@@ -206,7 +207,8 @@
 	return r, nil
 }
 
-// admit registers a new connection unless there are too many.
+// admit registers a new connection. It reports false if there are too many or the
+// transport is closing.
 func (t *Transport) admit(c *conn) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -224,8 +226,8 @@
 	return true
 }
 
-// onOpen is called by nbio for each connection; those dialled have a session
-// already.
+// onOpen is called by nbio for each new connection. Dialled connections already
+// have a session.
 func (t *Transport) onOpen(nb *nbio.Conn) {
 	if nb.Session() != nil {
 		return
@@ -237,8 +239,8 @@
 	}
 }
 
-// closeLater closes a connection that nbio is about to register, and would
-// report as an error if it were closed here.
+// closeLater has the next maintain close a connection that nbio is about to
+// register. Closing it here would make nbio report an error.
 func (t *Transport) closeLater(nb *nbio.Conn) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -263,8 +265,8 @@
 	_ = nb.CloseWithError(err)
 }
 
-// registered returns the state of a connection that was admitted. The lock
-// orders this after admit, which ran in the goroutine that accepted.
+// registered returns the state of an admitted connection. The lock ensures that
+// it sees the result of admit, which ran in the accepting goroutine.
 func (t *Transport) registered(nb *nbio.Conn) (*conn, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -276,8 +278,7 @@
 	return c, ok
 }
 
-// onClose is called by nbio once for each connection, in a goroutine of its
-// own.
+// onClose is called by nbio once for each connection, in a separate goroutine.
 func (t *Transport) onClose(nb *nbio.Conn, _ error) {
 	t.firstClose.Do(func() { close(t.loopsStarted) })
 	c, ok := nb.Session().(*conn)
@@ -289,8 +290,8 @@
 	}
 }
 
-// removeConn removes a closed connection. It reports true if that leaves a VM
-// without one that it had or was to get.
+// removeConn removes a closed connection. It reports true if this was the
+// connection in use to a VM or one being dialled to it.
 func (t *Transport) removeConn(c *conn) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -326,9 +327,10 @@
 	}
 }
 
-// useConn makes a connection that has completed the handshake the one in
-// use. A silent one is closed; any other one closes once idle, since both
-// sides may have dialled at once and must not each close what the other uses.
+// useConn makes a connection that has completed the handshake the one in use. The
+// previous one is closed if it lacks acknowledgements. Otherwise it stays open
+// until it is idle: both sides may have dialled at the same time, and neither may
+// close the connection that the other uses.
 func (t *Transport) useConn(c *conn) {
 	r := t.remotes[c.peer]
 	if r == nil {
@@ -353,7 +355,7 @@
 	t.sendQueued(c.peer)
 }
 
-// closeConn closes a connection for a reason of our own.
+// closeConn closes a connection on this side's initiative.
 func (t *Transport) closeConn(c *conn) {
 	if c.closed {
 		return
@@ -369,8 +371,8 @@
 	_ = c.nb.Close()
 }
 
-// Close refuses further Sends, waits until what was sent is acknowledged or
-// ctx ends, and closes all connections. The error says that ctx ended first.
+// Close refuses further Sends, waits until everything sent is acknowledged or ctx
+// ends, and closes all connections. It returns an error if ctx ended first.
 func (t *Transport) Close(ctx context.Context) error {
 	t.mu.Lock()
 	again := t.draining
