--- a/serve/admin/admintest/memory.go
+++ b/serve/admin/admintest/memory.go
@@ -1,5 +1,5 @@
-// Package admintest holds an in-memory catalogue behind the interfaces of
-// package admin, for tests of the API and of its clients.
+// Package admintest implements the interfaces of package admin with an in-memory
+// catalogue, for tests of the API and its clients.
 package admintest
 
 import (
@@ -16,16 +16,16 @@
 	"github.com/azurethread/azurethread/serve/admin"
 )
 
-// Memory is a Changer, Settler and Viewer over one catalogue in memory. Its
+// Memory is a Changer, OutcomeFinder and Viewer for one catalogue in memory. Its
 // fields may be set before use; afterwards call Update.
 type Memory struct {
-	// Now is the instant of every change.
+	// Now is the time of every change.
 	Now time.Time
-	// Lose makes the answers of changes get lost after they were made.
+	// Lose makes changes succeed but return an error as if the answer were lost.
 	Lose bool
-	// Down makes the platform unreachable: changes fail with not-run.
+	// Down simulates an unreachable platform: changes fail with not-run.
 	Down bool
-	// Silent makes questions about operations fail.
+	// Silent makes queries for outcomes fail.
 	Silent bool
 	// Lagging are the entry VMs that never apply a revision.
 	Lagging []fleet.VMID
@@ -44,14 +44,14 @@
 	}
 }
 
-// Update changes the switches of m while it is in use.
+// Update changes the fields of m while it is in use.
 func (m *Memory) Update(set func(*Memory)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	set(m)
 }
 
-// ClearCatalogue drops the catalogue, as of an entry VM that has just started.
+// ClearCatalogue removes the catalogue, as at an entry VM that has just started.
 func (m *Memory) ClearCatalogue() { m.cat = nil }
 
 // Change implements admin.Changer.
@@ -73,7 +73,7 @@
 	return admin.Accepted{Operation: op.ID, Revision: next.Revision, Settled: true}, nil
 }
 
-// FindOutcome implements admin.Settler.
+// FindOutcome implements admin.OutcomeFinder.
 func (m *Memory) FindOutcome(_ context.Context, operation string) (admin.Outcome, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/serve/admin/audit.go
+++ b/serve/admin/audit.go
@@ -6,29 +6,29 @@
 	"github.com/azurethread/azurethread/decide/change"
 )
 
-// Record is what the audit log holds of one administration request.
+// Record is the audit record of one administration request.
 type Record struct {
-	Operator  string // empty where nobody was authenticated
-	Remote    string // address the request came from
+	Operator  string // empty if authentication failed
+	Remote    string // address of the client
 	Method    string
 	Route     string      // route pattern, or "" for an unknown path
 	Operation string      // operation id of a change
 	Kind      change.Kind // empty for reads
 	Entry     string      // shift id or service name
-	Outcome   string      // "ok", or the Code of the failure
+	Outcome   string      // "ok" or the Code of the failure
 	Status    int         // HTTP status
 	Revision  uint64      // catalogue revision of an accepted change
-	// SelfApproved marks an approval by the author, which only emergency
-	// shifts allow.
+	// SelfApproved marks an approval of a shift by its author, which is allowed
+	// for emergency shifts only.
 	SelfApproved bool
 }
 
-// Auditor keeps audit records.
+// Auditor stores audit records.
 type Auditor interface {
 	Audit(Record)
 }
 
-// LogAuditor writes one JSON line a record.
+// LogAuditor writes each record as one log entry.
 type LogAuditor struct {
 	Log logrus.FieldLogger
 }
--- a/serve/admin/changes.go
+++ b/serve/admin/changes.go
@@ -26,12 +26,12 @@
 	h.route("POST", "shifts/{id}/rollback", h.shiftAction(change.KindRollBack))
 }
 
-// decode reads the body into v: one JSON value, no unknown fields, at most
-// MaxBody bytes. An empty body leaves v as it is.
+// decode decodes the body into v. The body is at most MaxBody bytes and holds one
+// JSON value without unknown fields. An empty body leaves v unchanged.
 func (q *request) decode(v any) error {
 	raw, err := io.ReadAll(io.LimitReader(q.Body, MaxBody+1))
 	if err != nil {
-		return newFailure(http.StatusBadRequest, CodeBadRequest, "the body could not be read whole")
+		return newFailure(http.StatusBadRequest, CodeBadRequest, "the body could not be read completely")
 	}
 	if len(raw) > MaxBody {
 		return newFailure(http.StatusRequestEntityTooLarge, CodeTooLarge, "the body is larger than 1 MiB")
@@ -55,7 +55,7 @@
 }
 
 func jsonFailure(err error) error {
-	f := &failure{http.StatusBadRequest, Error{Code: CodeBadRequest, Message: "the body is not the JSON expected: " + err.Error()}}
+	f := &failure{http.StatusBadRequest, Error{Code: CodeBadRequest, Message: "the body is not valid JSON for this route: " + err.Error()}}
 	f.body.Verdict = verdict.NotRun
 	var wrong *json.UnmarshalTypeError
 	if errors.As(err, &wrong) && wrong.Field != "" {
@@ -126,7 +126,7 @@
 	}
 }
 
-// checkPathParam refuses a body that names another entry than the path does.
+// checkPathParam refuses a body that names another entry than the path.
 func (q *request) checkPathParam(param, field, named string) error {
 	if q.PathValue(param) == named {
 		return nil
@@ -134,7 +134,7 @@
 	return &change.Invalid{Fields: []change.FieldError{{Path: field, Message: "must be the one in the path"}}}
 }
 
-// change gives op its id and operator, and has it carried out.
+// change sets the id and operator of op and has the Changer execute it.
 func (h *Handler) change(q *request, op change.Operation) (response, error) {
 	op.Operator = q.operator
 	op.ID = q.Header.Get(OperationHeader)
--- a/serve/admin/failure.go
+++ b/serve/admin/failure.go
@@ -18,12 +18,12 @@
 // Error implements error.
 func (f *failure) Error() string { return f.body.Message }
 
-// newFailure makes a failure of a request that changed nothing.
+// newFailure returns a failure with the verdict not-run.
 func newFailure(status int, code Code, message string) error {
 	return &failure{status, Error{Code: code, Message: message, Verdict: verdict.NotRun}}
 }
 
-// failureOf turns any error of an endpoint into its answer.
+// failureOf converts any error of an endpoint into its answer.
 func failureOf(err error, operation string) *failure {
 	f := classify(err)
 	f.body.Operation = operation
@@ -59,8 +59,8 @@
 		}
 		return &failure{http.StatusServiceUnavailable, body}
 	}
-	// Whatever is not proven to have changed nothing may have changed
-	// something; that holds for a deadline most of all.
+	// All other errors, deadlines in particular, do not prove that nothing was
+	// changed.
 	body.Verdict = verdict.MayHaveRun
 	body.Code = CodeInternal
 	status := http.StatusInternalServerError
--- a/serve/admin/handler.go
+++ b/serve/admin/handler.go
@@ -12,49 +12,49 @@
 	"github.com/azurethread/azurethread/decide/verdict"
 )
 
-// Changer carries out operations. Its errors are those of change.Apply, or a
-// *verdict.Error: NotRun where the change was certainly not made, MayHaveRun
-// where that is not known.
+// Changer executes operations. Its errors are those of change.Apply, or a
+// *verdict.Error: NotRun if the change was certainly not made, MayHaveRun if that
+// is unknown.
 type Changer interface {
 	Change(ctx context.Context, op change.Operation) (Accepted, error)
 }
 
-// OutcomeFinder says what became of an operation. An id that it has never heard of
-// is MayHaveRun until the platform proves otherwise. An error means that the
-// question could not be put.
+// OutcomeFinder returns the outcome of an operation. For an unknown id that is
+// MayHaveRun until the platform proves otherwise. An error means that the query
+// failed.
 type OutcomeFinder interface {
 	FindOutcome(ctx context.Context, operation string) (Outcome, error)
 }
 
-// Viewer tells what this entry VM knows. Catalogue returns nil until a
-// catalogue has been received; what it returns is never changed.
+// Viewer returns the state known to this entry VM. Catalogue returns nil until a
+// catalogue has been received; a returned catalogue is immutable.
 type Viewer interface {
 	Catalogue() *catalogue.Catalogue
 	Status() Status
 	InForce(ctx context.Context, revision uint64) InForce
 }
 
-// Config is what a Handler needs. All fields but Stopping and ChangeTimeout
-// must be set.
+// Config holds the dependencies and settings of a Handler. All fields except
+// Stopping and ChangeTimeout are required.
 type Config struct {
 	Changer   Changer
 	Settler   OutcomeFinder
 	Viewer    Viewer
 	Operators Operators
 	Auditor   Auditor
-	// NewOperationID makes the id of a change that came without one.
+	// NewOperationID returns an id for a change that was sent without one.
 	NewOperationID func() string
-	// Stopping, once closed, ends waiting watches, so that a stop is not
-	// held up by them.
+	// Stopping, once closed, ends waiting watches, so that they do not delay
+	// a stop.
 	Stopping <-chan struct{}
-	// ChangeTimeout bounds one change; zero means DefaultChangeTimeout.
+	// ChangeTimeout limits one change; zero means DefaultChangeTimeout.
 	ChangeTimeout time.Duration
 }
 
-// The bounds of the API.
+// Limits and defaults of the API.
 const (
 	MaxBody              = 1 << 20 // bytes of a request body
-	MaxWatches           = 16      // long polls at once; each holds a worker
+	MaxWatches           = 16      // concurrent long polls; each occupies a worker
 	MaxWatchWait         = 30 * time.Second
 	DefaultWatchWait     = 10 * time.Second
 	DefaultChangeTimeout = 5 * time.Second
@@ -65,7 +65,7 @@
 type Handler struct {
 	cfg     Config
 	mux     *http.ServeMux
-	watches chan struct{} // one token a waiting watch
+	watches chan struct{} // holds one element per waiting watch
 }
 
 // New returns the handler of all routes under Prefix.
@@ -85,26 +85,26 @@
 // ServeHTTP implements http.Handler.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) { h.mux.ServeHTTP(w, r) }
 
-// request is one authenticated request on its way.
+// request is a request being served, with its operator and audit record.
 type request struct {
 	*http.Request
 	operator string
 	record   Record
 }
 
-// response is a success.
+// response is the answer to a successful request.
 type response struct {
 	status int
 	body   any
 }
 
-// respondOK answers 200 with body.
+// respondOK returns a response with status 200.
 func respondOK(body any) (response, error) { return response{http.StatusOK, body}, nil }
 
 // endpoint serves one route.
 type endpoint func(*request) (response, error)
 
-// route registers fn; an empty method is every method.
+// route registers fn for a path; an empty method matches every method.
 func (h *Handler) route(method, path string, fn endpoint) {
 	pattern := Prefix + path
 	if method != "" {
@@ -132,8 +132,8 @@
 		q.record.Outcome = string(CodeOutcomeUnknown)
 	}
 	q.record.Status = status
-	// The record precedes the answer: whoever holds the answer can rely on
-	// the record being there.
+	// The record is written before the answer, so that it exists once the client
+	// has received the answer.
 	h.cfg.Auditor.Audit(q.record)
 	writeJSON(w, status, v, body)
 }
@@ -165,6 +165,6 @@
 		hd.Set("WWW-Authenticate", "Bearer")
 	}
 	w.WriteHeader(status)
-	// A failed write means that the client is gone; it asks again.
+	// A failed write means that the client has disconnected; it will retry.
 	_, _ = w.Write(raw)
 }
--- a/serve/admin/handler_test.go
+++ b/serve/admin/handler_test.go
@@ -27,16 +27,16 @@
 	benToken = "ben-secret"
 )
 
-// bench is a handler over a catalogue in memory, with its audit log.
-type bench struct {
+// harness is a handler with an in-memory catalogue and its audit log.
+type harness struct {
 	mem   *admintest.Memory
 	h     *admin.Handler
 	audit bytes.Buffer
 }
 
-func newBench(t testing.TB) *bench {
+func newHarness(t testing.TB) *harness {
 	t.Helper()
-	b := &bench{mem: admintest.New()}
+	b := &harness{mem: admintest.New()}
 	ops, err := admin.ParseOperators("ana=" + admin.HashToken(anaToken) + ", ben=" + admin.HashToken(benToken))
 	if err != nil {
 		t.Fatal(err)
@@ -52,7 +52,7 @@
 	return b
 }
 
-func (b *bench) do(token, method, path, body string) *httptest.ResponseRecorder {
+func (b *harness) request(token, method, path, body string) *httptest.ResponseRecorder {
 	r := httptest.NewRequest(method, admin.Prefix+path, strings.NewReader(body))
 	if token != "" {
 		r.Header.Set("Authorization", "Bearer "+token)
@@ -67,10 +67,10 @@
 	shiftBody   = `{"entry":{"id":"march","owner":"team","class":"rehearsal","service":"calc-lookup","from":"attiki","to":"kriti","limits":{"max_share":3000}}}`
 )
 
-// TestAnswers takes one catalogue through a session; the lines build on each
-// other.
-func TestAnswers(t *testing.T) {
-	b := newBench(t)
+// TestRoutes sends a sequence of requests for one catalogue; each row depends on
+// the ones before.
+func TestRoutes(t *testing.T) {
+	b := newHarness(t)
 	for _, c := range []struct {
 		token, method, path, body string
 		status                    int
@@ -112,7 +112,7 @@
 	} {
 		t.Run(c.method+" "+c.path, func(t *testing.T) {
 			is := is.New(t)
-			w := b.do(c.token, c.method, c.path, c.body)
+			w := b.request(c.token, c.method, c.path, c.body)
 			is.Equal(w.Code, c.status)
 			is.True(json.Valid(w.Body.Bytes()))
 			if !strings.Contains(w.Body.String(), c.contains) {
@@ -123,45 +123,45 @@
 	}
 }
 
-// Symptom: an operator believes that a change was not made, makes it again,
-// and finds it twice. Sequence: the platform takes a write and its answer is
-// lost, or the platform is not reached at all. Cause: both look like a failed
-// request; the verdict and the operation id tell them apart.
-func TestUnknownOutcomeIsNotCalledNotRun(t *testing.T) {
+// Guards against operators repeating a change that was made: whether the answer
+// to a write was lost or the platform was unreachable, the request fails. The
+// verdict and the operation id must distinguish the two.
+func TestUnknownOutcomeIsReportedAsMayHaveRun(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t)
+	b := newHarness(t)
 	b.mem.Lose = true
-	w := b.do(anaToken, "PUT", "services/calc-lookup", serviceBody)
+	w := b.request(anaToken, "PUT", "services/calc-lookup", serviceBody)
 	is.Equal(w.Code, http.StatusGatewayTimeout)
 	is.Equal(w.Header().Get(verdict.Header), "may-have-run")
 	is.True(strings.Contains(w.Body.String(), `"operation":"op-made-here"`))
-	w = b.do(anaToken, "GET", "operations/op-made-here", "")
+	w = b.request(anaToken, "GET", "operations/op-made-here", "")
 	is.True(strings.Contains(w.Body.String(), `"verdict":"ran","revision":1`))
 
 	b.mem.Down = true
-	w = b.do(anaToken, "PUT", "services/calc-lookup", serviceBody)
+	w = b.request(anaToken, "PUT", "services/calc-lookup", serviceBody)
 	is.Equal(w.Code, http.StatusServiceUnavailable)
 	is.Equal(w.Header().Get(verdict.Header), "not-run")
 }
 
-func TestNoCatalogueYet(t *testing.T) {
+func TestNotReadyWithoutCatalogue(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t)
+	b := newHarness(t)
 	b.mem.ClearCatalogue()
-	w := b.do(anaToken, "GET", "catalogue", "")
+	w := b.request(anaToken, "GET", "catalogue", "")
 	is.Equal(w.Code, http.StatusServiceUnavailable)
 	is.True(strings.Contains(w.Body.String(), `"code":"not-ready"`))
 }
 
-// Every request leaves one record, also a refused one, and none holds a token.
+// Every request, including refused ones, produces one record, and no record holds
+// a token.
 func TestAudit(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t)
-	b.do("wrong-secret", "GET", "catalogue", "")
-	b.do(anaToken, "PUT", "services/calc-lookup", serviceBody)
-	b.do(anaToken, "POST", "shifts", strings.Replace(shiftBody, "rehearsal", "emergency", 1))
-	b.do(anaToken, "POST", "shifts/march/approve", `{"expect":2}`)
-	b.do(benToken, "POST", "shifts/march/start", `{"expect":1}`)
+	b := newHarness(t)
+	b.request("wrong-secret", "GET", "catalogue", "")
+	b.request(anaToken, "PUT", "services/calc-lookup", serviceBody)
+	b.request(anaToken, "POST", "shifts", strings.Replace(shiftBody, "rehearsal", "emergency", 1))
+	b.request(anaToken, "POST", "shifts/march/approve", `{"expect":2}`)
+	b.request(benToken, "POST", "shifts/march/start", `{"expect":1}`)
 	text := b.audit.String()
 	is.True(!strings.Contains(text, "secret"))
 	is.True(!strings.Contains(text, admin.HashToken(anaToken)))
@@ -178,7 +178,7 @@
 	}
 }
 
-// compact removes from a log line what differs between the wanted pairs.
+// compact removes the fields between the expected ones from a log line.
 func compact(line string) string {
 	for _, key := range []string{`"method":`, `"msg":`, `"operation":`} {
 		if i := strings.Index(line, key); i >= 0 {
@@ -196,8 +196,8 @@
 		"ana=" + good:                   "",
 		"ana":                           "operator 1: want name=sha256hex",
 		"ana=" + good + ",ben=12":       `operator 2: "ben": the hash must be 64 hexadecimal digits`,
-		"ana=" + good + ",ana=" + good:  `operator 2: "ana" is named twice`,
-		"azurethreadd=" + good:          `the name "azurethreadd" is kept`,
+		"ana=" + good + ",ana=" + good:  `operator 2: "ana" appears more than once`,
+		"azurethreadd=" + good:          `the name "azurethreadd" is reserved`,
 		strings.Repeat("n", 65) + "=00": "at most 64 characters",
 	} {
 		_, err := admin.ParseOperators(text)
@@ -210,8 +210,7 @@
 	}
 }
 
-// The handlers run under nbhttp in the daemon; a long poll must come through
-// it whole, and end once the daemon stops.
+// Long polls must work under nbhttp, and end once Stopping is closed.
 func TestLongPollUnderNbhttp(t *testing.T) {
 	is := is.New(t)
 	stopping := make(chan struct{})
@@ -257,8 +256,8 @@
 	return log
 }
 
-// FuzzBody sends any body to every route that takes one: the answer is JSON
-// with a known status, and what is refused changes nothing.
+// FuzzBody sends arbitrary requests: the answer must be JSON, and a refused request
+// must change nothing.
 func FuzzBody(f *testing.F) {
 	f.Add("POST", "shifts", shiftBody)
 	f.Add("PUT", "services/calc-lookup", serviceBody)
@@ -271,11 +270,11 @@
 			return
 		}
 		r.Header.Set("Authorization", "Bearer "+anaToken)
-		b := newBench(t)
+		b := newHarness(t)
 		w := httptest.NewRecorder()
 		b.h.ServeHTTP(w, r)
 		if w.Code >= 300 && w.Code < 400 {
-			return // a path that the router cleans
+			return // a path that the router cleans by a redirect
 		}
 		if !json.Valid(w.Body.Bytes()) {
 			t.Fatalf("%d with %q", w.Code, w.Body)
--- a/serve/admin/operators.go
+++ b/serve/admin/operators.go
@@ -11,7 +11,7 @@
 	"github.com/azurethread/azurethread/decide/change"
 )
 
-// Operators holds who may administer, and the hash of each one's token.
+// Operators holds the names of the operators and the hashes of their tokens.
 type Operators struct {
 	list []operator
 }
@@ -21,8 +21,8 @@
 	hash [sha256.Size]byte
 }
 
-// ParseOperators reads "name=sha256hex,name=sha256hex". An empty text gives
-// nobody access. Errors name the position and the operator, never the hash.
+// ParseOperators parses "name=sha256hex,name=sha256hex". An empty text grants no
+// access. Errors name the position and the operator, but never the hash.
 func ParseOperators(text string) (Operators, error) {
 	var o Operators
 	if strings.TrimSpace(text) == "" {
@@ -34,7 +34,7 @@
 			return Operators{}, fmt.Errorf("operator %d: %w", i+1, err)
 		}
 		if o.has(op.name) {
-			return Operators{}, fmt.Errorf("operator %d: %q is named twice", i+1, op.name)
+			return Operators{}, fmt.Errorf("operator %d: %q appears more than once", i+1, op.name)
 		}
 		o.list = append(o.list, op)
 	}
@@ -44,10 +44,10 @@
 func parseOperator(part string) (operator, error) {
 	name, digest, ok := strings.Cut(part, "=")
 	if !ok || name == "" || len(name) > change.MaxNameLen {
-		return operator{}, fmt.Errorf("want name=sha256hex, the name of at most %d characters", change.MaxNameLen)
+		return operator{}, fmt.Errorf("want name=sha256hex, with a name of at most %d characters", change.MaxNameLen)
 	}
 	if name == change.RunnerName {
-		return operator{}, fmt.Errorf("the name %q is kept for the shift runner", name)
+		return operator{}, fmt.Errorf("the name %q is reserved for the shift runner", name)
 	}
 	raw, err := hex.DecodeString(digest)
 	if err != nil || len(raw) != sha256.Size {
@@ -67,14 +67,14 @@
 	return false
 }
 
-// HashToken returns the form in which settings hold a token.
+// HashToken returns the hash of a token as it is written in the settings.
 func HashToken(token string) string {
 	sum := sha256.Sum256([]byte(token))
 	return hex.EncodeToString(sum[:])
 }
 
-// authenticate returns the operator whose token r bears. It always compares
-// with every hash, so that the time taken tells nothing of which one matched.
+// authenticate returns the operator whose token r carries. It always compares all
+// hashes, so that its duration does not reveal which one matched.
 func (o Operators) authenticate(r *http.Request) (string, bool) {
 	token, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok || token == "" {
--- a/serve/admin/reads.go
+++ b/serve/admin/reads.go
@@ -20,8 +20,8 @@
 	h.route("GET", "operations/{id}", h.getOperation)
 }
 
-// catalogue returns the catalogue in force, or the failure that says that
-// there is none yet.
+// catalogue returns the catalogue in force, or a failure if none has been
+// received yet.
 func (h *Handler) catalogue() (*catalogue.Catalogue, error) {
 	c := h.cfg.Viewer.Catalogue()
 	if c == nil {
@@ -54,7 +54,8 @@
 	return respondOK(Shifts{Revision: c.Revision, Shifts: notNil(c.Shifts)})
 }
 
-// notNil makes an empty list encode as [] rather than null.
+// notNil replaces a nil list by an empty one, so that it is encoded as [] and not
+// as null.
 func notNil[T any](list []T) []T {
 	if list == nil {
 		return []T{}
@@ -96,9 +97,9 @@
 	return respondOK(out)
 }
 
-// getWatch answers once the revision in force is above "after", or when "wait"
-// has passed. A revision is looked at rather than waited for: the Viewer stays
-// a plain snapshot, and a late sight of 50 ms matters to no reader.
+// getWatch answers once the revision in force is above "after", or after "wait".
+// It polls the revision, so that the Viewer needs no notifications; a delay of up
+// to 50 ms does not matter to clients.
 func (h *Handler) getWatch(q *request) (response, error) {
 	after, err := q.uintParam("after")
 	if err != nil {
@@ -112,7 +113,7 @@
 	case h.watches <- struct{}{}:
 		defer func() { <-h.watches }()
 	default:
-		return response{}, newFailure(http.StatusTooManyRequests, CodeTooManyWatches, "too many watches wait here already")
+		return response{}, newFailure(http.StatusTooManyRequests, CodeTooManyWatches, "too many concurrent watches at this entry VM")
 	}
 	changed := h.waitForRevision(q.Context(), after, wait)
 	s := h.cfg.Viewer.Status()
@@ -140,7 +141,7 @@
 	}
 }
 
-// uintParam reads a decimal query parameter; an absent one is zero.
+// uintParam parses a decimal query parameter; an absent one is zero.
 func (q *request) uintParam(name string) (uint64, error) {
 	text := q.URL.Query().Get(name)
 	if text == "" {
--- a/serve/admin/types.go
+++ b/serve/admin/types.go
@@ -10,30 +10,30 @@
 // Prefix is the path under which all routes of this package live.
 const Prefix = "/v1/admin/"
 
-// OperationHeader carries the operation id of a change, a UUID in text form.
-// A client that sends a change again after a lost answer sends the same id.
-// A request without one is given an id.
+// OperationHeader is the header field with the operation id of a change, a UUID in
+// text form. A client that repeats a change after a lost answer sends the same
+// id. A request without an id is assigned one.
 const OperationHeader = "Azurethread-Operation"
 
-// Accepted answers a change.
+// Accepted is the JSON body of the answer to a change.
 type Accepted struct {
 	Operation string `json:"operation"`
 	// Revision of the catalogue that holds the change; zero while unsettled.
 	Revision uint64 `json:"revision,omitempty"`
-	// Settled is false where the platform has not said whether the write
-	// took effect. It must then be asked for by operation id.
+	// Settled is false if it is unknown whether the platform has made the write.
+	// The outcome must then be queried by operation id.
 	Settled bool `json:"settled"`
 }
 
-// Outcome says what is known of an operation: Ran means accepted at Revision,
-// NotRun that it did not and never will take effect.
+// Outcome is the known outcome of an operation: Ran means that it was accepted at
+// Revision, NotRun that it has not taken effect and never will.
 type Outcome struct {
 	Operation string          `json:"operation"`
 	Verdict   verdict.Verdict `json:"verdict"`
 	Revision  uint64          `json:"revision,omitempty"`
 }
 
-// InForce says how far a revision has spread.
+// InForce reports which entry VMs have applied a revision.
 type InForce struct {
 	Revision uint64       `json:"revision"`
 	Applied  int          `json:"applied"` // entry VMs at this revision or a higher one
@@ -41,7 +41,7 @@
 	Missing  []fleet.VMID `json:"missing"` // live entry VMs not known to have applied it
 }
 
-// Status is what one entry VM knows of itself and of the system.
+// Status is the state of one entry VM and of the system as known to it.
 type Status struct {
 	VM          fleet.VMID         `json:"vm"`
 	Region      fleet.Region       `json:"region"`
@@ -50,20 +50,20 @@
 	Stopping    bool               `json:"stopping"`
 	Revision    uint64             `json:"revision"`     // catalogue revision in force here; 0: none yet
 	RevisionAge catalogue.Duration `json:"revision_age"` // since this revision was last confirmed as the newest
-	// PlatformReachable is this entry VM's own sight of the platform.
+	// PlatformReachable is whether this entry VM itself reaches the platform.
 	PlatformReachable bool `json:"platform_reachable"`
-	// CutOff says that no newer revision can arrive, from the platform or
-	// from peers elsewhere; shifts stand still.
+	// CutOff is true if no newer revision can arrive, neither from the platform
+	// nor from peers elsewhere. Traffic shifts then stay as they are.
 	CutOff  bool          `json:"cut_off"`
 	Members []Member      `json:"members"`
 	Loads   []Load        `json:"loads"`
 	Shifts  []ShiftStatus `json:"shifts"`
-	// InvariantViolations counts broken invariants seen by the program's own
-	// checks since it started. Anything but zero is a fault.
+	// InvariantViolations counts the invariant violations that the program has
+	// detected since it started. Any value other than zero indicates a defect.
 	InvariantViolations uint64 `json:"invariant_violations"`
 }
 
-// Member is one entry VM as seen here.
+// Member is one entry VM as known to the answering one.
 type Member struct {
 	VM       fleet.VMID   `json:"vm"`
 	Region   fleet.Region `json:"region"`
@@ -72,7 +72,7 @@
 	Revision uint64       `json:"revision"` // last catalogue revision it reported
 }
 
-// Load is what one region bears for one service.
+// Load is the load of one region for one service.
 type Load struct {
 	Region   fleet.Region       `json:"region"`
 	Service  fleet.ServiceName  `json:"service"`
@@ -82,51 +82,52 @@
 	Age      catalogue.Duration `json:"age"`       // age of the report
 }
 
-// ShiftStatus is one traffic shift against its limits.
+// ShiftStatus is the state of one traffic shift and its limit.
 type ShiftStatus struct {
 	ID       string               `json:"id"`
 	State    catalogue.ShiftState `json:"state"`
 	Service  fleet.ServiceName    `json:"service"`
 	From     fleet.Region         `json:"from"`
 	To       fleet.Region         `json:"to"`
-	Share    catalogue.Share      `json:"share"`     // share the catalogue says is moved
-	Moved    catalogue.Share      `json:"moved"`     // share counted as moved
-	MaxShare catalogue.Share      `json:"max_share"` // cap
+	Share    catalogue.Share      `json:"share"`     // share to move, from the catalogue
+	Moved    catalogue.Share      `json:"moved"`     // share measured as moved
+	MaxShare catalogue.Share      `json:"max_share"` // maximum share
 	Hold     string               `json:"hold,omitempty"`
 }
 
-// Watch answers a long poll.
+// Watch is the JSON body of the answer to a long poll.
 type Watch struct {
 	Revision uint64 `json:"revision"`
-	Changed  bool   `json:"changed"` // false: the wait ended first
+	Changed  bool   `json:"changed"` // false if the wait ended first
 	Status   Status `json:"status"`
 }
 
-// Page types of the lists.
+// JSON bodies of the answers with lists.
 type (
-	// Services answers a list of services.
+	// Services is the list of services.
 	Services struct {
 		Revision uint64              `json:"revision"`
 		Services []catalogue.Service `json:"services"`
 	}
-	// Shifts answers a list of traffic shifts.
+	// Shifts is the list of traffic shifts.
 	Shifts struct {
 		Revision uint64            `json:"revision"`
 		Shifts   []catalogue.Shift `json:"shifts"`
 	}
 )
 
-// ShiftAction is the body of approve, start, pause, resume and rollback.
+// ShiftAction is the JSON body of approve, start, pause, resume and rollback
+// requests.
 type ShiftAction struct {
 	Expect uint64 `json:"expect"`
 	Reason string `json:"reason,omitempty"`
 }
 
-// Code names the failure of an administration request. A refusal by the
-// catalogue keeps its change.Code in Error.Refusal.
+// Code identifies the failure of an administration request. For a refusal by the
+// catalogue, Error.Refusal holds its change.Code.
 type Code string
 
-// The codes of failures.
+// Failure codes.
 const (
 	CodeBadRequest      Code = "bad-request"
 	CodeInvalid         Code = "invalid"
@@ -142,11 +143,11 @@
 	CodeInternal        Code = "internal"
 )
 
-// Error is the JSON body of every answer that is not a success.
+// Error is the JSON body of every failure.
 type Error struct {
 	Code    Code   `json:"code"`
 	Message string `json:"message"`
-	// Verdict says whether the change may have taken effect.
+	// Verdict tells whether the change may have taken effect.
 	Verdict   verdict.Verdict     `json:"verdict"`
 	Operation string              `json:"operation,omitempty"`
 	Fields    []change.FieldError `json:"fields,omitempty"`
@@ -157,17 +158,18 @@
 // Error implements error.
 func (e *Error) Error() string { return e.Message }
 
-// Conflict shows both sides of a lost race.
+// Conflict describes a change that was based on an outdated entry, with both
+// versions.
 type Conflict struct {
-	Expect  uint64   `json:"expect"` // entry revision the change was based on
-	Found   uint64   `json:"found"`  // entry revision now; 0: no such entry
+	Expect  uint64   `json:"expect"` // entry revision that the change was based on
+	Found   uint64   `json:"found"`  // current entry revision; 0 if there is no such entry
 	Yours   *Version `json:"yours,omitempty"`
 	Current *Version `json:"current,omitempty"`
 }
 
-// Version is one side of a conflict; one field is set.
+// Version is one side of a conflict. Exactly one field is set.
 type Version struct {
-	Entry   *change.Entry      `json:"entry,omitempty"`   // what an operator wrote
+	Entry   *change.Entry      `json:"entry,omitempty"`   // the entry that the operator sent
 	Shift   *catalogue.Shift   `json:"shift,omitempty"`   // a shift in the catalogue
 	Service *catalogue.Service `json:"service,omitempty"` // a service, on either side
 }
