--- a/serve/settings/doc.go
+++ b/serve/settings/doc.go
@@ -1,9 +1,9 @@
 // Package settings reads and checks the settings of one entry VM's daemon from
 // flags and environment variables.
 //
-// Every setting is a flag, and an environment variable of the same name in
-// upper case with the prefix AZURETHREAD_ and underscores for dashes, so that
-// --call-addr is AZURETHREAD_CALL_ADDR. A flag goes before the variable. The
-// settings are checked as a whole before anything is started; an error names
-// every setting that is wrong.
+// Every setting can be given as a flag or as an environment variable. The
+// variable has the flag's name in upper case, with the prefix AZURETHREAD_ and
+// underscores for dashes: --call-addr is AZURETHREAD_CALL_ADDR. A flag takes
+// precedence over the variable. All settings are checked before anything is
+// started; the error names every invalid one.
 package settings
--- a/serve/settings/read.go
+++ b/serve/settings/read.go
@@ -10,8 +10,9 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// reader takes typed values out of viper, which would turn a value of the
-// wrong type, such as a duration without a unit, into zero without a word.
+// reader reads typed values from viper and collects errors. Viper's own typed
+// getters silently return zero for a value of the wrong type, such as a duration
+// without a unit.
 type reader struct {
 	v    *viper.Viper
 	errs []error
--- a/serve/settings/seeds.go
+++ b/serve/settings/seeds.go
@@ -8,8 +8,8 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// ParseSeeds reads entry VMs to contact at start, each written as
-// id@region/domain=host:port with the address for frames, separated by commas.
+// ParseSeeds parses the entry VMs to contact at start, separated by commas. Each is
+// written as id@region/domain=host:port with its peer address.
 func ParseSeeds(text string) ([]fleet.VM, error) {
 	if strings.TrimSpace(text) == "" {
 		return nil, nil
--- a/serve/settings/settings.go
+++ b/serve/settings/settings.go
@@ -19,36 +19,36 @@
 	"github.com/azurethread/azurethread/serve/admin"
 )
 
-// EnvPrefix begins the name of every environment variable.
+// EnvPrefix is the prefix of every environment variable's name.
 const EnvPrefix = "AZURETHREAD"
 
-// Settings of one entry VM. The field comments are the reference; the same
-// text is in --help and docs/CONFIGURATION.md.
+// Settings are the settings of one entry VM. The usage texts in Flags describe
+// each one for --help and docs/CONFIGURATION.md.
 type Settings struct {
-	// ID of this entry VM; it stays the same over restarts.
+	// ID of this entry VM; it stays the same across restarts.
 	ID fleet.VMID
-	// Region, Domain and Site say where this entry VM stands.
+	// Region, Domain and Site are the location of this entry VM.
 	Region fleet.Region
 	Domain fleet.Domain
 	Site   fleet.Site
-	// CallAddr, PeerAddr and AdminAddr are listened on.
+	// CallAddr, PeerAddr and AdminAddr are the addresses to listen on.
 	CallAddr  string
 	PeerAddr  string
 	AdminAddr string
-	// The addresses others use; empty: the one listened on.
+	// The addresses advertised to others; if empty, the ones listened on.
 	CallAdvertise  string
 	PeerAdvertise  string
 	AdminAdvertise string
 	// PlatformURL of the key-value service and the machine list.
 	PlatformURL string
-	// FleetKey signs frames between entry VMs and callers' tokens.
+	// FleetKey authenticates frames between entry VMs and callers' tokens.
 	FleetKey string
-	// Operators who may use the administration interface.
+	// Operators are the operators and their token hashes, for admin.ParseOperators.
 	Operators string
 	// Seeds are entry VMs to contact at start, before the platform's machine
-	// list has come or while the platform is down.
+	// list has been received or while the platform is down.
 	Seeds []fleet.VM
-	// BlocksFile holds the table of client blocks; empty: none.
+	// BlocksFile is the file with the table of client blocks; may be empty.
 	BlocksFile string
 
 	MaxBodyBytes   int
@@ -72,7 +72,7 @@
 	TraceSample   float64
 }
 
-// Names of the settings, as flags.
+// Flag names of the settings.
 const (
 	keyID             = "id"
 	keyRegion         = "region"
@@ -109,7 +109,7 @@
 	keyTraceSample    = "trace-sample"
 )
 
-// Flags defines every setting with its unit and default.
+// Flags returns the flags of all settings with their defaults and usage texts.
 func Flags() *pflag.FlagSet {
 	f := pflag.NewFlagSet("azurethreadd", pflag.ContinueOnError)
 	f.SortFlags = false
@@ -149,8 +149,8 @@
 	return f
 }
 
-// Load reads f, which must come from Flags and have been parsed, and the
-// environment, and checks the result.
+// Load reads and checks the settings from f, which must be a parsed result of
+// Flags, and from the environment.
 func Load(f *pflag.FlagSet) (*Settings, error) {
 	v := viper.New()
 	v.SetEnvPrefix(EnvPrefix)
@@ -177,10 +177,10 @@
 	}
 }
 
-// MinFleetKey is the least length of the fleet key, in characters.
+// MinFleetKey is the minimum length of the fleet key, in bytes.
 const MinFleetKey = 32
 
-// Validate checks every setting and reports all that are wrong.
+// Validate checks every setting and reports all invalid ones.
 func (s *Settings) Validate() error {
 	var c checker
 	c.require(keyID, string(s.ID))
@@ -220,7 +220,7 @@
 	return errors.Join(c.errs...)
 }
 
-// checker collects what is wrong.
+// checker collects the errors of invalid settings.
 type checker struct{ errs []error }
 
 func (c *checker) check(ok bool, key, msg string) {
@@ -229,7 +229,7 @@
 	}
 }
 
-// valid reports the error of a value's own parser.
+// valid reports err, the error of a value's parser, if it is not nil.
 func (c *checker) valid(key string, err error) {
 	if err != nil {
 		c.check(false, key, err.Error())
@@ -253,7 +253,7 @@
 	return err == nil
 }
 
-// file checks that a file can be read; empty means none.
+// file checks that a file can be opened; an empty path is valid.
 func (c *checker) file(key, path string) {
 	if path == "" {
 		return
--- a/serve/settings/settings_test.go
+++ b/serve/settings/settings_test.go
@@ -16,7 +16,7 @@
 
 var update = flag.Bool("update", false, "write the table of docs/CONFIGURATION.md")
 
-// required are the flags that a valid start needs.
+// required are the flags without a default that must be set.
 var required = []string{
 	"--id=a", "--region=attiki", "--domain=attiki-1",
 	"--platform-url=http://127.0.0.1:8500", "--fleet-key=a key for tests only, not a secret",
@@ -42,7 +42,8 @@
 	is.Equal(s.TraceSample, 0.01)
 }
 
-// A flag goes before its environment variable, which goes before the default.
+// A flag takes precedence over its environment variable, and the variable over
+// the default.
 func TestPrecedence(t *testing.T) {
 	is := is.New(t)
 	t.Setenv("AZURETHREAD_IDLE_TIMEOUT", "7s")
@@ -52,12 +53,11 @@
 	is.NoErr(err)
 	is.Equal(s.IdleTimeout, 7*time.Second)
 	is.Equal(string(s.Site), "rack-2")
-	is.Equal(s.LogLevel, "info") // an empty variable is no value
+	is.Equal(s.LogLevel, "info") // an empty variable is ignored
 }
 
-// Symptom: a setting is documented, and has no effect.
-// Sequence: each setting is given a value of its own.
-// Cause: a flag that nothing reads, or that is read into another field.
+// Guards against a documented setting without effect, because no code reads its
+// flag or the value is stored in another setting's field.
 func TestEverySettingIsRead(t *testing.T) {
 	is := is.New(t)
 	base, err := load(t, required...)
@@ -88,7 +88,7 @@
 	is.Equal(len(used), reflect.TypeFor[Settings]().NumField())
 }
 
-// sample returns a valid value other than the default.
+// sample returns a valid value that differs from the default.
 func sample(f *pflag.Flag) string {
 	switch {
 	case strings.Contains(f.Usage, "host:port"):
@@ -101,7 +101,7 @@
 	return "12345"
 }
 
-// changed names the field in which two settings differ.
+// changed returns the names of the fields in which two settings differ.
 func changed(a, b *Settings) string {
 	va, vb := reflect.ValueOf(*a), reflect.ValueOf(*b)
 	var fields []string
@@ -111,13 +111,12 @@
 		}
 	}
 	if len(fields) == 2 && fields[0] == "Domain" && fields[1] == "Site" {
-		return "Domain" // the site takes the domain's name
+		return "Domain" // the site defaults to the domain's name
 	}
 	return strings.Join(fields, ",")
 }
 
-// Symptom: an operator cannot tell in which unit a setting is.
-// Cause: a number without a unit in its description.
+// The usage text of every number must name its unit.
 func TestUnits(t *testing.T) {
 	unit := regexp.MustCompile(`bytes|threads|seed|share`)
 	Flags().VisitAll(func(f *pflag.Flag) {
@@ -131,16 +130,15 @@
 	})
 }
 
-// The marks around the table that this test writes.
+// The page and the markers around the table that TestPageMatchesFlags writes.
 const (
 	configurationPage = "../../docs/CONFIGURATION.md"
 	tableBegin        = "<!-- settings: begin, written by go test ./serve/settings -update -->\n"
 	tableEnd          = "<!-- settings: end -->"
 )
 
-// Symptom: the page describes settings that are not those of the program.
-// Sequence: a flag is added or changed.
-// Cause: a page kept by hand. Run with -update to write its table.
+// Guards against a page that no longer describes the program's settings after a
+// flag was added or changed. Run with -update to write its table.
 func TestPageMatchesFlags(t *testing.T) {
 	is := is.New(t)
 	b, err := os.ReadFile(configurationPage)
@@ -157,7 +155,7 @@
 	is.Equal(have, want) // run go test ./serve/settings -update
 }
 
-// table describes every setting.
+// table returns the Markdown table of all settings.
 func table() string {
 	var b strings.Builder
 	b.WriteString("| flag | variable | type | default | meaning |\n|---|---|---|---|---|\n")
