--- a/serve/peer/bench_test.go
+++ b/serve/peer/bench_test.go
@@ -10,8 +10,8 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// BenchmarkLoopback measures the way of messages from one transport to
-// another in the same process: encoding of frames, MACs, sockets.
+// BenchmarkLoopback measures the transfer of messages from one transport to
+// another in the same process: encoding of frames, MACs and sockets.
 func BenchmarkLoopback(b *testing.B) {
 	for _, size := range []int{64, 1 << 10, 16 << 10, 256 << 10} {
 		b.Run(fmt.Sprintf("bytes=%d", size), func(b *testing.B) { benchmarkLoopback(b, size) })
@@ -27,7 +27,7 @@
 		if err := from.Send(vm, body); err != nil {
 			b.Fatal(err)
 		}
-		// Not more in flight than the queue holds, or messages are dropped.
+		// Keep less in flight than the queue holds, or messages are dropped.
 		for got.Load() < int64(n)-DefaultMaxQueueBytes/int64(2*size+1000) {
 			time.Sleep(10 * time.Microsecond)
 		}
@@ -59,14 +59,14 @@
 		b.Fatal(err)
 	}
 	b.Cleanup(func() {
-		ctx := b.Context() // ended by now: close at once
+		ctx := b.Context() // already cancelled: close at once
 		_ = t.Close(ctx)
 	})
 	return t, fleet.VM{ID: id, PeerAddr: addr}
 }
 
-// BenchmarkMessages measures encoding and decoding, and reports the size of
-// each message in a frame of its own.
+// BenchmarkMessages measures encoding and decoding, and reports the size of a
+// frame with only that message.
 func BenchmarkMessages(b *testing.B) {
 	for _, m := range exampleMessages() {
 		b.Run(strings.TrimPrefix(fmt.Sprintf("%T", m), "*member."), func(b *testing.B) {
@@ -87,8 +87,8 @@
 	}
 }
 
-// BenchmarkControl reports what membership and load reports cost a daemon at
-// rest, over members, domains and regions, on a fake clock.
+// BenchmarkControl reports the cost of membership and load reports for a daemon
+// without requests, by number of members, domains and regions, on a fake clock.
 func BenchmarkControl(b *testing.B) {
 	for _, p := range capacityPoints {
 		x := p.X
--- a/serve/peer/body_test.go
+++ b/serve/peer/body_test.go
@@ -69,9 +69,9 @@
 	is.True(errors.Is(err, load.ErrBounds))
 }
 
-// Symptom: a message of some bytes makes the process allocate gigabytes.
-// Sequence: an array header announces four billion elements and ends there.
-// Cause: the decoder allocates what the header announces.
+// Guards against a message of a few bytes that makes the process allocate
+// gigabytes: its array header declares four billion elements, and the decoder
+// allocates the declared length.
 func TestExcessiveArrayLengthIsRefused(t *testing.T) {
 	is := is.New(t)
 	bomb := []byte{0x94, 1, 2, 3, 0xdd, 0xff, 0xff, 0xff, 0xf0}
--- a/serve/peer/capacity_test.go
+++ b/serve/peer/capacity_test.go
@@ -16,8 +16,8 @@
 	"github.com/azurethread/azurethread/decide/member/membertest"
 )
 
-// segmentBytes is what a TCP segment costs beyond its payload: link, IP and
-// TCP headers, and its share of the acknowledgement.
+// segmentBytes is the overhead of a TCP segment in bytes: link, IP and TCP headers,
+// and its share of the acknowledgement.
 const segmentBytes = 100
 
 // capacityPoint is one measurement of docs/capacity/member.json.
@@ -28,26 +28,27 @@
 }
 
 type fleetSize struct {
-	Members  int `json:"members"`  // entry VMs of a domain
+	Members  int `json:"members"`  // entry VMs per domain
 	Domains  int `json:"domains"`  // of the whole fleet
 	Regions  int `json:"regions"`  // of the whole fleet
 	Services int `json:"services"` // of the catalogue
 }
 
 type measurements struct {
-	// Of one daemon, sent, segments' overhead included: the mean over all,
-	// and the daemon with the most, a representative.
+	// Sent by one daemon, including the overhead of segments: the mean over all
+	// daemons, and the maximum, which is that of a representative.
 	BytesPerS    float64 `json:"bytes_per_s"`
 	MaxBytesPerS float64 `json:"max_bytes_per_s"`
 	MsgsPerS     float64 `json:"msgs_per_s"`
 	MaxMsgsPerS  float64 `json:"max_msgs_per_s"`
-	// CPU of the reducers and the encoding, the mean over all daemons; the
-	// decoding on the other side is not in it.
+	// CPU time of the reducers and of encoding, without decoding at the
+	// receiver: the mean over all daemons.
 	CPUMicrosPerS float64 `json:"cpu_us_per_s"`
 	StateBytes    float64 `json:"state_bytes"`
 }
 
-// meter counts what each node sends, and lets load reports ride along.
+// meter counts what each entry VM sends, with the load reports attached to its
+// messages.
 type meter struct {
 	n        *membertest.Network
 	load     map[fleet.VMID]*load.State
@@ -81,7 +82,7 @@
 	return s
 }
 
-// stepped keeps the load reducer in line with the membership.
+// stepped updates the load reducer after a change of the membership.
 func (m *meter) stepped(n *membertest.EntryVM, out *member.Ready) {
 	if !out.Group && len(out.Changed) == 0 {
 		return
@@ -98,7 +99,7 @@
 	return f
 }
 
-// sent counts a message as a frame of its own, with the report riding on it.
+// sent counts a message, with the attached load report, as one frame.
 func (m *meter) sent(from *membertest.EntryVM, s *member.Send) {
 	b, err := EncodeMember(s.Msg)
 	if err != nil {
@@ -149,7 +150,7 @@
 	return out
 }
 
-// measure runs a settled fleet at rest for some fake seconds.
+// measure runs a converged fleet without requests for some simulated seconds.
 func measure(x fleetSize, seconds int) (measurements, *meter, error) {
 	var before, after runtime.MemStats
 	runtime.GC()
@@ -165,9 +166,9 @@
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	m.reset()
-	begun := time.Now()
+	started := time.Now()
 	m.run(seconds)
-	cpu := time.Since(begun)
+	cpu := time.Since(started)
 	var y measurements
 	for _, vm := range vms {
 		b := float64(m.bytes[vm.ID]) / float64(seconds)
@@ -182,7 +183,7 @@
 	return y, m, m.err
 }
 
-// run lets seconds pass, each VM measuring its load once a second.
+// run advances the simulation; each VM measures its load once a second.
 func (m *meter) run(seconds int) {
 	for range seconds {
 		for i, node := range m.n.VMs {
@@ -203,7 +204,7 @@
 	}
 }
 
-// fleetOfSize spreads the domains over the regions as evenly as they go.
+// fleetOfSize distributes the domains over the regions as evenly as possible.
 func fleetOfSize(x fleetSize) []fleet.VM {
 	var out []fleet.VM
 	for d := range x.Domains {
@@ -217,9 +218,9 @@
 	return out
 }
 
-// TestCapacityPoints measures the points that docs/CAPACITY.md is fitted from
-// and writes them to the file named by AZURETHREAD_CAPACITY_MEMBER. Without
-// it, it measures one small point.
+// TestCapacityPoints measures the points to which the model in docs/CAPACITY.md is
+// fitted and writes them to the file named by AZURETHREAD_CAPACITY_MEMBER. If the
+// variable is not set, it measures one small point only.
 func TestCapacityPoints(t *testing.T) {
 	is := is.New(t)
 	path := os.Getenv("AZURETHREAD_CAPACITY_MEMBER")
--- a/serve/peer/fuzz_test.go
+++ b/serve/peer/fuzz_test.go
@@ -5,10 +5,9 @@
 	"testing"
 )
 
-// FuzzFrames feeds a byte stream, cut in two at any place, to the decoders of
-// frames and messages. Besides not failing, they must not depend on where the
-// stream is cut, and a data payload that decodes must encode and decode to
-// the same messages.
+// FuzzFrames feeds a byte stream, split at an arbitrary position, to the decoders
+// of frames and messages. They must not panic, the result must not depend on the
+// split, and a data payload that decodes must re-encode to the same messages.
 func FuzzFrames(f *testing.F) {
 	f.Fuzz(func(t *testing.T, stream []byte, cut uint16) {
 		at := min(int(cut), len(stream))
--- a/serve/peer/harness_test.go
+++ b/serve/peer/harness_test.go
@@ -18,10 +18,11 @@
 
 var testKey = []byte("a shared key for tests only")
 
-// eventuallyTimeout bounds the wait for what has to happen; no test needs it to pass.
+// eventuallyTimeout limits the wait for an expected event; tests that pass do not
+// reach it.
 const eventuallyTimeout = 10 * time.Second
 
-// endpoint is a transport with what it received.
+// endpoint is a transport that records what it received.
 type endpoint struct {
 	*Transport
 	vm fleet.VM
@@ -53,7 +54,7 @@
 }
 
 func init() {
-	// nbio writes a line for each start and stop.
+	// nbio logs a line for each start and stop.
 	logging.SetLevel(logging.LevelError)
 }
 
@@ -108,7 +109,7 @@
 	}
 }
 
-// rawClient is a peer made by hand, to send what a Transport never would.
+// rawClient is a hand-written peer, for sending what a Transport never sends.
 type rawClient struct {
 	net.Conn
 	nonce   []byte
@@ -129,7 +130,7 @@
 	return r
 }
 
-// handshake completes the handshake as VM id with a key.
+// handshake completes the handshake as VM id, using key.
 func (r *rawClient) handshake(t *testing.T, id, wants fleet.VMID, key []byte) error {
 	t.Helper()
 	is := is.New(t)
@@ -179,7 +180,7 @@
 	return frame, err
 }
 
-// expectClosed reads until the other side closes.
+// expectClosed reads until the other side closes the connection.
 func (r *rawClient) expectClosed(t *testing.T) {
 	t.Helper()
 	_ = r.SetReadDeadline(time.Now().Add(eventuallyTimeout))
--- a/serve/peer/listen_test.go
+++ b/serve/peer/listen_test.go
@@ -10,10 +10,9 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// Symptom: a daemon ends with a panic in place of an error.
-// Sequence: its address for frames is taken; Listen fails, and the daemon
-// closes what it has set up.
-// Cause: nbio cannot stop an engine that has not started.
+// Guards against a panic instead of an error when the peer address is in use:
+// Listen fails, the daemon closes what it has set up, and nbio cannot stop an
+// engine that has not started.
 func TestCloseAfterFailedListen(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/serve/peer/transport_test.go
+++ b/serve/peer/transport_test.go
@@ -27,7 +27,7 @@
 	for i := range 200 {
 		is.Equal(b.bodies()[2*i], fmt.Sprint(i))
 	}
-	// The answer takes the connection that a opened: no address is needed.
+	// The answer uses the connection that a opened, so no address is needed.
 	is.NoErr(b.Send(fleet.VM{ID: "a"}, textBody("back")))
 	eventually(t, "the answer", func() bool { return len(a.bodies()) == 1 })
 	is.Equal(a.envs[0].From, fleet.VMID("b"))
@@ -63,9 +63,8 @@
 	is.Equal(a.Stats().AcksSent, uint64(1)) // only the empty frame of the handshake
 }
 
-// Symptom: a machine that isn't ours takes part. Sequence: it connects and
-// speaks the protocol with another key. Cause: whoever reaches the port can
-// send frames; only the key tells who may.
+// Guards against foreign machines joining: anyone who reaches the port can speak
+// the protocol, so frames made with another key must be refused.
 func TestWrongKeyIsRefused(t *testing.T) {
 	is := is.New(t)
 	b := newEndpoint(t, "b", nil)
@@ -76,19 +75,19 @@
 	is.Equal(len(b.bodies()), 0)
 }
 
-// Symptom: memory grows until the process is killed. Sequence: a frame states
-// a length of 2 GB. Cause: a reader that believes the length allocates it.
+// Guards against exhausting the memory: a frame's length field says 2 GB, and a
+// reader that trusts it allocates that much.
 func TestOversizedFrameIsRefused(t *testing.T) {
 	is := is.New(t)
 	b := newEndpoint(t, "b", nil)
 	c := dialRaw(t, b.vm.PeerAddr)
 	c.write(t, []byte{0x7f, 0xff, 0xff, 0xff, Version, byte(typeHello)})
 	c.expectClosed(t)
-	// A hello may not even be as large as a data frame.
+	// The limit for a hello is lower than that for a data frame.
 	c = dialRaw(t, b.vm.PeerAddr)
 	c.write(t, []byte{0, 0, 0xff, 0xff, Version, byte(typeHello)})
 	c.expectClosed(t)
-	// After the handshake the bound is that of data frames.
+	// After the handshake the limit for data frames applies.
 	c = dialRaw(t, b.vm.PeerAddr)
 	is.NoErr(c.handshake(t, "a", "b", testKey))
 	c.write(t, c.sealData(t, textBody("fine")))
@@ -98,10 +97,9 @@
 	is.Equal(b.Stats().RefusedSize, uint64(3))
 }
 
-// Symptom: a peer's faulty message ends the process or is taken for another.
-// Sequence: frames with unknown version or type, and payloads that are no
-// MessagePack, cut short, or followed by more. Cause: the sender is newer,
-// broken or hostile.
+// Guards against malformed frames that crash the process or are misread: unknown
+// versions and types, and payloads that are not MessagePack, truncated or followed
+// by other bytes, from a newer, defective or hostile sender.
 func TestMalformedFramesAreRefused(t *testing.T) {
 	is := is.New(t)
 	b := newEndpoint(t, "b", nil)
@@ -135,10 +133,9 @@
 	is.Equal(len(b.bodies()), 0)
 }
 
-// Symptom: an old message takes effect a second time. Sequence: somebody on
-// the way records frames and sends them again: on the same connection, on
-// another one, or a whole connection from its first byte. Cause: each frame
-// is genuine, only its time or place is not.
+// Guards against replay: an attacker on the path records genuine frames and sends
+// them again on the same connection, on another one, or as a whole connection from
+// its first byte. Old messages must not take effect again.
 func TestReplayedFramesAreRefused(t *testing.T) {
 	is := is.New(t)
 	b := newEndpoint(t, "b", nil)
@@ -164,7 +161,7 @@
 	again.expectClosed(t)
 	is.Equal(b.Stats().RefusedMAC, uint64(3))
 
-	// A frame left out shows as well.
+	// An omitted frame is detected too.
 	gap := dialRaw(t, b.vm.PeerAddr)
 	is.NoErr(gap.handshake(t, "a", "b", testKey))
 	gap.sealData(t, textBody("lost"))
@@ -174,9 +171,8 @@
 	is.Equal(len(b.bodies()), 1)
 }
 
-// Symptom: a VM talks to a machine that knows no key. Sequence: that machine
-// has recorded the answer of a real VM to a hello and sends it to another
-// one. Cause: the recorded answer is genuine, but answers another hello.
+// Guards against impersonation: a machine without the key replays the recorded
+// answer of a real VM. The answer is genuine but belongs to another hello.
 func TestRecordedAnswerIsRefused(t *testing.T) {
 	is := is.New(t)
 	b := newEndpoint(t, "b", nil)
@@ -202,9 +198,8 @@
 	eventually(t, "the refusal", func() bool { return a.Stats().RefusedKey == 1 })
 }
 
-// Symptom: messages for one VM reach another. Sequence: a VM is replaced, and
-// its IP number is given to a VM of another name. Cause: addresses outlive
-// the VMs behind them.
+// Guards against messages that reach the wrong VM: a VM is replaced, and its IP
+// address is reassigned to a VM with another id.
 func TestMisdirectedHelloIsRefused(t *testing.T) {
 	is := is.New(t)
 	a, b := newEndpoint(t, "a", nil), newEndpoint(t, "b", nil)
@@ -215,8 +210,8 @@
 	is.Equal(len(b.bodies()), 0)
 }
 
-// Symptom: no peer can connect any more. Sequence: connections are opened and
-// send nothing, or one byte now and then. Cause: each holds a place.
+// Guards against idle connections that lock out peers: each connection counts
+// towards the limit, even if it sends nothing or only a byte now and then.
 func TestSlowHelloIsClosed(t *testing.T) {
 	is := is.New(t)
 	b := newEndpoint(t, "b", func(o *Options) {
@@ -236,7 +231,7 @@
 	eventually(t, "a peer", func() bool { return len(b.bodies()) == 1 })
 }
 
-// switchLink loses all frames while it is off.
+// switchLink drops all frames while it is off.
 type switchLink struct {
 	mu  sync.Mutex
 	off bool
@@ -254,10 +249,9 @@
 	return time.Millisecond, !l.off
 }
 
-// Symptom: everything sent to a VM vanishes for good, although it lives and
-// new connections to it work. Sequence: a firewall on the path drops the
-// state of an open connection. Cause: writes still succeed, so only the
-// missing acknowledgements tell.
+// Guards against losing everything sent to a live VM: a firewall on the path drops
+// the state of an open connection. Writes still succeed and new connections work,
+// so only the missing acknowledgements show the failure.
 func TestSilentConnectionIsReplaced(t *testing.T) {
 	is := is.New(t)
 	link := &switchLink{}
@@ -271,7 +265,7 @@
 	eventually(t, "a frame", func() bool { return len(b.bodies()) == 1 })
 
 	link.set(true)
-	is.NoErr(a.Send(b.vm, textBody("swallowed"))) // from here on this connection is silent
+	is.NoErr(a.Send(b.vm, textBody("swallowed"))) // from here on, this connection drops all frames
 	link.set(false)
 	eventually(t, "the replacement", func() bool { return a.Stats().Replaced == 1 })
 	is.NoErr(a.Send(b.vm, textBody("after")))
@@ -280,10 +274,9 @@
 	is.Equal(a.Stats().Unconfirmed, uint64(1))
 }
 
-// Symptom: after an outage of the network the two never talk again. Sequence:
-// all frames are lost for a while, those of new handshakes included. Cause:
-// the old connections are silent for good, and the attempts to replace them
-// fail as long as the outage lasts.
+// Guards against peers that do not reconnect after a network outage: all frames
+// are lost for a while, including those of handshakes. The old connections stay
+// dead, and attempts to replace them fail as long as the outage lasts.
 func TestReconnectsAfterOutage(t *testing.T) {
 	is := is.New(t)
 	link := &switchLink{}
@@ -307,9 +300,8 @@
 	})
 }
 
-// Symptom: the process that serves callers stands still, or its memory grows,
-// because of one VM. Sequence: that VM accepts connections and never reads.
-// Cause: a send that waits, or keeps everything that waits.
+// Guards against one VM that accepts connections but never reads: sending to it
+// must neither block the process nor queue messages without limit.
 func TestStuckPeerDoesNotBlockOthers(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -330,9 +322,9 @@
 	eventually(t, "another VM", func() bool { return len(b.bodies()) == 1 })
 }
 
-// Symptom: a restarted VM gets nothing until some time-out. Sequence: it
-// starts anew at the same address with a higher incarnation. Cause: the
-// connection to the earlier process still counts as good.
+// Guards against a restarted VM receiving nothing until a time-out: it starts at the
+// same address with a higher incarnation, and the connection to the earlier process
+// still seems usable.
 func TestHigherIncarnationGetsNewConnection(t *testing.T) {
 	is := is.New(t)
 	a := newEndpoint(t, "a", func(o *Options) { o.BackoffMin = time.Millisecond })
@@ -346,9 +338,8 @@
 	is.Equal(second.bodies()[0], "two")
 }
 
-// Symptom: what was sent just before a planned stop never arrives. Sequence:
-// messages are handed over and the transport is closed at once. Cause: they
-// were still in the queue, waiting for a connection.
+// Guards against losing messages sent just before a planned stop: when the transport
+// is closed, they are still queued and wait for a connection.
 func TestCloseFlushesQueue(t *testing.T) {
 	is := is.New(t)
 	a, b := newEndpoint(t, "a", nil), newEndpoint(t, "b", nil)
