--- a/serve/admin/changes.go
+++ b/serve/admin/changes.go
@@ -160,7 +160,7 @@
 	if !a.Settled {
 		return response{http.StatusAccepted, a}, nil
 	}
-	return respondOK(a)
+	return okResponse(a)
 }
 
 // selfApproved reports whether op is an approval by the entry's author.
--- a/serve/admin/handler.go
+++ b/serve/admin/handler.go
@@ -98,8 +98,8 @@
 	body   any
 }
 
-// respondOK returns a response with status 200.
-func respondOK(body any) (response, error) { return response{http.StatusOK, body}, nil }
+// okResponse returns a response with status 200.
+func okResponse(body any) (response, error) { return response{http.StatusOK, body}, nil }
 
 // endpoint serves one route.
 type endpoint func(*request) (response, error)
--- a/serve/admin/handler_test.go
+++ b/serve/admin/handler_test.go
@@ -277,7 +277,7 @@
 			return // a path that the router cleans by a redirect
 		}
 		if !json.Valid(w.Body.Bytes()) {
-			t.Fatalf("%d with %q", w.Code, w.Body)
+			t.Fatalf("status %d with a body that is not JSON: %q", w.Code, w.Body)
 		}
 		if w.Code != http.StatusOK && b.mem.Catalogue().Revision != 0 {
 			t.Fatalf("status %d, and the catalogue is at revision %d", w.Code, b.mem.Catalogue().Revision)
--- a/serve/admin/reads.go
+++ b/serve/admin/reads.go
@@ -35,7 +35,7 @@
 	if err != nil {
 		return response{}, err
 	}
-	return respondOK(c)
+	return okResponse(c)
 }
 
 func (h *Handler) getServices(*request) (response, error) {
@@ -43,7 +43,7 @@
 	if err != nil {
 		return response{}, err
 	}
-	return respondOK(Services{Revision: c.Revision, Services: notNil(c.Services)})
+	return okResponse(Services{Revision: c.Revision, Services: notNil(c.Services)})
 }
 
 func (h *Handler) getShifts(*request) (response, error) {
@@ -51,7 +51,7 @@
 	if err != nil {
 		return response{}, err
 	}
-	return respondOK(Shifts{Revision: c.Revision, Shifts: notNil(c.Shifts)})
+	return okResponse(Shifts{Revision: c.Revision, Shifts: notNil(c.Shifts)})
 }
 
 // notNil replaces a nil list by an empty one, so that it is encoded as [] and not
@@ -72,17 +72,17 @@
 	if !found {
 		return response{}, newFailure(http.StatusNotFound, CodeNotFound, "no such shift at revision "+strconv.FormatUint(c.Revision, 10))
 	}
-	return respondOK(s)
+	return okResponse(s)
 }
 
-func (h *Handler) getStatus(*request) (response, error) { return respondOK(h.cfg.Viewer.Status()) }
+func (h *Handler) getStatus(*request) (response, error) { return okResponse(h.cfg.Viewer.Status()) }
 
 func (h *Handler) getInForce(q *request) (response, error) {
 	rev, err := q.uintParam("revision")
 	if err != nil {
 		return response{}, err
 	}
-	return respondOK(h.cfg.Viewer.InForce(q.Context(), rev))
+	return okResponse(h.cfg.Viewer.InForce(q.Context(), rev))
 }
 
 func (h *Handler) getOperation(q *request) (response, error) {
@@ -94,7 +94,7 @@
 	if err != nil {
 		return response{}, err
 	}
-	return respondOK(out)
+	return okResponse(out)
 }
 
 // getWatch answers once the revision in force is above "after", or after "wait".
@@ -117,7 +117,7 @@
 	}
 	changed := h.waitForRevision(q.Context(), after, wait)
 	s := h.cfg.Viewer.Status()
-	return respondOK(Watch{Revision: s.Revision, Changed: changed, Status: s})
+	return okResponse(Watch{Revision: s.Revision, Changed: changed, Status: s})
 }
 
 func (h *Handler) waitForRevision(ctx context.Context, after uint64, wait time.Duration) bool {
--- a/serve/daemon/daemon.go
+++ b/serve/daemon/daemon.go
@@ -93,7 +93,7 @@
 	return monotonicClock{base: clock.FromWall(t), started: t}
 }
 
-func (e monotonicClock) now() clock.Time { return e.base.Add(time.Since(e.started)) }
+func (m monotonicClock) now() clock.Time { return m.base.Add(time.Since(m.started)) }
 
 func (d *Daemon) now() clock.Time { return d.monotonic.now() }
 
--- a/serve/daemon/platform.go
+++ b/serve/daemon/platform.go
@@ -133,20 +133,20 @@
 }
 
 // start runs f in a goroutine unless the group is closed.
-func (l *taskGroup) start(f func()) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if !l.closed {
-		l.wg.Go(f)
+func (g *taskGroup) start(f func()) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if !g.closed {
+		g.wg.Go(f)
 	}
 }
 
 // wait closes the group and waits for the running goroutines.
-func (l *taskGroup) wait() {
-	l.mu.Lock()
-	l.closed = true
-	l.mu.Unlock()
-	l.wg.Wait()
+func (g *taskGroup) wait() {
+	g.mu.Lock()
+	g.closed = true
+	g.mu.Unlock()
+	g.wg.Wait()
 }
 
 // isConflict reports whether a change failed because its entry had another
--- a/serve/peer/capacity_test.go
+++ b/serve/peer/capacity_test.go
@@ -62,8 +62,8 @@
 func newMeter(n *membertest.Network, services int) *meter {
 	m := &meter{n: n, services: services, load: make(map[fleet.VMID]*load.State)}
 	m.reset()
-	n.Sent = m.sent
-	n.Stepped = m.stepped
+	n.Sent = m.recordSend
+	n.Stepped = m.updateLoad
 	return m
 }
 
@@ -82,8 +82,8 @@
 	return s
 }
 
-// stepped updates the load reducer after a change of the membership.
-func (m *meter) stepped(n *membertest.EntryVM, out *member.Ready) {
+// updateLoad updates the load reducer after a change of the membership.
+func (m *meter) updateLoad(n *membertest.EntryVM, out *member.Ready) {
 	if !out.Group && len(out.Changed) == 0 {
 		return
 	}
@@ -99,8 +99,8 @@
 	return f
 }
 
-// sent counts a message, with the attached load report, as one frame.
-func (m *meter) sent(from *membertest.EntryVM, s *member.Send) {
+// recordSend counts a message, with the attached load report, as one frame.
+func (m *meter) recordSend(from *membertest.EntryVM, s *member.Send) {
 	b, err := EncodeMember(s.Msg)
 	if err != nil {
 		m.err = err
@@ -162,12 +162,12 @@
 	for _, vm := range vms {
 		n.Start(vm, vms)
 	}
-	m.run(60)
+	m.advance(60)
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	m.reset()
 	started := time.Now()
-	m.run(seconds)
+	m.advance(seconds)
 	cpu := time.Since(started)
 	var y measurements
 	for _, vm := range vms {
@@ -183,8 +183,8 @@
 	return y, m, m.err
 }
 
-// run advances the simulation; each VM measures its load once a second.
-func (m *meter) run(seconds int) {
+// advance advances the simulation; each VM measures its load once a second.
+func (m *meter) advance(seconds int) {
 	for range seconds {
 		for i, node := range m.n.VMs {
 			m.state(node).Step(m.n.Now, &load.Measured{Samples: m.samples(i)})
--- a/serve/peer/frame.go
+++ b/serve/peer/frame.go
@@ -150,20 +150,20 @@
 }
 
 // sum returns the MAC of the next frame. The slice is valid until the next call.
-func (c *frameAuth) sum(b []byte) []byte {
-	c.seq++
+func (a *frameAuth) sum(b []byte) []byte {
+	a.seq++
 	var n [8]byte
-	binary.BigEndian.PutUint64(n[:], c.seq)
-	c.mac.Reset()
-	c.mac.Write(n[:])
-	c.mac.Write(b)
-	return c.mac.Sum(c.buf[:0])[:macSize]
+	binary.BigEndian.PutUint64(n[:], a.seq)
+	a.mac.Reset()
+	a.mac.Write(n[:])
+	a.mac.Write(b)
+	return a.mac.Sum(a.buf[:0])[:macSize]
 }
 
 // verify checks the MAC of the next frame received. headAndPayload is the part of
 // the frame before its MAC.
-func (c *frameAuth) verify(headAndPayload, mac []byte) error {
-	if !hmac.Equal(c.sum(headAndPayload), mac) {
+func (a *frameAuth) verify(headAndPayload, mac []byte) error {
+	if !hmac.Equal(a.sum(headAndPayload), mac) {
 		return ErrFrameMAC
 	}
 	return nil
--- a/serve/peer/harness_test.go
+++ b/serve/peer/harness_test.go
@@ -103,7 +103,7 @@
 	end := time.Now().Add(eventuallyTimeout)
 	for !ok() {
 		if time.Now().After(end) {
-			t.Fatalf("not seen: %s", what)
+			t.Fatalf("timed out waiting for: %s", what)
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
@@ -131,10 +131,10 @@
 }
 
 // handshake completes the handshake as VM id, using key.
-func (r *rawClient) handshake(t *testing.T, id, wants fleet.VMID, key []byte) error {
+func (r *rawClient) handshake(t *testing.T, id, recipient fleet.VMID, key []byte) error {
 	t.Helper()
 	is := is.New(t)
-	b, err := Encode(0, &hello{ID: id, Incarnation: 1, Recipient: wants, Nonce: r.nonce})
+	b, err := Encode(0, &hello{ID: id, Incarnation: 1, Recipient: recipient, Nonce: r.nonce})
 	is.NoErr(err)
 	r.write(t, sealFrame(typeHello, b.Data, helloMAC(key, nil)))
 	frame, err := r.readFrame()
--- a/serve/peer/stats.go
+++ b/serve/peer/stats.go
@@ -27,8 +27,8 @@
 	Replaced     uint64 `json:"replaced"` // connections without acknowledgements
 	Lost         uint64 `json:"lost"`     // connections given up or closed by the other side
 	IdleClosed   uint64 `json:"idled"`
-	Dropped      uint64 `json:"dropped"` // messages dropped from a full queue or expired in it
-	Unconfirmed  uint64 `json:"unconfirmed"`
+	Dropped      uint64 `json:"dropped"`     // messages dropped from a full queue or expired in it
+	Unconfirmed  uint64 `json:"unconfirmed"` // unacknowledged messages of replaced or lost connections
 	Connections  uint64 `json:"connections"`
 	QueuedBodies uint64 `json:"queued_bodies"`
 }
--- a/serve/peer/transport.go
+++ b/serve/peer/transport.go
@@ -22,8 +22,8 @@
 // to it was lost. It may be called from any goroutine.
 type FailureHandler func(to fleet.VMID)
 
-// Transport exchanges messages between one entry VM and others. Its methods are safe for
-// concurrent use.
+// Transport exchanges messages between one entry VM and others. Its methods are
+// safe for concurrent use.
 type Transport struct {
 	o          Options
 	handle     Handler
--- a/serve/settings/settings.go
+++ b/serve/settings/settings.go
@@ -195,9 +195,9 @@
 	c.url(keyPlatformURL, s.PlatformURL)
 	c.check(len(s.FleetKey) >= MinFleetKey, keyFleetKey, fmt.Sprintf("needs at least %d characters", MinFleetKey))
 	_, err := admin.ParseOperators(s.Operators)
-	c.valid(keyOperators, err)
+	c.checkError(keyOperators, err)
 	_, err = target.ParsePolicy(s.Policy)
-	c.valid(keyPolicy, err)
+	c.checkError(keyPolicy, err)
 	c.file(keyBlocksFile, s.BlocksFile)
 	c.positive(keyMaxBody, int64(s.MaxBodyBytes))
 	c.positive(keyMaxHead, int64(s.MaxHeadBytes))
@@ -229,8 +229,8 @@
 	}
 }
 
-// valid reports err, the error of a value's parser, if it is not nil.
-func (c *checker) valid(key string, err error) {
+// checkError reports err, the error of a value's parser, if it is not nil.
+func (c *checker) checkError(key string, err error) {
 	if err != nil {
 		c.check(false, key, err.Error())
 	}
--- a/serve/settings/settings_test.go
+++ b/serve/settings/settings_test.go
@@ -79,7 +79,7 @@
 			t.Errorf("--%s=%s: %v", f.Name, v, err)
 			return
 		}
-		field := changed(base, s)
+		field := changedFields(base, s)
 		if field == "" || used[field] != "" {
 			t.Errorf("--%s=%s changes the field %q, which is also that of %q", f.Name, v, field, used[field])
 		}
@@ -101,8 +101,8 @@
 	return "12345"
 }
 
-// changed returns the names of the fields in which two settings differ.
-func changed(a, b *Settings) string {
+// changedFields returns the names of the fields in which two settings differ.
+func changedFields(a, b *Settings) string {
 	va, vb := reflect.ValueOf(*a), reflect.ValueOf(*b)
 	var fields []string
 	for i := range va.NumField() {
@@ -117,7 +117,7 @@
 }
 
 // The usage text of every number must name its unit.
-func TestUnits(t *testing.T) {
+func TestNumbersNameTheirUnit(t *testing.T) {
 	unit := regexp.MustCompile(`bytes|threads|seed|share`)
 	Flags().VisitAll(func(f *pflag.Flag) {
 		switch f.Value.Type() {
