--- a/serve/daemon/tokens.go
+++ b/serve/daemon/tokens.go
@@ -11,11 +11,11 @@
 	"github.com/azurethread/azurethread/decide/token"
 )
 
-// tokenLifetime is how long a token of a look-up can be used.
+// tokenLifetime is how long a token is valid after it was issued.
 const tokenLifetime = time.Minute
 
-// mint makes a token that only the process of vm admits.
-func (d *Daemon) mint(vm fleet.VM, now clock.Time) string {
+// mintToken creates a token that only the current process of vm accepts.
+func (d *Daemon) mintToken(vm fleet.VM, now clock.Time) string {
 	m := d.minters.Get().(*token.Minter)
 	defer d.minters.Put(m)
 	f := token.Fields{VM: vm.ID, Incarnation: vm.Incarnation, Expiry: now.Add(tokenLifetime)}
@@ -25,20 +25,21 @@
 	return m.Mint(f)
 }
 
-// mintFor makes the tokens of a look-up for one entry VM.
-func (d *Daemon) mintFor(id fleet.VMID, now clock.Time, n int) []string {
-	vm, ok := d.incarnation(id)
+// mintTokens creates n tokens for one entry VM in a look-up's answer.
+func (d *Daemon) mintTokens(id fleet.VMID, now clock.Time, n int) []string {
+	vm, ok := d.vmWithIncarnation(id)
 	if !ok || n == 0 {
 		return nil
 	}
 	out := make([]string, n)
 	for i := range out {
-		out[i] = d.mint(vm, now)
+		out[i] = d.mintToken(vm, now)
 	}
 	return out
 }
 
-// alternatives names other entry VMs to a caller that is sent away.
+// alternatives returns the addresses of other entry VMs for a caller that is
+// refused because this one is leaving.
 func (d *Daemon) alternatives(service fleet.ServiceName, client netip.Addr) []string {
 	var choices [steer.MaxChoices]steer.Choice
 	a := d.lookups.answer(d.now(), service, client, choices[:])
--- a/serve/peer/conn.go
+++ b/serve/peer/conn.go
@@ -10,35 +10,35 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// conn is one connection. Its fields are guarded by Transport.mu, except
-// split, which only the poller's goroutine of this connection uses.
+// conn is one connection. Its fields are guarded by Transport.mu, except split,
+// which only this connection's poller goroutine uses.
 type conn struct {
-	t       *Transport
-	nb      *nbio.Conn
-	dialled bool
-	opened  time.Time
-	heard   time.Time
-	split   splitter
-	closed  bool
+	t            *Transport
+	nb           *nbio.Conn
+	dialled      bool
+	opened       time.Time
+	lastReceived time.Time
+	split        splitter
+	closed       bool
 
-	peer        fleet.VMID // wanted when dialled, else from the hello
+	peer        fleet.VMID // intended recipient if dialled, else from the hello
 	incarnation fleet.Incarnation
 	nonce       []byte
-	out, in     *channel // nil until the hellos were exchanged
-	ready       bool     // the other side has proved to know the key
+	out, in     *frameAuth // nil until the hellos have been exchanged
+	established bool       // the other side has proved that it knows the key
 
-	unacked      []sent // frames to be acknowledged, in order
-	unackedBytes int
-	received     uint64    // last frame to be acknowledged
-	owedBytes    int       // received and not yet acknowledged
-	ackDue       time.Time // zero if everything is acknowledged
+	unacked         []sentFrame // frames awaiting acknowledgement, in order
+	unackedBytes    int
+	ackSeq          uint64    // last frame to acknowledge
+	ackPendingBytes int       // bytes received and not yet acknowledged
+	ackDue          time.Time // zero if everything is acknowledged
 
-	silenced bool // by Link
-	delayed  []delayedFrame
+	linkBroken bool // Link has dropped a frame
+	delayed    []delayedFrame
 }
 
-// sent is a frame in transit.
-type sent struct {
+// sentFrame is a frame in transit.
+type sentFrame struct {
 	seq    uint64
 	size   int
 	bodies int
@@ -51,21 +51,22 @@
 }
 
 func newConn(t *Transport, nb *nbio.Conn, now time.Time) *conn {
-	c := &conn{t: t, nb: nb, opened: now, heard: now, nonce: make([]byte, nonceSize)}
-	c.split.limit = maxHello
+	c := &conn{t: t, nb: nb, opened: now, lastReceived: now, nonce: make([]byte, nonceSize)}
+	c.split.limit = maxHelloSize
 	if _, err := rand.Read(c.nonce); err != nil {
 		panic(fmt.Sprintf("peer: no randomness: %v", err)) // never returned since Go 1.24
 	}
 	return c
 }
 
-// data takes bytes from the poller and returns the envelopes in them.
-func (c *conn) data(b []byte) ([]Envelope, error) {
+// receive processes bytes from the poller and returns the envelopes they
+// complete.
+func (c *conn) receive(b []byte) ([]Envelope, error) {
 	var envs []Envelope
 	err := c.split.push(b, func(frame []byte) error {
 		c.t.mu.Lock()
 		defer c.t.mu.Unlock()
-		env, ok, err := c.frame(frame)
+		env, ok, err := c.handleFrame(frame)
 		if ok {
 			envs = append(envs, env)
 		}
@@ -74,99 +75,99 @@
 	return envs, err
 }
 
-// frame takes one frame. It reports true if it brought messages.
-func (c *conn) frame(frame []byte) (Envelope, bool, error) {
+// handleFrame processes one frame. It reports true if the frame held messages.
+func (c *conn) handleFrame(frame []byte) (Envelope, bool, error) {
 	if c.closed {
 		return Envelope{}, false, nil
 	}
-	t, payload, mac, err := open(frame)
+	t, payload, mac, err := parseFrame(frame)
 	if err != nil {
 		return Envelope{}, false, err
 	}
-	c.heard = c.t.now()
+	c.lastReceived = c.t.now()
 	c.t.stats.FramesReceived++
 	c.t.stats.BytesReceived += uint64(lengthSize + len(frame))
 	switch {
 	case c.in == nil && t == typeHello:
-		return Envelope{}, false, c.hello(frame[:len(frame)-macSize], payload, mac)
+		return Envelope{}, false, c.handleHello(frame[:len(frame)-macSize], payload, mac)
 	case c.in != nil && t == typeData:
-		return c.message(frame[:len(frame)-macSize], payload, mac)
+		return c.handleData(frame[:len(frame)-macSize], payload, mac)
 	default:
 		return Envelope{}, false, fmt.Errorf("%w: %d", ErrFrameType, t)
 	}
 }
 
-// hello takes the other side's hello.
-func (c *conn) hello(signed, payload, mac []byte) error {
+// handleHello processes the other side's hello.
+func (c *conn) handleHello(signed, payload, mac []byte) error {
 	var answered []byte
 	if c.dialled {
 		answered = c.nonce
 	}
-	if !equal(helloMAC(c.t.o.Key, answered)(signed), mac) {
+	if !macEqual(helloMAC(c.t.o.Key, answered)(signed), mac) {
 		return ErrWrongKey
 	}
 	var h hello
-	if err := Decode(Body{Data: payload}, maxHello, &h); err != nil {
+	if err := Decode(Body{Data: payload}, maxHelloSize, &h); err != nil {
 		return err
 	}
 	if len(h.Nonce) != nonceSize || h.ID == "" {
-		return fmt.Errorf("%w: hello without nonce or id", ErrMalformed)
+		return fmt.Errorf("%w: hello without a valid nonce or id", ErrMalformed)
 	}
 	if c.dialled {
-		return c.answered(&h)
+		return c.completeAsDialler(&h)
 	}
-	return c.greeted(&h)
+	return c.answerHello(&h)
 }
 
-// answered completes the handshake on the side that dialled.
-func (c *conn) answered(h *hello) error {
+// completeAsDialler completes the handshake on the side that dialled.
+func (c *conn) completeAsDialler(h *hello) error {
 	if h.ID != c.peer && !isAddress(c.peer) {
-		return fmt.Errorf("%w: reached %s in place of %s", ErrMisdirected, h.ID, c.peer)
+		return fmt.Errorf("%w: reached %s instead of %s", ErrMisdirected, h.ID, c.peer)
 	}
 	c.incarnation = h.Incarnation
-	c.out = newChannel(c.t.o.Key, fromDialler, c.nonce, h.Nonce)
-	c.in = newChannel(c.t.o.Key, fromAccepter, c.nonce, h.Nonce)
+	c.out = newFrameAuth(c.t.o.Key, fromDialler, c.nonce, h.Nonce)
+	c.in = newFrameAuth(c.t.o.Key, fromAccepter, c.nonce, h.Nonce)
 	c.establish()
-	// An empty frame proves at once to the other side that we know the key.
+	// An empty frame proves to the other side at once that this side knows the key.
 	c.sendAck()
-	c.t.connected(c)
+	c.t.useConn(c)
 	return nil
 }
 
-// greeted answers the hello of the side that dialled. That hello may be a
-// recording: only a data frame makes the connection ready.
-func (c *conn) greeted(h *hello) error {
-	if h.Wants != c.t.o.ID && !isAddress(h.Wants) {
-		return fmt.Errorf("%w: %s wants %s", ErrMisdirected, h.ID, h.Wants)
+// answerHello answers the hello of the side that dialled. That hello may be a
+// recording, so the connection is established only by a valid data frame.
+func (c *conn) answerHello(h *hello) error {
+	if h.Recipient != c.t.o.ID && !isAddress(h.Recipient) {
+		return fmt.Errorf("%w: %s intended to reach %s", ErrMisdirected, h.ID, h.Recipient)
 	}
 	c.peer = h.ID
 	c.incarnation = h.Incarnation
-	c.out = newChannel(c.t.o.Key, fromAccepter, h.Nonce, c.nonce)
-	c.in = newChannel(c.t.o.Key, fromDialler, h.Nonce, c.nonce)
+	c.out = newFrameAuth(c.t.o.Key, fromAccepter, h.Nonce, c.nonce)
+	c.in = newFrameAuth(c.t.o.Key, fromDialler, h.Nonce, c.nonce)
 	return c.sendHello("", h.Nonce)
 }
 
 func (c *conn) establish() {
-	c.ready = true
+	c.established = true
 	c.split.limit = MaxFrame
 }
 
-func (c *conn) sendHello(wants fleet.VMID, answered []byte) error {
+func (c *conn) sendHello(recipient fleet.VMID, answered []byte) error {
 	b, err := Encode(0, &hello{
 		ID:          c.t.o.ID,
 		Incarnation: c.t.o.Incarnation,
-		Wants:       wants,
+		Recipient:   recipient,
 		Nonce:       c.nonce,
 	})
 	if err != nil {
 		return err
 	}
-	c.write(seal(typeHello, b.Data, helloMAC(c.t.o.Key, answered)))
+	c.write(sealFrame(typeHello, b.Data, helloMAC(c.t.o.Key, answered)))
 	return nil
 }
 
-// message takes a data frame.
-func (c *conn) message(signed, payload, mac []byte) (Envelope, bool, error) {
+// handleData processes a data frame.
+func (c *conn) handleData(signed, payload, mac []byte) (Envelope, bool, error) {
 	if err := c.in.verify(signed, mac); err != nil {
 		return Envelope{}, false, err
 	}
@@ -174,16 +175,16 @@
 	if err != nil {
 		return Envelope{}, false, err
 	}
-	if !c.ready {
+	if !c.established {
 		c.establish()
-		c.t.connected(c)
+		c.t.useConn(c)
 	}
-	c.acknowledge(ack)
+	c.handleAck(ack)
 	if len(bodies) == 0 {
 		return Envelope{}, false, nil
 	}
-	if !allQuiet(bodies) {
-		c.oweAck(len(payload))
+	if !noneNeedsAck(bodies) {
+		c.scheduleAck(len(payload))
 	}
 	env := Envelope{
 		From:            c.peer,
@@ -194,21 +195,22 @@
 	return env, true, nil
 }
 
-// oweAck notes that the frame just received has to be acknowledged. Bulk is
-// acknowledged at once, or its sender would wait for its window each time.
-func (c *conn) oweAck(size int) {
-	c.received = c.in.seq
-	c.owedBytes += size
+// scheduleAck records that the frame just received has to be acknowledged. Large
+// amounts of data are acknowledged at once; otherwise their sender would wait
+// for its window each time.
+func (c *conn) scheduleAck(size int) {
+	c.ackSeq = c.in.seq
+	c.ackPendingBytes += size
 	if c.ackDue.IsZero() {
-		c.ackDue = c.heard.Add(c.t.o.AckDelay)
+		c.ackDue = c.lastReceived.Add(c.t.o.AckDelay)
 	}
-	if c.owedBytes >= ackBytes {
+	if c.ackPendingBytes >= immediateAckBytes {
 		c.sendAck()
 	}
 }
 
-// acknowledge drops the frames that the other side has.
-func (c *conn) acknowledge(seq uint64) {
+// handleAck removes the frames that the other side has acknowledged.
+func (c *conn) handleAck(seq uint64) {
 	n := 0
 	for n < len(c.unacked) && c.unacked[n].seq <= seq {
 		c.unackedBytes -= c.unacked[n].size
@@ -216,21 +218,21 @@
 	}
 	c.unacked = append(c.unacked[:0], c.unacked[n:]...)
 	if n > 0 {
-		c.t.drain(c.peer)
+		c.t.sendQueued(c.peer)
 	}
 }
 
 // send writes messages in one frame.
 func (c *conn) send(bodies []Body) error {
-	payload, err := appendData(c.received, bodies)
+	payload, err := appendData(c.ackSeq, bodies)
 	if err != nil {
 		return fmt.Errorf("peer: encode frame: %w", err)
 	}
-	frame := seal(typeData, payload, c.out.sum)
+	frame := sealFrame(typeData, payload, c.out.sum)
 	c.ackDue = time.Time{}
-	c.owedBytes = 0
-	if !allQuiet(bodies) {
-		c.unacked = append(c.unacked, sent{
+	c.ackPendingBytes = 0
+	if !noneNeedsAck(bodies) {
+		c.unacked = append(c.unacked, sentFrame{
 			seq:    c.out.seq,
 			size:   len(frame),
 			bodies: len(bodies),
@@ -248,15 +250,16 @@
 	}
 }
 
-// silentFor is how long the oldest frame in transit has waited.
-func (c *conn) silentFor(now time.Time) time.Duration {
+// unackedFor returns how long the oldest unacknowledged frame has waited; 0 if
+// there is none.
+func (c *conn) unackedFor(now time.Time) time.Duration {
 	if len(c.unacked) == 0 {
 		return 0
 	}
 	return now.Sub(c.unacked[0].at)
 }
 
-// write hands a frame to the connection, by way of Link if there is one.
+// write writes a frame to the connection, through Link if it is set.
 func (c *conn) write(frame []byte) {
 	c.t.stats.FramesSent++
 	c.t.stats.BytesSent += uint64(len(frame))
@@ -265,8 +268,8 @@
 		return
 	}
 	delay, ok := c.t.o.Link.Pass(c.t.o.ID, c.peer)
-	if !ok || c.silenced {
-		c.silenced = true
+	if !ok || c.linkBroken {
+		c.linkBroken = true
 		return
 	}
 	if delay == 0 && len(c.delayed) == 0 {
@@ -287,9 +290,9 @@
 	}
 }
 
-// writeNow never blocks: nbio keeps what the socket doesn't take, and the
-// window bounds how much that is. An error closes the connection, which is
-// handled there.
+// writeNow never blocks: nbio buffers what the socket does not accept, and the
+// window limits that amount. Errors are ignored, since nbio then closes the
+// connection and onClose handles that.
 func (c *conn) writeNow(frame []byte) {
 	_, _ = c.nb.Write(frame)
 }
--- a/serve/peer/frame.go
+++ b/serve/peer/frame.go
@@ -17,19 +17,20 @@
 const (
 	// Version is the version of the frame format and of all messages in it.
 	Version = 1
-	// MaxFrame bounds the length that a frame may state: the largest message
+	// MaxFrame is the maximum value of a frame's length field: the largest message
 	// and room for others beside it.
 	MaxFrame = MaxBody + 64<<10
 
-	lengthSize = 4
-	headSize   = 2 // version and type
-	macSize    = 16
-	minFrame   = headSize + macSize
-	nonceSize  = 16
-	// maxHello bounds a frame of a sender that has not proved to know the key.
-	maxHello = 1 << 10
-	// FrameOverhead is the size of a frame beyond its payload.
-	FrameOverhead = lengthSize + headSize + macSize
+	lengthSize   = 4
+	headerSize   = 2 // version and type
+	macSize      = 16
+	minFrameSize = headerSize + macSize
+	nonceSize    = 16
+	// maxHelloSize is the maximum length of a frame from a sender that has not yet
+	// proved that it knows the key.
+	maxHelloSize = 1 << 10
+	// FrameOverhead is the size of a frame without its payload.
+	FrameOverhead = lengthSize + headerSize + macSize
 )
 
 type frameType uint8
@@ -39,30 +40,30 @@
 	typeData  frameType = 2
 )
 
-// Errors for which a connection is closed.
+// Errors that close a connection.
 var (
 	ErrFrameSize    = errors.New("peer: frame size out of bounds")
 	ErrFrameVersion = errors.New("peer: unknown frame version")
 	ErrFrameType    = errors.New("peer: unexpected frame type")
-	ErrWrongKey     = errors.New("peer: hello not made with the shared key")
+	ErrWrongKey     = errors.New("peer: hello not authenticated by the shared key")
 	ErrFrameMAC     = errors.New("peer: frame replayed, reordered or forged")
 	ErrMisdirected  = errors.New("peer: hello for another VM")
 )
 
-// splitter cuts a byte stream into frames.
+// splitter splits a byte stream into frames.
 type splitter struct {
 	buf   []byte
 	limit int
 }
 
-// push appends data and calls f with each complete frame, without its length.
-// The frame is valid only during the call.
+// push appends data and calls f with each complete frame, without its length
+// field. The frame is valid only during the call.
 func (s *splitter) push(data []byte, f func(frame []byte) error) error {
 	s.buf = append(s.buf, data...)
 	rest := s.buf
 	for len(rest) >= lengthSize {
 		n := int(binary.BigEndian.Uint32(rest))
-		if n < minFrame || n > s.limit {
+		if n < minFrameSize || n > s.limit {
 			return fmt.Errorf("%w: %d bytes, at most %d", ErrFrameSize, n, s.limit)
 		}
 		if len(rest) < lengthSize+n {
@@ -73,13 +74,13 @@
 		}
 		rest = rest[lengthSize+n:]
 	}
-	s.keep(rest)
+	s.keepRest(rest)
 	return nil
 }
 
-// keep moves the incomplete rest to the front, and gives back the memory of
-// an unusually large frame.
-func (s *splitter) keep(rest []byte) {
+// keepRest moves the incomplete rest to the front of the buffer. If nothing is
+// left, it frees a buffer that a large frame has grown.
+func (s *splitter) keepRest(rest []byte) {
 	const large = 64 << 10
 	if len(rest) == 0 && cap(s.buf) > large {
 		s.buf = nil
@@ -88,20 +89,20 @@
 	s.buf = append(s.buf[:0], rest...)
 }
 
-// open checks the head of a frame and returns its type, payload and mac.
-func open(frame []byte) (frameType, []byte, []byte, error) {
+// parseFrame checks the version of a frame and returns its type, payload and MAC.
+func parseFrame(frame []byte) (frameType, []byte, []byte, error) {
 	if frame[0] != Version {
 		return 0, nil, nil, fmt.Errorf("%w: %d", ErrFrameVersion, frame[0])
 	}
 	at := len(frame) - macSize
-	return frameType(frame[1]), frame[headSize:at], frame[at:], nil
+	return frameType(frame[1]), frame[headerSize:at], frame[at:], nil
 }
 
-// seal builds a frame around a payload; sum computes the MAC of head and
+// sealFrame builds a frame with a payload; sum computes the MAC of header and
 // payload.
-func seal(t frameType, payload []byte, sum func(b []byte) []byte) []byte {
+func sealFrame(t frameType, payload []byte, sum func(b []byte) []byte) []byte {
 	out := make([]byte, lengthSize, FrameOverhead+len(payload))
-	binary.BigEndian.PutUint32(out, uint32(minFrame+len(payload)))
+	binary.BigEndian.PutUint32(out, uint32(minFrameSize+len(payload)))
 	out = append(out, Version, byte(t))
 	out = append(out, payload...)
 	return append(out, sum(out[lengthSize:])...)
@@ -111,12 +112,12 @@
 type hello struct {
 	ID          fleet.VMID        `json:"id"`
 	Incarnation fleet.Incarnation `json:"incarnation"`
-	Wants       fleet.VMID        `json:"wants"` // empty in the answer
+	Recipient   fleet.VMID        `json:"wants"` // empty in the answer
 	Nonce       []byte            `json:"nonce"`
 }
 
-// helloMAC binds a hello to the shared key and, in the answer, to the nonce
-// of the hello that it answers.
+// helloMAC returns the MAC function of a hello. It uses the shared key and, for
+// an answer, covers the nonce of the hello that it answers.
 func helloMAC(key, answered []byte) func(b []byte) []byte {
 	return func(b []byte) []byte {
 		m := hmac.New(sha256.New, key)
@@ -127,49 +128,49 @@
 	}
 }
 
-// The labels of the keys of the two directions.
+// Labels for deriving the keys of the two directions.
 const (
 	fromDialler  = "azurethread from dialler"
 	fromAccepter = "azurethread from accepter"
 )
 
-// channel authenticates the data frames of one direction.
-type channel struct {
+// frameAuth computes and verifies the MACs of the data frames of one direction.
+type frameAuth struct {
 	mac hash.Hash
-	seq uint64 // number of the last frame
+	seq uint64 // sequence number of the last frame
 	buf [sha256.Size]byte
 }
 
-func newChannel(key []byte, label string, dialler, accepter []byte) *channel {
+func newFrameAuth(key []byte, label string, dialler, accepter []byte) *frameAuth {
 	m := hmac.New(sha256.New, key)
 	m.Write([]byte(label))
 	m.Write(dialler)
 	m.Write(accepter)
-	return &channel{mac: hmac.New(sha256.New, m.Sum(nil))}
+	return &frameAuth{mac: hmac.New(sha256.New, m.Sum(nil))}
 }
 
-// sum returns the MAC of the next frame. It is valid until the next call.
-func (c *channel) sum(b []byte) []byte {
-	c.seq++
+// sum returns the MAC of the next frame. The slice is valid until the next call.
+func (a *frameAuth) sum(b []byte) []byte {
+	a.seq++
 	var n [8]byte
-	binary.BigEndian.PutUint64(n[:], c.seq)
-	c.mac.Reset()
-	c.mac.Write(n[:])
-	c.mac.Write(b)
-	return c.mac.Sum(c.buf[:0])[:macSize]
+	binary.BigEndian.PutUint64(n[:], a.seq)
+	a.mac.Reset()
+	a.mac.Write(n[:])
+	a.mac.Write(b)
+	return a.mac.Sum(a.buf[:0])[:macSize]
 }
 
-// verify checks the MAC of the next frame received. Head and payload are the
-// part of the frame before its mac.
-func (c *channel) verify(headAndPayload, mac []byte) error {
-	if !hmac.Equal(c.sum(headAndPayload), mac) {
+// verify checks the MAC of the next frame received. headAndPayload is the part of
+// the frame before its MAC.
+func (a *frameAuth) verify(headAndPayload, mac []byte) error {
+	if !hmac.Equal(a.sum(headAndPayload), mac) {
 		return ErrFrameMAC
 	}
 	return nil
 }
 
-// appendData encodes the payload of a data frame: the number of the last
-// frame with messages that was received, and the messages.
+// appendData encodes the payload of a data frame: ack, the sequence number of the
+// last frame with messages that was received, and the messages.
 func appendData(ack uint64, bodies []Body) ([]byte, error) {
 	var buf bytes.Buffer
 	e := encoders.Get().(*msgpack.Encoder)
@@ -188,7 +189,7 @@
 	defer decoders.Put(d)
 	r := bytes.NewReader(payload)
 	d.ResetReader(r)
-	if err := arrayLen(d, 2); err != nil {
+	if err := expectArrayLen(d, 2); err != nil {
 		return 0, nil, err
 	}
 	if ack, err = d.DecodeUint64(); err != nil {
@@ -212,7 +213,7 @@
 }
 
 func decodeBody(d *msgpack.Decoder, r *bytes.Reader) (Body, error) {
-	if err := arrayLen(d, 2); err != nil {
+	if err := expectArrayLen(d, 2); err != nil {
 		return Body{}, err
 	}
 	kind, err := d.DecodeUint8()
@@ -230,7 +231,7 @@
 	return Body{Kind: Kind(kind), Data: data}, nil
 }
 
-func arrayLen(d *msgpack.Decoder, want int) error {
+func expectArrayLen(d *msgpack.Decoder, want int) error {
 	n, err := d.DecodeArrayLen()
 	if err != nil || n != want {
 		return fmt.Errorf("%w: array of %d, not %d", ErrMalformed, n, want)
--- a/serve/peer/transport_test.go
+++ b/serve/peer/transport_test.go
@@ -17,18 +17,18 @@
 	"github.com/azurethread/azurethread/decide/member"
 )
 
-func TestMessagesBothWays(t *testing.T) {
+func TestMessagesInBothDirections(t *testing.T) {
 	is := is.New(t)
 	a, b := newEndpoint(t, "a", nil), newEndpoint(t, "b", func(o *Options) { o.Incarnation = 7 })
 	for i := range 200 {
-		is.NoErr(a.Send(b.vm, text(fmt.Sprint(i)), text("x")))
+		is.NoErr(a.Send(b.vm, textBody(fmt.Sprint(i)), textBody("x")))
 	}
 	eventually(t, "all messages", func() bool { return len(b.bodies()) == 400 })
 	for i := range 200 {
 		is.Equal(b.bodies()[2*i], fmt.Sprint(i))
 	}
-	// The answer takes the connection that a opened: no address is needed.
-	is.NoErr(b.Send(fleet.VM{ID: "a"}, text("back")))
+	// The answer uses the connection that a opened, so no address is needed.
+	is.NoErr(b.Send(fleet.VM{ID: "a"}, textBody("back")))
 	eventually(t, "the answer", func() bool { return len(a.bodies()) == 1 })
 	is.Equal(a.envs[0].From, fleet.VMID("b"))
 	is.Equal(a.envs[0].FromIncarnation, fleet.Incarnation(7))
@@ -38,9 +38,9 @@
 func TestLargestMessage(t *testing.T) {
 	is := is.New(t)
 	a, b := newEndpoint(t, "a", nil), newEndpoint(t, "b", nil)
-	large := text(strings.Repeat("x", MaxBody))
+	large := textBody(strings.Repeat("x", MaxBody))
 	is.NoErr(a.Send(b.vm, large))
-	is.NoErr(a.Send(b.vm, text("after")))
+	is.NoErr(a.Send(b.vm, textBody("after")))
 	eventually(t, "both", func() bool { return len(b.bodies()) == 2 })
 	is.Equal(b.bodies()[0], string(large.Data))
 	err := a.Send(b.vm, large, large)
@@ -63,49 +63,47 @@
 	is.Equal(a.Stats().AcksSent, uint64(1)) // only the empty frame of the handshake
 }
 
-// Symptom: a machine that isn't ours takes part. Sequence: it connects and
-// speaks the protocol with another key. Cause: whoever reaches the port can
-// send frames; only the key tells who may.
+// Guards against foreign machines joining: anyone who reaches the port can speak
+// the protocol, so frames made with another key must be refused.
 func TestWrongKeyIsRefused(t *testing.T) {
 	is := is.New(t)
 	b := newEndpoint(t, "b", nil)
 	stranger := newEndpoint(t, "a", func(o *Options) { o.Key = []byte("another key, as long as ours") })
-	is.NoErr(stranger.Send(b.vm, text("let me in")))
+	is.NoErr(stranger.Send(b.vm, textBody("let me in")))
 	eventually(t, "the refusal", func() bool { return b.Stats().RefusedKey > 0 })
 	eventually(t, "the failure", func() bool { return stranger.failures() > 0 })
 	is.Equal(len(b.bodies()), 0)
 }
 
-// Symptom: memory grows until the process is killed. Sequence: a frame states
-// a length of 2 GB. Cause: a reader that believes the length allocates it.
+// Guards against exhausting the memory: a frame's length field says 2 GB, and a
+// reader that trusts it allocates that much.
 func TestOversizedFrameIsRefused(t *testing.T) {
 	is := is.New(t)
 	b := newEndpoint(t, "b", nil)
 	c := dialRaw(t, b.vm.PeerAddr)
 	c.write(t, []byte{0x7f, 0xff, 0xff, 0xff, Version, byte(typeHello)})
-	c.closedByPeer(t)
-	// A hello may not even be as large as a data frame.
+	c.expectClosed(t)
+	// The limit for a hello is lower than that for a data frame.
 	c = dialRaw(t, b.vm.PeerAddr)
 	c.write(t, []byte{0, 0, 0xff, 0xff, Version, byte(typeHello)})
-	c.closedByPeer(t)
-	// After the handshake the bound is that of data frames.
+	c.expectClosed(t)
+	// After the handshake the limit for data frames applies.
 	c = dialRaw(t, b.vm.PeerAddr)
-	is.NoErr(c.greet(t, "a", "b", testKey))
-	c.write(t, c.data(t, text("fine")))
+	is.NoErr(c.handshake(t, "a", "b", testKey))
+	c.write(t, c.sealData(t, textBody("fine")))
 	eventually(t, "a frame", func() bool { return len(b.bodies()) == 1 })
 	c.write(t, []byte{0, 0x20, 0, 0, Version, byte(typeData)})
-	c.closedByPeer(t)
+	c.expectClosed(t)
 	is.Equal(b.Stats().RefusedSize, uint64(3))
 }
 
-// Symptom: a peer's faulty message ends the process or is taken for another.
-// Sequence: frames with unknown version or type, and payloads that are no
-// MessagePack, cut short, or followed by more. Cause: the sender is newer,
-// broken or hostile.
+// Guards against malformed frames that crash the process or are misread: unknown
+// versions and types, and payloads that are not MessagePack, truncated or followed
+// by other bytes, from a newer, defective or hostile sender.
 func TestMalformedFramesAreRefused(t *testing.T) {
 	is := is.New(t)
 	b := newEndpoint(t, "b", nil)
-	good, err := appendData(0, []Body{text("x")})
+	good, err := appendData(0, []Body{textBody("x")})
 	is.NoErr(err)
 	payloads := map[string][]byte{
 		"empty":          {},
@@ -117,73 +115,71 @@
 	}
 	for name, p := range payloads {
 		c := dialRaw(t, b.vm.PeerAddr)
-		is.NoErr(c.greet(t, "a", "b", testKey))
-		c.write(t, seal(typeData, p, c.out.sum))
-		c.closedByPeer(t)
+		is.NoErr(c.handshake(t, "a", "b", testKey))
+		c.write(t, sealFrame(typeData, p, c.out.sum))
+		c.expectClosed(t)
 		t.Log(name)
 	}
-	is.Equal(b.Stats().RefusedForm, uint64(len(payloads)))
+	is.Equal(b.Stats().RefusedMalformed, uint64(len(payloads)))
 
 	c := dialRaw(t, b.vm.PeerAddr)
 	c.write(t, append([]byte{0, 0, 0, 20, Version + 1, byte(typeHello)}, make([]byte, 18)...))
-	c.closedByPeer(t)
+	c.expectClosed(t)
 	is.Equal(b.Stats().RefusedVersion, uint64(1))
 	c = dialRaw(t, b.vm.PeerAddr)
 	c.write(t, append([]byte{0, 0, 0, 20, Version, byte(typeData)}, make([]byte, 18)...))
-	c.closedByPeer(t)
+	c.expectClosed(t)
 	is.Equal(b.Stats().RefusedType, uint64(1))
 	is.Equal(len(b.bodies()), 0)
 }
 
-// Symptom: an old message takes effect a second time. Sequence: somebody on
-// the way records frames and sends them again: on the same connection, on
-// another one, or a whole connection from its first byte. Cause: each frame
-// is genuine, only its time or place is not.
+// Guards against replay: an attacker on the path records genuine frames and sends
+// them again on the same connection, on another one, or as a whole connection from
+// its first byte. Old messages must not take effect again.
 func TestReplayedFramesAreRefused(t *testing.T) {
 	is := is.New(t)
 	b := newEndpoint(t, "b", nil)
 	c := dialRaw(t, b.vm.PeerAddr)
-	is.NoErr(c.greet(t, "a", "b", testKey))
-	frame := c.data(t, text("once"))
+	is.NoErr(c.handshake(t, "a", "b", testKey))
+	frame := c.sealData(t, textBody("once"))
 	c.write(t, frame)
 	eventually(t, "the frame", func() bool { return len(b.bodies()) == 1 })
 	c.write(t, frame)
-	c.closedByPeer(t)
+	c.expectClosed(t)
 	is.Equal(b.Stats().RefusedMAC, uint64(1))
 
 	other := dialRaw(t, b.vm.PeerAddr)
-	is.NoErr(other.greet(t, "a", "b", testKey))
+	is.NoErr(other.handshake(t, "a", "b", testKey))
 	other.write(t, frame)
-	other.closedByPeer(t)
+	other.expectClosed(t)
 	is.Equal(b.Stats().RefusedMAC, uint64(2))
 
 	again := dialRaw(t, b.vm.PeerAddr)
-	for _, w := range c.wrote {
+	for _, w := range c.written {
 		again.write(t, w)
 	}
-	again.closedByPeer(t)
+	again.expectClosed(t)
 	is.Equal(b.Stats().RefusedMAC, uint64(3))
 
-	// A frame left out shows as well.
+	// An omitted frame is detected too.
 	gap := dialRaw(t, b.vm.PeerAddr)
-	is.NoErr(gap.greet(t, "a", "b", testKey))
-	gap.data(t, text("lost"))
-	gap.write(t, gap.data(t, text("next")))
-	gap.closedByPeer(t)
+	is.NoErr(gap.handshake(t, "a", "b", testKey))
+	gap.sealData(t, textBody("lost"))
+	gap.write(t, gap.sealData(t, textBody("next")))
+	gap.expectClosed(t)
 	is.Equal(b.Stats().RefusedMAC, uint64(4))
 	is.Equal(len(b.bodies()), 1)
 }
 
-// Symptom: a VM talks to a machine that knows no key. Sequence: that machine
-// has recorded the answer of a real VM to a hello and sends it to another
-// one. Cause: the recorded answer is genuine, but answers another hello.
+// Guards against impersonation: a machine without the key replays the recorded
+// answer of a real VM. The answer is genuine but belongs to another hello.
 func TestRecordedAnswerIsRefused(t *testing.T) {
 	is := is.New(t)
 	b := newEndpoint(t, "b", nil)
 	c := dialRaw(t, b.vm.PeerAddr)
-	h, err := Encode(0, &hello{ID: "a", Wants: "b", Nonce: c.nonce})
+	h, err := Encode(0, &hello{ID: "a", Recipient: "b", Nonce: c.nonce})
 	is.NoErr(err)
-	c.write(t, seal(typeHello, h.Data, helloMAC(testKey, nil)))
+	c.write(t, sealFrame(typeHello, h.Data, helloMAC(testKey, nil)))
 	frame, err := c.readFrame()
 	is.NoErr(err)
 	recorded := append([]byte{0, 0, 0, byte(len(frame))}, frame...)
@@ -198,45 +194,44 @@
 		}
 	}()
 	a := newEndpoint(t, "a", nil)
-	is.NoErr(a.Send(fleet.VM{ID: "b", PeerAddr: l.Addr().String()}, text("secret")))
+	is.NoErr(a.Send(fleet.VM{ID: "b", PeerAddr: l.Addr().String()}, textBody("secret")))
 	eventually(t, "the refusal", func() bool { return a.Stats().RefusedKey == 1 })
 }
 
-// Symptom: messages for one VM reach another. Sequence: a VM is replaced, and
-// its IP number is given to a VM of another name. Cause: addresses outlive
-// the VMs behind them.
-func TestAddressOfAnotherVM(t *testing.T) {
+// Guards against messages that reach the wrong VM: a VM is replaced, and its IP
+// address is reassigned to a VM with another id.
+func TestMisdirectedHelloIsRefused(t *testing.T) {
 	is := is.New(t)
 	a, b := newEndpoint(t, "a", nil), newEndpoint(t, "b", nil)
 	wrong := fleet.VM{ID: "c", PeerAddr: b.vm.PeerAddr}
-	is.NoErr(a.Send(wrong, text("for c")))
+	is.NoErr(a.Send(wrong, textBody("for c")))
 	eventually(t, "the refusal", func() bool { return b.Stats().RefusedMisdirected > 0 })
 	eventually(t, "the failure", func() bool { return a.failures() > 0 })
 	is.Equal(len(b.bodies()), 0)
 }
 
-// Symptom: no peer can connect any more. Sequence: connections are opened and
-// send nothing, or one byte now and then. Cause: each holds a place.
+// Guards against idle connections that lock out peers: each connection counts
+// towards the limit, even if it sends nothing or only a byte now and then.
 func TestSlowHelloIsClosed(t *testing.T) {
 	is := is.New(t)
 	b := newEndpoint(t, "b", func(o *Options) {
-		o.HelloTimeout = 50 * time.Millisecond
-		o.Connections = 2
+		o.HandshakeTimeout = 50 * time.Millisecond
+		o.MaxConnections = 2
 	})
 	slow := []*rawClient{dialRaw(t, b.vm.PeerAddr), dialRaw(t, b.vm.PeerAddr)}
 	eventually(t, "both", func() bool { return b.Stats().Connections == 2 })
-	dialRaw(t, b.vm.PeerAddr).closedByPeer(t)
+	dialRaw(t, b.vm.PeerAddr).expectClosed(t)
 	is.Equal(b.Stats().RefusedConnections, uint64(1))
 	for _, c := range slow {
-		c.closedByPeer(t)
+		c.expectClosed(t)
 	}
 	is.Equal(b.Stats().HelloTimeouts, uint64(2))
 	a := newEndpoint(t, "a", nil)
-	is.NoErr(a.Send(b.vm, text("in")))
+	is.NoErr(a.Send(b.vm, textBody("in")))
 	eventually(t, "a peer", func() bool { return len(b.bodies()) == 1 })
 }
 
-// switchLink loses all frames while it is off.
+// switchLink drops all frames while it is off.
 type switchLink struct {
 	mu  sync.Mutex
 	off bool
@@ -254,71 +249,68 @@
 	return time.Millisecond, !l.off
 }
 
-// Symptom: everything sent to a VM vanishes for good, although it lives and
-// new connections to it work. Sequence: a firewall on the path drops the
-// state of an open connection. Cause: writes still succeed, so only the
-// missing acknowledgements tell.
+// Guards against losing everything sent to a live VM: a firewall on the path drops
+// the state of an open connection. Writes still succeed and new connections work,
+// so only the missing acknowledgements show the failure.
 func TestSilentConnectionIsReplaced(t *testing.T) {
 	is := is.New(t)
 	link := &switchLink{}
 	a := newEndpoint(t, "a", func(o *Options) {
 		o.Link = link
-		o.SilentAfter = 100 * time.Millisecond
+		o.ReplaceAfter = 100 * time.Millisecond
 		o.LostAfter = time.Hour
 	})
 	b := newEndpoint(t, "b", nil)
-	is.NoErr(a.Send(b.vm, text("before")))
+	is.NoErr(a.Send(b.vm, textBody("before")))
 	eventually(t, "a frame", func() bool { return len(b.bodies()) == 1 })
 
 	link.set(true)
-	is.NoErr(a.Send(b.vm, text("swallowed"))) // from here on this connection is silent
+	is.NoErr(a.Send(b.vm, textBody("swallowed"))) // from here on, this connection drops all frames
 	link.set(false)
 	eventually(t, "the replacement", func() bool { return a.Stats().Replaced == 1 })
-	is.NoErr(a.Send(b.vm, text("after")))
+	is.NoErr(a.Send(b.vm, textBody("after")))
 	eventually(t, "a frame on the new connection", func() bool { return len(b.bodies()) == 2 })
 	is.Equal(b.bodies()[1], "after")
 	is.Equal(a.Stats().Unconfirmed, uint64(1))
 }
 
-// Symptom: after an outage of the network the two never talk again. Sequence:
-// all frames are lost for a while, those of new handshakes included. Cause:
-// the old connections are silent for good, and the attempts to replace them
-// fail as long as the outage lasts.
-func TestOutageEnds(t *testing.T) {
+// Guards against peers that do not reconnect after a network outage: all frames
+// are lost for a while, including those of handshakes. The old connections stay
+// dead, and attempts to replace them fail as long as the outage lasts.
+func TestReconnectsAfterOutage(t *testing.T) {
 	is := is.New(t)
 	link := &switchLink{}
 	a := newEndpoint(t, "a", func(o *Options) {
 		o.Link = link
-		o.SilentAfter = 50 * time.Millisecond
+		o.ReplaceAfter = 50 * time.Millisecond
 		o.LostAfter = 150 * time.Millisecond
-		o.HelloTimeout = 50 * time.Millisecond
+		o.HandshakeTimeout = 50 * time.Millisecond
 		o.BackoffMin, o.BackoffMax = time.Millisecond, 20*time.Millisecond
 	})
 	b := newEndpoint(t, "b", nil)
-	is.NoErr(a.Send(b.vm, text("before")))
+	is.NoErr(a.Send(b.vm, textBody("before")))
 	eventually(t, "a frame", func() bool { return len(b.bodies()) == 1 })
 	link.set(true)
-	is.NoErr(a.Send(b.vm, text("lost")))
+	is.NoErr(a.Send(b.vm, textBody("lost")))
 	eventually(t, "the failure", func() bool { return a.failures() > 0 })
 	link.set(false)
 	eventually(t, "a frame after the outage", func() bool {
-		is.NoErr(a.Send(b.vm, text("after")))
+		is.NoErr(a.Send(b.vm, textBody("after")))
 		return slices.Contains(b.bodies(), "after")
 	})
 }
 
-// Symptom: the process that serves callers stands still, or its memory grows,
-// because of one VM. Sequence: that VM accepts connections and never reads.
-// Cause: a send that waits, or keeps everything that waits.
-func TestStuckPeerBlocksNobody(t *testing.T) {
+// Guards against one VM that accepts connections but never reads: sending to it
+// must neither block the process nor queue messages without limit.
+func TestStuckPeerDoesNotBlockOthers(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
 	defer l.Close()
 	const limit = 100 << 10
-	a := newEndpoint(t, "a", func(o *Options) { o.QueueBytes = limit })
+	a := newEndpoint(t, "a", func(o *Options) { o.MaxQueueBytes = limit })
 	stuck := fleet.VM{ID: "stuck", PeerAddr: l.Addr().String()}
-	body := text(strings.Repeat("x", 1000))
+	body := textBody(strings.Repeat("x", 1000))
 	for range 1000 {
 		is.NoErr(a.Send(stuck, body))
 	}
@@ -326,49 +318,48 @@
 	is.True(s.QueuedBodies <= limit/1000)
 	is.Equal(s.Dropped+s.QueuedBodies, uint64(1000))
 	b := newEndpoint(t, "b", nil)
-	is.NoErr(a.Send(b.vm, text("hello")))
+	is.NoErr(a.Send(b.vm, textBody("hello")))
 	eventually(t, "another VM", func() bool { return len(b.bodies()) == 1 })
 }
 
-// Symptom: a restarted VM gets nothing until some time-out. Sequence: it
-// starts anew at the same address with a higher incarnation. Cause: the
-// connection to the earlier process still counts as good.
+// Guards against a restarted VM receiving nothing until a time-out: it starts at the
+// same address with a higher incarnation, and the connection to the earlier process
+// still seems usable.
 func TestHigherIncarnationGetsNewConnection(t *testing.T) {
 	is := is.New(t)
 	a := newEndpoint(t, "a", func(o *Options) { o.BackoffMin = time.Millisecond })
 	first := newEndpoint(t, "b", nil)
-	is.NoErr(a.Send(first.vm, text("one")))
+	is.NoErr(a.Send(first.vm, textBody("one")))
 	eventually(t, "a frame", func() bool { return len(first.bodies()) == 1 })
 	second := newEndpoint(t, "b", func(o *Options) { o.Incarnation = 2 })
-	is.NoErr(a.Send(second.vm, text("two")))
+	is.NoErr(a.Send(second.vm, textBody("two")))
 	eventually(t, "a frame at the second", func() bool { return len(second.bodies()) == 1 })
 	is.Equal(len(first.bodies()), 1)
 	is.Equal(second.bodies()[0], "two")
 }
 
-// Symptom: what was sent just before a planned stop never arrives. Sequence:
-// messages are handed over and the transport is closed at once. Cause: they
-// were still in the queue, waiting for a connection.
-func TestCloseDeliversFirst(t *testing.T) {
+// Guards against losing messages sent just before a planned stop: when the transport
+// is closed, they are still queued and wait for a connection.
+func TestCloseFlushesQueue(t *testing.T) {
 	is := is.New(t)
 	a, b := newEndpoint(t, "a", nil), newEndpoint(t, "b", nil)
 	for i := range 50 {
-		is.NoErr(a.Send(b.vm, text(fmt.Sprint(i))))
+		is.NoErr(a.Send(b.vm, textBody(fmt.Sprint(i))))
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), eventuallyTimeout)
 	defer cancel()
 	is.NoErr(a.Close(ctx))
 	is.Equal(len(b.bodies()), 50)
-	is.True(errors.Is(a.Send(b.vm, text("late")), ErrClosed))
+	is.True(errors.Is(a.Send(b.vm, textBody("late")), ErrClosed))
 	is.True(errors.Is(a.Close(ctx), ErrClosed))
 }
 
-func TestSettingsAreChecked(t *testing.T) {
+func TestOptionsAreChecked(t *testing.T) {
 	is := is.New(t)
 	_, err := New(Options{ID: "a", Key: []byte("short")}, nil, nil)
 	is.True(errors.Is(err, ErrKey))
 	_, err = New(Options{Key: testKey}, nil, nil)
 	is.True(errors.Is(err, ErrID))
 	a := newEndpoint(t, "a", nil)
-	is.True(errors.Is(a.Send(fleet.VM{ID: "nowhere"}, text("x")), ErrNoAddress))
+	is.True(errors.Is(a.Send(fleet.VM{ID: "nowhere"}, textBody("x")), ErrNoAddress))
 }
