--- a/decide/emulate/connection.go
+++ b/decide/emulate/connection.go
@@ -8,43 +8,43 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// links are the connections of one process of an entry VM, by their other end.
-type links map[end]*link
+// connectionPools are the connections of one process of an entry VM, by their other end.
+type connectionPools map[connectionEnd]*connectionPool
 
-// end is what a connection leads to: a target, or the gateway that is set.
-type end struct {
+// connectionEnd is what a connection leads to: a target, or the gateway that is set.
+type connectionEnd struct {
 	target  fleet.TargetID
 	gateway fleet.VMID
 }
 
-// leads is what s needs a connection to.
-func (s *send) leads() end {
-	if s.gate != nil {
-		return end{gateway: s.gate.self.ID}
+// connectionEnd is what s needs a connection to.
+func (s *targetSend) connectionEnd() connectionEnd {
+	if s.gateway != nil {
+		return connectionEnd{gateway: s.gateway.self.ID}
 	}
-	return end{target: s.t.reg.ID}
+	return connectionEnd{target: s.t.registered.ID}
 }
 
 // domain is the failure domain that the connection of s leads to.
-func (s *send) domain() fleet.Domain {
-	if s.gate != nil {
-		return s.gate.self.Domain
+func (s *targetSend) domain() fleet.Domain {
+	if s.gateway != nil {
+		return s.gateway.self.Domain
 	}
-	return s.t.reg.Domain
+	return s.t.registered.Domain
 }
 
-// link is the connections of one process to one end that carry nothing.
-type link struct {
-	free    []clock.Time // since when they are; the one freed last at the end
-	waiting []*send      // for a connection; the first to come first
-	opening int
-	used    clock.Time // when a send last asked for one; 0: never
+// connectionPool is the connections of one process to one end that carry nothing.
+type connectionPool struct {
+	free     []clock.Time  // since when they are; the one freed last at the end
+	waiting  []*targetSend // for a connection; the first to come first
+	opening  int
+	lastUsed clock.Time // when a send last asked for one; 0: never
 }
 
-func (l links) to(e end) *link {
+func (l connectionPools) pool(e connectionEnd) *connectionPool {
 	k, ok := l[e]
 	if !ok {
-		k = new(link)
+		k = new(connectionPool)
 		l[e] = k
 	}
 	return k
@@ -55,74 +55,74 @@
 
 // connect calls s.carry when s has a connection: a free one, or else the one
 // that is opened for it, or one that is freed before.
-func (f *fleetRun) connect(s *send, spare bool) {
-	idle := seconds(f.p.Network.IdleSeconds)
+func (f *simulation) connect(s *targetSend, spare bool) {
+	idle := seconds(f.pattern.Network.IdleSeconds)
 	if idle == 0 {
-		s.carry() // there is always a free one
+		s.transmit() // there is always a free one
 		return
 	}
-	if s.gate != nil {
+	if s.gateway != nil {
 		idle = gatewayIdle
 	}
-	k := s.vm.links.to(s.leads())
-	s.anew = k.used == 0 || f.now.Sub(k.used) >= idle
-	k.used = f.now
+	k := s.vm.connections.pool(s.connectionEnd())
+	s.firstUse = k.lastUsed == 0 || f.now.Sub(k.lastUsed) >= idle
+	k.lastUsed = f.now
 	k.free = slices.DeleteFunc(k.free, func(since clock.Time) bool { return f.now.Sub(since) >= idle })
 	if n := len(k.free); n > 0 {
 		k.free = k.free[:n-1]
 		if spare && n == 1 && k.opening == 0 {
-			f.open(s, false)
+			f.openConnection(s, false)
 		}
-		s.carry()
+		s.transmit()
 		return
 	}
-	s.began = f.now
+	s.waitStart = f.now
 	k.waiting = append(k.waiting, s)
-	f.open(s, true)
+	f.openConnection(s, true)
 }
 
-// open opens a connection where s goes, which waits for it or not. It takes one
+// openConnection opens a connection where s goes, which waits for it or not. It takes one
 // round trip.
-func (f *fleetRun) open(s *send, waits bool) {
+func (f *simulation) openConnection(s *targetSend, waits bool) {
 	v := s.vm
-	k, starts := v.links.to(s.leads()), v.starts
-	took := 2 * f.way(v.self.Domain, s.domain())
+	k, starts := v.connections.pool(s.connectionEnd()), v.processNumber
+	took := 2 * f.latency(v.self.Domain, s.domain())
 	k.opening++
-	f.books.r.Opened++
+	f.recorder.result.Opened++
 	f.after(took, func() {
-		if v.starts != starts {
+		if v.processNumber != starts {
 			return
 		}
 		k.opening--
 		if at := slices.Index(k.waiting, s); waits && at >= 0 && !s.ended {
 			k.waiting = slices.Delete(k.waiting, at, at+1)
-			s.opened = took
-			s.begin(f.now)
+			s.connectTime = took
+			s.useConnection(f.now)
 			return
 		}
-		f.freed(s)
+		f.releaseConnection(s)
 	})
 }
 
-// freed has the send that has waited longest take a connection to where s went,
+// releaseConnection has the send that has waited longest take a connection to where s went,
 // or keeps it.
-func (f *fleetRun) freed(s *send) {
-	k := s.vm.links.to(s.leads())
+func (f *simulation) releaseConnection(s *targetSend) {
+	k := s.vm.connections.pool(s.connectionEnd())
 	for len(k.waiting) > 0 {
 		s := k.waiting[0]
 		k.waiting = k.waiting[1:]
 		if !s.ended {
-			s.begin(f.now)
+			s.useConnection(f.now)
 			return
 		}
 	}
 	k.free = append(k.free, f.now)
 }
 
-// begin has s use the connection that it has waited for.
-func (s *send) begin(now clock.Time) {
-	s.waited = now.Sub(s.began)
-	s.carry()
+// useConnection has s use the connection that it has waited for.
+func (s *targetSend) useConnection(now clock.Time) {
+	s.connectionWait = now.Sub(s.waitStart)
+	s.transmit()
 }
 
 // durations sums up durations.
@@ -138,27 +138,27 @@
 	return m.sum.Seconds() * 1000 / float64(m.n)
 }
 
-// noteReached notes how long a request to another region was on its way, once it
+// recordFarDelay notes how long a request to another region was on its way, once it
 // has reached its target.
-func (f *fleetRun) noteReached(s *send) {
+func (f *simulation) recordFarDelay(s *targetSend) {
 	if s.q.sender != nil {
 		s = s.q.sender
 	}
-	if s.t.region == s.vm.self.Region || f.second() < f.p.Seconds/2 {
+	if s.t.region == s.vm.self.Region || f.loadSeconds() < f.pattern.Seconds/2 {
 		return
 	}
-	took := f.now.Sub(s.placed) - f.way(s.vm.self.Domain, s.t.reg.Domain)
-	f.books.delayed.n++
-	f.books.delayed.sum += took
+	took := f.now.Sub(s.placedAt) - f.latency(s.vm.self.Domain, s.t.registered.Domain)
+	f.recorder.farDelays.n++
+	f.recorder.farDelays.sum += took
 }
 
-// noteConnected counts a send of which the connection is there.
-func (b *books) noteConnected(s *send) {
+// recordConnected counts a send of which the connection is there.
+func (b *recorder) recordConnected(s *targetSend) {
 	if s.t.region == s.vm.self.Region {
 		return
 	}
-	b.r.Far++
-	if s.waited > 0 && !s.anew {
-		b.r.FarWaited++
+	b.result.Far++
+	if s.connectionWait > 0 && !s.firstUse {
+		b.result.FarWaited++
 	}
 }
--- a/decide/emulate/deadly_test.go
+++ b/decide/emulate/deadly_test.go
@@ -7,26 +7,26 @@
 
 // queryOfDeath is a pattern in which a caller sends a query of death all day.
 func queryOfDeath(t *testing.T, change func(*Pattern)) *Pattern {
-	return pattern(t, func(p *Pattern) {
-		p.Events = []Event{{Kind: QueryOfDeath, At: 4, For: 18, Service: "read", Domain: "a1"}}
+	return smallRegion(t, func(p *Pattern) {
+		p.Events = []Event{{Kind: QueryOfDeath, Start: 4, Duration: 18, Service: "read", Domain: "a1"}}
 		if change != nil {
 			change(p)
 		}
 	})
 }
 
-// maxLateSends is how often a query of death may reach targets once the fleet
+// maxSendsAfterDetection is how often a query of death may reach targets once the fleet
 // must know it.
-const maxLateSends = 3
+const maxSendsAfterDetection = 3
 
 // A request that ends every target that runs it is sent to target after target,
 // as each attempt of its caller looks new.
 func TestQueryOfDeathIsKeptFromTargets(t *testing.T) {
 	patterns := map[string]func(*Pattern){
 		"one caller":            nil,
-		"it comes very often":   func(p *Pattern) { p.Events[0].X = 0.1 },
+		"it comes very often":   func(p *Pattern) { p.Events[0].Value = 0.1 },
 		"many callers send it":  func(p *Pattern) { p.Events[0].Callers = 12 },
-		"it comes now and then": func(p *Pattern) { p.Events[0].X = 3 },
+		"it comes now and then": func(p *Pattern) { p.Events[0].Value = 3 },
 		"little else comes": func(p *Pattern) {
 			for i := range p.Domains {
 				p.Domains[i].PerSecond = 2
@@ -38,7 +38,7 @@
 			p.Events = append(p.Events, other)
 		},
 		"entry VMs are restarted": func(p *Pattern) {
-			p.Events = append(p.Events, Event{Kind: KillVMs, At: 9, For: 1, Domain: "a1"})
+			p.Events = append(p.Events, Event{Kind: KillVMs, Start: 9, Duration: 1, Domain: "a1"})
 		},
 	}
 	for name, change := range patterns {
@@ -48,10 +48,10 @@
 			for seed := range uint64(3) {
 				t.Run(fmt.Sprint(seed), func(t *testing.T) {
 					t.Parallel()
-					for _, d := range Run(p, Variant{Seed: seed}).Deadly {
+					for _, d := range Run(p, Variant{Seed: seed}).DeathQueries {
 						t.Logf("%+v", d)
-						if d.Late > maxLateSends {
-							t.Errorf("%d sends reached targets %v after the third end or later, %d are allowed", d.Late, DeadlyGrace, maxLateSends)
+						if d.Late > maxSendsAfterDetection {
+							t.Errorf("%d sends reached targets %v after the third end or later, %d are allowed", d.Late, DetectionGrace, maxSendsAfterDetection)
 						}
 					}
 				})
--- a/decide/emulate/emulate_test.go
+++ b/decide/emulate/emulate_test.go
@@ -17,13 +17,13 @@
 	"github.com/azurethread/azurethread/decide/ingress"
 )
 
-func pattern(t *testing.T, change func(*Pattern)) *Pattern {
+func smallRegion(t *testing.T, change func(*Pattern)) *Pattern {
 	t.Helper()
-	return patternOf(t, "small-region", change)
+	return readPattern(t, "small-region", change)
 }
 
-// patternOf reads a pattern of testdata.
-func patternOf(t *testing.T, name string, change func(*Pattern)) *Pattern {
+// readPattern reads a pattern of testdata.
+func readPattern(t *testing.T, name string, change func(*Pattern)) *Pattern {
 	t.Helper()
 	b, err := os.ReadFile(filepath.Join("testdata", name+".json"))
 	if err != nil {
@@ -39,19 +39,19 @@
 	return p
 }
 
-// plays are the results of a pattern with the seeds from 1 on, played beside each
+// runSeeds are the results of a pattern with the seeds from 1 on, played beside each
 // other.
-func plays(p *Pattern, seeds int, without ingress.Mechanisms) []*Result {
+func runSeeds(p *Pattern, seeds int, without ingress.Mechanisms) []*Result {
 	results := make([]*Result, seeds)
-	beside(seeds, func(i int) {
-		results[i] = Run(p, Variant{Seed: uint64(i) + 1, Without: without})
+	parallel(seeds, func(i int) {
+		results[i] = Run(p, Variant{Seed: uint64(i) + 1, Disabled: without})
 	})
 	return results
 }
 
-// beside calls f with the numbers below n, as many at a time as there are
+// parallel calls f with the numbers below n, as many at a time as there are
 // processors.
-func beside(n int, f func(i int)) {
+func parallel(n int, f func(i int)) {
 	next := make(chan int)
 	var working sync.WaitGroup
 	for range min(n, runtime.GOMAXPROCS(0)) {
@@ -68,26 +68,26 @@
 	working.Wait()
 }
 
-// someSeeds is how many plays a mechanism's worth is told from where it is large.
-const someSeeds = 3
+// fewSeeds is how many plays a mechanism's worth is told from where it is large.
+const fewSeeds = 3
 
-// mean plays a pattern with a few seeds and returns the mean of a figure.
-func mean(p *Pattern, without ingress.Mechanisms, figure func(*Result) float64) float64 {
+// meanOf plays a pattern with a few seeds and returns the mean of a figure.
+func meanOf(p *Pattern, without ingress.Mechanisms, figure func(*Result) float64) float64 {
 	sum := 0.0
-	for _, r := range plays(p, someSeeds, without) {
+	for _, r := range runSeeds(p, fewSeeds, without) {
 		sum += figure(r)
 	}
-	return sum / someSeeds
+	return sum / fewSeeds
 }
 
-func worthOf(r *Result) float64 { return r.All.Worth() }
+func totalWorth(r *Result) float64 { return r.All.Worth() }
 
 func TestPlaysRepeat(t *testing.T) {
 	is := is.New(t)
-	p := pattern(t, func(p *Pattern) {
+	p := smallRegion(t, func(p *Pattern) {
 		p.Events = append(p.Events,
-			Event{Kind: KillVMs, At: 3, For: 1, Share: 0.5},
-			Event{Kind: RestartTargets, At: 5, For: 1, Share: 0.3})
+			Event{Kind: KillVMs, Start: 3, Duration: 1, Share: 0.5},
+			Event{Kind: RestartTargets, Start: 5, Duration: 1, Share: 0.3})
 	})
 	play := func() string {
 		b, err := json.Marshal(Run(p, Variant{Seed: 7}))
@@ -100,18 +100,18 @@
 // Every caller has one end, whatever happens.
 func TestEveryCallerIsCountedOnce(t *testing.T) {
 	for _, e := range []Event{
-		{Kind: Burst, At: 4, For: 3, X: 3},
-		{Kind: Evacuate, At: 4, For: 4, Domain: "a1"},
-		{Kind: KillVMs, At: 4, For: 1},
-		{Kind: RestartTargets, At: 4, For: 1, Share: 0.5},
-		{Kind: SlowTargets, At: 4, For: 4, Share: 0.4, X: 8},
-		{Kind: GreyTargets, At: 4, For: 4, Share: 0.4, X: 0.5},
-		{Kind: ShedTargets, At: 4, For: 4, X: 0.5, Service: "read"},
+		{Kind: Burst, Start: 4, Duration: 3, Value: 3},
+		{Kind: Evacuate, Start: 4, Duration: 4, Domain: "a1"},
+		{Kind: KillVMs, Start: 4, Duration: 1},
+		{Kind: RestartTargets, Start: 4, Duration: 1, Share: 0.5},
+		{Kind: SlowTargets, Start: 4, Duration: 4, Share: 0.4, Value: 8},
+		{Kind: GreyTargets, Start: 4, Duration: 4, Share: 0.4, Value: 0.5},
+		{Kind: ShedTargets, Start: 4, Duration: 4, Value: 0.5, Service: "read"},
 	} {
 		t.Run(string(e.Kind), func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
-			p := pattern(t, func(p *Pattern) { p.Seconds, p.Events = 10, []Event{e} })
+			p := smallRegion(t, func(p *Pattern) { p.Seconds, p.Events = 10, []Event{e} })
 			r := Run(p, Variant{Seed: 1})
 			is.True(r.All.Asked > 10_000)
 			is.Equal(r.All.Asked, r.All.InAim+r.All.Late+r.All.Refused+r.All.Failed)
@@ -149,10 +149,10 @@
 // Cause: without a share that runs elsewhere its targets are all there is.
 func TestASmallRegionIsHelped(t *testing.T) {
 	is := is.New(t)
-	p := pattern(t, nil)
-	all := mean(p, 0, (*Result).WorstDomain)
+	p := smallRegion(t, nil)
+	all := meanOf(p, 0, (*Result).WorstDomain)
 	is.True(all > 0.75)
-	is.True(mean(p, ingress.Elsewhere, (*Result).WorstDomain) < all-0.3)
+	is.True(meanOf(p, ingress.Elsewhere, (*Result).WorstDomain) < all-0.3)
 }
 
 // Pattern: the entry VMs of the largest region are restarted in turn.
@@ -161,17 +161,17 @@
 // Cause: where objects are warm was known to the coordinator alone.
 func TestRestartsInTurnLoseNoPlaces(t *testing.T) {
 	is := is.New(t)
-	p := pattern(t, func(p *Pattern) {
+	p := smallRegion(t, func(p *Pattern) {
 		p.Events = nil
 		for i := range 6 {
 			domain := p.Domains[i%2].Name
-			p.Events = append(p.Events, Event{Kind: KillVMs, At: 4 + 3*float64(i), For: 1, Share: 0.5, Domain: domain})
+			p.Events = append(p.Events, Event{Kind: KillVMs, Start: 4 + 3*float64(i), Duration: 1, Share: 0.5, Domain: domain})
 		}
 	})
-	with, without := plays(p, recallSeeds, 0), plays(p, recallSeeds, ingress.Recall)
-	var gains []drawn
+	with, without := runSeeds(p, recallSeeds, 0), runSeeds(p, recallSeeds, ingress.Recall)
+	var gains []siteWorth
 	for i := range with {
-		gains = append(gains, drawn{with: with[i].All.Worth(), without: without[i].All.Worth()})
+		gains = append(gains, siteWorth{with: with[i].All.Worth(), without: without[i].All.Worth()})
 	}
 	gain, deviation := meanGain(gains)
 	t.Logf("worth %+.5f (standard error %.5f)", gain, deviation)
@@ -191,8 +191,8 @@
 // Cause: each entry VM counts only its own requests at a target.
 func TestOneVMPlacesForItsRegion(t *testing.T) {
 	is := is.New(t)
-	p := pattern(t, func(p *Pattern) { p.Events, p.Seconds = nil, 12 })
-	is.True(mean(p, 0, worthOf) > mean(p, ingress.Coordinators, worthOf)+0.02)
+	p := smallRegion(t, func(p *Pattern) { p.Events, p.Seconds = nil, 12 })
+	is.True(meanOf(p, 0, totalWorth) > meanOf(p, ingress.Coordinators, totalWorth)+0.02)
 }
 
 // Pattern of large-fleet.json: 295 entry VMs and 1,617 targets in three regions,
@@ -224,8 +224,8 @@
 // Cause: connections were opened only once requests waited for them.
 func TestSpareConnectionsSpareWaits(t *testing.T) {
 	is := is.New(t)
-	p := patternOf(t, "far-region", nil)
-	with, without := plays(p, someSeeds, 0), plays(p, someSeeds, ingress.SpareConnections)
+	p := readPattern(t, "far-region", nil)
+	with, without := runSeeds(p, fewSeeds, 0), runSeeds(p, fewSeeds, ingress.SpareConnections)
 	for i := range with {
 		is.True(with[i].FarWaited < without[i].FarWaited)
 		is.True(with[i].Opened < 2*with[i].All.Asked)
@@ -242,8 +242,8 @@
 	is := is.New(t)
 	const chance = 3 // standard deviations: one window in 700 lies beyond
 	for _, name := range []string{"far-region", "small-region"} {
-		p := patternOf(t, name, nil)
-		for _, r := range plays(p, someSeeds, 0) {
+		p := readPattern(t, name, nil)
+		for _, r := range runSeeds(p, fewSeeds, 0) {
 			is.True(r.WorstShift.Region != "")
 			is.True(r.WorstShift.Deviates < chance)
 		}
@@ -260,19 +260,19 @@
 		first  = 11*time.Second + window // the first requests have places
 		chance = 4                       // standard deviations
 	)
-	p := patternOf(t, "lost-region", nil)
+	p := readPattern(t, "lost-region", nil)
 	// What a share changes by from one window to the next that moves evenly, as
 	// fast as operators allow.
-	bound := p.RegionShift * window.Seconds() / ShiftWindow.Seconds()
-	beside(someSeeds, func(i int) {
-		f := newRun(p, Variant{Seed: uint64(i) + 1})
-		f.play(f.over())
-		reached := f.books.reached[region]
+	bound := p.RegionShift * window.Seconds() / ShareWindow.Seconds()
+	parallel(fewSeeds, func(i int) {
+		f := newSimulation(p, Variant{Seed: uint64(i) + 1})
+		f.runUntil(f.endTime())
+		reached := f.recorder.arrivals[region]
 		for at := first; at < seconds(p.Seconds)-2*window; at += window / 2 {
-			from := f.began.Add(at)
-			s := Shift{Region: region, Second: at.Seconds()}
-			s.Before, s.After = sum(reached, from, from.Add(window)), sum(reached, from.Add(window), from.Add(2*window))
-			if s.Change() > bound+chance*s.chance() {
+			from := f.loadStart.Add(at)
+			s := ShareChange{Region: region, Second: at.Seconds()}
+			s.Before, s.After = countArrivals(reached, from, from.Add(window)), countArrivals(reached, from.Add(window), from.Add(2*window))
+			if s.Change() > bound+chance*s.standardDeviation() {
 				t.Errorf("seed %d: the share changes by %.3f at %.2f s", f.variant.Seed, s.Change(), s.Second)
 				return
 			}
@@ -285,8 +285,8 @@
 func TestRequestsToOtherRegionsTakeOneCrossing(t *testing.T) {
 	is := is.New(t)
 	for _, name := range []string{"requests-end", "far-region", "lost-region"} {
-		p := patternOf(t, name, nil)
-		for _, r := range plays(p, someSeeds, 0) {
+		p := readPattern(t, name, nil)
+		for _, r := range runSeeds(p, fewSeeds, 0) {
 			is.True(r.FarDelay < p.Network.FarMS/10)
 		}
 	}
@@ -297,12 +297,12 @@
 // in other regions.
 func TestTheEndOfRequestsKeepsTheShareOfARegion(t *testing.T) {
 	const chance = 3 // standard deviations: one window in 700 lies beyond
-	p := patternOf(t, "requests-end", nil)
-	for _, r := range plays(p, someSeeds, 0) {
+	p := readPattern(t, "requests-end", nil)
+	for _, r := range runSeeds(p, fewSeeds, 0) {
 		worst := r.WorstShift
 		if worst.Deviates >= chance {
 			t.Errorf("seed %d: at %.1f s the share of %s changes from %.3f of %d to %.3f of %d, %.1f standard deviations beyond the bound",
-				r.Seed, worst.Second, worst.Region, worst.Before.part(), worst.Before.All, worst.After.part(), worst.After.All, worst.Deviates)
+				r.Seed, worst.Second, worst.Region, worst.Before.otherShare(), worst.Before.All, worst.After.otherShare(), worst.After.All, worst.Deviates)
 		}
 	}
 }
--- a/decide/emulate/fleet.go
+++ b/decide/emulate/fleet.go
@@ -16,115 +16,117 @@
 
 // Variant is a way of playing a pattern.
 type Variant struct {
-	Seed    uint64
-	Without ingress.Mechanisms
+	Seed     uint64
+	Disabled ingress.Mechanisms
 }
 
-// fleetRun is one play.
-type fleetRun struct {
-	p       *Pattern
-	variant Variant
-	rng     *rand.Rand
-	now     clock.Time
-	began   clock.Time // of the load
-	events  clocktest.Queue[func()]
-	table   *route.Table
-	regions map[fleet.Domain]fleet.Region
-	vms     []*vm
+// simulation is one play.
+type simulation struct {
+	pattern   *Pattern
+	variant   Variant
+	rng       *rand.Rand
+	now       clock.Time
+	loadStart clock.Time // of the load
+	events    clocktest.Queue[func()]
+	table     *route.Table
+	regions   map[fleet.Domain]fleet.Region
+	vms       []*vm
 	// The VMs by id, by failure domain and by region.
-	byID     map[fleet.VMID]*vm
-	inDomain map[fleet.Domain][]*vm
-	inRegion map[fleet.Region][]*vm
+	vmByID      map[fleet.VMID]*vm
+	vmsInDomain map[fleet.Domain][]*vm
+	vmsInRegion map[fleet.Region][]*vm
 
-	targets map[fleet.TargetID]*target
-	order   []*target // in the order in which they were made
-	load    map[fleet.Domain]float64
-	kept    map[quarantine.Fingerprint]*quarantine.Record // in the store
-	last    uint64                                        // number of the latest content that is sent once only
-	books   books
+	targets     map[fleet.TargetID]*target
+	targetList  []*target // in the order in which they were made
+	loadFactor  map[fleet.Domain]float64
+	quarantines map[quarantine.Fingerprint]*quarantine.Record // in the store
+	lastContent uint64                                        // number of the latest content that is sent once only
+	recorder    recorder
 }
 
 // vm is one entry VM.
 type vm struct {
-	self     fleet.VM
-	r        *ingress.Reducer // nil: down
-	starts   int
-	wake     clock.Time // of the next tick; clock.Never: none
-	out      ingress.Ready
-	last     ingress.RequestID
-	open     map[ingress.RequestID]*try
-	attempts map[ingress.AttemptID]*send
-	links    links
-	// carried counts the requests that it was given to carry: their numbers fall
+	self          fleet.VM
+	reducer       *ingress.Reducer // nil: down
+	processNumber int
+	nextTick      clock.Time // of the next tick; clock.Never: none
+	out           ingress.Ready
+	lastRequest   ingress.RequestID
+	openRequests  map[ingress.RequestID]*entryAttempt
+	attempts      map[ingress.AttemptID]*targetSend
+	connections   connectionPools
+	// lastGatewayRequest counts the requests that it was given to carry: their numbers fall
 	// from the highest, those of its own callers rise.
-	carried ingress.RequestID
+	lastGatewayRequest ingress.RequestID
 }
 
-// send is one request of a VM at a target.
-type send struct {
-	vm     *vm
-	starts int // of the VM
-	id     ingress.AttemptID
-	q      *try
-	t      *target
-	run    *run
-	gate   *vm               // that carries it; nil: none does
-	gateID ingress.RequestID // the request's number there; 0: it is not there yet
-	carry  func()            // carries it to the gateway or target, once it has a connection
-	anew   bool              // no other send of its VM used the target lately
-	placed clock.Time        // when its target was chosen
-	began  clock.Time        // of its wait for a connection
-	waited time.Duration     // for a connection
-	opened time.Duration     // that opening its connection took; 0: it was open
-	ended  bool
+// targetSend is one request of a VM at a target.
+type targetSend struct {
+	vm             *vm
+	processNumber  int // of the VM
+	id             ingress.AttemptID
+	q              *entryAttempt
+	t              *target
+	run            *execution
+	gateway        *vm               // that carries it; nil: none does
+	gatewayRequest ingress.RequestID // the request's number there; 0: it is not there yet
+	transmit       func()            // carries it to the gateway or target, once it has a connection
+	firstUse       bool              // no other send of its VM used the target lately
+	placedAt       clock.Time        // when its target was chosen
+	waitStart      clock.Time        // of its wait for a connection
+	connectionWait time.Duration     // for a connection
+	connectTime    time.Duration     // that opening its connection took; 0: it was open
+	ended          bool
 }
 
 const (
-	// settle is how long the fleet runs before its load begins.
-	settle = time.Second
-	// learnTime is how long it takes until all VMs know of a change of targets
+	// warmUp is how long the fleet runs before its load begins.
+	warmUp = time.Second
+	// propagationTime is how long it takes until all VMs know of a change of targets
 	// or evacuations.
-	learnTime = 100 * time.Millisecond
+	propagationTime = 100 * time.Millisecond
 	// drainTime is how long the fleet runs after its load has ended.
 	drainTime = 20 * time.Second
 )
 
 // Run plays a pattern.
 func Run(p *Pattern, v Variant) *Result {
-	f := newRun(p, v)
-	f.play(f.over())
-	return f.books.result(v)
+	f := newSimulation(p, v)
+	f.runUntil(f.endTime())
+	return f.recorder.finalResult(v)
 }
 
-// newRun prepares the play of a pattern.
-func newRun(p *Pattern, v Variant) *fleetRun {
-	f := &fleetRun{
-		p: p, variant: v, rng: rand.New(rand.NewPCG(v.Seed, 11)), now: clock.Time(time.Hour),
+// newSimulation prepares the play of a pattern.
+func newSimulation(p *Pattern, v Variant) *simulation {
+	f := &simulation{
+		pattern: p, variant: v, rng: rand.New(rand.NewPCG(v.Seed, 11)), now: clock.Time(time.Hour),
 		regions: make(map[fleet.Domain]fleet.Region), targets: make(map[fleet.TargetID]*target),
-		load: make(map[fleet.Domain]float64), byID: make(map[fleet.VMID]*vm),
-		inDomain: make(map[fleet.Domain][]*vm), inRegion: make(map[fleet.Region][]*vm),
+		loadFactor: make(map[fleet.Domain]float64), vmByID: make(map[fleet.VMID]*vm),
+		vmsInDomain: make(map[fleet.Domain][]*vm), vmsInRegion: make(map[fleet.Region][]*vm),
 	}
-	f.kept = make(map[quarantine.Fingerprint]*quarantine.Record)
-	f.began = f.now.Add(settle)
-	f.books.begin(p, f.began)
+	f.quarantines = make(map[quarantine.Fingerprint]*quarantine.Record)
+	f.loadStart = f.now.Add(warmUp)
+	f.recorder.init(p, f.loadStart)
 	f.configure()
 	f.placeTargets()
 	f.startVMs()
-	f.after(settle, f.beginLoad)
+	f.after(warmUp, f.beginLoad)
 	return f
 }
 
-// over is when the last requests have ended.
-func (f *fleetRun) over() clock.Time { return f.began.Add(seconds(f.p.Seconds) + drainTime) }
+// endTime is when the last requests have ended.
+func (f *simulation) endTime() clock.Time {
+	return f.loadStart.Add(seconds(f.pattern.Seconds) + drainTime)
+}
 
-func (f *fleetRun) at(at clock.Time, run func())      { f.events.Push(max(at, f.now), run) }
-func (f *fleetRun) after(d time.Duration, run func()) { f.at(f.now.Add(d), run) }
-func (f *fleetRun) second() float64                   { return f.now.Sub(f.began).Seconds() }
-func (f *fleetRun) chosen(share float64, i, of int) bool {
+func (f *simulation) at(at clock.Time, run func())      { f.events.Push(max(at, f.now), run) }
+func (f *simulation) after(d time.Duration, run func()) { f.at(f.now.Add(d), run) }
+func (f *simulation) loadSeconds() float64              { return f.now.Sub(f.loadStart).Seconds() }
+func (f *simulation) selected(share float64, i, of int) bool {
 	return share == 0 || float64(i) < share*float64(of)
 }
 
-func (f *fleetRun) play(until clock.Time) {
+func (f *simulation) runUntil(until clock.Time) {
 	for {
 		at, run, ok := f.events.Pop(until)
 		if !ok {
@@ -137,76 +139,76 @@
 }
 
 // configure makes the one configuration of the play.
-func (f *fleetRun) configure() {
+func (f *simulation) configure() {
 	cfg := &route.Config{Version: 1, Services: make(map[fleet.ServiceName]route.Service)}
-	for _, s := range f.p.Services {
+	for _, s := range f.pattern.Services {
 		cfg.Services[s.Name] = route.Service{Name: s.Name, ColdRate: s.ColdRate, ColdTime: seconds(s.ColdTime)}
 	}
-	for _, k := range f.p.Kinds {
+	for _, k := range f.pattern.Kinds {
 		cfg.Routes = append(cfg.Routes, route.Route{
 			Name: k.Name, Host: "h", Prefix: "/" + k.Name + "/", Idempotent: k.Idempotent, Attempts: 3,
-			Aim: millis(k.AimMS), Priority: k.Priority, Affinity: true,
+			Aim: millis(k.TargetLatencyMS), Priority: k.Priority, Affinity: true,
 			Parts: []route.Part{{Service: k.Service, Weight: 1}},
 		})
 	}
 	f.table = route.NewTable(cfg)
-	for _, d := range f.p.Domains {
+	for _, d := range f.pattern.Domains {
 		f.regions[d.Name] = d.Region
-		f.load[d.Name] = 1
+		f.loadFactor[d.Name] = 1
 	}
 }
 
-func (f *fleetRun) placeTargets() {
-	for i := range f.p.Services {
-		s := &f.p.Services[i]
-		for _, d := range f.p.Domains {
+func (f *simulation) placeTargets() {
+	for i := range f.pattern.Services {
+		s := &f.pattern.Services[i]
+		for _, d := range f.pattern.Domains {
 			for range d.Targets[s.Name] {
-				id := fleet.TargetID(fmt.Sprintf("%s-%s-%d", s.Name, d.Name, len(f.order)))
-				t := &target{region: d.Region, svc: s, slow: 1, reg: ingress.Target{
+				id := fleet.TargetID(fmt.Sprintf("%s-%s-%d", s.Name, d.Name, len(f.targetList)))
+				t := &target{region: d.Region, service: s, slowFactor: 1, registered: ingress.Target{
 					ID: id, Service: s.Name, Addr: string(id), Domain: d.Name, Slots: s.Slots, Born: 1,
 				}}
 				f.targets[id] = t
-				f.order = append(f.order, t)
+				f.targetList = append(f.targetList, t)
 			}
 		}
 	}
 }
 
-func (f *fleetRun) startVMs() {
-	for _, d := range f.p.Domains {
+func (f *simulation) startVMs() {
+	for _, d := range f.pattern.Domains {
 		for i := range d.VMs {
 			v := &vm{self: fleet.VM{
 				ID: fleet.VMID(fmt.Sprintf("vm-%s-%d", d.Name, i)), Domain: d.Name, Region: d.Region, GatewayAddr: "gateway",
 			}}
 			f.vms = append(f.vms, v)
-			f.byID[v.self.ID] = v
-			f.inDomain[d.Name] = append(f.inDomain[d.Name], v)
-			f.inRegion[d.Region] = append(f.inRegion[d.Region], v)
+			f.vmByID[v.self.ID] = v
+			f.vmsInDomain[d.Name] = append(f.vmsInDomain[d.Name], v)
+			f.vmsInRegion[d.Region] = append(f.vmsInRegion[d.Region], v)
 		}
 	}
 	for _, v := range f.vms {
-		f.start(v)
+		f.startVM(v)
 	}
 }
 
-// start begins a process of v, which reads everything at once.
-func (f *fleetRun) start(v *vm) {
-	v.starts++
-	v.wake = clock.Never
-	v.open = make(map[ingress.RequestID]*try)
-	v.attempts = make(map[ingress.AttemptID]*send)
-	v.links = make(links)
-	v.r = ingress.New(ingress.Options{
+// startVM begins a process of v, which reads everything at once.
+func (f *simulation) startVM(v *vm) {
+	v.processNumber++
+	v.nextTick = clock.Never
+	v.openRequests = make(map[ingress.RequestID]*entryAttempt)
+	v.attempts = make(map[ingress.AttemptID]*targetSend)
+	v.connections = make(connectionPools)
+	v.reducer = ingress.New(ingress.Options{
 		Self: v.self.ID, Domain: v.self.Domain, Regions: f.regions, Start: f.now,
-		Seed: f.variant.Seed + uint64(v.starts), Without: f.variant.Without,
+		Seed: f.variant.Seed + uint64(v.processNumber), Without: f.variant.Disabled,
 		Bounds: ingress.Bounds{
-			ColdFactor: f.p.ColdFactor, ColdSlack: f.p.ColdSlack, RepeatRatio: f.p.RepeatRatio,
-			RepeatSlack: f.p.RepeatSlack, RepeatWindow: 10 * time.Second, RegionShift: f.p.RegionShift,
+			ColdFactor: f.pattern.ColdFactor, ColdSlack: f.pattern.ColdSlack, RepeatRatio: f.pattern.RepeatRatio,
+			RepeatSlack: f.pattern.RepeatSlack, RepeatWindow: 10 * time.Second, RegionShift: f.pattern.RegionShift,
 		},
 	})
 	f.step(v, &ingress.Configured{Table: f.table})
 	var all ingress.TargetsChanged
-	for _, t := range f.order {
+	for _, t := range f.targetList {
 		if !t.down {
 			all.Set = append(all.Set, t.registration(f.now))
 		}
@@ -217,21 +219,21 @@
 		members[i] = o.self
 	}
 	f.step(v, &ingress.MembersChanged{VMs: members})
-	for _, fp := range sortedFingerprints(f.kept) {
-		f.step(v, &ingress.QuarantineRead{Fingerprint: fp, Record: f.kept[fp]})
+	for _, fp := range sortedFingerprints(f.quarantines) {
+		f.step(v, &ingress.QuarantineRead{Fingerprint: fp, Record: f.quarantines[fp]})
 	}
 }
 
 // registration is what t says of itself at now.
 func (t *target) registration(now clock.Time) ingress.Target {
-	reg := t.reg
+	reg := t.registered
 	reg.Cold = max(t.coldEnd.Sub(now), 0)
 	return reg
 }
 
-// tellAll has all VMs learn of something after a while.
-func (f *fleetRun) tellAll(event func() ingress.Event) {
-	f.after(learnTime, func() {
+// broadcast has all VMs learn of something after a while.
+func (f *simulation) broadcast(event func() ingress.Event) {
+	f.after(propagationTime, func() {
 		for _, v := range f.vms {
 			f.step(v, event())
 		}
@@ -239,128 +241,128 @@
 }
 
 // step has an entry VM take an event and carries out the effects.
-func (f *fleetRun) step(v *vm, ev ingress.Event) {
-	if v.r == nil {
+func (f *simulation) step(v *vm, ev ingress.Event) {
+	if v.reducer == nil {
 		return
 	}
 	v.out.Reset()
-	v.r.Step(f.now, ev, &v.out)
+	v.reducer.Step(f.now, ev, &v.out)
 	out := v.out
 	v.out = ingress.Ready{}
 	for _, c := range out.Cancels {
 		f.cancel(v, c.Attempt)
 	}
 	for _, d := range out.Delivers {
-		f.delivered(v, d)
+		f.handleDeliver(v, d)
 	}
 	for i := range out.Refusals {
-		f.refused(v, &out.Refusals[i])
+		f.handleRefusal(v, &out.Refusals[i])
 	}
 	for i := range out.Sends {
-		f.send(v, &out.Sends[i])
+		f.startSend(v, &out.Sends[i])
 	}
 	for i := range out.Quarantines {
-		f.keepQuarantine(&out.Quarantines[i])
+		f.storeQuarantine(&out.Quarantines[i])
 	}
 	for _, p := range out.Probes {
 		f.probe(v, p)
 	}
 	for _, tell := range out.Tells {
-		f.tell(v, tell)
+		f.sendMessage(v, tell)
 	}
-	f.arm(v, out.Wake)
+	f.setTickTimer(v, out.Wake)
 }
 
-// arm has the process of v tick at wake, in place of when it would have.
-func (f *fleetRun) arm(v *vm, wake clock.Time) {
-	if wake == v.wake || wake == clock.Never {
+// setTickTimer has the process of v tick at wake, in place of when it would have.
+func (f *simulation) setTickTimer(v *vm, wake clock.Time) {
+	if wake == v.nextTick || wake == clock.Never {
 		return
 	}
-	v.wake = wake
-	starts := v.starts
+	v.nextTick = wake
+	starts := v.processNumber
 	f.at(wake, func() {
-		if v.starts == starts && v.wake == wake {
-			v.wake = clock.Never
+		if v.processNumber == starts && v.nextTick == wake {
+			v.nextTick = clock.Never
 			f.step(v, &ingress.Tick{})
 		}
 	})
 }
 
-// way is the one-way latency between two failure domains.
-func (f *fleetRun) way(a, b fleet.Domain) time.Duration {
+// latency is the one-way latency between two failure domains.
+func (f *simulation) latency(a, b fleet.Domain) time.Duration {
 	switch {
 	case a == b:
-		return millis(f.p.Network.DomainMS)
+		return millis(f.pattern.Network.DomainMS)
 	case f.regions[a] == f.regions[b]:
-		return millis(f.p.Network.RegionMS)
+		return millis(f.pattern.Network.RegionMS)
 	default:
-		return millis(f.p.Network.FarMS)
+		return millis(f.pattern.Network.FarMS)
 	}
 }
 
-func (f *fleetRun) tell(from *vm, tell ingress.Tell) {
-	to := f.byID[tell.To]
+func (f *simulation) sendMessage(from *vm, tell ingress.Tell) {
+	to := f.vmByID[tell.To]
 	if to == nil {
 		return
 	}
-	f.after(f.way(from.self.Domain, to.self.Domain), func() {
+	f.after(f.latency(from.self.Domain, to.self.Domain), func() {
 		f.step(to, &ingress.Heard{From: from.self.ID, Message: tell.Message})
 	})
 }
 
-// send carries a request to a target.
-func (f *fleetRun) send(v *vm, e *ingress.Send) {
-	t, q := f.targets[e.Target], v.open[e.Request]
-	s := &send{vm: v, starts: v.starts, id: e.Attempt, q: q, t: t, placed: f.now}
+// startSend carries a request to a target.
+func (f *simulation) startSend(v *vm, e *ingress.Send) {
+	t, q := f.targets[e.Target], v.openRequests[e.Request]
+	s := &targetSend{vm: v, processNumber: v.processNumber, id: e.Attempt, q: q, t: t, placedAt: f.now}
 	v.attempts[e.Attempt] = s
 	q.sends++
-	s.carry = func() { f.carry(s) }
+	s.transmit = func() { f.sendToTarget(s) }
 	if e.Gateway != "" {
-		s.gate = f.byID[e.Gateway]
-		s.carry = func() { f.toGateway(s) }
+		s.gateway = f.vmByID[e.Gateway]
+		s.transmit = func() { f.sendToGateway(s) }
 	}
 	f.connect(s, e.Spare)
 }
 
-// carry takes a request to its target on the connection that it has.
-func (f *fleetRun) carry(s *send) {
+// sendToTarget takes a request to its target on the connection that it has.
+func (f *simulation) sendToTarget(s *targetSend) {
 	v, t, q := s.vm, s.t, s.q
-	f.books.noteConnected(s)
-	f.after(f.way(v.self.Domain, t.reg.Domain), func() {
+	f.recorder.recordConnected(s)
+	f.after(f.latency(v.self.Domain, t.registered.Domain), func() {
 		if s.ended {
 			return // cancelled on the way
 		}
 		if t.down {
-			f.after(f.way(v.self.Domain, t.reg.Domain), func() {
-				f.end(s, &ingress.Failed{Attempt: s.id, Verdict: verdict.NotRun, Reason: verdict.ReasonConnect})
+			f.after(f.latency(v.self.Domain, t.registered.Domain), func() {
+				f.endSend(s, &ingress.Failed{Attempt: s.id, Verdict: verdict.NotRun, Reason: verdict.ReasonConnect})
 			})
 			return
 		}
-		f.books.reach(f.now, q, t.region)
-		f.noteReached(s)
-		t.limited.reach(f.now, v)
-		s.run = &run{send: s, object: q.object, start: t.reg.Born}
-		t.take(f, s.run)
+		f.recorder.countArrival(f.now, q, t.region)
+		f.recordFarDelay(s)
+		t.limit.countArrival(f.now, v)
+		s.run = &execution{send: s, object: q.object, targetStart: t.registered.Born}
+		t.handleRequest(f, s.run)
 	})
 }
 
-// answer carries an answer of t back.
-func (f *fleetRun) answer(t *target, r *run, o ingress.Outcome) {
-	s, load, limit := r.send, t.load(), t.names(f.now)
-	f.after(f.way(t.reg.Domain, s.vm.self.Domain), func() {
-		if !s.ended && s.vm.starts == s.starts {
-			f.freed(s)
+// sendAnswer carries an answer of t back.
+func (f *simulation) sendAnswer(t *target, r *execution, o ingress.Outcome) {
+	s, load, limit := r.send, t.load(), t.advertisedLimit(f.now)
+	f.after(f.latency(t.registered.Domain, s.vm.self.Domain), func() {
+		if !s.ended && s.vm.processNumber == s.processNumber {
+			f.releaseConnection(s)
 		}
 		if limit.Named {
-			t.limited.tell(f.now, s.vm)
+			t.limit.markKnown(f.now, s.vm)
 		}
-		f.end(s, &ingress.Answered{Attempt: s.id, Outcome: o, Load: load, Limit: limit, Connect: s.opened, Waited: s.waited})
+		f.endSend(s, &ingress.Answered{Attempt: s.id, Outcome: o, Load: load, Limit: limit, Connect: s.connectTime, Waited: s.connectionWait})
 	})
 }
 
-// end reports the end of a send to its VM, if the process is still there.
-func (f *fleetRun) end(s *send, ev ingress.Event) {
-	if s.ended || s.vm.starts != s.starts {
+// endSend reports the end of a send to its VM, if the process is still there.
+func (f *simulation) endSend(s *targetSend, ev ingress.Event) {
+	if s.ended || s.vm.processNumber != s.processNumber {
 		return
 	}
 	s.ended = true
@@ -372,23 +374,23 @@
 }
 
 // probe tells an entry VM whether a target listens.
-func (f *fleetRun) probe(v *vm, p ingress.Probe) {
-	t, starts := f.targets[p.Target], v.starts
-	way := f.way(v.self.Domain, t.reg.Domain)
+func (f *simulation) probe(v *vm, p ingress.Probe) {
+	t, starts := f.targets[p.Target], v.processNumber
+	way := f.latency(v.self.Domain, t.registered.Domain)
 	f.after(way, func() {
 		found := ingress.ListeningYes
 		if t.down {
 			found = ingress.ListeningNo
 		}
 		f.after(way, func() {
-			if v.starts == starts {
+			if v.processNumber == starts {
 				f.step(v, &ingress.Probed{Target: p.Target, Born: p.Born, Listening: found})
 			}
 		})
 	})
 }
 
-func (f *fleetRun) cancel(v *vm, id ingress.AttemptID) {
+func (f *simulation) cancel(v *vm, id ingress.AttemptID) {
 	s := v.attempts[id]
 	if s == nil {
 		return
@@ -396,11 +398,11 @@
 	s.ended = true
 	delete(v.attempts, id)
 	if s.run != nil {
-		s.run.over = true
+		s.run.ended = true
 	}
-	if s.gateID != 0 {
-		f.after(f.way(v.self.Domain, s.gate.self.Domain), func() {
-			f.step(s.gate, &ingress.CallerGone{Request: s.gateID})
+	if s.gatewayRequest != 0 {
+		f.after(f.latency(v.self.Domain, s.gateway.self.Domain), func() {
+			f.step(s.gateway, &ingress.CallerGone{Request: s.gatewayRequest})
 		})
 	}
 }
--- a/decide/emulate/gateway.go
+++ b/decide/emulate/gateway.go
@@ -7,63 +7,63 @@
 	"github.com/azurethread/azurethread/decide/verdict"
 )
 
-// toGateway takes a request to the gateway that carries it, on the connection
+// sendToGateway takes a request to the gateway that carries it, on the connection
 // that it has.
-func (f *fleetRun) toGateway(s *send) {
-	f.books.noteConnected(s)
-	way, g := f.way(s.vm.self.Domain, s.gate.self.Domain), s.gate
+func (f *simulation) sendToGateway(s *targetSend) {
+	f.recorder.recordConnected(s)
+	way, g := f.latency(s.vm.self.Domain, s.gateway.self.Domain), s.gateway
 	f.after(way, func() {
 		switch {
 		case s.ended:
-		case g.r == nil:
+		case g.reducer == nil:
 			f.after(way, func() {
-				f.end(s, &ingress.Failed{Attempt: s.id, Verdict: verdict.NotRun, Reason: verdict.ReasonGateway})
+				f.endSend(s, &ingress.Failed{Attempt: s.id, Verdict: verdict.NotRun, Reason: verdict.ReasonGateway})
 			})
 		default:
-			f.after(way, func() { f.received(s) })
-			f.carried(s)
+			f.after(way, func() { f.confirmAtSender(s) })
+			f.acceptAtGateway(s)
 		}
 	})
 }
 
-// received tells the VM of s that its gateway has the request.
-func (f *fleetRun) received(s *send) {
-	if !s.ended && s.vm.starts == s.starts {
+// confirmAtSender tells the VM of s that its gateway has the request.
+func (f *simulation) confirmAtSender(s *targetSend) {
+	if !s.ended && s.vm.processNumber == s.processNumber {
 		f.step(s.vm, &ingress.Received{Attempt: s.id})
 	}
 }
 
-// carried has a gateway take the request of s.
-func (f *fleetRun) carried(s *send) {
-	g := s.gate
-	g.carried++
-	s.gateID = ingress.RequestID(math.MaxUint64) - g.carried
-	g.open[s.gateID] = &try{caller: s.q.caller, sender: s}
-	f.step(g, &ingress.Carry{Request: s.gateID, Target: s.t.reg.ID, Left: s.q.due.Sub(f.now)})
+// acceptAtGateway has a gateway take the request of s.
+func (f *simulation) acceptAtGateway(s *targetSend) {
+	g := s.gateway
+	g.lastGatewayRequest++
+	s.gatewayRequest = ingress.RequestID(math.MaxUint64) - g.lastGatewayRequest
+	g.openRequests[s.gatewayRequest] = &entryAttempt{caller: s.q.caller, sender: s}
+	f.step(g, &ingress.Carry{Request: s.gatewayRequest, Target: s.t.registered.ID, Left: s.q.deadline.Sub(f.now)})
 }
 
-// fromGateway takes the end of a carried request back to the VM of s.
-func (f *fleetRun) fromGateway(s *send, end any) {
-	s.gateID = 0 // it has ended there
-	f.after(f.way(s.gate.self.Domain, s.vm.self.Domain), func() {
-		if !s.ended && s.vm.starts == s.starts {
-			f.freed(s)
+// returnFromGateway takes the end of a carried request back to the VM of s.
+func (f *simulation) returnFromGateway(s *targetSend, end any) {
+	s.gatewayRequest = 0 // it has ended there
+	f.after(f.latency(s.gateway.self.Domain, s.vm.self.Domain), func() {
+		if !s.ended && s.vm.processNumber == s.processNumber {
+			f.releaseConnection(s)
 		}
 		switch e := end.(type) {
 		case *ingress.Answered:
-			e.Attempt, e.Connect, e.Waited = s.id, s.opened, s.waited
-			f.end(s, e)
+			e.Attempt, e.Connect, e.Waited = s.id, s.connectTime, s.connectionWait
+			f.endSend(s, e)
 		case *ingress.Failed:
 			e.Attempt = s.id
-			f.end(s, e)
+			f.endSend(s, e)
 		}
 	})
 }
 
-// gatewayLost ends a request whose gateway has ended.
-func (f *fleetRun) gatewayLost(s *send) {
-	s.gateID = 0
-	f.after(f.way(s.gate.self.Domain, s.vm.self.Domain), func() {
-		f.end(s, &ingress.Failed{Attempt: s.id, Verdict: verdict.MayHaveRun, Reason: verdict.ReasonGateway})
+// failLostGateway ends a request whose gateway has ended.
+func (f *simulation) failLostGateway(s *targetSend) {
+	s.gatewayRequest = 0
+	f.after(f.latency(s.gateway.self.Domain, s.vm.self.Domain), func() {
+		f.endSend(s, &ingress.Failed{Attempt: s.id, Verdict: verdict.MayHaveRun, Reason: verdict.ReasonGateway})
 	})
 }
--- a/decide/emulate/pattern.go
+++ b/decide/emulate/pattern.go
@@ -63,22 +63,22 @@
 
 // Kind is a kind of request.
 type Kind struct {
-	Name       string            `json:"name"`
-	Service    fleet.ServiceName `json:"service"`
-	Share      float64           `json:"share"` // of all requests, against the other kinds' shares
-	Idempotent bool              `json:"idempotent"`
-	Priority   int               `json:"priority"`
-	AimMS      float64           `json:"aim_ms"`
-	PatienceMS float64           `json:"patience_ms"` // how long its callers wait in all
-	WorkMS     float64           `json:"work_ms"`     // of a request for an object that is not remembered
-	Spread     float64           `json:"spread"`      // of the work: it lies within this part above or below
-	WarmGain   float64           `json:"warm_gain"`   // part of the work that a remembered object saves
-	Objects    int               `json:"objects"`     // in each region
-	Contents   int               `json:"contents"`    // different requests; 0: no two are the same
-	BodyBytes  int               `json:"body_bytes"`
-	Retries    int               `json:"retries"` // attempts of a caller after its first
-	Worth      float64           `json:"worth"`   // of an answer within the aim
-	LateWorth  float64           `json:"late_worth"`
+	Name            string            `json:"name"`
+	Service         fleet.ServiceName `json:"service"`
+	Share           float64           `json:"share"` // of all requests, against the other kinds' shares
+	Idempotent      bool              `json:"idempotent"`
+	Priority        int               `json:"priority"`
+	TargetLatencyMS float64           `json:"aim_ms"`
+	PatienceMS      float64           `json:"patience_ms"` // how long its callers wait in all
+	WorkMS          float64           `json:"work_ms"`     // of a request for an object that is not remembered
+	Spread          float64           `json:"spread"`      // of the work: it lies within this part above or below
+	WarmSaving      float64           `json:"warm_gain"`   // part of the work that a remembered object saves
+	Objects         int               `json:"objects"`     // in each region
+	Contents        int               `json:"contents"`    // different requests; 0: no two are the same
+	BodyBytes       int               `json:"body_bytes"`
+	Retries         int               `json:"retries"` // attempts of a caller after its first
+	Worth           float64           `json:"worth"`   // of an answer within the aim
+	LateWorth       float64           `json:"late_worth"`
 }
 
 // EventKind names what happens.
@@ -116,14 +116,14 @@
 
 // Event is something that happens to the deployment.
 type Event struct {
-	Kind    EventKind         `json:"kind"`
-	At      float64           `json:"at"`
-	For     float64           `json:"for"`
-	Share   float64           `json:"share"` // 0: all
-	X       float64           `json:"x"`
-	Callers int               `json:"callers"` // 0: one
-	Domain  fleet.Domain      `json:"domain"`  // empty: all
-	Service fleet.ServiceName `json:"service"` // empty: all
+	Kind     EventKind         `json:"kind"`
+	Start    float64           `json:"at"`
+	Duration float64           `json:"for"`
+	Share    float64           `json:"share"` // 0: all
+	Value    float64           `json:"x"`
+	Callers  int               `json:"callers"` // 0: one
+	Domain   fleet.Domain      `json:"domain"`  // empty: all
+	Service  fleet.ServiceName `json:"service"` // empty: all
 }
 
 // ErrPattern means a pattern that can't be played.
@@ -167,12 +167,12 @@
 		}
 	}
 	for _, k := range p.Kinds {
-		if !named(k.Service) || k.Share <= 0 || k.AimMS <= 0 || k.PatienceMS <= 0 || k.WorkMS <= 0 || k.Objects < 0 {
+		if !named(k.Service) || k.Share <= 0 || k.TargetLatencyMS <= 0 || k.PatienceMS <= 0 || k.WorkMS <= 0 || k.Objects < 0 {
 			return bad("kind %q", k.Name)
 		}
 	}
 	for i, e := range p.Events {
-		if !slices.Contains(eventKinds, e.Kind) || e.At < 0 || e.Share < 0 || e.Share > 1 {
+		if !slices.Contains(eventKinds, e.Kind) || e.Start < 0 || e.Share < 0 || e.Share > 1 {
 			return bad("event %d (%q)", i, e.Kind)
 		}
 	}
--- a/decide/emulate/result.go
+++ b/decide/emulate/result.go
@@ -13,26 +13,26 @@
 // WindowSeconds is the length of the windows of a Result.
 const WindowSeconds = 2
 
-// ShiftWindow is the time within which operators bound the change of a share.
-const ShiftWindow = 2 * time.Second
+// ShareWindow is the time within which operators bound the change of a share.
+const ShareWindow = 2 * time.Second
 
 // Tally counts what became of some callers.
 type Tally struct {
-	Asked   int     `json:"asked"`
-	InAim   int     `json:"in_aim"`
-	Late    int     `json:"late"`
-	Refused int     `json:"refused"` // in the end
-	Failed  int     `json:"failed"`
-	Earned  float64 `json:"earned"` // worth
-	Owed    float64 `json:"owed"`
+	Asked    int     `json:"asked"`
+	InAim    int     `json:"in_aim"`
+	Late     int     `json:"late"`
+	Refused  int     `json:"refused"` // in the end
+	Failed   int     `json:"failed"`
+	Earned   float64 `json:"earned"` // worth
+	Possible float64 `json:"owed"`
 }
 
 // Worth is the part of the worth owed that was earned; 1 if none was owed.
 func (t *Tally) Worth() float64 {
-	if t.Owed == 0 {
+	if t.Possible == 0 {
 		return 1
 	}
-	return t.Earned / t.Owed
+	return t.Earned / t.Possible
 }
 
 // Result is what callers saw of a play.
@@ -61,12 +61,12 @@
 	FarDelay float64 `json:"far_delay_ms"`
 	// WorstShift is the change of a region's share that exceeds the operators'
 	// bound most, of all windows of the play.
-	WorstShift Shift `json:"worst_shift"`
+	WorstShift ShareChange `json:"worst_shift"`
 	// WorstLimit is where targets that have named a limit got most beyond what it
 	// allows.
 	WorstLimit Overrun `json:"worst_limit"`
-	// Deadly is what queries of death have done, in the order of their events.
-	Deadly []Deadly `json:"deadly,omitempty"`
+	// DeathQueries is what queries of death have done, in the order of their events.
+	DeathQueries []DeathQueryCounts `json:"deadly,omitempty"`
 }
 
 // Causes of late answers.
@@ -111,62 +111,62 @@
 	return least
 }
 
-// books keeps the counts of a play.
-type books struct {
-	r       Result
-	pattern *Pattern
-	began   clock.Time               // of the load
-	reached map[fleet.Region][]reach // by the region of the callers
-	delayed durations                // of requests to other regions
-	limited []*limited
-	deadly  []*Deadly
-	ending  *deadly // under which a target ends right now; nil: none
+// recorder keeps the counts of a play.
+type recorder struct {
+	result       Result
+	pattern      *Pattern
+	loadStart    clock.Time                 // of the load
+	arrivals     map[fleet.Region][]arrival // by the region of the callers
+	farDelays    durations                  // of requests to other regions
+	limits       []*rateLimit
+	deathQueries []*DeathQueryCounts
+	crashCause   *deathQuery // under which a target ends right now; nil: none
 }
 
-func (b *books) begin(p *Pattern, began clock.Time) {
-	b.pattern, b.began = p, began
-	b.reached = make(map[fleet.Region][]reach)
-	b.r = Result{
+func (b *recorder) init(p *Pattern, began clock.Time) {
+	b.pattern, b.loadStart = p, began
+	b.arrivals = make(map[fleet.Region][]arrival)
+	b.result = Result{
 		Pattern: p.Name, Kinds: make(map[string]*Tally), Domains: make(map[fleet.Domain]*Tally),
 		Late: make(map[string]int), Refusals: make(map[verdict.Reason]int),
 	}
 	for _, k := range p.Kinds {
-		b.r.Kinds[k.Name] = new(Tally)
+		b.result.Kinds[k.Name] = new(Tally)
 	}
 	for _, d := range p.Domains {
-		b.r.Domains[d.Name] = new(Tally)
+		b.result.Domains[d.Name] = new(Tally)
 	}
 	for range int(p.Seconds)/WindowSeconds + 1 {
-		b.r.Windows = append(b.r.Windows, new(Tally))
+		b.result.Windows = append(b.result.Windows, new(Tally))
 	}
 }
 
-// each changes all tallies that a caller belongs to.
-func (b *books) each(c *caller, change func(*Tally)) {
-	if c.deadly != nil {
+// updateTallies changes all tallies that a caller belongs to.
+func (b *recorder) updateTallies(c *caller, change func(*Tally)) {
+	if c.deathQuery != nil {
 		return // nobody misses its answer
 	}
-	for _, t := range []*Tally{&b.r.All, b.r.Kinds[c.kind.Name], b.r.Domains[c.domain.Name], b.r.Windows[c.window]} {
+	for _, t := range []*Tally{&b.result.All, b.result.Kinds[c.kind.Name], b.result.Domains[c.domain.Name], b.result.Windows[c.window]} {
 		change(t)
 	}
 }
 
-func (b *books) asked(c *caller, second float64) {
-	c.window = min(int(second)/WindowSeconds, len(b.r.Windows)-1)
-	b.each(c, func(t *Tally) {
+func (b *recorder) countAsked(c *caller, second float64) {
+	c.window = min(int(second)/WindowSeconds, len(b.result.Windows)-1)
+	b.updateTallies(c, func(t *Tally) {
 		t.Asked++
-		t.Owed += c.kind.Worth
+		t.Possible += c.kind.Worth
 	})
 }
 
-// answered counts an answer that came after took.
-func (b *books) answered(q *try, took time.Duration) {
-	if q.deadly != nil {
+// countAnswered counts an answer that came after took.
+func (b *recorder) countAnswered(q *entryAttempt, took time.Duration) {
+	if q.deathQuery != nil {
 		return
 	}
 	k := q.kind
-	if took <= millis(k.AimMS) {
-		b.each(q.caller, func(t *Tally) {
+	if took <= millis(k.TargetLatencyMS) {
+		b.updateTallies(q.caller, func(t *Tally) {
 			t.InAim++
 			t.Earned += k.Worth
 		})
@@ -174,45 +174,45 @@
 	}
 	switch {
 	case q.retries < k.Retries:
-		b.r.Late[lateReturned]++
+		b.result.Late[lateReturned]++
 	case q.sends > 1:
-		b.r.Late[lateRepeated]++
+		b.result.Late[lateRepeated]++
 	default:
-		b.r.Late[lateOther]++
+		b.result.Late[lateOther]++
 	}
-	b.each(q.caller, func(t *Tally) {
+	b.updateTallies(q.caller, func(t *Tally) {
 		t.Late++
 		t.Earned += k.LateWorth
 	})
 }
 
-// reach counts a request of callers of one region that has reached a target.
-func (b *books) reach(now clock.Time, q *try, to fleet.Region) {
-	if q.deadly != nil {
-		b.reachDeadly(now, q.deadly)
+// countArrival counts a request of callers of one region that has reached a target.
+func (b *recorder) countArrival(now clock.Time, q *entryAttempt, to fleet.Region) {
+	if q.deathQuery != nil {
+		b.countDeathQueryArrival(now, q.deathQuery)
 		return
 	}
 	from := q.domain.Region
-	b.reached[from] = append(b.reached[from], reach{at: now, away: from != to})
+	b.arrivals[from] = append(b.arrivals[from], arrival{at: now, otherRegion: from != to})
 }
 
-func (b *books) refused(c *caller, why verdict.Reason) {
-	if c.deadly != nil {
+func (b *recorder) countRefused(c *caller, why verdict.Reason) {
+	if c.deathQuery != nil {
 		return
 	}
-	b.r.Refusals[why]++
-	b.each(c, func(t *Tally) { t.Refused++ })
+	b.result.Refusals[why]++
+	b.updateTallies(c, func(t *Tally) { t.Refused++ })
 }
 
-func (b *books) failed(c *caller) { b.each(c, func(t *Tally) { t.Failed++ }) }
+func (b *recorder) countFailed(c *caller) { b.updateTallies(c, func(t *Tally) { t.Failed++ }) }
 
-func (b *books) result(v Variant) *Result {
-	b.r.Seed = v.Seed
-	b.r.FarDelay = b.delayed.meanMS()
-	b.r.WorstLimit = worstOverrun(b.limited)
-	for _, d := range b.deadly {
-		b.r.Deadly = append(b.r.Deadly, *d)
+func (b *recorder) finalResult(v Variant) *Result {
+	b.result.Seed = v.Seed
+	b.result.FarDelay = b.farDelays.meanMS()
+	b.result.WorstLimit = worstOverrun(b.limits)
+	for _, d := range b.deathQueries {
+		b.result.DeathQueries = append(b.result.DeathQueries, *d)
 	}
-	b.r.WorstShift = b.worstShift(b.pattern.RegionShift, ShiftWindow, seconds(b.pattern.Seconds))
-	return &b.r
+	b.result.WorstShift = b.worstShareChange(b.pattern.RegionShift, ShareWindow, seconds(b.pattern.Seconds))
+	return &b.result
 }
--- a/decide/emulate/sites_test.go
+++ b/decide/emulate/sites_test.go
@@ -16,9 +16,9 @@
 	"github.com/azurethread/azurethread/decide/ingress"
 )
 
-// drawSite draws a deployment, its load and its troubles. Every figure lies
+// randomSite draws a deployment, its load and its troubles. Every figure lies
 // within what a deployment might have; none is that of one we know.
-func drawSite(seed uint64) *Pattern {
+func randomSite(seed uint64) *Pattern {
 	d := draw{rand.New(rand.NewPCG(seed, 26))}
 	p := &Pattern{
 		Name: fmt.Sprintf("site-%d", seed), Seconds: 6,
@@ -64,8 +64,8 @@
 	aim, worth := d.spread(200, 1500), d.between(1, 3)
 	return Kind{
 		Name: fmt.Sprintf("k%d", i), Service: services[d.IntN(len(services))].Name, Share: d.between(1, 6),
-		Idempotent: d.IntN(2) == 0, Priority: d.IntN(3), AimMS: aim, PatienceMS: aim * d.between(2, 5),
-		WorkMS: aim * d.between(0.3, 1.2), Spread: d.between(0, 0.5), WarmGain: d.between(0.2, 0.8),
+		Idempotent: d.IntN(2) == 0, Priority: d.IntN(3), TargetLatencyMS: aim, PatienceMS: aim * d.between(2, 5),
+		WorkMS: aim * d.between(0.3, 1.2), Spread: d.between(0, 0.5), WarmSaving: d.between(0.2, 0.8),
 		Objects: int(d.spread(10, 300)), BodyBytes: d.IntN(2) * 60_000, Retries: d.IntN(3),
 		Worth: worth, LateWorth: worth * d.between(0, 0.4),
 	}
@@ -103,7 +103,7 @@
 	shares := 0.0
 	for _, k := range p.Kinds {
 		shares += k.Share
-		need[k.Service] += k.Share * k.WorkMS / 1000 * (1 - k.WarmGain/2)
+		need[k.Service] += k.Share * k.WorkMS / 1000 * (1 - k.WarmSaving/2)
 	}
 	rate := math.Inf(1)
 	for s, n := range need {
@@ -122,34 +122,34 @@
 
 func (d draw) event(p *Pattern) Event {
 	e := Event{
-		Kind: eventKinds[d.IntN(len(eventKinds))], At: d.between(1, 5), For: d.between(0.5, 3),
+		Kind: eventKinds[d.IntN(len(eventKinds))], Start: d.between(1, 5), Duration: d.between(0.5, 3),
 		Share: d.between(0.1, 1),
 	}
 	switch e.Kind {
 	case Burst:
-		e.X = d.between(1.3, 2.5)
+		e.Value = d.between(1.3, 2.5)
 	case SlowTargets:
-		e.X = d.between(2, 10)
+		e.Value = d.between(2, 10)
 	case GreyTargets, ShedTargets:
-		e.X = d.between(0.2, 0.9)
+		e.Value = d.between(0.2, 0.9)
 	case Evacuate:
 		e.Domain = p.Domains[d.IntN(len(p.Domains))].Name
 	}
 	return e
 }
 
-// drawn is the mean worth of a drawn site's plays with and without a mechanism.
-type drawn struct{ with, without float64 }
+// siteWorth is the mean worth of a drawn site's plays with and without a mechanism.
+type siteWorth struct{ with, without float64 }
 
-func (d drawn) gain() float64  { return d.with - d.without }
-func (d drawn) level() float64 { return d.with + d.without }
+func (d siteWorth) gain() float64  { return d.with - d.without }
+func (d siteWorth) level() float64 { return d.with + d.without }
 
-// playDrawn returns the mean worth of each site's plays.
-func playDrawn(sites []*Pattern, without ingress.Mechanisms) []float64 {
+// meanWorths returns the mean worth of each site's plays.
+func meanWorths(sites []*Pattern, without ingress.Mechanisms) []float64 {
 	worth := make([]float64, len(sites))
-	beside(len(sites), func(i int) {
-		for seed := range uint64(someSeeds) {
-			worth[i] += Run(sites[i], Variant{Seed: seed + 1, Without: without}).All.Worth() / someSeeds
+	parallel(len(sites), func(i int) {
+		for seed := range uint64(fewSeeds) {
+			worth[i] += Run(sites[i], Variant{Seed: seed + 1, Disabled: without}).All.Worth() / fewSeeds
 		}
 	})
 	return worth
@@ -158,14 +158,14 @@
 // worstTenth are the sites with the least worth, by the mean of both variants:
 // chosen by one of them, sites at which it had bad luck would stand for a
 // difference.
-func worstTenth(all []drawn) []drawn {
+func worstTenth(all []siteWorth) []siteWorth {
 	all = slices.Clone(all)
-	slices.SortFunc(all, func(a, b drawn) int { return cmp.Compare(a.level(), b.level()) })
+	slices.SortFunc(all, func(a, b siteWorth) int { return cmp.Compare(a.level(), b.level()) })
 	return all[:len(all)/10]
 }
 
 // meanGain returns the mean gain of sites and its standard error.
-func meanGain(sites []drawn) (gain, deviation float64) {
+func meanGain(sites []siteWorth) (gain, deviation float64) {
 	gains := make([]float64, len(sites))
 	for i, d := range sites {
 		gains[i] = d.gain()
@@ -174,7 +174,7 @@
 	return gain, stat.StdErr(deviation, float64(len(gains)))
 }
 
-var drawnSites = flag.Int("sites", 120, "how many sites TestNoMechanismHarmsTheWorstSites draws")
+var siteCount = flag.Int("sites", 120, "how many sites TestNoMechanismHarmsTheWorstSites draws")
 
 // Pattern: deployments, loads and troubles drawn at random.
 //
@@ -182,20 +182,20 @@
 // Cause: a mechanism that answers their figures, not what they have in common.
 func TestNoMechanismHarmsTheWorstSites(t *testing.T) {
 	const chance = 3 // standard errors: one mechanism in 700 lies beyond by chance
-	sites := make([]*Pattern, *drawnSites)
+	sites := make([]*Pattern, *siteCount)
 	for i := range sites {
-		sites[i] = drawSite(uint64(i))
+		sites[i] = randomSite(uint64(i))
 		is.New(t).NoErr(sites[i].Check())
 	}
-	with := playDrawn(sites, 0)
+	with := meanWorths(sites, 0)
 	for _, name := range ingress.MechanismNames() {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			mechanism, err := ingress.ParseMechanisms(name)
 			is.NoErr(err)
-			var all []drawn
-			for i, without := range playDrawn(sites, mechanism) {
-				all = append(all, drawn{with: with[i], without: without})
+			var all []siteWorth
+			for i, without := range meanWorths(sites, mechanism) {
+				all = append(all, siteWorth{with: with[i], without: without})
 			}
 			gain, deviation := meanGain(worstTenth(all))
 			everywhere, of := meanGain(all)
--- a/decide/emulate/target.go
+++ b/decide/emulate/target.go
@@ -12,110 +12,110 @@
 // target is a modelled target: it works on slots requests at a time, keeps a
 // few waiting, refuses more, and remembers the objects that it handled last.
 type target struct {
-	reg    ingress.Target
-	region fleet.Region
-	svc    *Service
+	registered ingress.Target
+	region     fleet.Region
+	service    *Service
 
-	down    bool
-	slow    float64  // work is multiplied by it
-	grey    float64  // part of the requests that fail
-	shed    float64  // part of the requests that are refused
-	limited *limited // the rate that it names; nil: it has never named one
-	coldEnd clock.Time
+	down         bool
+	slowFactor   float64    // work is multiplied by it
+	errorShare   float64    // part of the requests that fail
+	refusedShare float64    // part of the requests that are refused
+	limit        *rateLimit // the rate that it names; nil: it has never named one
+	coldEnd      clock.Time
 
 	running int
-	queue   []*run
-	memory  memory
+	queue   []*execution
+	objects objectCache
 }
 
-// run is one request at a target.
-type run struct {
-	send   *send
-	object string
-	start  int64 // of the target: which of its starts has the request
-	over   bool
+// execution is one request at a target.
+type execution struct {
+	send        *targetSend
+	object      string
+	targetStart int64 // of the target: which of its starts has the request
+	ended       bool
 }
 
-// coldWork is how much longer work takes at a target that is cold.
-const coldWork = 2
+// coldWorkFactor is how much longer work takes at a target that is cold.
+const coldWorkFactor = 2
 
-// work draws how long a request takes.
-func (t *target) work(f *fleetRun, k *Kind, object string) time.Duration {
-	ms := k.WorkMS * (1 + k.Spread*(2*f.rng.Float64()-1)) * t.slow
-	if t.memory.touch(object, t.svc.Remember) {
-		ms *= 1 - k.WarmGain
+// workTime draws how long a request takes.
+func (t *target) workTime(f *simulation, k *Kind, object string) time.Duration {
+	ms := k.WorkMS * (1 + k.Spread*(2*f.rng.Float64()-1)) * t.slowFactor
+	if t.objects.touch(object, t.service.Remember) {
+		ms *= 1 - k.WarmSaving
 	}
 	if f.now.Before(t.coldEnd) {
-		ms *= coldWork
+		ms *= coldWorkFactor
 	}
 	return millis(ms)
 }
 
 func (t *target) load() ingress.Load {
-	return ingress.Load{Known: true, Running: t.running, Waiting: len(t.queue), Slots: t.svc.Slots}
+	return ingress.Load{Known: true, Running: t.running, Waiting: len(t.queue), Slots: t.service.Slots}
 }
 
-// take accepts a request, or refuses it.
-func (t *target) take(f *fleetRun, r *run) {
+// handleRequest accepts a request, or refuses it.
+func (t *target) handleRequest(f *simulation, r *execution) {
 	switch {
-	case t.shed > 0 && f.rng.Float64() < t.shed:
-		r.over = true
-		f.answer(t, r, ingress.Refused)
-	case len(t.queue) >= t.svc.Queue && t.running >= t.svc.Slots:
-		r.over = true
-		f.answer(t, r, ingress.Refused)
-	case t.running >= t.svc.Slots:
+	case t.refusedShare > 0 && f.rng.Float64() < t.refusedShare:
+		r.ended = true
+		f.sendAnswer(t, r, ingress.Refused)
+	case len(t.queue) >= t.service.Queue && t.running >= t.service.Slots:
+		r.ended = true
+		f.sendAnswer(t, r, ingress.Refused)
+	case t.running >= t.service.Slots:
 		t.queue = append(t.queue, r)
 	default:
-		t.begin(f, r)
+		t.startExecution(f, r)
 	}
 }
 
-func (t *target) begin(f *fleetRun, r *run) {
+func (t *target) startExecution(f *simulation, r *execution) {
 	t.running++
-	took := t.work(f, r.send.q.kind, r.object)
-	start := t.reg.Born
-	if r.send.q.deadly != nil {
-		f.after(deadlyWork, func() { f.endUnder(t, r, start) })
+	took := t.workTime(f, r.send.q.kind, r.object)
+	start := t.registered.Born
+	if r.send.q.deathQuery != nil {
+		f.after(deathQueryWork, func() { f.crashTarget(t, r, start) })
 		return
 	}
 	f.after(took, func() {
-		if t.reg.Born != start || t.down {
+		if t.registered.Born != start || t.down {
 			return // it has ended meanwhile
 		}
 		t.running--
-		t.next(f)
-		if r.over {
+		t.startNext(f)
+		if r.ended {
 			return // cancelled
 		}
-		r.over = true
+		r.ended = true
 		outcome := ingress.Served
-		if t.grey > 0 && f.rng.Float64() < t.grey {
+		if t.errorShare > 0 && f.rng.Float64() < t.errorShare {
 			outcome = ingress.ServerError
 		}
-		f.answer(t, r, outcome)
+		f.sendAnswer(t, r, outcome)
 	})
 }
 
-// next begins the work on the request that has waited longest.
-func (t *target) next(f *fleetRun) {
-	for len(t.queue) > 0 && t.running < t.svc.Slots {
+// startNext begins the work on the request that has waited longest.
+func (t *target) startNext(f *simulation) {
+	for len(t.queue) > 0 && t.running < t.service.Slots {
 		r := t.queue[0]
 		t.queue = t.queue[1:]
-		if !r.over {
-			t.begin(f, r)
+		if !r.ended {
+			t.startExecution(f, r)
 		}
 	}
 }
 
-// memory holds the objects handled last, the latest first.
-type memory struct {
+// objectCache holds the objects handled last, the latest first.
+type objectCache struct {
 	order list.List
 	at    map[string]*list.Element
 }
 
 // touch reports whether the object was remembered, and remembers it.
-func (m *memory) touch(object string, most int) bool {
+func (m *objectCache) touch(object string, most int) bool {
 	if object == "" || most == 0 {
 		return false
 	}
--- a/decide/engine/calls.go
+++ b/decide/engine/calls.go
@@ -18,38 +18,38 @@
 	return e.ledger.Outcome(now, tok)
 }
 
-// call admits the request's token and dispatches it.
-func (e *Engine) call(now clock.Time, c *Call, out *Ready) {
+// admitCall admits the request's token and dispatches it.
+func (e *Engine) admitCall(now clock.Time, c *Call, out *Ready) {
 	s, ok := e.services[c.Service]
 	if !ok {
-		out.Refusals = append(out.Refusals, e.refuseUnknown(now, c))
+		out.Refusals = append(out.Refusals, e.refuseUnknownService(now, c))
 		return
 	}
 	if s.Idempotent {
-		e.arrive(now, c, out)
+		e.dispatchCall(now, c, out)
 		return
 	}
 	if c.Token == "" {
 		if !s.TokenOptional {
-			out.Refusals = append(out.Refusals, refuse(c.Req, verdict.ReasonTokenRequired))
+			out.Refusals = append(out.Refusals, newRefusal(c.Req, verdict.ReasonTokenRequired))
 			return
 		}
-		e.arrive(now, c, out)
+		e.dispatchCall(now, c, out)
 		return
 	}
 	a := e.ledger.Admit(now, c.Token)
 	if a.Status != token.New {
-		out.Refusals = append(out.Refusals, refusalOf(c.Req, a))
+		out.Refusals = append(out.Refusals, admissionRefusal(c.Req, a))
 		return
 	}
-	e.open[c.Req] = openToken{id: a.ID}
-	e.arrive(now, c, out)
+	e.openTokens[c.Req] = openToken{id: a.ID}
+	e.dispatchCall(now, c, out)
 }
 
-// refuseUnknown refuses a request of a service that this configuration does
+// refuseUnknownService refuses a request of a service that this configuration does
 // not hold. Its token is spent as well: the caller is told not-run, and an
 // earlier send still on its way must not run after that.
-func (e *Engine) refuseUnknown(now clock.Time, c *Call) Refusal {
+func (e *Engine) refuseUnknownService(now clock.Time, c *Call) Refusal {
 	reason := verdict.ReasonUnknownService
 	if e.catalogue == nil {
 		reason = verdict.ReasonNotReady
@@ -60,18 +60,18 @@
 // reject refuses a request without dispatching it.
 func (e *Engine) reject(now clock.Time, j *Reject) Refusal {
 	if j.Token == "" {
-		return refuse(j.Req, j.Reason)
+		return newRefusal(j.Req, j.Reason)
 	}
-	r := refusalOf(j.Req, e.ledger.Refuse(now, j.Token))
+	r := admissionRefusal(j.Req, e.ledger.Refuse(now, j.Token))
 	if r.Verdict == verdict.NotRun {
 		r.Reason = j.Reason
 	}
 	return r
 }
 
-// refusalOf is the answer to a token that was not admitted.
-func refusalOf(req dispatch.RequestID, a token.Admission) Refusal {
-	r := Refusal{Ask: a.VM, Answer: a.Answer}
+// admissionRefusal is the answer to a token that was not admitted.
+func admissionRefusal(req dispatch.RequestID, a token.Admission) Refusal {
+	r := Refusal{AskVM: a.VM, EarlierStatus: a.Answer}
 	r.Req = req
 	r.Verdict = a.Verdict
 	r.Reason = a.Status.Reason()
@@ -79,8 +79,8 @@
 	return r
 }
 
-func (e *Engine) arrive(now clock.Time, c *Call, out *Ready) {
-	e.note(now, c)
+func (e *Engine) dispatchCall(now clock.Time, c *Call, out *Ready) {
+	e.startRecord(now, c)
 	e.arrival = dispatch.Arrive{
 		Req:       c.Req,
 		Service:   c.Service,
@@ -100,7 +100,7 @@
 func (e *Engine) callerGone(now clock.Time, ev *dispatch.CallerGone, out *Ready) {
 	e.stepDispatch(now, ev, out)
 	delete(e.records, ev.Req)
-	t, ok := e.open[ev.Req]
+	t, ok := e.openTokens[ev.Req]
 	if !ok {
 		return
 	}
@@ -108,7 +108,7 @@
 	if t.sent {
 		v = verdict.MayHaveRun
 	}
-	e.settle(now, ev.Req, v, 0)
+	e.settleToken(now, ev.Req, v, 0)
 }
 
 // stepDispatch steps the dispatcher, and settles the tokens and ends the
@@ -118,44 +118,44 @@
 	sends, forwards := len(d.Sends), len(d.Forwards)
 	delivers, replies := len(d.Delivers), len(d.Replies)
 	e.dispatch.Step(now, ev, d)
-	e.wakes.dispatch = d.Wake
+	e.wakeTimes.dispatch = d.Wake
 	for _, s := range d.Sends[sends:] {
 		e.markSent(s.Req)
-		e.handed(now, s.Req, true)
+		e.recordSend(now, s.Req, true)
 	}
 	for _, f := range d.Forwards[forwards:] {
 		e.markSent(f.Req)
-		e.handed(now, f.Req, false)
+		e.recordSend(now, f.Req, false)
 	}
 	status := 0
 	if a, ok := ev.(*dispatch.Answered); ok {
 		status = a.Status
 	}
 	for _, v := range d.Delivers[delivers:] {
-		e.settle(now, v.Req, verdict.Ran, status)
-		e.conclude(now, v.Req, status < failedStatus)
+		e.settleToken(now, v.Req, verdict.Ran, status)
+		e.endRecord(now, v.Req, status < minFailedStatus)
 	}
 	for _, r := range d.Replies[replies:] {
-		e.settle(now, r.Req, r.Verdict, 0)
-		e.conclude(now, r.Req, false)
+		e.settleToken(now, r.Req, r.Verdict, 0)
+		e.endRecord(now, r.Req, false)
 	}
 }
 
-// failedStatus is the least HTTP status that counts as a failed answer.
-const failedStatus = 500
+// minFailedStatus is the least HTTP status that counts as a failed answer.
+const minFailedStatus = 500
 
 func (e *Engine) markSent(req dispatch.RequestID) {
-	if t, ok := e.open[req]; ok {
+	if t, ok := e.openTokens[req]; ok {
 		t.sent = true
-		e.open[req] = t
+		e.openTokens[req] = t
 	}
 }
 
-func (e *Engine) settle(now clock.Time, req dispatch.RequestID, v verdict.Verdict, status int) {
-	t, ok := e.open[req]
+func (e *Engine) settleToken(now clock.Time, req dispatch.RequestID, v verdict.Verdict, status int) {
+	t, ok := e.openTokens[req]
 	if !ok {
 		return
 	}
-	delete(e.open, req)
+	delete(e.openTokens, req)
 	e.ledger.Finish(now, t.id, v, status)
 }
--- a/decide/engine/control.go
+++ b/decide/engine/control.go
@@ -39,9 +39,9 @@
 func (e *Engine) stepMember(now clock.Time, ev member.Event, out *Ready) {
 	r := &e.memberReady
 	e.member.Step(now, ev, r)
-	e.wakes.member = r.Wake
+	e.wakeTimes.member = r.Wake
 	for _, s := range r.Sends {
-		out.Peers = append(out.Peers, PeerSend{To: s.To, Member: s.Msg, Load: e.attach(now, s.Scope)})
+		out.Peers = append(out.Peers, PeerSend{To: s.To, Member: s.Msg, Load: e.loadReport(now, s.Scope)})
 	}
 	out.Superseded = out.Superseded || r.Superseded
 	changed, group := len(r.Changed) > 0, r.Group
@@ -49,14 +49,14 @@
 		return
 	}
 	domains := e.member.Domains(nil)
-	e.fleetChanged(now, domains)
+	e.updateLoadFleet(now, domains)
 	if changed {
-		e.vmsChanged(now, domains, out)
+		e.updateVMs(now, domains, out)
 	}
 }
 
-// attach makes the load report that rides on a message of membership.
-func (e *Engine) attach(now clock.Time, s member.Scope) *load.Report {
+// loadReport makes the load report that rides on a message of membership.
+func (e *Engine) loadReport(now clock.Time, s member.Scope) *load.Report {
 	if s == member.ScopeNone {
 		return nil
 	}
@@ -71,8 +71,8 @@
 	member.ScopeFar:    load.ScopeFar,
 }
 
-// fleetChanged tells the load state who takes part.
-func (e *Engine) fleetChanged(now clock.Time, domains []member.DomainView) {
+// updateLoadFleet tells the load state who takes part.
+func (e *Engine) updateLoadFleet(now clock.Time, domains []member.DomainView) {
 	d := e.member.Duties()
 	f := &load.Fleet{Representative: d.Representative, Group: d.Group, Peers: d.Peers}
 	for _, v := range domains {
@@ -81,8 +81,8 @@
 	e.loads.Step(now, f)
 }
 
-// vmsChanged tells everyone who works with entry VMs.
-func (e *Engine) vmsChanged(now clock.Time, domains []member.DomainView, out *Ready) {
+// updateVMs tells everyone who works with entry VMs.
+func (e *Engine) updateVMs(now clock.Time, domains []member.DomainView, out *Ready) {
 	e.vms = e.vms[:0:0]
 	for _, v := range domains {
 		for _, vm := range v.VMs {
@@ -92,23 +92,23 @@
 			e.vms = append(e.vms, vm)
 		}
 	}
-	own := e.addLeaving()
+	own := e.addLeavingMembers()
 	slices.SortFunc(e.vms, func(a, b fleet.VM) int { return cmp.Compare(a.ID, b.ID) })
 	out.VMs = e.vms
-	out.Eligible = e.eligible(domains)
+	out.EligibleForLease = e.eligibleForLease(domains)
 	e.stepTally(now, &tally.Fleet{Domains: domains}, out)
-	e.stepDispatch(now, e.peers(), out)
-	e.remotes(now, domains, out)
+	e.stepDispatch(now, e.domainPeers(), out)
+	e.updateRemotes(now, domains, out)
 	e.stepConfig(now, &config.Members{Members: e.configMembers()}, out)
-	e.publish(out)
+	e.rebuildView(out)
 	// Last, as a list that comes into force steps the membership again, and
 	// what that changes must not be overwritten by this older view.
 	e.stepMachine(now, own, out)
 }
 
-// addLeaving adds the members of the own domain that are leaving, as they are
+// addLeavingMembers adds the members of the own domain that are leaving, as they are
 // reached by messages though not by look-ups, and returns all members.
-func (e *Engine) addLeaving() *machine.Members {
+func (e *Engine) addLeavingMembers() *machine.Members {
 	own := &machine.Members{}
 	for _, vm := range e.member.Members(nil) {
 		own.IDs = append(own.IDs, vm.ID)
@@ -127,8 +127,8 @@
 	return ms
 }
 
-// peers counts the live entry VMs of the own failure domain and ranks this one.
-func (e *Engine) peers() *dispatch.Peers {
+// domainPeers counts the live entry VMs of the own failure domain and ranks this one.
+func (e *Engine) domainPeers() *dispatch.Peers {
 	p := &dispatch.Peers{Count: 1}
 	for _, vm := range e.vms {
 		if vm.Domain != e.self.Domain || vm.State != fleet.Live || vm.ID == e.self.ID {
@@ -147,9 +147,9 @@
 func (e *Engine) stepConfig(now clock.Time, ev config.Event, out *Ready) {
 	r := &e.configReady
 	e.config.Step(now, ev, r)
-	e.wakes.config = r.Wake
+	e.wakeTimes.config = r.Wake
 	for _, s := range r.Send {
-		if vm, ok := e.vm(s.To); ok {
+		if vm, ok := e.findVM(s.To); ok {
 			out.Peers = append(out.Peers, PeerSend{To: vm, Config: s.Msg})
 		}
 	}
@@ -160,10 +160,10 @@
 	for _, a := range r.Apply {
 		e.apply(now, a.Catalogue, out)
 	}
-	e.noteReading(now, out)
+	e.updateReading(now, out)
 }
 
-func (e *Engine) vm(id fleet.VMID) (fleet.VM, bool) {
+func (e *Engine) findVM(id fleet.VMID) (fleet.VM, bool) {
 	i, ok := slices.BinarySearchFunc(e.vms, id, func(v fleet.VM, id fleet.VMID) int { return cmp.Compare(v.ID, id) })
 	if ok {
 		return e.vms[i], true
@@ -181,8 +181,8 @@
 		e.services[s.Name] = s
 	}
 	e.stepDispatch(now, &dispatch.Services{List: c.Services}, out)
-	e.shiftsChanged(now, c, out)
-	e.publish(out)
+	e.applyShifts(now, c, out)
+	e.rebuildView(out)
 }
 
 // checkRevision asserts that the revision in force never falls.
@@ -199,23 +199,23 @@
 // stepMachine steps the spread of the machine list and takes over the list
 // that it puts in force.
 func (e *Engine) stepMachine(now clock.Time, ev machine.Event, out *Ready) {
-	r := &e.listReady
+	r := &e.machineReady
 	e.machine.Step(now, ev, r)
-	e.wakes.machine = r.Wake
-	e.watchMachines = r.Watch
+	e.wakeTimes.machine = r.Wake
+	e.watchMachineList = r.Watch
 	for _, s := range r.Sends {
-		if vm, ok := e.vm(s.To); ok {
+		if vm, ok := e.findVM(s.To); ok {
 			out.Peers = append(out.Peers, PeerSend{To: vm, Machine: s.Msg})
 		}
 	}
 	if r.Apply != nil {
-		e.machines(now, r.Apply, out)
+		e.applyMachineList(now, r.Apply, out)
 	}
 }
 
-// machines takes over a machine list.
-func (e *Engine) machines(now clock.Time, l *fleet.List, out *Ready) {
-	out.Machines = l
+// applyMachineList takes over a machine list.
+func (e *Engine) applyMachineList(now clock.Time, l *fleet.List, out *Ready) {
+	out.MachineList = l
 	own := slices.DeleteFunc(slices.Clone(l.Targets), func(t fleet.Target) bool {
 		return t.Domain != e.self.Domain
 	})
@@ -223,9 +223,9 @@
 	e.stepMember(now, &member.Listed{List: *l}, out)
 }
 
-// noteReading tells the spread of the machine list whether this process reads
+// updateReading tells the spread of the machine list whether this process reads
 // the platform for its failure domain.
-func (e *Engine) noteReading(now clock.Time, out *Ready) {
+func (e *Engine) updateReading(now clock.Time, out *Ready) {
 	on := e.config.Status(now).Reading
 	if on == e.reading {
 		return
@@ -234,11 +234,11 @@
 	e.stepMachine(now, &machine.Reading{On: on}, out)
 }
 
-// publish builds the view that look-ups are answered from.
-func (e *Engine) publish(out *Ready) {
+// rebuildView builds the view that look-ups are answered from.
+func (e *Engine) rebuildView(out *Ready) {
 	in := steer.Inputs{Self: e.self.Region, Blocks: e.blocks, VMs: e.vms, Weights: e.weights}
 	if e.catalogue != nil {
-		in.Running = routes(e.catalogue)
+		in.Running = runningRoutes(e.catalogue)
 	}
 	out.Unshifted = steer.New(in)
 	out.View = out.Unshifted
@@ -248,8 +248,8 @@
 	}
 }
 
-// routes names the traffic that shifts are stepping now.
-func routes(c *catalogue.Catalogue) []steer.Route {
+// runningRoutes names the traffic that shifts are stepping now.
+func runningRoutes(c *catalogue.Catalogue) []steer.Route {
 	var rs []steer.Route
 	for _, s := range c.Shifts {
 		if s.State == catalogue.Running {
--- a/decide/engine/engine.go
+++ b/decide/engine/engine.go
@@ -35,50 +35,50 @@
 
 // Engine is the state of one entry VM.
 type Engine struct {
-	self     fleet.VM
-	opts     Options
-	dispatch *dispatch.State
-	ledger   *token.Ledger
-	member   *member.State
-	loads    *load.State
-	config   *config.State
-	damper   steer.Damper
-	machine  *machine.State
-	tally    *tally.State
-	runner   *shift.Runner
-
-	services  map[fleet.ServiceName]catalogue.Service
-	open      map[dispatch.RequestID]openToken
-	catalogue *catalogue.Catalogue
-	table     *shift.Table
-	blocks    *block.Table
-	vms       []fleet.VM // of all domains, by id
-	weights   map[steer.DomainService]steer.Weight
-	records   map[dispatch.RequestID]served
-	evidence  shift.Evidence
-	leads     bool // holds the lease of the shift runner
-	// watchMachines is what the spread of the machine list last asked for.
-	watchMachines bool
-	reading       bool // reads the platform for its failure domain
-
-	wakes       wakes
-	memberReady member.Ready
-	configReady config.Ready
-	tallyReady  tally.Ready
-	listReady   machine.Ready
-	effects     []shift.Effect
-	arrival     dispatch.Arrive
-	loadsOf     []dispatch.ServiceLoad
-	samples     []load.Sample
-	tallied     []tally.Sample
+	self        fleet.VM
+	opts        Options
+	dispatch    *dispatch.State
+	ledger      *token.Ledger
+	member      *member.State
+	loads       *load.State
+	config      *config.State
+	damper      steer.Damper
+	machine     *machine.State
+	tally       *tally.State
+	shiftRunner *shift.Runner
+
+	services   map[fleet.ServiceName]catalogue.Service
+	openTokens map[dispatch.RequestID]openToken
+	catalogue  *catalogue.Catalogue
+	table      *shift.Table
+	blocks     *block.Table
+	vms        []fleet.VM // of all domains, by id
+	weights    map[steer.DomainService]steer.Weight
+	records    map[dispatch.RequestID]requestRecord
+	evidence   shift.Evidence
+	runsShifts bool // holds the lease of the shift runner
+	// watchMachineList is what the spread of the machine list last asked for.
+	watchMachineList bool
+	reading          bool // reads the platform for its failure domain
+
+	wakeTimes    wakeTimes
+	memberReady  member.Ready
+	configReady  config.Ready
+	tallyReady   tally.Ready
+	machineReady machine.Ready
+	effects      []shift.Effect
+	arrival      dispatch.Arrive
+	ownLoads     []dispatch.ServiceLoad
+	loadSamples  []load.Sample
+	tallySamples []tally.Sample
 }
 
-// wakes are the instants at which each part wants to be ticked.
-type wakes struct {
+// wakeTimes are the instants at which each part wants to be ticked.
+type wakeTimes struct {
 	dispatch, member, config, refresh, tally, runner, machine clock.Time
 }
 
-func (w *wakes) next() clock.Time {
+func (w *wakeTimes) next() clock.Time {
 	w1 := clock.Min(clock.Min(w.dispatch, w.member), clock.Min(w.config, w.refresh))
 	w2 := clock.Min(clock.Min(w.tally, w.runner), w.machine)
 	return clock.Min(w1, w2)
@@ -103,14 +103,14 @@
 			Incarnation: o.Self.Incarnation,
 			Seed:        o.Seed,
 		}),
-		machine:  machine.New(o.Now, o.Self, o.Seed),
-		tally:    tally.New(o.Now, o.Self, tally.Options{}),
-		runner:   shift.NewRunner(o.Shift),
-		records:  make(map[dispatch.RequestID]served),
-		services: make(map[fleet.ServiceName]catalogue.Service),
-		open:     make(map[dispatch.RequestID]openToken),
-		vms:      []fleet.VM{o.Self},
-		wakes:    wakes{dispatch: clock.Never, tally: clock.Never, runner: clock.Never},
+		machine:     machine.New(o.Now, o.Self, o.Seed),
+		tally:       tally.New(o.Now, o.Self, tally.Options{}),
+		shiftRunner: shift.NewRunner(o.Shift),
+		records:     make(map[dispatch.RequestID]requestRecord),
+		services:    make(map[fleet.ServiceName]catalogue.Service),
+		openTokens:  make(map[dispatch.RequestID]openToken),
+		vms:         []fleet.VM{o.Self},
+		wakeTimes:   wakeTimes{dispatch: clock.Never, tally: clock.Never, runner: clock.Never},
 	}
 }
 
@@ -118,7 +118,7 @@
 func (e *Engine) Step(now clock.Time, ev Event, out *Ready) {
 	switch ev := ev.(type) {
 	case *Call:
-		e.call(now, ev, out)
+		e.admitCall(now, ev, out)
 	case *Reject:
 		out.Refusals = append(out.Refusals, e.reject(now, ev))
 	case *dispatch.CallerGone:
@@ -136,45 +136,45 @@
 	case tally.Event:
 		e.stepTally(now, ev, out)
 	case shift.Event:
-		e.stepRunner(now, ev, out)
-	case *Machines:
+		e.stepShiftRunner(now, ev, out)
+	case *MachineListRead:
 		e.stepMachine(now, &machine.Read{List: ev.List}, out)
 	case machine.Event:
 		e.stepMachine(now, ev, out)
-	case *Blocks:
+	case *BlockTableLoaded:
 		e.blocks = ev.Table
-		e.publish(out)
+		e.rebuildView(out)
 	default:
 		out.Dispatch.Violations = append(out.Dispatch.Violations, dispatch.Violation{
 			Invariant: "known-event",
 			Detail:    fmt.Sprintf("%T", ev),
 		})
 	}
-	out.WatchMachines = e.watchMachines
-	out.wake = e.wakes.next()
+	out.WatchMachineList = e.watchMachineList
+	out.wake = e.wakeTimes.next()
 }
 
 // tick passes time in the parts that are due.
 func (e *Engine) tick(now clock.Time, out *Ready) {
-	if e.wakes.dispatch <= now {
+	if e.wakeTimes.dispatch <= now {
 		e.stepDispatch(now, &dispatch.Tick{}, out)
 	}
-	if e.wakes.member <= now {
+	if e.wakeTimes.member <= now {
 		e.stepMember(now, &member.Tick{}, out)
 	}
-	if e.wakes.config <= now {
+	if e.wakeTimes.config <= now {
 		e.stepConfig(now, &config.Tick{}, out)
 	}
-	if e.wakes.tally <= now {
+	if e.wakeTimes.tally <= now {
 		e.stepTally(now, &tally.Tick{}, out)
 	}
-	if e.wakes.runner <= now {
-		e.stepRunner(now, shift.Tick{}, out)
+	if e.wakeTimes.runner <= now {
+		e.stepShiftRunner(now, shift.Tick{}, out)
 	}
-	if e.wakes.machine <= now {
+	if e.wakeTimes.machine <= now {
 		e.stepMachine(now, &machine.Tick{}, out)
 	}
-	if e.wakes.refresh <= now {
+	if e.wakeTimes.refresh <= now {
 		e.refresh(now, out)
 	}
 }
--- a/decide/engine/enginetest/agreement.go
+++ b/decide/engine/enginetest/agreement.go
@@ -8,12 +8,12 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// sampleEvery is the time between two looks at the membership.
-const sampleEvery = 100 * time.Millisecond
+// sampleInterval is the time between two looks at the membership.
+const sampleInterval = 100 * time.Millisecond
 
-// settleTime is how long the entry VMs of a domain must have agreed on who
+// minAgreementTime is how long the entry VMs of a domain must have agreed on who
 // they are before the bounds that rest on it are asserted.
-const settleTime = 2 * time.Second
+const minAgreementTime = 2 * time.Second
 
 // agreement is what the entry VMs of a domain believe, all of them alike.
 type agreement struct {
@@ -21,53 +21,53 @@
 	since clock.Time // Never: they differ
 }
 
-// sample looks at who the entry VMs of each domain believe to be live. Where
+// sampleAgreement looks at who the entry VMs of each domain believe to be live. Where
 // one has left, the others may agree again between two samples, on fewer; that
 // begins anew, as what it had sent is still in flight.
-func (b *Books) sample() {
+func (b *Checker) sampleAgreement() {
 	seen := make(map[fleet.Domain]bool)
 	for _, v := range b.w.VMs {
-		d := v.Place.Domain
+		d := v.Location.Domain
 		if seen[d] {
 			continue
 		}
 		seen[d] = true
-		live, ok := b.agree(d)
-		old, known := b.agreed[d]
+		live, ok := b.liveAndAgreed(d)
+		old, known := b.agreements[d]
 		switch {
 		case !ok:
-			b.agreed[d] = agreement{since: clock.Never}
+			b.agreements[d] = agreement{since: clock.Never}
 		case !known || !slices.Equal(old.live, live):
-			b.agreed[d] = agreement{live: live, since: b.w.Now}
+			b.agreements[d] = agreement{live: live, since: b.w.Now}
 		}
 	}
 }
 
-// settled reports since when the entry VMs of a domain agree, if for long, as
+// agreedSince reports since when the entry VMs of a domain agree, if for long, as
 // the last sample found.
-func (b *Books) settled(d fleet.Domain) (clock.Time, bool) {
-	a, ok := b.agreed[d]
-	return a.since, ok && a.since != clock.Never && b.w.Now.Sub(a.since) >= settleTime
+func (b *Checker) agreedSince(d fleet.Domain) (clock.Time, bool) {
+	a, ok := b.agreements[d]
+	return a.since, ok && a.since != clock.Never && b.w.Now.Sub(a.since) >= minAgreementTime
 }
 
-// stands reports whether what the last sample found is so now. One that has
+// stillAgreed reports whether what the last sample found is so now. One that has
 // been paused since has not seen what waits for it, and can't refuse it.
-func (b *Books) stands(d fleet.Domain) bool {
-	live, ok := b.agree(d)
-	return ok && slices.Equal(live, b.agreed[d].live)
+func (b *Checker) stillAgreed(d fleet.Domain) bool {
+	live, ok := b.liveAndAgreed(d)
+	return ok && slices.Equal(live, b.agreements[d].live)
 }
 
-// agree returns the live entry VMs of a domain, and whether all of them name
+// liveAndAgreed returns the live entry VMs of a domain, and whether all of them name
 // these as live and no others.
-func (b *Books) agree(d fleet.Domain) ([]fleet.VMID, bool) {
+func (b *Checker) liveAndAgreed(d fleet.Domain) ([]fleet.VMID, bool) {
 	var live []fleet.VMID
 	for _, v := range b.w.VMs {
-		if v.Place.Domain == d && v.Up && !v.Leaving {
+		if v.Location.Domain == d && v.Up && !v.Leaving {
 			live = append(live, v.Self.ID)
 		}
 	}
 	for _, v := range b.w.VMs {
-		if v.Place.Domain != d || !v.Up {
+		if v.Location.Domain != d || !v.Up {
 			continue
 		}
 		if v.Paused || !slices.Equal(v.liveMembers(), live) {
--- a/decide/engine/enginetest/books.go
+++ b/decide/engine/enginetest/books.go
@@ -20,40 +20,40 @@
 	Runs       int
 }
 
-// Claim is what a verdict speaks of.
-type Claim struct {
+// Submission is what a verdict speaks of.
+type Submission struct {
 	Work   *Work
 	Runs   int
-	NotRun bool   // somebody was told so
-	Parent *Claim // that a forward serves
+	NotRun bool        // somebody was told so
+	Parent *Submission // that a forward serves
 }
 
-// leaveTime is the time after which a target known to be leaving must get no
+// leavingSendGrace is the time after which a target known to be leaving must get no
 // more work.
-const leaveTime = 2 * time.Second
+const leavingSendGrace = 2 * time.Second
 
-// finalSlack is how much later than its deadline a request may be answered.
-const finalSlack = 10 * time.Millisecond
+// deadlineSlack is how much later than its deadline a request may be answered.
+const deadlineSlack = 10 * time.Millisecond
 
 // maxViolations bounds what is kept of a run that has gone wrong.
 const maxViolations = 20
 
-// Books hold what must be true of a World, and what has happened in it.
-type Books struct {
+// Checker hold what must be true of a World, and what has happened in it.
+type Checker struct {
 	Violations []string
 	// Steps counts the events that engines have stepped.
 	Steps  uint64
 	Counts Counts
-	// Even says that callers send evenly, so that the share of a shift can be
+	// EvenLoad says that callers send evenly, so that the share of a shift can be
 	// asserted over the requests they have answers to.
-	Even bool
+	EvenLoad bool
 
-	w        *World
-	agreed   map[fleet.Domain]agreement
-	contents map[uint64]uint64 // hash first seen in force, by revision
-	orders   []*Order
-	windows  map[string]*window // by shift
-	bases    map[based]string   // operation accepted, by what it was based on
+	w                *World
+	agreements       map[fleet.Domain]agreement
+	hashes           map[uint64]uint64 // hash first seen in force, by revision
+	operatorRequests []*OperatorRequest
+	windows          map[string]*window      // by shift
+	acceptedByBase   map[entryVersion]string // operation accepted, by what it was based on
 }
 
 // Counts are what a run reports about itself.
@@ -78,18 +78,18 @@
 	Moved int
 }
 
-func newBooks(w *World) Books {
-	return Books{
-		w:        w,
-		agreed:   make(map[fleet.Domain]agreement),
-		contents: make(map[uint64]uint64),
-		windows:  make(map[string]*window),
-		bases:    make(map[based]string),
+func newChecker(w *World) Checker {
+	return Checker{
+		w:              w,
+		agreements:     make(map[fleet.Domain]agreement),
+		hashes:         make(map[uint64]uint64),
+		windows:        make(map[string]*window),
+		acceptedByBase: make(map[entryVersion]string),
 	}
 }
 
-// violate records a broken invariant.
-func (b *Books) violate(format string, args ...any) {
+// reportViolation records a broken invariant.
+func (b *Checker) reportViolation(format string, args ...any) {
 	s := fmt.Sprintf("%v: %s", b.w.Now.Sub(epoch), fmt.Sprintf(format, args...))
 	b.w.trace("VIOLATION %s", s)
 	if len(b.Violations) < maxViolations {
@@ -98,72 +98,72 @@
 }
 
 // Err returns the violations so far, or nil.
-func (b *Books) Err() error {
+func (b *Checker) Err() error {
 	if len(b.Violations) == 0 {
 		return nil
 	}
 	return fmt.Errorf("enginetest: seed %d:\n%s", b.w.Options.Seed, strings.Join(b.Violations, "\n"))
 }
 
-// ran books a run at a target.
-func (b *Books) ran(t *Target, c *Claim) {
+// recordRun books a run at a target.
+func (b *Checker) recordRun(t *Target, c *Submission) {
 	b.Counts.Runs++
 	c.Work.Runs++
 	if c.Work.Service != t.Service {
-		b.violate("%s of %s ran at %s of %s", c.Work.Name, c.Work.Service, t.ID, t.Service)
+		b.reportViolation("%s of %s ran at %s of %s", c.Work.Name, c.Work.Service, t.ID, t.Service)
 	}
 	if !c.Work.Idempotent && c.Work.Runs > 1 {
-		b.violate("%s is not idempotent and ran %d times, now at %s", c.Work.Name, c.Work.Runs, t.ID)
+		b.reportViolation("%s is not idempotent and ran %d times, now at %s", c.Work.Name, c.Work.Runs, t.ID)
 	}
 	for ; c != nil; c = c.Parent {
 		c.Runs++
 		if c.NotRun {
-			b.violate("%s runs at %s after somebody was told not-run", c.Work.Name, t.ID)
+			b.reportViolation("%s runs at %s after somebody was told not-run", c.Work.Name, t.ID)
 		}
 	}
 }
 
-// told books a verdict about a claim.
-func (b *Books) told(by fleet.VMID, c *Claim, v verdict.Verdict, r verdict.Reason) {
+// recordVerdict books a verdict about a claim.
+func (b *Checker) recordVerdict(by fleet.VMID, c *Submission, v verdict.Verdict, r verdict.Reason) {
 	switch v {
 	case verdict.NotRun:
 		c.NotRun = true
 		if c.Runs > 0 {
-			b.violate("%s says %s not-run (%s), and it has run %d times", by, c.Work.Name, r, c.Runs)
+			b.reportViolation("%s says %s not-run (%s), and it has run %d times", by, c.Work.Name, r, c.Runs)
 		}
 	case verdict.Ran:
 		if c.Runs == 0 {
-			b.violate("%s says %s ran (%s), and it has not", by, c.Work.Name, r)
+			b.reportViolation("%s says %s ran (%s), and it has not", by, c.Work.Name, r)
 		}
 	}
 }
 
-// broken books what an engine says of itself.
-func (b *Books) broken(v *VM, list []dispatch.Violation) {
+// recordEngineViolations books what an engine says of itself.
+func (b *Checker) recordEngineViolations(v *VM, list []dispatch.Violation) {
 	for _, x := range list {
-		b.violate("%s reports %s: %s", v.Self.ID, x.Invariant, x.Detail)
+		b.reportViolation("%s reports %s: %s", v.Self.ID, x.Invariant, x.Detail)
 	}
 }
 
-// sent checks a send to a target.
-func (b *Books) sent(v *VM, a *attempt) {
+// checkSend checks a send to a target.
+func (b *Checker) checkSend(v *VM, a *attempt) {
 	b.Counts.Sends++
 	t := a.target
-	if at, known := v.leaving[t.ID]; known && b.w.Now.Sub(at) > leaveTime {
-		b.violate("%s sends %s to %s, known to leave for %v", v.Self.ID, a.call.claim.Work.Name, t.ID, b.w.Now.Sub(at))
+	if at, known := v.targetsLeaving[t.ID]; known && b.w.Now.Sub(at) > leavingSendGrace {
+		b.reportViolation("%s sends %s to %s, known to leave for %v", v.Self.ID, a.call.submission.Work.Name, t.ID, b.w.Now.Sub(at))
 	}
-	if at, refused := v.stopping[t.ID]; refused && b.w.Now.Sub(at) > leaveTime && b.w.Now.Sub(at) < stoppingHolds {
-		b.violate("%s sends %s to %s, which said it is leaving %v ago", v.Self.ID, a.call.claim.Work.Name, t.ID, b.w.Now.Sub(at))
+	if at, refused := v.targetsStopping[t.ID]; refused && b.w.Now.Sub(at) > leavingSendGrace && b.w.Now.Sub(at) < stoppingMemory {
+		b.reportViolation("%s sends %s to %s, which said it is leaving %v ago", v.Self.ID, a.call.submission.Work.Name, t.ID, b.w.Now.Sub(at))
 	}
-	if t.Place != v.Place {
-		b.violate("%s sends to %s of another failure domain", v.Self.ID, t.ID)
+	if t.Location != v.Location {
+		b.reportViolation("%s sends to %s of another failure domain", v.Self.ID, t.ID)
 	}
 	b.checkSlots(t)
 }
 
-// stoppingHolds is how long a target's word that it is leaving must hold for
+// stoppingMemory is how long a target's word that it is leaving must hold for
 // each entry VM that has heard it, if the list does not say so.
-const stoppingHolds = 25 * time.Second
+const stoppingMemory = 25 * time.Second
 
 // checkSlots counts what all entry VMs together have in flight at a target.
 // The count begins when they agree on who they are, as each may use all slots
@@ -171,14 +171,14 @@
 // the parts that the entry VMs have divided the slots into. The others may use
 // slots that the target reported free, and two entry VMs may take the same
 // one: what comes of that is refused by the target, and maxShed bounds it.
-func (b *Books) checkSlots(t *Target) {
-	since, ok := b.settled(t.Place.Domain)
+func (b *Checker) checkSlots(t *Target) {
+	since, ok := b.agreedSince(t.Location.Domain)
 	if !ok {
 		return
 	}
 	all, forwarded := 0, 0
 	for _, a := range t.attempts {
-		if a.sentAt < since || a.x == nil || !a.x.held() {
+		if a.sentAt < since || a.x == nil || !a.x.inProgress() {
 			continue
 		}
 		all++
@@ -187,69 +187,69 @@
 		}
 	}
 	b.Counts.OverSlots = max(b.Counts.OverSlots, all-t.Slots)
-	if forwarded > t.Slots && b.stands(t.Place.Domain) {
-		b.violate("%d forwarded requests in flight at %s of %d slots", forwarded, t.ID, t.Slots)
+	if forwarded > t.Slots && b.stillAgreed(t.Location.Domain) {
+		b.reportViolation("%d forwarded requests in flight at %s of %d slots", forwarded, t.ID, t.Slots)
 	}
 }
 
-// maxShed is the largest part of the sends that targets may refuse for lack of
+// minSendsPerShed is the largest part of the sends that targets may refuse for lack of
 // a slot, as 1/maxShed.
-const maxShed = 100
+const minSendsPerShed = 100
 
 // checkShed bounds what targets have refused.
-func (b *Books) checkShed() {
-	if n := &b.Counts; n.Sends >= minSends && n.Shed*maxShed > n.Sends {
-		b.violate("targets refused %d of %d sends for lack of a slot", n.Shed, n.Sends)
+func (b *Checker) checkShed() {
+	if n := &b.Counts; n.Sends >= minSendsChecked && n.Shed*minSendsPerShed > n.Sends {
+		b.reportViolation("targets refused %d of %d sends for lack of a slot", n.Shed, n.Sends)
 	}
 }
 
-// minSends is the least number of sends that a share is taken of.
-const minSends = 1000
+// minSendsChecked is the least number of sends that a share is taken of.
+const minSendsChecked = 1000
 
 // checkForwarded counts the forwarded requests that a domain has admitted. A
 // region must not be overloaded because others send it what they can't bear,
 // so the domain holds no more of them than it has slots, but for those about
 // to be refused.
-func (b *Books) checkForwarded(d Place, s fleet.ServiceName) {
-	since, ok := b.settled(d.Domain)
+func (b *Checker) checkForwarded(d Location, s fleet.ServiceName) {
+	since, ok := b.agreedSince(d.Domain)
 	if !ok {
 		return
 	}
 	slots, held, vms := 0, 0, 0
 	for _, t := range b.w.Targets {
-		if t.Place == d && t.Service == s {
+		if t.Location == d && t.Service == s {
 			slots += t.Slots
 		}
 	}
 	for _, v := range b.w.VMs {
-		if v.Place != d || !v.Up {
+		if v.Location != d || !v.Up {
 			continue
 		}
 		vms++
-		held += v.forwardedHeld(s, since)
+		held += v.countForwarded(s, since)
 	}
 	over := held - slots
 	b.Counts.ForwardedOver = max(b.Counts.ForwardedOver, over)
-	if over > slots/2+vms && b.stands(d.Domain) {
-		b.violate("%s holds %d forwarded requests of %s with %d slots", d.Domain, held, s, slots)
+	if over > slots/2+vms && b.stillAgreed(d.Domain) {
+		b.reportViolation("%s holds %d forwarded requests of %s with %d slots", d.Domain, held, s, slots)
 	}
 }
 
-// applied checks a catalogue that comes into force.
-func (b *Books) applied(v *VM, c *catalogue.Catalogue) {
+// checkApplied checks a catalogue that comes into force.
+func (b *Checker) checkApplied(v *VM, c *catalogue.Catalogue) {
 	b.Counts.Applied++
 	b.Counts.MaxRevision = max(b.Counts.MaxRevision, c.Revision)
 	h, err := config.Hash(c)
 	if err != nil {
-		b.violate("%s applies revision %d: %v", v.Self.ID, c.Revision, err)
+		b.reportViolation("%s applies revision %d: %v", v.Self.ID, c.Revision, err)
 	}
 	if c.Revision < v.revision {
-		b.violate("%s goes back from revision %d to %d", v.Self.ID, v.revision, c.Revision)
+		b.reportViolation("%s goes back from revision %d to %d", v.Self.ID, v.revision, c.Revision)
 	}
-	if first, seen := b.contents[c.Revision]; seen && first != h {
-		b.violate("%s holds other content at revision %d", v.Self.ID, c.Revision)
+	if first, seen := b.hashes[c.Revision]; seen && first != h {
+		b.reportViolation("%s holds other content at revision %d", v.Self.ID, c.Revision)
 	}
-	b.contents[c.Revision] = h
+	b.hashes[c.Revision] = h
 	v.revision = c.Revision
 	for i := range c.Shifts {
 		b.checkShift(v, &c.Shifts[i])
@@ -257,22 +257,22 @@
 }
 
 // checkShift checks what a catalogue in force says of a shift.
-func (b *Books) checkShift(v *VM, s *catalogue.Shift) {
+func (b *Checker) checkShift(v *VM, s *catalogue.Shift) {
 	if s.Share > s.Limits.MaxShare {
-		b.violate("%s moves %d by %s, whose cap is %d", v.Self.ID, s.Share, s.ID, s.Limits.MaxShare)
+		b.reportViolation("%s moves %d by %s, whose cap is %d", v.Self.ID, s.Share, s.ID, s.Limits.MaxShare)
 	}
 	if s.Share > 0 && s.ApprovedBy == "" {
-		b.violate("%s moves traffic by %s, which nobody approved", v.Self.ID, s.ID)
+		b.reportViolation("%s moves traffic by %s, which nobody approved", v.Self.ID, s.ID)
 	}
 }
 
 // checkOpen checks that nothing is left without an answer once all callers
 // have been silent for longer than any deadline.
-func (b *Books) checkOpen() {
+func (b *Checker) checkOpen() {
 	b.checkShed()
 	for _, v := range b.w.VMs {
 		for _, c := range v.openCalls() {
-			b.violate("%s never answers %s", v.Self.ID, c.claim.Work.Name)
+			b.reportViolation("%s never answers %s", v.Self.ID, c.submission.Work.Name)
 		}
 	}
 }
--- a/decide/engine/enginetest/caller.go
+++ b/decide/engine/enginetest/caller.go
@@ -15,13 +15,13 @@
 
 // How callers behave.
 const (
-	lookupChoices   = 3
-	lookupTokens    = 3
-	lookupTrip      = 2 * delayCaller
-	callerRetry     = 200 * time.Millisecond
-	maxRetryAfter   = 2 * time.Second
-	maxTokenSends   = 4
-	defaultPatience = 700 * time.Millisecond
+	lookupChoices      = 3
+	lookupTokens       = 3
+	lookupRTT          = 2 * delayCaller
+	callerRetryDelay   = 200 * time.Millisecond
+	maxRetryAfter      = 2 * time.Second
+	maxTokenSends      = 4
+	defaultResendAfter = 700 * time.Millisecond
 )
 
 // Caller is a caller's library with the rules that it must follow: it caches
@@ -30,31 +30,31 @@
 // alone.
 type Caller struct {
 	Name string
-	// Patience is how long it waits before it sends again; Deadline how long
+	// ResendAfter is how long it waits before it sends again; Deadline how long
 	// a piece of work may take in all.
-	Patience, Deadline time.Duration
-	// HangUp is the part of its impatience on which it closes the connection
+	ResendAfter, Deadline time.Duration
+	// CancelProbability is the part of its impatience on which it closes the connection
 	// of the first send before it sends again.
-	HangUp float64
-	// Quiet callers start no more work by themselves.
-	Quiet bool
-	// Asks says that it asks for the outcome of work without an answer.
-	Asks bool
+	CancelProbability float64
+	// Stopped callers start no more work by themselves.
+	Stopped bool
+	// AsksOutcome says that it asks for the outcome of work without an answer.
+	AsksOutcome bool
 
-	w      *World
-	addr   netip.Addr
-	routes map[fleet.ServiceName]*route
+	w       *World
+	addr    netip.Addr
+	lookups map[fleet.ServiceName]*cachedLookup
 }
 
-// route is a cached answer to a look-up.
-type route struct {
-	until  clock.Time
-	client client
-	moved  string // shift that moved it; empty: none
-	vms    []choice
+// cachedLookup is a cached answer to a look-up.
+type cachedLookup struct {
+	expires clock.Time
+	client  client
+	movedBy string // shift that moved it; empty: none
+	vms     []vmChoice
 }
 
-type choice struct {
+type vmChoice struct {
 	id     fleet.VMID
 	tokens []string
 }
@@ -63,12 +63,12 @@
 // the order of Options.VMs.
 func (w *World) AddCaller(region, n int) *Caller {
 	c := &Caller{
-		Name:     fmt.Sprintf("c%d", len(w.Callers)),
-		Patience: defaultPatience,
-		Deadline: 5 * time.Second,
-		w:        w,
-		addr:     clientAddr(region%len(w.homes), n%blocksPerRegion).Next(),
-		routes:   make(map[fleet.ServiceName]*route),
+		Name:        fmt.Sprintf("c%d", len(w.Callers)),
+		ResendAfter: defaultResendAfter,
+		Deadline:    5 * time.Second,
+		w:           w,
+		addr:        clientAddr(region%len(w.homes), n%blocksPerRegion).Next(),
+		lookups:     make(map[fleet.ServiceName]*cachedLookup),
 	}
 	w.Callers = append(w.Callers, c)
 	return c
@@ -76,52 +76,52 @@
 
 // task is one work of a caller on its way.
 type task struct {
-	c        *Caller
-	work     *Work
-	deadline clock.Time
-	over     bool
-	claim    *Claim // of the token in use
-	token    string
-	sends    int // under this token
-	at       *VM
-	client   client
-	open     []*Exchange
-	moved    string // as of the look-up
-	avoid    fleet.VMID
-	unsure   bool // a send may have run and nobody knows
-	clock    int  // number of the timer in force
+	c          *Caller
+	work       *Work
+	deadline   clock.Time
+	done       bool
+	submission *Submission // of the token in use
+	token      string
+	sends      int // under this token
+	vm         *VM
+	client     client
+	exchanges  []*Exchange
+	movedBy    string // as of the look-up
+	avoid      fleet.VMID
+	maybeRan   bool // a send may have run and nobody knows
+	timer      int  // number of the timer in force
 }
 
-// Do starts a work.
-func (c *Caller) Do(s fleet.ServiceName, idempotent bool) *Work {
-	c.w.works++
-	c.w.Books.Counts.Works++
-	work := &Work{Name: fmt.Sprintf("%s-%d", s, c.w.works), Service: s, Idempotent: idempotent}
+// StartWork starts a work.
+func (c *Caller) StartWork(s fleet.ServiceName, idempotent bool) *Work {
+	c.w.lastNumber++
+	c.w.Checker.Counts.Works++
+	work := &Work{Name: fmt.Sprintf("%s-%d", s, c.w.lastNumber), Service: s, Idempotent: idempotent}
 	t := &task{c: c, work: work, deadline: c.w.Now.Add(c.Deadline)}
 	c.w.After(c.Deadline, func() { t.expire() })
-	t.begin()
+	t.start()
 	return work
 }
 
-// begin sends the work under a new claim.
-func (t *task) begin() {
-	if t.over {
+// start sends the work under a new claim.
+func (t *task) start() {
+	if t.done {
 		return
 	}
-	r := t.c.routes[t.work.Service]
-	if r == nil || t.c.w.Now >= r.until || (!t.work.Idempotent && !r.hasToken(t.avoid)) {
+	r := t.c.lookups[t.work.Service]
+	if r == nil || t.c.w.Now >= r.expires || (!t.work.Idempotent && !r.hasToken(t.avoid)) {
 		t.lookup()
 		return
 	}
 	ch := r.pick(t.avoid, !t.work.Idempotent)
 	if ch == nil {
-		delete(t.c.routes, t.work.Service)
-		t.wait(callerRetry, t.begin)
+		delete(t.c.lookups, t.work.Service)
+		t.setTimer(callerRetryDelay, t.start)
 		return
 	}
-	t.at = t.c.w.byVM[ch.id]
-	t.client, t.moved = r.client, r.moved
-	t.claim, t.token, t.sends = &Claim{Work: t.work}, "", 0
+	t.vm = t.c.w.vmByID[ch.id]
+	t.client, t.movedBy = r.client, r.movedBy
+	t.submission, t.token, t.sends = &Submission{Work: t.work}, "", 0
 	if !t.work.Idempotent {
 		t.token = ch.tokens[0]
 		ch.tokens = ch.tokens[1:]
@@ -129,11 +129,11 @@
 	t.send()
 }
 
-func (r *route) hasToken(avoid fleet.VMID) bool { return r.pick(avoid, true) != nil }
+func (r *cachedLookup) hasToken(avoid fleet.VMID) bool { return r.pick(avoid, true) != nil }
 
 // pick returns the first choice that is not avoided, or else the first.
-func (r *route) pick(avoid fleet.VMID, token bool) *choice {
-	var second *choice
+func (r *cachedLookup) pick(avoid fleet.VMID, token bool) *vmChoice {
+	var second *vmChoice
 	for i := range r.vms {
 		ch := &r.vms[i]
 		switch {
@@ -154,17 +154,17 @@
 	w := t.c.w
 	v := w.VMs[w.IntN(len(w.VMs))]
 	if !v.Up || v.Paused || v.Leaving || v.catalogue == nil {
-		t.wait(callerRetry, t.begin)
+		t.setTimer(callerRetryDelay, t.start)
 		return
 	}
 	var out [lookupChoices]steer.Choice
 	a := v.Lookup(t.work.Service, t.c, out[:])
-	r := &route{until: w.Now.Add(a.TTL), client: client{home: a.Home, block: a.Block}}
+	r := &cachedLookup{expires: w.Now.Add(a.TTL), client: client{home: a.Home, block: a.Block}}
 	if a.Moved {
-		r.moved = a.ShiftID
+		r.movedBy = a.ShiftID
 	}
 	for _, ch := range out[:a.N] {
-		x := choice{id: ch.VM}
+		x := vmChoice{id: ch.VM}
 		if !t.work.Idempotent {
 			for range lookupTokens {
 				if tok := v.mint(ch.VM); tok != "" {
@@ -175,13 +175,13 @@
 		r.vms = append(r.vms, x)
 	}
 	w.trace("%s looks up %s at %s: %v", t.c.Name, t.work.Service, v.Self.ID, r.ids())
-	t.wait(lookupTrip, func() {
-		t.c.routes[t.work.Service] = r
-		t.begin()
+	t.setTimer(lookupRTT, func() {
+		t.c.lookups[t.work.Service] = r
+		t.start()
 	})
 }
 
-func (r *route) ids() []fleet.VMID {
+func (r *cachedLookup) ids() []fleet.VMID {
 	var ids []fleet.VMID
 	for _, c := range r.vms {
 		ids = append(ids, c.id)
@@ -191,152 +191,152 @@
 
 // send makes one send of the claim.
 func (t *task) send() {
-	if t.over {
+	if t.done {
 		return
 	}
 	w := t.c.w
 	t.sends++
-	claim := t.claim
-	v, tok, from, left := t.at, t.token, t.client, t.deadline.Sub(w.Now)
+	claim := t.submission
+	v, tok, from, left := t.vm, t.token, t.client, t.deadline.Sub(w.Now)
 	w.trace("%s sends %s to %s, send %d", t.c.Name, t.work.Name, v.Self.ID, t.sends)
 	var x *Exchange
-	x = w.exchange(Place{}, v.Place, claim, v.isUp, func(x *Exchange) {
+	x = w.exchange(Location{}, v.Location, claim, v.isUp, func(x *Exchange) {
 		v.accept(x, tok, from, 0, w.Now.Add(left))
 	}, func(a Answer) {
-		t.open = slices.DeleteFunc(t.open, func(o *Exchange) bool { return o == x })
-		t.answered(claim, a)
+		t.exchanges = slices.DeleteFunc(t.exchanges, func(o *Exchange) bool { return o == x })
+		t.handleAnswer(claim, a)
 	})
-	t.open = append(t.open, x)
-	t.wait(t.c.Patience, t.impatient)
+	t.exchanges = append(t.exchanges, x)
+	t.setTimer(t.c.ResendAfter, t.handleTimeout)
 }
 
-// wait sets the one timer of the task.
-func (t *task) wait(d time.Duration, f func()) {
-	t.clock++
-	mine := t.clock
+// setTimer sets the one timer of the task.
+func (t *task) setTimer(d time.Duration, f func()) {
+	t.timer++
+	mine := t.timer
 	t.after(d, func() {
-		if t.clock == mine && !t.over {
+		if t.timer == mine && !t.done {
 			f()
 		}
 	})
 }
 
-// impatient sends again after silence.
-func (t *task) impatient() {
+// handleTimeout sends again after silence.
+func (t *task) handleTimeout() {
 	w := t.c.w
-	if w.Chance(t.c.HangUp) {
-		for _, x := range t.open {
+	if w.Chance(t.c.CancelProbability) {
+		for _, x := range t.exchanges {
 			x.Cancel(verdict.ReasonCallerGone)
 		}
 	}
 	if t.sends >= maxTokenSends {
-		t.unsure = true
+		t.maybeRan = true
 		return // the deadline decides
 	}
-	w.Books.Counts.Resends++
+	w.Checker.Counts.Resends++
 	if t.work.Idempotent {
-		t.avoid = t.at.Self.ID
-		t.begin()
+		t.avoid = t.vm.Self.ID
+		t.start()
 		return
 	}
 	t.send()
 }
 
-// answered takes the end of one send.
-func (t *task) answered(claim *Claim, a Answer) {
-	if t.over || a.Reason == verdict.ReasonCallerGone {
+// handleAnswer takes the end of one send.
+func (t *task) handleAnswer(claim *Submission, a Answer) {
+	if t.done || a.Reason == verdict.ReasonCallerGone {
 		return
 	}
-	if a.Claim != claim {
-		t.c.w.Books.violate("%s got the answer to %s for %s", t.c.Name, a.Claim.Work.Name, t.work.Name)
+	if a.Submission != claim {
+		t.c.w.Checker.reportViolation("%s got the answer to %s for %s", t.c.Name, a.Submission.Work.Name, t.work.Name)
 	}
 	switch {
 	case a.Verdict == verdict.Ran:
 		t.finish(verdict.Ran)
-	case claim != t.claim:
+	case claim != t.submission:
 		// Of a claim that was given up: told not-run, or idempotent.
 	case t.work.Idempotent:
-		t.avoid = t.at.Self.ID
-		t.wait(t.pause(a), t.begin)
+		t.avoid = t.vm.Self.ID
+		t.setTimer(t.retryDelay(a), t.start)
 	case a.Verdict == verdict.NotRun && a.Reason != verdict.ReasonConnect:
 		if a.Reason == verdict.ReasonTokenExpired {
-			delete(t.c.routes, t.work.Service)
+			delete(t.c.lookups, t.work.Service)
 		}
-		t.anew(t.pause(a))
+		t.submitElsewhere(t.retryDelay(a))
 	case a.Verdict == verdict.NotRun:
-		t.refused()
+		t.connectFailed()
 	default:
-		t.unclear(a)
+		t.handleUnknownOutcome(a)
 	}
 }
 
-// anew gives up a claim that has not run, and begins another one elsewhere.
+// submitElsewhere gives up a claim that has not run, and begins another one elsewhere.
 // Each claim ends so once at most: two sends of it may both be told not-run,
 // and a caller that began anew for each would do the work twice.
-func (t *task) anew(d time.Duration) {
-	t.avoid = t.at.Self.ID
-	t.claim = nil
-	t.wait(d, t.begin)
+func (t *task) submitElsewhere(d time.Duration) {
+	t.avoid = t.vm.Self.ID
+	t.submission = nil
+	t.setTimer(d, t.start)
 }
 
-// refused is an attempt that got no connection. It speaks of that send only.
-func (t *task) refused() {
+// connectFailed is an attempt that got no connection. It speaks of that send only.
+func (t *task) connectFailed() {
 	if t.sends == 1 {
-		t.anew(callerRetry)
+		t.submitElsewhere(callerRetryDelay)
 		return
 	}
-	t.unsure = true
-	t.again(callerRetry)
+	t.maybeRan = true
+	t.resend(callerRetryDelay)
 }
 
-// unclear is an answer that leaves open whether the work has run.
-func (t *task) unclear(a Answer) {
+// handleUnknownOutcome is an answer that leaves open whether the work has run.
+func (t *task) handleUnknownOutcome(a Answer) {
 	switch a.Reason {
 	case verdict.ReasonTokenElsewhere, verdict.ReasonTokenExpired, verdict.ReasonTokenInvalid:
-		t.unsure = true
+		t.maybeRan = true
 		t.finish(verdict.MayHaveRun)
 	case verdict.ReasonTokenUsed:
-		t.c.w.Books.Counts.Duplicates++
+		t.c.w.Checker.Counts.Duplicates++
 		if a.RetryAfter == 0 {
-			t.unsure = true
+			t.maybeRan = true
 			t.finish(verdict.MayHaveRun)
 			return
 		}
-		t.again(a.RetryAfter)
+		t.resend(a.RetryAfter)
 	case verdict.ReasonConnectionLost:
-		t.again(callerRetry)
+		t.resend(callerRetryDelay)
 	default:
 		// The entry VM's own word: a further send could not tell more.
-		t.unsure = true
+		t.maybeRan = true
 		t.finish(verdict.MayHaveRun)
 	}
 }
 
-// again sends the same token to the same entry VM once more.
-func (t *task) again(d time.Duration) {
+// resend sends the same token to the same entry VM once more.
+func (t *task) resend(d time.Duration) {
 	if t.sends >= maxTokenSends {
 		return
 	}
-	t.wait(d, func() {
-		t.c.w.Books.Counts.Resends++
+	t.setTimer(d, func() {
+		t.c.w.Checker.Counts.Resends++
 		t.send()
 	})
 }
 
-func (t *task) pause(a Answer) time.Duration {
-	return min(max(a.RetryAfter, callerRetry/10), maxRetryAfter)
+func (t *task) retryDelay(a Answer) time.Duration {
+	return min(max(a.RetryAfter, callerRetryDelay/10), maxRetryAfter)
 }
 
 // expire ends a work at its deadline.
 func (t *task) expire() {
-	if t.over {
+	if t.done {
 		return
 	}
-	for _, x := range slices.Clone(t.open) {
+	for _, x := range slices.Clone(t.exchanges) {
 		x.Cancel(verdict.ReasonCallerGone)
 	}
 	v := verdict.MayHaveRun
-	if t.claim == nil {
+	if t.submission == nil {
 		v = verdict.NotRun
 	}
 	t.finish(v)
@@ -344,42 +344,42 @@
 
 // finish books what the caller is left with.
 func (t *task) finish(v verdict.Verdict) {
-	t.over = true
+	t.done = true
 	t.c.w.trace("%s is left with %s: %s", t.c.Name, t.work.Name, v)
-	n := &t.c.w.Books.Counts
+	n := &t.c.w.Checker.Counts
 	switch v {
 	case verdict.Ran:
 		n.Ran++
-		t.c.w.Books.answeredBy(t.work.Service, t.client.home, t.moved)
+		t.c.w.Checker.countAnswered(t.work.Service, t.client.home, t.movedBy)
 		if t.work.Runs == 0 {
-			t.c.w.Books.violate("%s was told that %s ran, and it has not", t.c.Name, t.work.Name)
+			t.c.w.Checker.reportViolation("%s was told that %s ran, and it has not", t.c.Name, t.work.Name)
 		}
 	case verdict.NotRun:
 		n.NotRun++
 		if t.work.Runs > 0 && !t.work.Idempotent {
-			t.c.w.Books.violate("%s was told that %s has not run, and it has", t.c.Name, t.work.Name)
+			t.c.w.Checker.reportViolation("%s was told that %s has not run, and it has", t.c.Name, t.work.Name)
 		}
 	default:
 		n.MayHaveRun++
-		t.ask()
+		t.queryOutcome()
 	}
 }
 
-// ask settles the outcome of a token with the entry VM that knows it.
-func (t *task) ask() {
-	if !t.c.Asks || t.token == "" || t.claim == nil {
+// queryOutcome settles the outcome of a token with the entry VM that knows it.
+func (t *task) queryOutcome() {
+	if !t.c.AsksOutcome || t.token == "" || t.submission == nil {
 		return
 	}
-	v, tok, claim := t.at, t.token, t.claim
+	v, tok, claim := t.vm, t.token, t.submission
 	t.after(t.c.w.between(0, time.Second), func() {
 		if !v.Up || v.Paused {
 			return
 		}
-		t.c.w.Books.Counts.Outcomes++
+		t.c.w.Checker.Counts.Outcomes++
 		a := v.Outcome(tok, claim)
 		t.c.w.trace("%s asks %s for %s: %s, %s", t.c.Name, v.Self.ID, t.work.Name, a.Status, a.Verdict)
 		if a.Status == token.Duplicate && a.Verdict == verdict.MayHaveRun && !a.Pending {
-			t.c.w.Books.Counts.Unknown++
+			t.c.w.Checker.Counts.Unknown++
 		}
 	})
 }
--- a/decide/engine/enginetest/calls.go
+++ b/decide/engine/enginetest/calls.go
@@ -14,14 +14,14 @@
 
 // call is a request in hand.
 type call struct {
-	id       dispatch.RequestID
-	claim    *Claim
-	x        *Exchange
-	client   client
-	hops     uint8
-	arrived  clock.Time
-	deadline clock.Time // of the World's clock
-	final    bool       // answered, or its caller has gone
+	id         dispatch.RequestID
+	submission *Submission
+	x          *Exchange
+	client     client
+	hops       uint8
+	arrived    clock.Time
+	deadline   clock.Time // of the World's clock
+	final      bool       // answered, or its caller has gone
 }
 
 // client is where a request comes from, as a look-up said.
@@ -64,13 +64,13 @@
 
 // accept takes a request that has arrived on a connection.
 func (v *VM) accept(x *Exchange, tok string, from client, hops uint8, deadline clock.Time) {
-	v.requests++
-	c := &call{id: v.requests, claim: x.claim, x: x, client: from, hops: hops, arrived: v.w.Now, deadline: deadline}
+	v.lastRequest++
+	c := &call{id: v.lastRequest, submission: x.submission, x: x, client: from, hops: hops, arrived: v.w.Now, deadline: deadline}
 	v.calls[c.id] = c
 	if hops > 0 {
 		v.forwards[x] = c
 	}
-	x.gone = func() {
+	x.onSenderGone = func() {
 		if !c.final {
 			v.finish(c)
 			v.post(&dispatch.CallerGone{Req: c.id})
@@ -78,7 +78,7 @@
 	}
 	v.post(&engine.Call{
 		Req:       c.id,
-		Service:   x.claim.Work.Service,
+		Service:   x.submission.Work.Service,
 		Token:     tok,
 		Home:      from.home,
 		Block:     from.block,
@@ -87,16 +87,16 @@
 		BodyBytes: 1000,
 	})
 	if hops > 0 {
-		v.w.Books.checkForwarded(v.Place, x.claim.Work.Service)
+		v.w.Checker.checkForwarded(v.Location, x.submission.Work.Service)
 	}
 }
 
-// forwardedHeld counts the forwarded requests of a service that arrived since
+// countForwarded counts the forwarded requests of a service that arrived since
 // an instant and have no answer yet.
-func (v *VM) forwardedHeld(s fleet.ServiceName, since clock.Time) int {
+func (v *VM) countForwarded(s fleet.ServiceName, since clock.Time) int {
 	n := 0
 	for _, c := range v.forwards {
-		if c.claim.Work.Service == s && c.arrived >= since {
+		if c.submission.Work.Service == s && c.arrived >= since {
 			n++
 		}
 	}
@@ -109,10 +109,10 @@
 	delete(v.calls, c.id)
 }
 
-// final claims the one final effect of a request, nil if its caller has gone.
-func (v *VM) final(id dispatch.RequestID) *call {
-	if id > v.requests || id == 0 {
-		v.w.Books.violate("%s answers request %d, which nobody made", v.Self.ID, id)
+// takeFinal claims the one final effect of a request, nil if its caller has gone.
+func (v *VM) takeFinal(id dispatch.RequestID) *call {
+	if id > v.lastRequest || id == 0 {
+		v.w.Checker.reportViolation("%s answers request %d, which nobody made", v.Self.ID, id)
 		return nil
 	}
 	c := v.calls[id]
@@ -120,47 +120,47 @@
 		return nil
 	}
 	v.finish(c)
-	if late := v.w.Now.Sub(c.deadline); late > finalSlack && v.pausedAt < c.deadline {
-		v.w.Books.violate("%s answers %s %v after its deadline", v.Self.ID, c.claim.Work.Name, late)
+	if late := v.w.Now.Sub(c.deadline); late > deadlineSlack && v.pausedAt < c.deadline {
+		v.w.Checker.reportViolation("%s answers %s %v after its deadline", v.Self.ID, c.submission.Work.Name, late)
 	}
 	return c
 }
 
 func (v *VM) deliver(d dispatch.Deliver) {
-	c := v.final(d.Req)
+	c := v.takeFinal(d.Req)
 	if c == nil {
 		return
 	}
 	a := v.attempts[d.Attempt]
 	if a == nil || a.answer == nil {
-		v.w.Books.violate("%s delivers to %s an answer that it does not have", v.Self.ID, c.claim.Work.Name)
+		v.w.Checker.reportViolation("%s delivers to %s an answer that it does not have", v.Self.ID, c.submission.Work.Name)
 		return
 	}
-	if a.answer.Claim.Work != c.claim.Work {
-		v.w.Books.violate("%s answers %s with the answer to %s", v.Self.ID, c.claim.Work.Name, a.answer.Claim.Work.Name)
+	if a.answer.Submission.Work != c.submission.Work {
+		v.w.Checker.reportViolation("%s answers %s with the answer to %s", v.Self.ID, c.submission.Work.Name, a.answer.Submission.Work.Name)
 	}
-	v.w.Books.told(v.Self.ID, c.claim, verdict.Ran, verdict.ReasonNone)
-	c.x.Answer(Answer{Claim: c.claim, Verdict: verdict.Ran, Status: a.answer.Status})
+	v.w.Checker.recordVerdict(v.Self.ID, c.submission, verdict.Ran, verdict.ReasonNone)
+	c.x.Answer(Answer{Submission: c.submission, Verdict: verdict.Ran, Status: a.answer.Status})
 }
 
 func (v *VM) reply(r engine.Refusal) {
-	c := v.final(r.Req)
+	c := v.takeFinal(r.Req)
 	if c == nil {
 		return
 	}
-	v.w.Books.told(v.Self.ID, c.claim, r.Verdict, r.Reason)
+	v.w.Checker.recordVerdict(v.Self.ID, c.submission, r.Verdict, r.Reason)
 	if r.Reason == verdict.ReasonStopping && v.Leaving && c.arrived < v.leftAt && v.pausedAt < v.leftAt {
-		v.w.Books.violate("%s leaves and cuts off %s", v.Self.ID, c.claim.Work.Name)
+		v.w.Checker.reportViolation("%s leaves and cuts off %s", v.Self.ID, c.submission.Work.Name)
 	}
-	a := Answer{Claim: c.claim, Verdict: r.Verdict, Reason: r.Reason, RetryAfter: r.RetryAfter}
+	a := Answer{Submission: c.submission, Verdict: r.Verdict, Reason: r.Reason, RetryAfter: r.RetryAfter}
 	if r.Verdict == verdict.NotRun && c.hops == 0 {
-		a.Fresh = v.mint(v.Self.ID)
+		a.NewToken = v.mint(v.Self.ID)
 	}
 	c.x.Answer(a)
 }
 
-// forget takes the attempt out of the books of its target.
-func (a *attempt) forget() {
+// removeFromTarget takes the attempt out of the books of its target.
+func (a *attempt) removeFromTarget() {
 	if a.target != nil {
 		a.target.attempts = slices.DeleteFunc(a.target.attempts, func(o *attempt) bool { return o == a })
 	}
@@ -168,65 +168,65 @@
 
 func (v *VM) send(s dispatch.Send) {
 	c := v.calls[s.Req]
-	t := v.w.byID[s.Target]
+	t := v.w.targetByID[s.Target]
 	if c == nil || t == nil {
-		v.soon(&dispatch.Failed{Req: s.Req, Attempt: s.Attempt, Verdict: verdict.NotRun, Reason: verdict.ReasonNoTarget})
+		v.postAfterStep(&dispatch.Failed{Req: s.Req, Attempt: s.Attempt, Verdict: verdict.NotRun, Reason: verdict.ReasonNoTarget})
 		return
 	}
 	a := &attempt{id: s.Attempt, call: c, target: t, sentAt: v.w.Now}
 	t.attempts = append(t.attempts, a)
 	v.start(a)
-	a.x = v.w.exchange(v.Place, t.Place, c.claim, t.isUp, t.arrive, v.ender(a))
-	v.w.Books.sent(v, a)
+	a.x = v.w.exchange(v.Location, t.Location, c.submission, t.isUp, t.handleRequest, v.endHandler(a))
+	v.w.Checker.checkSend(v, a)
 }
 
 func (v *VM) forward(f dispatch.Forward) {
 	c := v.calls[f.Req]
-	to := v.w.byVM[f.VM]
+	to := v.w.vmByID[f.VM]
 	if c == nil || to == nil {
-		v.soon(&dispatch.Failed{Req: f.Req, Attempt: f.Attempt, Verdict: verdict.NotRun, Reason: verdict.ReasonNoTarget})
+		v.postAfterStep(&dispatch.Failed{Req: f.Req, Attempt: f.Attempt, Verdict: verdict.NotRun, Reason: verdict.ReasonNoTarget})
 		return
 	}
-	v.w.Books.Counts.Forwards++
+	v.w.Checker.Counts.Forwards++
 	if c.hops > 0 {
-		v.w.Books.violate("%s forwards %s once more", v.Self.ID, c.claim.Work.Name)
+		v.w.Checker.reportViolation("%s forwards %s once more", v.Self.ID, c.submission.Work.Name)
 	}
 	a := &attempt{id: f.Attempt, call: c, to: f.VM, sentAt: v.w.Now}
 	v.start(a)
-	claim := &Claim{Work: c.claim.Work, Parent: c.claim}
+	claim := &Submission{Work: c.submission.Work, Parent: c.submission}
 	tok := v.mint(f.VM)
 	left := f.Deadline.Sub(v.now())
-	a.x = v.w.exchange(v.Place, to.Place, claim, to.isUp, func(x *Exchange) {
+	a.x = v.w.exchange(v.Location, to.Location, claim, to.isUp, func(x *Exchange) {
 		to.accept(x, tok, c.client, 1, v.w.Now.Add(left))
-	}, v.ender(a))
+	}, v.endHandler(a))
 }
 
 func (v *VM) start(a *attempt) {
 	if v.attempts[a.id] != nil {
-		v.w.Books.violate("%s gives out attempt %d twice", v.Self.ID, a.id)
+		v.w.Checker.reportViolation("%s gives out attempt %d twice", v.Self.ID, a.id)
 	}
 	v.attempts[a.id] = a
 }
 
-// ender turns the end of an attempt's exchange into an event.
-func (v *VM) ender(a *attempt) func(Answer) {
-	process := v.process
+// endHandler turns the end of an attempt's exchange into an event.
+func (v *VM) endHandler(a *attempt) func(Answer) {
+	process := v.processNumber
 	return func(ans Answer) {
-		if v.process == process {
-			v.do(func() { v.step(v.ended(a, ans)) })
+		if v.processNumber == process {
+			v.runOrQueue(func() { v.step(v.handleEnd(a, ans)) })
 		}
 	}
 }
 
-// attemptMemory is how long an attempt is remembered after its end.
-const attemptMemory = time.Millisecond
+// attemptRetention is how long an attempt is remembered after its end.
+const attemptRetention = time.Millisecond
 
-// ended books the end of an attempt and returns the event that tells it.
-func (v *VM) ended(a *attempt, ans Answer) engine.Event {
-	a.forget()
+// handleEnd books the end of an attempt and returns the event that tells it.
+func (v *VM) handleEnd(a *attempt, ans Answer) engine.Event {
+	a.removeFromTarget()
 	a.answer = &ans
 	req := a.call.id
-	v.after(attemptMemory, func() { delete(v.attempts, a.id) })
+	v.after(attemptRetention, func() { delete(v.attempts, a.id) })
 	if ans.Verdict != verdict.Ran {
 		return &dispatch.Failed{Req: req, Attempt: a.id, Verdict: ans.Verdict, Reason: ans.Reason, RetryAfter: ans.RetryAfter}
 	}
--- a/decide/engine/enginetest/chaos.go
+++ b/decide/engine/enginetest/chaos.go
@@ -18,9 +18,9 @@
 	servicePost = fleet.ServiceName("post")
 )
 
-// Random makes a World of 3 to 6 entry VMs from a seed, with callers that
+// NewRandom makes a World of 3 to 6 entry VMs from a seed, with callers that
 // load it between a third and somewhat more than all that it can do.
-func Random(seed uint64) *World {
+func NewRandom(seed uint64) *World {
 	rng := rand.New(rand.NewPCG(seed, 0x72616e646f6d))
 	vms := randomVMs(rng)
 	w := New(Options{
@@ -36,15 +36,15 @@
 	return w
 }
 
-func randomVMs(rng *rand.Rand) []Place {
+func randomVMs(rng *rand.Rand) []Location {
 	n := 3 + rng.IntN(4)
 	domains := min(2+rng.IntN(3), n)
 	regions := min(1+rng.IntN(3), domains)
-	var out []Place
+	var out []Location
 	for i := range n {
 		d := i % domains
 		r := d % regions
-		out = append(out, Place{
+		out = append(out, Location{
 			Region: fleet.Region(fmt.Sprintf("r%d", r)),
 			Domain: fleet.Domain(fmt.Sprintf("r%d-d%d", r, d)),
 		})
@@ -62,7 +62,7 @@
 
 // randomTargets gives each failure domain one to three targets of each
 // service, and none of a service now and then.
-func randomTargets(rng *rand.Rand, vms []Place) []TargetOptions {
+func randomTargets(rng *rand.Rand, vms []Location) []TargetOptions {
 	var out []TargetOptions
 	seen := make(map[fleet.Domain]bool)
 	for _, p := range vms {
@@ -77,12 +77,12 @@
 			}
 			for i := range n {
 				out = append(out, TargetOptions{
-					ID:      fleet.TargetID(fmt.Sprintf("%s-%s%d", p.Domain, s.Name, i)),
-					Service: s.Name,
-					Place:   p,
-					Slots:   1 + rng.IntN(4),
-					Queue:   2,
-					Work:    time.Duration(20+rng.IntN(100)) * time.Millisecond,
+					ID:       fleet.TargetID(fmt.Sprintf("%s-%s%d", p.Domain, s.Name, i)),
+					Service:  s.Name,
+					Location: p,
+					Slots:    1 + rng.IntN(4),
+					Queue:    2,
+					Work:     time.Duration(20+rng.IntN(100)) * time.Millisecond,
 				})
 			}
 		}
@@ -98,25 +98,25 @@
 	for r := range w.homes {
 		for range callersPerRegion {
 			c := w.AddCaller(r, rng.IntN(blocksPerRegion))
-			c.HangUp = rng.Float64() / 2
-			c.Asks = rng.IntN(2) == 0
-			c.Patience = time.Duration(200+rng.IntN(1500)) * time.Millisecond
+			c.CancelProbability = rng.Float64() / 2
+			c.AsksOutcome = rng.IntN(2) == 0
+			c.ResendAfter = time.Duration(200+rng.IntN(1500)) * time.Millisecond
 			c.Deadline = time.Duration(1000+rng.IntN(7000)) * time.Millisecond
 		}
 	}
 	for _, s := range randomServices() {
-		rate := load * w.rate(s.Name) / float64(len(w.Callers))
+		rate := load * w.serviceCapacity(s.Name) / float64(len(w.Callers))
 		if rate == 0 {
 			continue
 		}
 		for _, c := range w.Callers {
-			c.Repeat(s, rate)
+			c.GenerateLoad(s, rate)
 		}
 	}
 }
 
-// rate is how many requests of a service all targets do in a second.
-func (w *World) rate(s fleet.ServiceName) float64 {
+// serviceCapacity is how many requests of a service all targets do in a second.
+func (w *World) serviceCapacity(s fleet.ServiceName) float64 {
 	r := 0.0
 	for _, t := range w.Targets {
 		if t.Service == s {
@@ -126,14 +126,14 @@
 	return r
 }
 
-// Repeat starts works again and again, at a rate in 1/s.
-func (c *Caller) Repeat(s catalogue.Service, rate float64) {
+// GenerateLoad starts works again and again, at a rate in 1/s.
+func (c *Caller) GenerateLoad(s catalogue.Service, rate float64) {
 	wait := time.Duration(c.w.rng.ExpFloat64() / rate * float64(time.Second))
 	c.w.After(wait, func() {
-		if !c.Quiet {
-			c.Do(s.Name, s.Idempotent)
+		if !c.Stopped {
+			c.StartWork(s.Name, s.Idempotent)
 		}
-		c.Repeat(s, rate)
+		c.GenerateLoad(s, rate)
 	})
 }
 
@@ -144,18 +144,18 @@
 	maxOutage   = 12 * time.Second
 )
 
-// Disturb lets faults happen for d.
-func (w *World) Disturb(d time.Duration) {
+// InjectFaults lets faults happen for d.
+func (w *World) InjectFaults(d time.Duration) {
 	end := w.Now.Add(d)
 	for w.Now < end {
-		w.disturb()
+		w.injectFault()
 		w.Run(w.between(minFaultGap, maxFaultGap))
 	}
 }
 
-// disturb makes one thing happen, drawn at random.
-func (w *World) disturb() {
-	w.Books.Counts.Faults++
+// injectFault makes one thing happen, drawn at random.
+func (w *World) injectFault() {
+	w.Checker.Counts.Faults++
 	v := w.VMs[w.IntN(len(w.VMs))]
 	switch w.IntN(16) {
 	case 0:
@@ -167,21 +167,21 @@
 		v.Leave()
 		w.After(maxOutage, v.restart)
 	case 3, 4:
-		w.disturbTarget()
+		w.injectTargetFault()
 	case 5, 6:
-		w.disturbTarget()
+		w.injectTargetFault()
 	case 7:
-		w.part()
+		w.injectPartition()
 	case 8:
-		w.Network.Loss = 0.3 * w.rng.Float64()
+		w.Network.LossProbability = 0.3 * w.rng.Float64()
 		w.Network.Reorder = w.Chance(0.5)
-		w.Network.Extra = w.between(0, 80*time.Millisecond)
+		w.Network.ExtraDelay = w.between(0, 80*time.Millisecond)
 	case 9:
-		w.Network.Faulty = 0.1 * w.rng.Float64()
+		w.Network.FaultProbability = 0.1 * w.rng.Float64()
 	case 10:
-		w.disturbPlatform()
+		w.injectPlatformFault()
 	case 11, 12, 13, 14:
-		w.operate()
+		w.injectOperation()
 	case 15:
 		w.Network.Heal()
 		w.Platform.Heal()
@@ -195,7 +195,7 @@
 	}
 }
 
-func (w *World) disturbTarget() {
+func (w *World) injectTargetFault() {
 	t := w.Targets[w.IntN(len(w.Targets))]
 	back := w.between(100*time.Millisecond, maxOutage)
 	switch w.IntN(6) {
@@ -206,53 +206,53 @@
 	case 2:
 		t.Leave(false)
 	case 3:
-		t.Failing, t.Lying = true, w.Chance(0.5)
+		t.Failing, t.FalseHealth = true, w.Chance(0.5)
 	case 4:
-		t.Slowed = 2 + w.IntN(30)
+		t.SlowFactor = 2 + w.IntN(30)
 	case 5:
 		t.Stuck = true
 	}
 	w.After(back, t.Restart)
 }
 
-// part cuts two failure domains apart, in one direction or both, or one off
+// injectPartition cuts two failure domains apart, in one direction or both, or one off
 // the platform.
-func (w *World) part() {
-	a := w.VMs[w.IntN(len(w.VMs))].Place.Domain
-	b := w.VMs[w.IntN(len(w.VMs))].Place.Domain
+func (w *World) injectPartition() {
+	a := w.VMs[w.IntN(len(w.VMs))].Location.Domain
+	b := w.VMs[w.IntN(len(w.VMs))].Location.Domain
 	switch {
 	case a == b:
 		w.Platform.Cut(a)
 	case w.Chance(0.3):
 		w.Network.Cut(a, b)
 	default:
-		w.Network.Part(a, b)
+		w.Network.Partition(a, b)
 	}
 }
 
-func (w *World) disturbPlatform() {
+func (w *World) injectPlatformFault() {
 	p := w.Platform
 	switch w.IntN(4) {
 	case 0:
 		p.Down = true
 		w.After(w.between(time.Second, 2*maxOutage), func() { p.Down = false })
 	case 1:
-		p.Slow = w.between(0, 2*time.Second)
+		p.ExtraDelay = w.between(0, 2*time.Second)
 	case 2:
-		p.LostAnswers = w.rng.Float64() / 2
+		p.LostAnswerProbability = w.rng.Float64() / 2
 	case 3:
 		p.RestoreOlder(1 + w.IntN(4))
 	}
 }
 
-// operate lets operators change the catalogue, two of them at once now and
+// injectOperation lets operators change the catalogue, two of them at once now and
 // then.
-func (w *World) operate() {
+func (w *World) injectOperation() {
 	op := w.randomOperation()
-	w.Operate(w.anyUp(w.VMs[0]), op)
+	w.Operate(w.anyLiveVM(w.VMs[0]), op)
 	if w.Chance(0.3) {
 		op.Operator = operators[w.IntN(len(operators))]
-		w.Operate(w.anyUp(w.VMs[0]), op)
+		w.Operate(w.anyLiveVM(w.VMs[0]), op)
 	}
 }
 
@@ -262,7 +262,7 @@
 // shows it, as a rule.
 func (w *World) randomOperation() change.Operation {
 	op := change.Operation{Operator: operators[w.IntN(len(operators))]}
-	v := w.anyUp(w.VMs[0])
+	v := w.anyLiveVM(w.VMs[0])
 	if v.catalogue == nil || len(v.catalogue.Shifts) == 0 || w.Chance(0.2) {
 		op.Kind = change.KindAddShift
 		op.AddShift = &change.AddShift{Entry: w.randomEntry("")}
@@ -295,8 +295,8 @@
 // randomEntry returns a shift between two regions, or out of the only one.
 func (w *World) randomEntry(id string) change.Entry {
 	if id == "" {
-		w.works++
-		id = fmt.Sprintf("s%d", w.works)
+		w.lastNumber++
+		id = fmt.Sprintf("s%d", w.lastNumber)
 	}
 	from := w.IntN(len(w.homes))
 	e := change.Entry{
@@ -321,9 +321,9 @@
 	return e
 }
 
-// Settle ends all faults, starts whoever is down and lets d pass. The load
+// Recover ends all faults, starts whoever is down and lets d pass. The load
 // goes on for as long, then callers fall silent until all work is over.
-func (w *World) Settle(d time.Duration) {
+func (w *World) Recover(d time.Duration) {
 	w.Network.Heal()
 	w.Platform.Heal()
 	for _, v := range w.VMs {
@@ -334,10 +334,10 @@
 	}
 	w.Run(d)
 	for _, c := range w.Callers {
-		c.Quiet = true
+		c.Stopped = true
 	}
 	w.Run(drainTime)
-	w.Books.checkOpen()
+	w.Checker.checkOpen()
 }
 
 // drainTime is longer than any deadline of a work.
--- a/decide/engine/enginetest/effects.go
+++ b/decide/engine/enginetest/effects.go
@@ -13,63 +13,63 @@
 )
 
 func (v *VM) step(ev engine.Event) {
-	v.w.Books.Steps++
-	v.learn(ev)
+	v.w.Checker.Steps++
+	v.noteStoppingTarget(ev)
 	v.traceEvent(ev)
-	v.checkPace(ev)
+	v.checkTickRate(ev)
 	r := &v.ready
 	r.Reset()
 	v.engine.Step(v.now(), ev, r)
-	v.w.Books.broken(v, r.Dispatch.Violations)
-	v.arm(r.Wake())
+	v.w.Checker.recordEngineViolations(v, r.Dispatch.Violations)
+	v.setTickTimer(r.Wake())
 	v.execute(r)
 }
 
-// maxTicksAtOnce is more ticks than a process has cause for at one instant.
-const maxTicksAtOnce = 1000
+// maxTicksAtInstant is more ticks than a process has cause for at one instant.
+const maxTicksAtInstant = 1000
 
-// checkPace finds an engine that asks for ticks without letting time pass.
-func (v *VM) checkPace(ev engine.Event) {
+// checkTickRate finds an engine that asks for ticks without letting time pass.
+func (v *VM) checkTickRate(ev engine.Event) {
 	if _, tick := ev.(*engine.Tick); !tick {
 		return
 	}
 	if v.w.Now != v.tickedAt {
-		v.tickedAt, v.ticksAtOnce = v.w.Now, 0
+		v.tickedAt, v.ticksAtInstant = v.w.Now, 0
 	}
-	if v.ticksAtOnce++; v.ticksAtOnce == maxTicksAtOnce {
-		v.w.Books.violate("%s ticks without end at one instant", v.Self.ID)
+	if v.ticksAtInstant++; v.ticksAtInstant == maxTicksAtInstant {
+		v.w.Checker.reportViolation("%s ticks without end at one instant", v.Self.ID)
 		v.Crash()
 	}
 }
 
-// learn notes what an event tells the process about targets that are leaving.
-func (v *VM) learn(ev engine.Event) {
+// noteStoppingTarget notes what an event tells the process about targets that are leaving.
+func (v *VM) noteStoppingTarget(ev engine.Event) {
 	f, ok := ev.(*dispatch.Failed)
 	if !ok {
 		return
 	}
 	a := v.attempts[f.Attempt]
 	if a != nil && a.target != nil && a.canceled == 0 && f.Reason == verdict.ReasonStopping {
-		v.stopping[a.target.ID] = v.w.Now
+		v.targetsStopping[a.target.ID] = v.w.Now
 	}
 }
 
-func (v *VM) learnList(l *fleet.List) {
+func (v *VM) noteLeavingTargets(l *fleet.List) {
 	for _, t := range v.w.Targets {
 		i := slices.IndexFunc(l.Targets, func(f fleet.Target) bool { return f.ID == t.ID })
 		gone := i < 0 || l.Targets[i].State != fleet.Live
-		_, known := v.leaving[t.ID]
+		_, known := v.targetsLeaving[t.ID]
 		switch {
 		case !gone:
-			delete(v.leaving, t.ID)
+			delete(v.targetsLeaving, t.ID)
 		case !known:
-			v.leaving[t.ID] = v.w.Now
+			v.targetsLeaving[t.ID] = v.w.Now
 		}
 	}
 }
 
-// arm sets the timer for the next tick.
-func (v *VM) arm(wake clock.Time) {
+// setTickTimer sets the timer for the next tick.
+func (v *VM) setTickTimer(wake clock.Time) {
 	if wake == v.wake || wake == clock.Never {
 		return
 	}
@@ -86,7 +86,7 @@
 // are posted after all of them, since they reuse the Ready.
 func (v *VM) execute(r *engine.Ready) {
 	v.traceEffects(r)
-	v.takeOver(r)
+	v.updateState(r)
 	for _, c := range r.Dispatch.Cancels {
 		v.cancel(c)
 	}
@@ -106,47 +106,47 @@
 		v.reply(x)
 	}
 	for _, p := range r.Dispatch.Probes {
-		t := v.w.byID[p.Target]
-		d := 2*v.w.delay(v.Place, t.Place) + 6*time.Millisecond
+		t := v.w.targetByID[p.Target]
+		d := 2*v.w.delay(v.Location, t.Location) + 6*time.Millisecond
 		v.after(d, func() { v.step(t.health()) })
 	}
 	for _, s := range r.Peers {
 		v.sendPeer(s)
 	}
-	v.w.Platform.read(v, r)
+	v.w.Platform.executeReads(v, r)
 	for _, x := range r.Writes {
 		v.writeShift(x)
 	}
 	if r.Superseded {
-		v.w.Books.violate("%s is superseded, and no other runs under its id", v.Self.ID)
+		v.w.Checker.reportViolation("%s is superseded, and no other runs under its id", v.Self.ID)
 	}
 }
 
-// takeOver keeps what look-ups and addresses are answered from.
-func (v *VM) takeOver(r *engine.Ready) {
+// updateState keeps what look-ups and addresses are answered from.
+func (v *VM) updateState(r *engine.Ready) {
 	if r.Catalogue != nil {
-		v.w.Books.applied(v, r.Catalogue)
+		v.w.Checker.checkApplied(v, r.Catalogue)
 		v.catalogue = r.Catalogue
 	}
-	v.watching = r.WatchMachines
-	if r.Machines != nil {
-		v.machines = r.Machines
-		v.learnList(r.Machines)
+	v.watchingList = r.WatchMachineList
+	if r.MachineList != nil {
+		v.machineList = r.MachineList
+		v.noteLeavingTargets(r.MachineList)
 	}
 	if r.View != nil {
-		v.view, v.plain = r.View, r.Unshifted
+		v.view, v.unshifted = r.View, r.Unshifted
 	}
 	if r.Gate != nil {
 		v.gate = r.Gate
-		v.lookups = make(map[movedKey]moves)
+		v.lookups = make(map[shiftService]moveCounts)
 	}
 	if r.VMs != nil {
-		clear(v.known)
+		clear(v.knownVMs)
 		for _, vm := range r.VMs {
-			v.known[vm.ID] = vm
+			v.knownVMs[vm.ID] = vm
 		}
-		v.known[v.Self.ID] = v.Self
-		v.duty.eligible = r.Eligible
+		v.knownVMs[v.Self.ID] = v.Self
+		v.shiftLease.eligible = r.EligibleForLease
 	}
 }
 
@@ -164,13 +164,13 @@
 
 // sendPeer passes a message on.
 func (v *VM) sendPeer(s engine.PeerSend) {
-	to := v.w.byVM[s.To.ID]
+	to := v.w.vmByID[s.To.ID]
 	if to == nil {
 		return
 	}
-	if !to.Up || v.w.Network.isCut(v.Place, to.Place) {
+	if !to.Up || v.w.Network.isCut(v.Location, to.Location) {
 		if v.w.Chance(0.5) {
-			v.later(v.w.between(time.Millisecond, connectTimeout), &member.SendFailed{To: s.To.ID})
+			v.postAfter(v.w.between(time.Millisecond, connectTimeout), &member.SendFailed{To: s.To.ID})
 		}
 		return
 	}
@@ -178,21 +178,21 @@
 		From: v.Self.ID, Incarnation: v.Self.Incarnation,
 		Member: s.Member, Load: s.Load, Config: s.Config, Tally: s.Tally, Machine: s.Machine,
 	}
-	process := to.process
-	v.w.message(v, to, func() {
-		if to.process == process {
+	process := to.processNumber
+	v.w.sendMessage(v, to, func() {
+		if to.processNumber == process {
 			to.post(m)
 		}
 	})
 }
 
-// soon posts an event that an effect gives rise to, once all effects of the
+// postAfterStep posts an event that an effect gives rise to, once all effects of the
 // step have been carried out.
-func (v *VM) soon(ev engine.Event) { v.later(0, ev) }
+func (v *VM) postAfterStep(ev engine.Event) { v.postAfter(0, ev) }
 
-// lists reports whether the list in force shows a target as it is.
-func (v *VM) lists(t *Target) bool {
-	return v.machines != nil && slices.ContainsFunc(v.machines.Targets, func(f fleet.Target) bool {
-		return f.ID == t.ID && f.State == t.describe().State
+// listsTarget reports whether the list in force shows a target as it is.
+func (v *VM) listsTarget(t *Target) bool {
+	return v.machineList != nil && slices.ContainsFunc(v.machineList.Targets, func(f fleet.Target) bool {
+		return f.ID == t.ID && f.State == t.listEntry().State
 	})
 }
--- a/decide/engine/enginetest/exchange.go
+++ b/decide/engine/enginetest/exchange.go
@@ -6,21 +6,21 @@
 	"github.com/azurethread/azurethread/decide/verdict"
 )
 
-// Fate is what happens to an exchange.
-type Fate uint8
+// Fault is what happens to an exchange.
+type Fault uint8
 
 // The fates of an exchange.
 const (
-	Whole          Fate = iota
-	Refused             // no connection: nothing was sent
-	LostRequest         // the connection goes silent, the request is lost
-	LostAnswer          // the connection goes silent, the answer is lost
-	ResetRequest        // the connection breaks, the request is lost
-	ResetAnswer         // the connection breaks, the answer is lost
-	CutAnswer           // the answer breaks off
-	DelayedAnswer       // the answer comes much later
-	DelayedRequest      // the request arrives much later
-	fates
+	NoFault        Fault = iota
+	Refused              // no connection: nothing was sent
+	LostRequest          // the connection goes silent, the request is lost
+	LostAnswer           // the connection goes silent, the answer is lost
+	ResetRequest         // the connection breaks, the request is lost
+	ResetAnswer          // the connection breaks, the answer is lost
+	CutAnswer            // the answer breaks off
+	DelayedAnswer        // the answer comes much later
+	DelayedRequest       // the request arrives much later
+	faultCount
 )
 
 // Leg is the part of its way that a request makes by an exchange.
@@ -54,13 +54,13 @@
 
 // Answer is what the receiver of a request says.
 type Answer struct {
-	Claim      *Claim // that it is the answer to
+	Submission *Submission // that it is the answer to
 	Verdict    verdict.Verdict
 	Reason     verdict.Reason
 	Status     int // 0 for a refusal
 	RetryAfter time.Duration
 	Load       *Load
-	Fresh      string // token in place of a spent one
+	NewToken   string // token in place of a spent one
 }
 
 // Load is what a target says of its load.
@@ -68,78 +68,78 @@
 
 // Exchange is one request on one connection.
 type Exchange struct {
-	w        *World
-	from, to Place
-	fate     Fate
-	claim    *Claim
-	end      func(Answer)
-
-	ended    bool // the sender has its end, or wants none
-	canceled bool
-	arrived  bool
-	closed   bool // by the receiver
-	gone     func()
+	w          *World
+	from, to   Location
+	fault      Fault
+	submission *Submission
+	end        func(Answer)
+
+	ended        bool // the sender has its end, or wants none
+	canceled     bool
+	arrived      bool
+	closed       bool // by the receiver
+	onSenderGone func()
 }
 
 // exchange starts a request. Arrive is called when it reaches its receiver,
 // end when the sender learns what came of it, unless the sender never does.
 // A receiver that is not up refuses the connection.
-func (w *World) exchange(from, to Place, c *Claim, up func() bool, arrive func(*Exchange), end func(Answer)) *Exchange {
-	x := &Exchange{w: w, from: from, to: to, claim: c, end: end}
-	x.fate = w.drawFate(x)
-	if x.fate == Refused || !up() {
-		x.fate = Refused
+func (w *World) exchange(from, to Location, c *Submission, up func() bool, arrive func(*Exchange), end func(Answer)) *Exchange {
+	x := &Exchange{w: w, from: from, to: to, submission: c, end: end}
+	x.fault = w.drawFault(x)
+	if x.fault == Refused || !up() {
+		x.fault = Refused
 		w.After(w.between(time.Millisecond, connectTimeout), func() {
-			x.finish(Answer{Claim: c, Verdict: verdict.NotRun, Reason: verdict.ReasonConnect})
+			x.finish(Answer{Submission: c, Verdict: verdict.NotRun, Reason: verdict.ReasonConnect})
 		})
 		return x
 	}
 	d := w.delay(from, to)
-	if x.fate == DelayedRequest {
+	if x.fault == DelayedRequest {
 		d += w.between(lateRequest/2, lateRequest)
 	}
 	w.After(d, func() { x.deliver(up, arrive) })
 	return x
 }
 
-// drawFate draws what happens to x. Between domains that are cut off from each
+// drawFault draws what happens to x. Between domains that are cut off from each
 // other either no connection is had, or one from before stays silent.
-func (w *World) drawFate(x *Exchange) Fate {
-	planned := w.Network.next[x.leg()]
+func (w *World) drawFault(x *Exchange) Fault {
+	planned := w.Network.nextFault[x.leg()]
 	switch {
-	case planned != Whole:
-		delete(w.Network.next, x.leg())
+	case planned != NoFault:
+		delete(w.Network.nextFault, x.leg())
 		return planned
 	case w.Network.isCut(x.from, x.to):
 		if w.Chance(0.5) {
 			return Refused
 		}
 		return LostRequest
-	case w.Chance(w.Network.Faulty):
-		return Fate(1 + w.IntN(int(fates)-1))
+	case w.Chance(w.Network.FaultProbability):
+		return Fault(1 + w.IntN(int(faultCount)-1))
 	}
-	return Whole
+	return NoFault
 }
 
 func (x *Exchange) deliver(up func() bool, arrive func(*Exchange)) {
 	switch {
-	case x.fate == LostRequest:
-	case x.fate == ResetRequest || !up():
-		x.broken()
+	case x.fault == LostRequest:
+	case x.fault == ResetRequest || !up():
+		x.breakConnection()
 	default:
 		x.arrived = true
 		arrive(x)
 		if x.canceled {
-			x.hangUp()
+			x.notifyReceiver()
 		}
 	}
 }
 
-// broken ends x for the sender by a lost connection.
-func (x *Exchange) broken() {
+// breakConnection ends x for the sender by a lost connection.
+func (x *Exchange) breakConnection() {
 	x.closed = true
 	x.w.After(x.w.delay(x.to, x.from), func() {
-		x.finish(Answer{Claim: x.claim, Verdict: verdict.MayHaveRun, Reason: verdict.ReasonConnectionLost})
+		x.finish(Answer{Submission: x.submission, Verdict: verdict.MayHaveRun, Reason: verdict.ReasonConnectionLost})
 	})
 }
 
@@ -151,13 +151,13 @@
 	x.closed = true
 	d := x.w.delay(x.to, x.from)
 	switch {
-	case x.fate == LostAnswer || x.w.Network.isCut(x.to, x.from):
+	case x.fault == LostAnswer || x.w.Network.isCut(x.to, x.from):
 		return
-	case x.fate == ResetAnswer:
-		a = Answer{Claim: x.claim, Verdict: verdict.MayHaveRun, Reason: verdict.ReasonConnectionLost}
-	case x.fate == CutAnswer && a.Status != 0:
-		a = Answer{Claim: x.claim, Verdict: verdict.MayHaveRun, Reason: verdict.ReasonAnswerCut}
-	case x.fate == DelayedAnswer:
+	case x.fault == ResetAnswer:
+		a = Answer{Submission: x.submission, Verdict: verdict.MayHaveRun, Reason: verdict.ReasonConnectionLost}
+	case x.fault == CutAnswer && a.Status != 0:
+		a = Answer{Submission: x.submission, Verdict: verdict.MayHaveRun, Reason: verdict.ReasonAnswerCut}
+	case x.fault == DelayedAnswer:
 		d += x.w.between(0, lateAnswer)
 	}
 	x.w.After(d, func() { x.finish(a) })
@@ -180,26 +180,26 @@
 	}
 	x.canceled = true
 	x.w.After(x.w.between(0, endDelay), func() {
-		x.finish(Answer{Claim: x.claim, Verdict: verdict.MayHaveRun, Reason: r})
+		x.finish(Answer{Submission: x.submission, Verdict: verdict.MayHaveRun, Reason: r})
 	})
-	x.hangUp()
+	x.notifyReceiver()
 }
 
 // Abandon closes the connection of a sender that has died.
 func (x *Exchange) Abandon() {
 	x.ended = true
 	x.canceled = true
-	x.hangUp()
+	x.notifyReceiver()
 }
 
-// hangUp lets the receiver see the connection close.
-func (x *Exchange) hangUp() {
-	if !x.arrived || x.fate == LostRequest {
+// notifyReceiver lets the receiver see the connection close.
+func (x *Exchange) notifyReceiver() {
+	if !x.arrived || x.fault == LostRequest {
 		return
 	}
 	x.w.After(x.w.delay(x.from, x.to), func() {
-		if !x.closed && x.gone != nil {
-			x.gone()
+		if !x.closed && x.onSenderGone != nil {
+			x.onSenderGone()
 		}
 	})
 }
@@ -207,11 +207,11 @@
 // Reset closes the connection of a receiver that has died.
 func (x *Exchange) Reset() {
 	if !x.closed {
-		x.broken()
+		x.breakConnection()
 	}
 }
 
-// held reports whether the request is on its way to its receiver, or there.
-func (x *Exchange) held() bool {
-	return !x.closed && x.fate != Refused && x.fate != LostRequest && x.fate != ResetRequest
+// inProgress reports whether the request is on its way to its receiver, or there.
+func (x *Exchange) inProgress() bool {
+	return !x.closed && x.fault != Refused && x.fault != LostRequest && x.fault != ResetRequest
 }
--- a/decide/engine/enginetest/lookups.go
+++ b/decide/engine/enginetest/lookups.go
@@ -14,13 +14,13 @@
 
 // mint makes a token for the process of an entry VM as this one knows it.
 func (v *VM) mint(id fleet.VMID) string {
-	vm, ok := v.known[id]
+	vm, ok := v.knownVMs[id]
 	if !ok || vm.Incarnation == 0 {
 		return ""
 	}
-	v.mints++
+	v.tokensMinted++
 	var nonce [token.NonceSize]byte
-	binary.BigEndian.PutUint64(nonce[:], v.mints)
+	binary.BigEndian.PutUint64(nonce[:], v.tokensMinted)
 	copy(nonce[8:], v.Self.ID)
 	return token.Mint(FleetKey, vm.ID, vm.Incarnation, nonce, v.now().Add(tokenLifetime))
 }
@@ -29,17 +29,17 @@
 func (v *VM) Lookup(s fleet.ServiceName, c *Caller, out []steer.Choice) steer.Answer {
 	a := v.view.Lookup(s, c.addr, out)
 	if v.gate != nil && !v.gate.Pass(v.now(), s, a.Home, a.ShiftID) && a.Moved {
-		a = v.plain.Lookup(s, c.addr, out)
+		a = v.unshifted.Lookup(s, c.addr, out)
 	}
-	v.w.Books.checkLookup(v, s, a)
+	v.w.Checker.checkLookup(v, s, a)
 	return a
 }
 
 // Outcome answers a caller that asks what became of a token.
-func (v *VM) Outcome(tok string, c *Claim) token.Admission {
+func (v *VM) Outcome(tok string, c *Submission) token.Admission {
 	a := v.engine.Outcome(v.now(), tok)
 	if a.Status != token.Duplicate || !a.Pending {
-		v.w.Books.told(v.Self.ID, c, a.Verdict, a.Status.Reason())
+		v.w.Checker.recordVerdict(v.Self.ID, c, a.Verdict, a.Status.Reason())
 	}
 	return a
 }
--- a/decide/engine/enginetest/network.go
+++ b/decide/engine/enginetest/network.go
@@ -22,66 +22,66 @@
 	farRTT  = 2 * delayFar
 )
 
-// cut names a direction between two failure domains.
-type cut struct{ from, to fleet.Domain }
+// domainPair names a direction between two failure domains.
+type domainPair struct{ from, to fleet.Domain }
 
-// link names a direction between two entry VMs.
-type link struct{ from, to fleet.VMID }
+// vmPair names a direction between two entry VMs.
+type vmPair struct{ from, to fleet.VMID }
 
 // Network holds the faults between entry VMs, and on connections that carry
 // requests.
 type Network struct {
-	// Loss is the part of the messages between entry VMs that is lost.
-	Loss float64
+	// LossProbability is the part of the messages between entry VMs that is lost.
+	LossProbability float64
 	// Reorder lets messages overtake each other, as over several connections.
 	Reorder bool
-	// Extra is added to every delay between entry VMs.
-	Extra time.Duration
-	// Faulty is the part of the exchanges that meet a fault of their own.
-	Faulty float64
-
-	next map[Leg]Fate
-	cuts map[cut]bool
-	slow map[link]time.Duration
-	last map[link]clock.Time // arrival of the last message
+	// ExtraDelay is added to every delay between entry VMs.
+	ExtraDelay time.Duration
+	// FaultProbability is the part of the exchanges that meet a fault of their own.
+	FaultProbability float64
+
+	nextFault   map[Leg]Fault
+	cuts        map[domainPair]bool
+	addedDelay  map[vmPair]time.Duration
+	lastArrival map[vmPair]clock.Time // arrival of the last message
 }
 
 func newNetwork() Network {
 	return Network{
-		next: make(map[Leg]Fate),
-		cuts: make(map[cut]bool),
-		slow: make(map[link]time.Duration),
-		last: make(map[link]clock.Time),
+		nextFault:   make(map[Leg]Fault),
+		cuts:        make(map[domainPair]bool),
+		addedDelay:  make(map[vmPair]time.Duration),
+		lastArrival: make(map[vmPair]clock.Time),
 	}
 }
 
 // Cut loses everything from one failure domain to another, in that direction
 // only.
-func (n *Network) Cut(from, to fleet.Domain) { n.cuts[cut{from, to}] = true }
+func (n *Network) Cut(from, to fleet.Domain) { n.cuts[domainPair{from, to}] = true }
 
-// Part cuts both directions.
-func (n *Network) Part(a, b fleet.Domain) {
+// Partition cuts both directions.
+func (n *Network) Partition(a, b fleet.Domain) {
 	n.Cut(a, b)
 	n.Cut(b, a)
 }
 
-// Slow adds a delay to the messages from one entry VM to another.
-func (n *Network) Slow(from, to fleet.VMID, d time.Duration) { n.slow[link{from, to}] = d }
+// AddDelay adds a delay to the messages from one entry VM to another.
+func (n *Network) AddDelay(from, to fleet.VMID, d time.Duration) { n.addedDelay[vmPair{from, to}] = d }
 
-// Next decides the fate of the next exchange on a leg.
-func (n *Network) Next(l Leg, f Fate) { n.next[l] = f }
+// SetNextFault decides the fate of the next exchange on a leg.
+func (n *Network) SetNextFault(l Leg, f Fault) { n.nextFault[l] = f }
 
 // Heal ends all faults.
 func (n *Network) Heal() {
 	clear(n.cuts)
-	clear(n.slow)
-	n.Loss, n.Faulty, n.Extra, n.Reorder = 0, 0, 0, false
+	clear(n.addedDelay)
+	n.LossProbability, n.FaultProbability, n.ExtraDelay, n.Reorder = 0, 0, 0, false
 }
 
-func (n *Network) isCut(from, to Place) bool { return n.cuts[cut{from.Domain, to.Domain}] }
+func (n *Network) isCut(from, to Location) bool { return n.cuts[domainPair{from.Domain, to.Domain}] }
 
 // delay returns the one-way delay between two places.
-func (w *World) delay(from, to Place) time.Duration {
+func (w *World) delay(from, to Location) time.Duration {
 	d := delayFar
 	switch {
 	case from.Domain == "" || to.Domain == "":
@@ -94,20 +94,20 @@
 	return d + time.Duration(w.rng.Int64N(int64(d)/4+1))
 }
 
-// message carries a message between two entry VMs, in the order of sending
+// sendMessage carries a message between two entry VMs, in the order of sending
 // unless Reorder is set.
-func (w *World) message(from, to *VM, f func()) {
+func (w *World) sendMessage(from, to *VM, f func()) {
 	n := &w.Network
-	if n.isCut(from.Place, to.Place) || w.Chance(n.Loss) {
+	if n.isCut(from.Location, to.Location) || w.Chance(n.LossProbability) {
 		return
 	}
-	key := link{from.Self.ID, to.Self.ID}
-	d := w.delay(from.Place, to.Place) + n.Extra + n.slow[key]
+	key := vmPair{from.Self.ID, to.Self.ID}
+	d := w.delay(from.Location, to.Location) + n.ExtraDelay + n.addedDelay[key]
 	if n.Reorder {
 		w.After(d+w.between(0, 20*time.Millisecond), f)
 		return
 	}
-	at := max(w.Now.Add(d), n.last[key])
-	n.last[key] = at
-	w.at(at, f)
+	at := max(w.Now.Add(d), n.lastArrival[key])
+	n.lastArrival[key] = at
+	w.schedule(at, f)
 }
--- a/decide/engine/enginetest/operator.go
+++ b/decide/engine/enginetest/operator.go
@@ -8,13 +8,13 @@
 	"github.com/azurethread/azurethread/decide/verdict"
 )
 
-// Order is an operation that an operator wants carried out.
-type Order struct {
+// OperatorRequest is an operation that an operator wants carried out.
+type OperatorRequest struct {
 	Op     change.Operation
 	Result Result
 	Done   bool
-	// Owed says that it was accepted, and that nothing has excused its loss.
-	Owed bool
+	// MustPersist says that it was accepted, and that nothing has excused its loss.
+	MustPersist bool
 
 	w       *World
 	at      *VM
@@ -25,30 +25,30 @@
 
 // The patience of operators.
 const (
-	orderPatience = 15 * time.Second
-	maxOrderTries = 4
+	operatorTimeout  = 15 * time.Second
+	maxOperatorTries = 4
 )
 
 // Operate gives an operation to an entry VM. While nobody can say what became
 // of it, it is given under the same id to another one. Not-run speaks of one
 // send only: the operator believes it once all sends have been answered so.
-func (w *World) Operate(v *VM, op change.Operation) *Order {
-	w.Books.Counts.Operations++
+func (w *World) Operate(v *VM, op change.Operation) *OperatorRequest {
+	w.Checker.Counts.Operations++
 	if op.ID == "" {
-		w.works++
-		op.ID = fmt.Sprintf("op-%d", w.works)
+		w.lastNumber++
+		op.ID = fmt.Sprintf("op-%d", w.lastNumber)
 	}
-	o := &Order{Op: op, w: w, at: v}
-	w.Books.orders = append(w.Books.orders, o)
+	o := &OperatorRequest{Op: op, w: w, at: v}
+	w.Checker.operatorRequests = append(w.Checker.operatorRequests, o)
 	o.try()
 	return o
 }
 
-func (o *Order) try() {
+func (o *OperatorRequest) try() {
 	if o.Done {
 		return
 	}
-	if o.tries++; o.tries > maxOrderTries {
+	if o.tries++; o.tries > maxOperatorTries {
 		return
 	}
 	mine, at := o.tries, o.at
@@ -60,7 +60,7 @@
 		o.w.trace("%s is told of %s by %s: %s%s", o.Op.Operator, o.Op.ID, at.Self.ID, r.Verdict, errText(r.Err))
 		switch r.Verdict {
 		case verdict.Ran:
-			o.Done, o.Owed = true, true
+			o.Done, o.MustPersist = true, true
 		case verdict.NotRun:
 			o.refused++
 			o.Done = o.refused == o.sends
@@ -71,9 +71,9 @@
 		o.w.trace("%s gives %s, %s %s, to %s", o.Op.Operator, o.Op.ID, o.Op.Kind, o.Op.Subject(), o.at.Self.ID)
 		o.at.Change(o.Op, func(r Result) { o.w.After(delayCaller, func() { settled(r) }) })
 	}
-	o.w.After(orderPatience, func() {
+	o.w.After(operatorTimeout, func() {
 		if o.tries == mine && !o.Done {
-			o.at = o.w.anyUp(o.at)
+			o.at = o.w.anyLiveVM(o.at)
 			o.try()
 		}
 	})
@@ -86,8 +86,8 @@
 	return " (" + err.Error() + ")"
 }
 
-// anyUp returns a live entry VM, v if there is no other.
-func (w *World) anyUp(v *VM) *VM {
+// anyLiveVM returns a live entry VM, v if there is no other.
+func (w *World) anyLiveVM(v *VM) *VM {
 	from := w.IntN(len(w.VMs))
 	for i := range w.VMs {
 		if o := w.VMs[(from+i)%len(w.VMs)]; o.Up && !o.Leaving {
@@ -97,8 +97,8 @@
 	return v
 }
 
-// operation books what an entry VM says of a send of an operation.
-func (b *Books) operation(w *write, v verdict.Verdict) {
+// recordOperation books what an entry VM says of a send of an operation.
+func (b *Checker) recordOperation(w *write, v verdict.Verdict) {
 	switch v {
 	case verdict.Ran:
 		b.Counts.Accepted++
@@ -107,60 +107,60 @@
 	}
 }
 
-// written checks a document that the platform has just taken. An entry VM says
+// checkWritten checks a document that the platform has just taken. An entry VM says
 // not-run only if no write of that send will ever take effect. Another send of
 // the same operation may still: the entry VMs don't know of each other's.
-func (b *Books) written(w *write) {
+func (b *Checker) checkWritten(w *write) {
 	if w.refused {
-		b.violate("operation %s was accepted after %s said not-run", w.op.ID, w.v.Self.ID)
+		b.reportViolation("operation %s was accepted after %s said not-run", w.op.ID, w.v.Self.ID)
 	}
-	b.checkTwice(w.op)
+	b.checkSameBase(w.op)
 }
 
-// based names what a change of an entry was based on.
-type based struct {
+// entryVersion names what a change of an entry was based on.
+type entryVersion struct {
 	shift  string
 	expect uint64
 }
 
-// checkTwice checks that of two changes based on the same version of an entry
+// checkSameBase checks that of two changes based on the same version of an entry
 // one at most is in the platform's history.
-func (b *Books) checkTwice(op change.Operation) {
-	var k based
+func (b *Checker) checkSameBase(op change.Operation) {
+	var k entryVersion
 	switch {
 	case op.ChangeShift != nil:
-		k = based{op.ChangeShift.Entry.ID, op.ChangeShift.Expect}
+		k = entryVersion{op.ChangeShift.Entry.ID, op.ChangeShift.Expect}
 	case op.Shift != nil && op.Shift.Expect != 0:
-		k = based{op.Shift.ID, op.Shift.Expect}
+		k = entryVersion{op.Shift.ID, op.Shift.Expect}
 	case op.Advance != nil:
-		k = based{op.Advance.ID, op.Advance.Expect}
+		k = entryVersion{op.Advance.ID, op.Advance.Expect}
 	default:
 		return
 	}
-	if id, seen := b.bases[k]; seen && id != op.ID {
-		b.violate("operations %s and %s both changed %s at revision %d", id, op.ID, k.shift, k.expect)
+	if id, seen := b.acceptedByBase[k]; seen && id != op.ID {
+		b.reportViolation("operations %s and %s both changed %s at revision %d", id, op.ID, k.shift, k.expect)
 	}
-	b.bases[k] = op.ID
+	b.acceptedByBase[k] = op.ID
 }
 
-// restored excuses the loss of what only the platform had: accepted so lately
+// recordRestore excuses the loss of what only the platform had: accepted so lately
 // that no entry VM may have heard of it. What the platform has lost is no longer
 // in its history.
-func (b *Books) restored() {
+func (b *Checker) recordRestore() {
 	known := uint64(0)
 	for _, v := range b.w.VMs {
 		if v.Up {
 			known = max(known, v.revision)
 		}
 	}
-	for _, o := range b.orders {
+	for _, o := range b.operatorRequests {
 		if o.Result.Revision > known {
-			o.Owed = false
+			o.MustPersist = false
 		}
 	}
-	for k, id := range b.bases {
+	for k, id := range b.acceptedByBase {
 		if _, kept := b.w.Platform.doc.operations[id]; !kept {
-			delete(b.bases, k)
+			delete(b.acceptedByBase, k)
 		}
 	}
 }
@@ -171,7 +171,7 @@
 func (w *World) Converged() error {
 	for _, t := range w.Targets {
 		for _, v := range w.VMs {
-			if v.Up && v.Place == t.Place && !v.lists(t) {
+			if v.Up && v.Location == t.Location && !v.listsTarget(t) {
 				return fmt.Errorf("enginetest: %s does not hold %s as it is", v.Self.ID, t.ID)
 			}
 		}
@@ -182,11 +182,11 @@
 			return fmt.Errorf("enginetest: %s holds revision %d, the platform %d", v.Self.ID, v.revision, want.Revision)
 		}
 	}
-	if w.Books.highest() > want.Revision {
-		return fmt.Errorf("enginetest: revision %d was in force, the platform holds %d", w.Books.highest(), want.Revision)
+	if w.Checker.highestRevision() > want.Revision {
+		return fmt.Errorf("enginetest: revision %d was in force, the platform holds %d", w.Checker.highestRevision(), want.Revision)
 	}
-	for _, o := range w.Books.orders {
-		if !o.Owed || o.Op.AddShift == nil {
+	for _, o := range w.Checker.operatorRequests {
+		if !o.MustPersist || o.Op.AddShift == nil {
 			continue
 		}
 		if _, found := want.Shift(o.Op.AddShift.Entry.ID); !found {
@@ -196,8 +196,8 @@
 	return nil
 }
 
-// highest is the highest revision in force at a live process.
-func (b *Books) highest() uint64 {
+// highestRevision is the highest revision in force at a live process.
+func (b *Checker) highestRevision() uint64 {
 	h := uint64(0)
 	for _, v := range b.w.VMs {
 		if v.Up {
--- a/decide/engine/enginetest/platform.go
+++ b/decide/engine/enginetest/platform.go
@@ -22,8 +22,8 @@
 	write      *write            // that made it; nil for a restore
 }
 
-// next returns the document that follows with catalogue c by an operation.
-func (d *document) next(c *catalogue.Catalogue, op string) document {
+// successor returns the document that follows with catalogue c by an operation.
+func (d *document) successor(c *catalogue.Catalogue, op string) document {
 	h, err := config.Hash(c)
 	if err != nil {
 		panic(err) // change.Apply makes no such catalogue
@@ -45,9 +45,9 @@
 
 // lease is the hold of the duty to run the shifts.
 type lease struct {
-	holder  *VM
-	process int
-	until   clock.Time // of the World's clock
+	holder        *VM
+	processNumber int
+	until         clock.Time // of the World's clock
 }
 
 // watch is a read that waits for a change.
@@ -57,29 +57,29 @@
 type Platform struct {
 	// Down fails every call.
 	Down bool
-	// Slow is added to every call.
-	Slow time.Duration
-	// LostAnswers is the part of the writes whose answer is lost; such a write
+	// ExtraDelay is added to every call.
+	ExtraDelay time.Duration
+	// LostAnswerProbability is the part of the writes whose answer is lost; such a write
 	// takes effect at once, later or never.
-	LostAnswers float64
+	LostAnswerProbability float64
 	// ListLag is how old the machine list is.
 	ListLag time.Duration
 
-	w     *World
-	doc   document
-	old   []document // earlier ones
-	cuts  map[fleet.Domain]bool
-	duty  lease
-	list  uint64      // newest version of the machine list
-	lists []shownList // the one shown and those that follow
+	w           *World
+	doc         document
+	previous    []document // earlier ones
+	cuts        map[fleet.Domain]bool
+	shiftLease  lease
+	listVersion uint64      // newest version of the machine list
+	shownLists  []shownList // the one shown and those that follow
 }
 
 // The times of the platform.
 const (
-	listLag      = time.Second
-	readFails    = time.Second
-	lateWrite    = 3 * time.Second
-	maxDocuments = 64
+	listLag         = time.Second
+	failedReadDelay = time.Second
+	maxWriteDelay   = 3 * time.Second
+	maxDocuments    = 64
 )
 
 func newPlatform(w *World, services []catalogue.Service) *Platform {
@@ -88,8 +88,8 @@
 	for i := range c.Services {
 		c.Services[i].Revision = 1
 	}
-	p.doc = (&document{}).next(c, "")
-	p.listChanged()
+	p.doc = (&document{}).successor(c, "")
+	p.updateList()
 	return p
 }
 
@@ -98,7 +98,7 @@
 
 // Heal ends all faults.
 func (p *Platform) Heal() {
-	p.Down, p.Slow, p.LostAnswers, p.ListLag = false, 0, 0, listLag
+	p.Down, p.ExtraDelay, p.LostAnswerProbability, p.ListLag = false, 0, 0, listLag
 	clear(p.cuts)
 }
 
@@ -108,41 +108,41 @@
 // RestoreOlder brings back a document of n changes ago, as a platform does
 // that lost its newest data.
 func (p *Platform) RestoreOlder(n int) {
-	if n <= 0 || n > len(p.old) {
+	if n <= 0 || n > len(p.previous) {
 		return
 	}
-	p.doc = p.old[len(p.old)-n]
-	p.old = p.old[:len(p.old)-n]
+	p.doc = p.previous[len(p.previous)-n]
+	p.previous = p.previous[:len(p.previous)-n]
 	p.w.trace("platform comes back with revision %d", p.doc.catalogue.Revision)
-	p.w.Books.restored()
-	p.wake()
+	p.w.Checker.recordRestore()
+	p.endWatches()
 }
 
-func (p *Platform) reaches(v *VM) bool { return !p.Down && !p.cuts[v.Place.Domain] }
+func (p *Platform) reachableFrom(v *VM) bool { return !p.Down && !p.cuts[v.Location.Domain] }
 
-// trip is the time of a message to or from the platform.
-func (p *Platform) trip() time.Duration {
-	return delayPlatform + p.Slow + p.w.between(0, delayPlatform)
+// delay is the time of a message to or from the platform.
+func (p *Platform) delay() time.Duration {
+	return delayPlatform + p.ExtraDelay + p.w.between(0, delayPlatform)
 }
 
 // call carries f to the platform and what it returns back. Lost is called in
 // place of it when there is no answer.
 func (p *Platform) call(v *VM, f func() func(), lost func()) {
-	if !p.reaches(v) {
-		v.after(p.w.between(10*time.Millisecond, readFails), lost)
+	if !p.reachableFrom(v) {
+		v.after(p.w.between(10*time.Millisecond, failedReadDelay), lost)
 		return
 	}
-	process := v.process
-	p.w.After(p.trip(), func() {
+	process := v.processNumber
+	p.w.After(p.delay(), func() {
 		done := f()
-		if v.process != process {
+		if v.processNumber != process {
 			return
 		}
-		if !p.reaches(v) {
-			v.after(readFails, lost)
+		if !p.reachableFrom(v) {
+			v.after(failedReadDelay, lost)
 			return
 		}
-		v.after(p.trip(), done)
+		v.after(p.delay(), done)
 	})
 }
 
@@ -154,54 +154,54 @@
 	}, lost)
 }
 
-// swap puts a document in the place of the one at index. Done is told whether
+// compareAndSwap puts a document in the place of the one at index. Done is told whether
 // it did, lost is called when nobody can tell.
-func (p *Platform) swap(v *VM, index uint64, d document, by string, done func(bool), lost func()) {
-	if p.reaches(v) && p.w.Chance(p.LostAnswers) {
+func (p *Platform) compareAndSwap(v *VM, index uint64, d document, by string, done func(bool), lost func()) {
+	if p.reachableFrom(v) && p.w.Chance(p.LostAnswerProbability) {
 		switch p.w.IntN(3) {
 		case 0:
 		case 1:
-			p.w.After(p.trip(), func() { p.put(index, d, by) })
+			p.w.After(p.delay(), func() { p.storeIfUnchanged(index, d, by) })
 		default:
-			p.w.After(p.w.between(0, lateWrite), func() { p.put(index, d, by) })
+			p.w.After(p.w.between(0, maxWriteDelay), func() { p.storeIfUnchanged(index, d, by) })
 		}
-		v.after(readFails, lost)
+		v.after(failedReadDelay, lost)
 		return
 	}
 	p.call(v, func() func() {
-		ok := p.put(index, d, by)
+		ok := p.storeIfUnchanged(index, d, by)
 		return func() { done(ok) }
 	}, lost)
 }
 
-func (p *Platform) put(index uint64, d document, by string) bool {
+func (p *Platform) storeIfUnchanged(index uint64, d document, by string) bool {
 	if p.doc.index != index {
 		return false
 	}
-	p.old = append(p.old, p.doc)
-	p.old = p.old[max(0, len(p.old)-maxDocuments):]
+	p.previous = append(p.previous, p.doc)
+	p.previous = p.previous[max(0, len(p.previous)-maxDocuments):]
 	p.doc = d
 	p.w.trace("platform accepts revision %d (%s)", d.catalogue.Revision, by)
 	if d.write != nil {
-		p.w.Books.written(d.write)
+		p.w.Checker.checkWritten(d.write)
 	}
-	p.wake()
+	p.endWatches()
 	return true
 }
 
-// wake ends all reads that wait for a change.
-func (p *Platform) wake() {
+// endWatches ends all reads that wait for a change.
+func (p *Platform) endWatches() {
 	for _, v := range p.w.VMs {
 		if w := v.watch; w != nil && v.Up {
 			v.watch = nil
-			v.later(p.trip(), p.outcome(v, w.seq, v.now()))
+			v.postAfter(p.delay(), p.readResult(v, w.seq, v.now()))
 		}
 	}
 }
 
-// outcome is the event of a read of the document as it is now.
-func (p *Platform) outcome(v *VM, seq uint64, asked clock.Time) *config.PlatformRead {
-	if !p.reaches(v) {
+// readResult is the event of a read of the document as it is now.
+func (p *Platform) readResult(v *VM, seq uint64, asked clock.Time) *config.PlatformRead {
+	if !p.reachableFrom(v) {
 		return &config.PlatformRead{Seq: seq}
 	}
 	return &config.PlatformRead{
@@ -214,8 +214,8 @@
 	}
 }
 
-// read carries out the reads and restores that a step asks for.
-func (p *Platform) read(v *VM, r *engine.Ready) {
+// executeReads carries out the reads and restores that a step asks for.
+func (p *Platform) executeReads(v *VM, r *engine.Ready) {
 	for _, s := range r.Unwatch {
 		if v.watch != nil && v.watch.seq == s.Seq {
 			v.watch = nil
@@ -225,7 +225,7 @@
 		p.fetch(v, f.Seq)
 	}
 	for _, w := range r.Watch {
-		p.await(v, w)
+		p.startWatch(v, w)
 	}
 	for _, x := range r.Restore {
 		p.restore(v, x.Catalogue)
@@ -235,23 +235,23 @@
 func (p *Platform) fetch(v *VM, seq uint64) {
 	asked := v.now()
 	p.call(v, func() func() {
-		ev := p.outcome(v, seq, asked)
+		ev := p.readResult(v, seq, asked)
 		return func() { v.step(ev) }
 	}, func() { v.step(&config.PlatformRead{Seq: seq}) })
 }
 
-func (p *Platform) await(v *VM, w config.WatchPlatform) {
-	if !p.reaches(v) || w.After != p.doc.index {
+func (p *Platform) startWatch(v *VM, w config.WatchPlatform) {
+	if !p.reachableFrom(v) || w.After != p.doc.index {
 		p.fetch(v, w.Seq)
 		return
 	}
 	mine := &watch{seq: w.Seq}
 	v.watch = mine
 	quiet := &config.PlatformRead{Seq: w.Seq, Result: config.ReadNotModified, Confirmed: v.now().Add(w.Wait)}
-	v.after(w.Wait+p.trip(), func() {
+	v.after(w.Wait+p.delay(), func() {
 		if v.watch == mine {
 			v.watch = nil
-			if !p.reaches(v) {
+			if !p.reachableFrom(v) {
 				quiet = &config.PlatformRead{Seq: w.Seq}
 			}
 			v.step(quiet)
@@ -265,22 +265,22 @@
 	list fleet.List
 }
 
-// listChanged makes a new version of the machine list, shown after its lag.
-func (p *Platform) listChanged() {
-	p.list++
+// updateList makes a new version of the machine list, shown after its lag.
+func (p *Platform) updateList() {
+	p.listVersion++
 	at := p.w.Now.Add(p.ListLag/2 + p.w.between(0, p.ListLag))
-	if n := len(p.lists); n > 0 {
-		at = max(at, p.lists[n-1].at)
+	if n := len(p.shownLists); n > 0 {
+		at = max(at, p.shownLists[n-1].at)
 	}
-	p.lists = append(p.lists, shownList{at: at, list: p.describe()})
+	p.shownLists = append(p.shownLists, shownList{at: at, list: p.currentList()})
 }
 
 // shown returns the machine list as the platform shows it now.
 func (p *Platform) shown() fleet.List {
-	for len(p.lists) > 1 && p.lists[1].at <= p.w.Now {
-		p.lists = p.lists[1:]
+	for len(p.shownLists) > 1 && p.shownLists[1].at <= p.w.Now {
+		p.shownLists = p.shownLists[1:]
 	}
-	return p.lists[0].list
+	return p.shownLists[0].list
 }
 
 // The pace at which entry VMs read the machine list.
@@ -292,26 +292,26 @@
 // watchList gives an entry VM the machine list while its engine asks for it.
 func (p *Platform) watchList(v *VM) {
 	v.after(p.w.between(minListPoll, maxListPoll), func() { p.watchList(v) })
-	if !v.watching {
-		v.listed = 0
+	if !v.watchingList {
+		v.listVersion = 0
 		return
 	}
-	if !p.reaches(v) {
+	if !p.reachableFrom(v) {
 		return
 	}
 	l := p.shown()
-	if l.Version == v.listed {
+	if l.Version == v.listVersion {
 		v.step(&machine.Unchanged{})
 		return
 	}
-	v.listed = l.Version
-	v.later(p.trip(), &engine.Machines{List: l})
+	v.listVersion = l.Version
+	v.postAfter(p.delay(), &engine.MachineListRead{List: l})
 }
 
-// describe returns the list as it is now. The platform knows machines, not
+// currentList returns the list as it is now. The platform knows machines, not
 // processes, so it states no incarnations.
-func (p *Platform) describe() fleet.List {
-	l := fleet.List{Version: p.list}
+func (p *Platform) currentList() fleet.List {
+	l := fleet.List{Version: p.listVersion}
 	for _, v := range p.w.VMs {
 		vm := v.Self
 		vm.Incarnation = 0
@@ -321,7 +321,7 @@
 		l.VMs = append(l.VMs, vm)
 	}
 	for _, t := range p.w.Targets {
-		l.Targets = append(l.Targets, t.describe())
+		l.Targets = append(l.Targets, t.listEntry())
 	}
 	return l
 }
--- a/decide/engine/enginetest/trace.go
+++ b/decide/engine/enginetest/trace.go
@@ -46,7 +46,7 @@
 	case shift.WriteResult:
 		s = fmt.Sprintf("write-result %d %s conflict=%t", e.ID, e.Verdict, e.Conflict)
 	case shift.Duty:
-		if e.Held != v.engine.Leads() {
+		if e.Held != v.engine.RunsShifts() {
 			s = fmt.Sprintf("duty held=%t", e.Held)
 		}
 	}
@@ -93,19 +93,19 @@
 		say("reply %d %s %s retry-after=%v", e.Req, e.Verdict, e.Reason, e.RetryAfter)
 	}
 	for _, e := range r.Refusals {
-		say("refuse %d %s %s ask=%s answer=%d", e.Req, e.Verdict, e.Reason, e.Ask, e.Answer)
+		say("refuse %d %s %s ask=%s answer=%d", e.Req, e.Verdict, e.Reason, e.AskVM, e.EarlierStatus)
 	}
 	for _, e := range d.Probes {
 		say("probe %s", e.Target)
 	}
 	if r.Catalogue != nil {
-		say("apply revision=%d%s", r.Catalogue.Revision, shares(r))
+		say("apply revision=%d%s", r.Catalogue.Revision, describeShares(r))
 	}
-	if r.Machines != nil {
-		say("machines%s", describeList(r.Machines))
+	if r.MachineList != nil {
+		say("machines%s", describeList(r.MachineList))
 	}
 	if r.VMs != nil {
-		say("entry-vms %s", liveOf(r.VMs))
+		say("entry-vms %s", describeVMs(r.VMs))
 	}
 	for _, e := range r.Writes {
 		say("write %d shift=%s expect=%d share=%d state=%s hold=%s", e.ID, e.Shift, e.Expect, e.Share, e.State, e.Hold)
@@ -115,7 +115,7 @@
 	}
 }
 
-func shares(r *engine.Ready) string {
+func describeShares(r *engine.Ready) string {
 	var b strings.Builder
 	for _, s := range r.Catalogue.Shifts {
 		fmt.Fprintf(&b, " %s=%s:%d", s.ID, s.State, s.Share)
@@ -123,7 +123,7 @@
 	return b.String()
 }
 
-func liveOf(vms []fleet.VM) string {
+func describeVMs(vms []fleet.VM) string {
 	var b strings.Builder
 	for i, vm := range vms {
 		if i > 0 {
--- a/decide/engine/enginetest/vm.go
+++ b/decide/engine/enginetest/vm.go
@@ -16,9 +16,9 @@
 
 // VM is one entry VM: an engine, and what the daemon's transports do for it.
 type VM struct {
-	Place Place
-	Self  fleet.VM
-	Up    bool
+	Location Location
+	Self     fleet.VM
+	Up       bool
 	// Paused processes get their events once they go on.
 	Paused bool
 	// Leaving processes have been told to stop, and end once nothing is in
@@ -27,42 +27,42 @@
 	// Skew is how far the VM's clock is ahead.
 	Skew time.Duration
 
-	w        *World
-	engine   *engine.Engine
-	ready    engine.Ready
-	process  int
-	wake     clock.Time
-	backlog  []func()
-	pausedAt clock.Time // end of the last pause
-	leftAt   clock.Time // when it was told to leave
-
-	requests  dispatch.RequestID
-	calls     map[dispatch.RequestID]*call
-	attempts  map[dispatch.AttemptID]*attempt
-	forwards  map[*Exchange]*call // open calls that other entry VMs have sent
-	known     map[fleet.VMID]fleet.VM
-	view      *steer.View
-	plain     *steer.View // look-ups that the gate keeps from being moved
-	gate      *shift.Gate
-	lookups   map[movedKey]moves // answered under gate
-	catalogue *catalogue.Catalogue
-	revision  uint64
-	leaving   map[fleet.TargetID]clock.Time // since the list said so
-	stopping  map[fleet.TargetID]clock.Time // since the target said so
-	watch     *watch
-	duty      duty
-	machines  *fleet.List // in force; nil: none
-	watching  bool        // the platform's machine list
-	listed    uint64      // version of the last one read; 0: none since it watches
-	mints     uint64
-
-	tickedAt    clock.Time
-	ticksAtOnce int
+	w             *World
+	engine        *engine.Engine
+	ready         engine.Ready
+	processNumber int
+	wake          clock.Time
+	backlog       []func()
+	pausedAt      clock.Time // end of the last pause
+	leftAt        clock.Time // when it was told to leave
+
+	lastRequest     dispatch.RequestID
+	calls           map[dispatch.RequestID]*call
+	attempts        map[dispatch.AttemptID]*attempt
+	forwards        map[*Exchange]*call // open calls that other entry VMs have sent
+	knownVMs        map[fleet.VMID]fleet.VM
+	view            *steer.View
+	unshifted       *steer.View // look-ups that the gate keeps from being moved
+	gate            *shift.Gate
+	lookups         map[shiftService]moveCounts // answered under gate
+	catalogue       *catalogue.Catalogue
+	revision        uint64
+	targetsLeaving  map[fleet.TargetID]clock.Time // since the list said so
+	targetsStopping map[fleet.TargetID]clock.Time // since the target said so
+	watch           *watch
+	shiftLease      leaseView
+	machineList     *fleet.List // in force; nil: none
+	watchingList    bool        // the platform's machine list
+	listVersion     uint64      // version of the last one read; 0: none since it watches
+	tokensMinted    uint64
+
+	tickedAt       clock.Time
+	ticksAtInstant int
 }
 
-func (w *World) addVM(p Place, n int) {
+func (w *World) addVM(p Location, n int) {
 	id := fleet.VMID(fmt.Sprintf("%s-vm%d", p.Domain, n))
-	v := &VM{Place: p, w: w, Self: fleet.VM{
+	v := &VM{Location: p, w: w, Self: fleet.VM{
 		ID:        id,
 		Region:    p.Region,
 		Domain:    p.Domain,
@@ -72,7 +72,7 @@
 		AdminAddr: string(id) + ":8081",
 	}}
 	w.VMs = append(w.VMs, v)
-	w.byVM[id] = v
+	w.vmByID[id] = v
 }
 
 // now is the VM's own clock.
@@ -81,7 +81,7 @@
 // Start runs a new process, which knows nothing.
 func (v *VM) Start() {
 	v.w.trace("%s starts", v.Self.ID)
-	v.process++
+	v.processNumber++
 	v.Up, v.Paused, v.Leaving = true, false, false
 	v.Self.Incarnation = fleet.Incarnation(v.now())
 	v.Self.State = fleet.Live
@@ -99,36 +99,36 @@
 	v.calls = make(map[dispatch.RequestID]*call)
 	v.attempts = make(map[dispatch.AttemptID]*attempt)
 	v.forwards = make(map[*Exchange]*call)
-	v.known = map[fleet.VMID]fleet.VM{v.Self.ID: v.Self}
+	v.knownVMs = map[fleet.VMID]fleet.VM{v.Self.ID: v.Self}
 	v.view = steer.New(steer.Inputs{Self: v.Self.Region, VMs: []fleet.VM{v.Self}})
-	v.plain, v.gate, v.catalogue, v.revision, v.watch, v.listed, v.watching = v.view, nil, nil, 0, nil, 0, false
-	v.machines = nil
-	v.leaving = make(map[fleet.TargetID]clock.Time)
-	v.stopping = make(map[fleet.TargetID]clock.Time)
-	v.duty = duty{}
-	v.post(&engine.Blocks{Table: v.w.blocks})
+	v.unshifted, v.gate, v.catalogue, v.revision, v.watch, v.listVersion, v.watchingList = v.view, nil, nil, 0, nil, 0, false
+	v.machineList = nil
+	v.targetsLeaving = make(map[fleet.TargetID]clock.Time)
+	v.targetsStopping = make(map[fleet.TargetID]clock.Time)
+	v.shiftLease = leaseView{}
+	v.post(&engine.BlockTableLoaded{Table: v.w.blocks})
 	v.post(&engine.Tick{})
 	v.w.Platform.watchList(v)
-	v.pollDuty()
+	v.pollShiftLease()
 }
 
 // Crash ends the process without a word.
 func (v *VM) Crash() {
 	if v.Up {
 		v.w.trace("%s crashes", v.Self.ID)
-		v.end()
+		v.terminate()
 	}
 }
 
-func (v *VM) end() {
+func (v *VM) terminate() {
 	v.Up = false
-	v.process++
+	v.processNumber++
 	for _, c := range v.openCalls() {
 		c.x.Reset()
 	}
 	for _, a := range v.openAttempts() {
 		a.x.Abandon()
-		a.forget()
+		a.removeFromTarget()
 	}
 	clear(v.calls)
 	clear(v.attempts)
@@ -143,9 +143,9 @@
 	}
 	v.w.trace("%s pauses for %v", v.Self.ID, d)
 	v.Paused = true
-	process := v.process
+	process := v.processNumber
 	v.w.After(d, func() {
-		if v.process == process {
+		if v.processNumber == process {
 			v.resume()
 		}
 	})
@@ -157,9 +157,9 @@
 	v.pausedAt = v.w.Now
 	backlog := v.backlog
 	v.backlog = nil
-	process := v.process
+	process := v.processNumber
 	for _, f := range backlog {
-		if v.process == process {
+		if v.processNumber == process {
 			f()
 		}
 	}
@@ -176,32 +176,32 @@
 	v.leftAt = v.w.Now
 	v.post(&dispatch.Stop{})
 	v.post(&member.Leave{})
-	v.w.Platform.listChanged()
-	process := v.process
-	v.w.After(leaveDelay, func() { v.leave(process) })
+	v.w.Platform.updateList()
+	process := v.processNumber
+	v.w.After(leaveDelay, func() { v.finishLeaving(process) })
 }
 
 // leaveDelay is how long a leaving process keeps refusing new requests before
 // it ends, so that others can learn of it.
 const leaveDelay = 2 * time.Second
 
-// leave ends the process once nothing is in flight.
-func (v *VM) leave(process int) {
-	if v.process != process {
+// finishLeaving ends the process once nothing is in flight.
+func (v *VM) finishLeaving(process int) {
+	if v.processNumber != process {
 		return
 	}
 	if v.Paused || len(v.openCalls()) > 0 {
-		v.w.After(50*time.Millisecond, func() { v.leave(process) })
+		v.w.After(50*time.Millisecond, func() { v.finishLeaving(process) })
 		return
 	}
 	v.w.trace("%s ends", v.Self.ID)
-	v.end()
+	v.terminate()
 }
 
 func (v *VM) isUp() bool { return v.Up }
 
-// do calls f in the process, at once or when it goes on.
-func (v *VM) do(f func()) {
+// runOrQueue calls f in the process, at once or when it goes on.
+func (v *VM) runOrQueue(f func()) {
 	switch {
 	case !v.Up:
 	case v.Paused:
@@ -213,19 +213,19 @@
 
 // after calls f after d in the process that runs now, if it runs then.
 func (v *VM) after(d time.Duration, f func()) {
-	process := v.process
+	process := v.processNumber
 	v.w.After(d, func() {
-		if v.process == process {
-			v.do(f)
+		if v.processNumber == process {
+			v.runOrQueue(f)
 		}
 	})
 }
 
 // post hands an event to the engine.
-func (v *VM) post(ev engine.Event) { v.do(func() { v.step(ev) }) }
+func (v *VM) post(ev engine.Event) { v.runOrQueue(func() { v.step(ev) }) }
 
-// later posts an event after d.
-func (v *VM) later(d time.Duration, ev engine.Event) { v.after(d, func() { v.step(ev) }) }
+// postAfter posts an event after d.
+func (v *VM) postAfter(d time.Duration, ev engine.Event) { v.after(d, func() { v.step(ev) }) }
 
-// Leads reports whether the process runs the shifts.
-func (v *VM) Leads() bool { return v.Up && v.engine.Leads() }
+// RunsShifts reports whether the process runs the shifts.
+func (v *VM) RunsShifts() bool { return v.Up && v.engine.RunsShifts() }
--- a/decide/engine/enginetest/world.go
+++ b/decide/engine/enginetest/world.go
@@ -19,8 +19,8 @@
 // epoch is the instant at which every World starts.
 var epoch = clock.FromWall(time.Date(2026, 3, 2, 22, 0, 0, 0, time.UTC))
 
-// Place is a failure domain with its region.
-type Place struct {
+// Location is a failure domain with its region.
+type Location struct {
 	Region fleet.Region
 	Domain fleet.Domain
 }
@@ -28,7 +28,7 @@
 // Options describe a World.
 type Options struct {
 	Seed     uint64
-	VMs      []Place // one entry VM in each
+	VMs      []Location // one entry VM in each
 	Targets  []TargetOptions
 	Services []catalogue.Service
 	// Trace, if set, is told what happens, one line each.
@@ -44,16 +44,16 @@
 	Platform *Platform
 	Network  Network
 	Callers  []*Caller
-	Books    Books
-
-	rng    *rand.Rand
-	queue  queue
-	order  uint64
-	blocks *block.Table
-	homes  []fleet.Region // by the number of a client's block
-	byVM   map[fleet.VMID]*VM
-	byID   map[fleet.TargetID]*Target
-	works  int
+	Checker  Checker
+
+	rng        *rand.Rand
+	queue      queue
+	lastOrder  uint64
+	blocks     *block.Table
+	homes      []fleet.Region // by the number of a client's block
+	vmByID     map[fleet.VMID]*VM
+	targetByID map[fleet.TargetID]*Target
+	lastNumber int
 }
 
 // worldStream tells the World's random numbers from others with its seed.
@@ -63,14 +63,14 @@
 // holds the services at revision 1.
 func New(o Options) *World {
 	w := &World{
-		Now:     epoch,
-		Options: o,
-		rng:     rand.New(rand.NewPCG(o.Seed, worldStream)),
-		byVM:    make(map[fleet.VMID]*VM),
-		byID:    make(map[fleet.TargetID]*Target),
+		Now:        epoch,
+		Options:    o,
+		rng:        rand.New(rand.NewPCG(o.Seed, worldStream)),
+		vmByID:     make(map[fleet.VMID]*VM),
+		targetByID: make(map[fleet.TargetID]*Target),
 	}
 	w.Network = newNetwork()
-	w.Books = newBooks(w)
+	w.Checker = newChecker(w)
 	w.buildBlocks()
 	for _, t := range o.Targets {
 		w.addTarget(t)
@@ -84,7 +84,7 @@
 	for _, v := range w.VMs {
 		v.Start()
 	}
-	w.every(sampleEvery, w.Books.sample)
+	w.every(sampleInterval, w.Checker.sampleAgreement)
 	return w
 }
 
@@ -123,10 +123,10 @@
 }
 
 // VM returns the entry VM of an id.
-func (w *World) VM(id fleet.VMID) *VM { return w.byVM[id] }
+func (w *World) VM(id fleet.VMID) *VM { return w.vmByID[id] }
 
 // Target returns the target of an id.
-func (w *World) Target(id fleet.TargetID) *Target { return w.byID[id] }
+func (w *World) Target(id fleet.TargetID) *Target { return w.targetByID[id] }
 
 // Chance reports true with the given probability.
 func (w *World) Chance(p float64) bool { return p > 0 && w.rng.Float64() < p }
@@ -140,11 +140,11 @@
 }
 
 // After calls f once d has passed.
-func (w *World) After(d time.Duration, f func()) { w.at(w.Now.Add(d), f) }
+func (w *World) After(d time.Duration, f func()) { w.schedule(w.Now.Add(d), f) }
 
-func (w *World) at(t clock.Time, f func()) {
-	w.order++
-	heap.Push(&w.queue, entry{at: max(t, w.Now), order: w.order, f: f})
+func (w *World) schedule(t clock.Time, f func()) {
+	w.lastOrder++
+	heap.Push(&w.queue, scheduledCall{at: max(t, w.Now), order: w.lastOrder, f: f})
 }
 
 // every calls f again and again.
@@ -159,7 +159,7 @@
 func (w *World) Run(d time.Duration) {
 	end := w.Now.Add(d)
 	for len(w.queue) > 0 && w.queue[0].at <= end {
-		e := heap.Pop(&w.queue).(entry)
+		e := heap.Pop(&w.queue).(scheduledCall)
 		w.Now = e.at
 		e.f()
 	}
@@ -173,14 +173,14 @@
 	}
 }
 
-// entry is something that happens at an instant.
-type entry struct {
+// scheduledCall is something that happens at an instant.
+type scheduledCall struct {
 	at    clock.Time
 	order uint64
 	f     func()
 }
 
-type queue []entry
+type queue []scheduledCall
 
 func (q queue) Len() int { return len(q) }
 func (q queue) Less(i, j int) bool {
@@ -190,11 +190,11 @@
 	return q[i].order < q[j].order
 }
 func (q queue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *queue) Push(x any)   { *q = append(*q, x.(entry)) }
+func (q *queue) Push(x any)   { *q = append(*q, x.(scheduledCall)) }
 func (q *queue) Pop() any {
 	old := *q
 	x := old[len(old)-1]
-	old[len(old)-1] = entry{}
+	old[len(old)-1] = scheduledCall{}
 	*q = old[:len(old)-1]
 	return x
 }
--- a/decide/engine/enginetest/writer.go
+++ b/decide/engine/enginetest/writer.go
@@ -31,36 +31,36 @@
 // protocol of package serve/store: read, apply, compare-and-swap; an unknown
 // outcome is settled by the operation's id in the document.
 type write struct {
-	v       *VM
-	op      change.Operation
-	tries   int
-	wait    time.Duration
-	unknown bool
-	index   uint64 // that the unknown write was conditioned on
-	refused bool   // answered not-run
-	done    func(Result)
+	v            *VM
+	op           change.Operation
+	tries        int
+	wait         time.Duration
+	unknown      bool
+	unknownIndex uint64 // that the unknown write was conditioned on
+	refused      bool   // answered not-run
+	done         func(Result)
 }
 
 // Change applies an operation through an entry VM. Done is called unless the
 // process ends first.
 func (v *VM) Change(op change.Operation, done func(Result)) {
 	w := &write{v: v, op: op, wait: firstWait, done: done}
-	v.do(w.try)
+	v.runOrQueue(w.try)
 }
 
 func (w *write) try() {
 	w.tries++
 	asked := w.v.now()
-	w.v.w.Platform.get(w.v, func(d document) { w.read(d, asked) }, func() { w.again(errUnreachable) })
+	w.v.w.Platform.get(w.v, func(d document) { w.handleRead(d, asked) }, func() { w.retry(errUnreachable) })
 }
 
 var (
 	errUnreachable = errors.New("enginetest: platform unreachable")
-	errSwap        = errors.New("enginetest: document changed")
+	errConflict    = errors.New("enginetest: document changed")
 	errBehind      = errors.New("enginetest: a higher revision is being fetched")
 )
 
-func (w *write) again(err error) {
+func (w *write) retry(err error) {
 	if w.tries >= maxTries {
 		w.fail(err)
 		return
@@ -74,21 +74,21 @@
 	if w.unknown {
 		v = verdict.MayHaveRun
 	}
-	w.v.w.Books.operation(w, v)
+	w.v.w.Checker.recordOperation(w, v)
 	w.done(Result{Verdict: v, Err: err})
 }
 
-func (w *write) read(d document, asked clock.Time) {
+func (w *write) handleRead(d document, asked clock.Time) {
 	if r, found := d.operations[w.op.ID]; found {
-		w.accepted(d, r, asked)
+		w.handleAccepted(d, r, asked)
 		return
 	}
-	if w.unknown && d.index != w.index {
+	if w.unknown && d.index != w.unknownIndex {
 		w.unknown = false
 	}
 	next, err := w.build(d)
 	if errors.Is(err, errBehind) {
-		w.again(err)
+		w.retry(err)
 		return
 	}
 	if err != nil {
@@ -96,15 +96,15 @@
 		return
 	}
 	asked = w.v.now()
-	w.v.w.Platform.swap(w.v, d.index, next, w.op.Operator+" "+string(w.op.Kind)+" "+w.op.Subject(), func(ok bool) {
+	w.v.w.Platform.compareAndSwap(w.v, d.index, next, w.op.Operator+" "+string(w.op.Kind)+" "+w.op.Subject(), func(ok bool) {
 		if !ok {
-			w.again(errSwap)
+			w.retry(errConflict)
 			return
 		}
-		w.accepted(next, next.catalogue.Revision, asked)
+		w.handleAccepted(next, next.catalogue.Revision, asked)
 	}, func() {
-		w.unknown, w.index = true, d.index
-		w.again(errUnreachable)
+		w.unknown, w.unknownIndex = true, d.index
+		w.retry(errUnreachable)
 	})
 }
 
@@ -118,7 +118,7 @@
 	from, at := *d.catalogue, d
 	if base.Catalogue != nil && base.Catalogue.Revision > from.Revision {
 		from = *base.Catalogue
-		at = d.next(&from, "")
+		at = d.successor(&from, "")
 		at.index = d.index
 	}
 	next := max(from.Revision, base.Floor) + 1
@@ -127,13 +127,13 @@
 	if err != nil {
 		return document{}, err
 	}
-	n := at.next(&c, w.op.ID)
+	n := at.successor(&c, w.op.ID)
 	n.write = w
 	return n, nil
 }
 
-func (w *write) accepted(d document, revision uint64, asked clock.Time) {
-	w.v.w.Books.operation(w, verdict.Ran)
+func (w *write) handleAccepted(d document, revision uint64, asked clock.Time) {
+	w.v.w.Checker.recordOperation(w, verdict.Ran)
 	w.v.step(&config.Accepted{Catalogue: d.catalogue, Confirmed: asked})
 	w.done(Result{Verdict: verdict.Ran, Revision: revision})
 }
@@ -145,8 +145,8 @@
 		if d.catalogue.Revision >= c.Revision {
 			return
 		}
-		next := d.next(c, "")
-		p.swap(v, d.index, next, "restored by "+string(v.Self.ID), func(ok bool) {
+		next := d.successor(c, "")
+		p.compareAndSwap(v, d.index, next, "restored by "+string(v.Self.ID), func(ok bool) {
 			if ok {
 				v.step(&config.Accepted{Catalogue: c, Confirmed: asked})
 			}
@@ -157,8 +157,8 @@
 // writeShift makes a write of the runner. An unknown outcome is told at once,
 // and the write repeated under the same operation until it is known.
 func (v *VM) writeShift(x shift.Write) {
-	v.w.works++
-	op := change.Operation{ID: fmt.Sprintf("runner-%d", v.w.works), Operator: change.RunnerName, Kind: change.KindAdvance}
+	v.w.lastNumber++
+	op := change.Operation{ID: fmt.Sprintf("runner-%d", v.w.lastNumber), Operator: change.RunnerName, Kind: change.KindAdvance}
 	if x.State == catalogue.RolledBack {
 		op.Kind = change.KindRollBack
 		op.Shift = &change.ShiftRef{ID: x.Shift, Expect: x.Expect, Reason: x.Hold}
@@ -168,71 +168,71 @@
 			SteppedAt: x.SteppedAt, Done: x.State == catalogue.Done,
 		}
 	}
-	v.after(0, func() { v.settleShift(x, op) })
+	v.after(0, func() { v.repeatShiftWrite(x, op) })
 }
 
-func (v *VM) settleShift(x shift.Write, op change.Operation) {
+func (v *VM) repeatShiftWrite(x shift.Write, op change.Operation) {
 	v.Change(op, func(r Result) {
 		var conflict *change.Conflict
 		v.step(shift.WriteResult{ID: x.ID, Verdict: r.Verdict, Conflict: errors.As(r.Err, &conflict)})
 		if r.Verdict == verdict.MayHaveRun {
-			v.after(maxWait, func() { v.settleShift(x, op) })
+			v.after(maxWait, func() { v.repeatShiftWrite(x, op) })
 		}
 	})
 }
 
 // The times of the lease of the shift runner.
 const (
-	dutyTTL    = 15 * time.Second
-	dutyMargin = 2 * time.Second
-	dutyPoll   = 2500 * time.Millisecond
-	dutyCheck  = 500 * time.Millisecond
-	dutyTrust  = 3 * dutyCheck
+	leaseTTL           = 15 * time.Second
+	leaseMargin        = 2 * time.Second
+	leasePollInterval  = 2500 * time.Millisecond
+	leaseCheckInterval = 500 * time.Millisecond
+	leaseCheckValidity = 3 * leaseCheckInterval
 )
 
-// duty is a process's view of its lease.
-type duty struct {
-	eligible bool
-	until    clock.Time // of the VM's clock; 0: not held
-	told     bool
+// leaseView is a process's view of its lease.
+type leaseView struct {
+	eligible  bool
+	until     clock.Time // of the VM's clock; 0: not held
+	reporting bool
 }
 
-// pollDuty tries for the lease, and tells the engine about it.
-func (v *VM) pollDuty() {
-	v.after(dutyPoll, func() {
-		if v.duty.eligible && !v.Leaving {
-			v.tryDuty()
+// pollShiftLease tries for the lease, and tells the engine about it.
+func (v *VM) pollShiftLease() {
+	v.after(leasePollInterval, func() {
+		if v.shiftLease.eligible && !v.Leaving {
+			v.acquireShiftLease()
 		}
-		v.pollDuty()
+		v.pollShiftLease()
 	})
-	if v.duty.told {
+	if v.shiftLease.reporting {
 		return
 	}
-	v.duty.told = true
-	v.tellDuty(false)
+	v.shiftLease.reporting = true
+	v.reportShiftLease(false)
 }
 
-func (v *VM) tryDuty() {
+func (v *VM) acquireShiftLease() {
 	p := v.w.Platform
 	asked := v.now()
-	process := v.process
+	process := v.processNumber
 	p.call(v, func() func() {
-		free := v.w.Now >= p.duty.until || (p.duty.holder == v && p.duty.process == process)
+		free := v.w.Now >= p.shiftLease.until || (p.shiftLease.holder == v && p.shiftLease.processNumber == process)
 		if !free {
 			return func() {}
 		}
-		p.duty = lease{holder: v, process: process, until: v.w.Now.Add(dutyTTL)}
-		return func() { v.duty.until = asked.Add(dutyTTL - dutyMargin) }
+		p.shiftLease = lease{holder: v, processNumber: process, until: v.w.Now.Add(leaseTTL)}
+		return func() { v.shiftLease.until = asked.Add(leaseTTL - leaseMargin) }
 	}, func() {})
 }
 
-func (v *VM) tellDuty(held bool) {
-	v.after(dutyCheck, func() {
-		now := v.now() < v.duty.until
+func (v *VM) reportShiftLease(held bool) {
+	v.after(leaseCheckInterval, func() {
+		now := v.now() < v.shiftLease.until
 		if now || held {
 			v.step(shift.Platform{Reachable: now})
-			v.step(shift.Duty{Held: now, Until: v.now().Add(dutyTrust)})
+			v.step(shift.Duty{Held: now, Until: v.now().Add(leaseCheckValidity)})
 		}
-		v.tellDuty(now)
+		v.reportShiftLease(now)
 	})
 }
--- a/decide/engine/event.go
+++ b/decide/engine/event.go
@@ -46,8 +46,8 @@
 // Tick passes time; it is due at Ready.Wake.
 type Tick struct{}
 
-// Machines is the platform's lagging machine list as it has just been read.
-type Machines struct{ List fleet.List }
+// MachineListRead is the platform's lagging machine list as it has just been read.
+type MachineListRead struct{ List fleet.List }
 
 // PeerMessage is what one frame of another entry VM brought. Of its parts
 // those that came are set.
@@ -61,20 +61,20 @@
 	Machine     machine.Message
 }
 
-// Blocks is a newer table of client blocks.
-type Blocks struct{ Table *block.Table }
+// BlockTableLoaded is a newer table of client blocks.
+type BlockTableLoaded struct{ Table *block.Table }
 
 // Refusal is the final error answer to a request that was not dispatched.
 type Refusal struct {
 	dispatch.Reply
-	// Ask names the entry VM that knows what became of the token; empty: none.
-	Ask fleet.VMID
-	// Answer is the HTTP status that an earlier send of the token was
+	// AskVM names the entry VM that knows what became of the token; empty: none.
+	AskVM fleet.VMID
+	// EarlierStatus is the HTTP status that an earlier send of the token was
 	// answered with; 0: none.
-	Answer int
+	EarlierStatus int
 }
 
-// refuse returns the refusal of a request that has provably not run.
-func refuse(req dispatch.RequestID, r verdict.Reason) Refusal {
+// newRefusal returns the refusal of a request that has provably not run.
+func newRefusal(req dispatch.RequestID, r verdict.Reason) Refusal {
 	return Refusal{Reply: dispatch.Reply{Req: req, Verdict: verdict.NotRun, Reason: r}}
 }
