--- a/decide/engine/moved_test.go
+++ b/decide/engine/moved_test.go
@@ -14,8 +14,8 @@
 
 // The places of the Worlds of scripted tests.
 var (
-	east = enginetest.Place{Region: "east", Domain: "east-1"}
-	west = enginetest.Place{Region: "west", Domain: "west-1"}
+	east = enginetest.Location{Region: "east", Domain: "east-1"}
+	west = enginetest.Location{Region: "west", Domain: "west-1"}
 )
 
 // Services of the Worlds of scripted tests.
@@ -25,12 +25,12 @@
 )
 
 // targets returns n targets of a service in a place.
-func targets(p enginetest.Place, s fleet.ServiceName, n, slots int, work time.Duration) []enginetest.TargetOptions {
+func targets(p enginetest.Location, s fleet.ServiceName, n, slots int, work time.Duration) []enginetest.TargetOptions {
 	var list []enginetest.TargetOptions
 	for i := range n {
 		list = append(list, enginetest.TargetOptions{
 			ID:      fleet.TargetID(fmt.Sprintf("%s-%s%d", p.Domain, s, i)),
-			Service: s, Place: p, Slots: slots, Queue: 2, Work: work,
+			Service: s, Location: p, Slots: slots, Queue: 2, Work: work,
 		})
 	}
 	return list
@@ -52,21 +52,21 @@
 func startShift(is *is.I, w *enginetest.World, e change.Entry) {
 	is.Helper()
 	v := w.VMs[0]
-	order(is, w, v, change.Operation{Operator: "ana", Kind: change.KindAddShift, AddShift: &change.AddShift{Entry: e}})
+	mustOperate(is, w, v, change.Operation{Operator: "ana", Kind: change.KindAddShift, AddShift: &change.AddShift{Entry: e}})
 	for _, k := range []change.Kind{change.KindApprove, change.KindStart} {
 		s, found := w.Platform.Catalogue().Shift(e.ID)
 		is.True(found)
-		order(is, w, v, change.Operation{Operator: "ben", Kind: k, Shift: &change.ShiftRef{ID: e.ID, Expect: s.Revision}})
+		mustOperate(is, w, v, change.Operation{Operator: "ben", Kind: k, Shift: &change.ShiftRef{ID: e.ID, Expect: s.Revision}})
 	}
 }
 
-// order has an operation accepted.
-func order(is *is.I, w *enginetest.World, v *enginetest.VM, op change.Operation) {
+// mustOperate has an operation accepted.
+func mustOperate(is *is.I, w *enginetest.World, v *enginetest.VM, op change.Operation) {
 	is.Helper()
 	o := w.Operate(v, op)
 	w.Run(200 * time.Millisecond)
 	is.NoErr(o.Result.Err)
-	is.True(o.Owed)
+	is.True(o.MustPersist)
 }
 
 // TestMovedShare has callers send evenly, and counts by the answers that they
@@ -82,8 +82,8 @@
 			w.Run(5 * time.Second)
 			startShift(is, w, shiftOf(mapService.Name, limit, limit))
 			w.Run(3 * time.Minute)
-			is.NoErr(w.Books.Err())
-			n := w.Books.Counts
+			is.NoErr(w.Checker.Err())
+			n := w.Checker.Counts
 			t.Logf("%d of %d requests moved, %d windows, %d above the cap", n.Moved, n.Ran, n.Windows, n.MovedOver)
 			is.True(n.Windows >= 2)                                    // enough was counted
 			is.True(n.Moved*4 >= n.Ran*int(limit)/catalogue.ShareUnit) // and the shift moved traffic
@@ -95,16 +95,16 @@
 func evenWorld(seed uint64) *enginetest.World {
 	w := enginetest.New(enginetest.Options{
 		Seed:     seed,
-		VMs:      []enginetest.Place{east, east, west, west},
+		VMs:      []enginetest.Location{east, east, west, west},
 		Services: []catalogue.Service{mapService},
 		Targets:  append(targets(east, "map", 3, 8, 20*time.Millisecond), targets(west, "map", 3, 8, 20*time.Millisecond)...),
 	})
-	w.Books.Even = true
+	w.Checker.EvenLoad = true
 	for i := range 32 {
-		w.AddCaller(0, i).Repeat(mapService, 1)
+		w.AddCaller(0, i).GenerateLoad(mapService, 1)
 	}
 	for i := range 4 {
-		w.AddCaller(1, i).Repeat(mapService, 1)
+		w.AddCaller(1, i).GenerateLoad(mapService, 1)
 	}
 	return w
 }
--- a/decide/engine/ready.go
+++ b/decide/engine/ready.go
@@ -49,17 +49,17 @@
 	Unshifted *steer.View
 	// Gate bounds the share of look-ups that are moved; nil: no change.
 	Gate *shift.Gate
-	// Eligible says whether this process should try for the lease of the
+	// EligibleForLease says whether this process should try for the lease of the
 	// shift runner; set with VMs.
-	Eligible bool
+	EligibleForLease bool
 	// VMs are all known entry VMs; nil: no change.
 	VMs []fleet.VM
-	// Machines are the own failure domain's targets and all entry VMs that are
+	// MachineList are the own failure domain's targets and all entry VMs that are
 	// in force now; nil: no change.
-	Machines *fleet.List
-	// WatchMachines says whether this process should watch the platform's
+	MachineList *fleet.List
+	// WatchMachineList says whether this process should watch the platform's
 	// machine list now.
-	WatchMachines bool
+	WatchMachineList bool
 	// Superseded says that another process runs under this VM's id: stop.
 	Superseded bool
 
@@ -84,8 +84,8 @@
 	r.Unshifted = nil
 	r.Gate = nil
 	r.VMs = nil
-	r.Machines = nil
-	r.WatchMachines = false
+	r.MachineList = nil
+	r.WatchMachineList = false
 	r.Superseded = false
 	r.wake = clock.Never
 }
--- a/decide/engine/refresh.go
+++ b/decide/engine/refresh.go
@@ -12,29 +12,29 @@
 	"github.com/azurethread/azurethread/decide/tally"
 )
 
-// refreshEvery is the time between two measurements of the own load, and
+// refreshInterval is the time between two measurements of the own load, and
 // between two readings of the others' reports.
-const refreshEvery = 250 * time.Millisecond
+const refreshInterval = 250 * time.Millisecond
 
 // refresh measures the own load and takes over what others have reported.
 func (e *Engine) refresh(now clock.Time, out *Ready) {
-	e.wakes.refresh = now.Add(refreshEvery)
-	e.measure(now, out)
+	e.wakeTimes.refresh = now.Add(refreshInterval)
+	e.measureOwnLoad(now, out)
 	domains := e.member.Domains(nil)
-	e.remotes(now, domains, out)
-	if e.weigh(now, domains) {
-		e.publish(out)
+	e.updateRemotes(now, domains, out)
+	if e.updateWeights(now, domains) {
+		e.rebuildView(out)
 	}
 }
 
-// measure gives the own load to the reports.
-func (e *Engine) measure(now clock.Time, out *Ready) {
-	e.loadsOf = e.dispatch.AppendLoads(e.loadsOf[:0])
-	e.samples = e.samples[:0]
-	e.tallied = e.tallied[:0]
-	for _, l := range e.loadsOf {
+// measureOwnLoad gives the own load to the reports.
+func (e *Engine) measureOwnLoad(now clock.Time, out *Ready) {
+	e.ownLoads = e.dispatch.AppendLoads(e.ownLoads[:0])
+	e.loadSamples = e.loadSamples[:0]
+	e.tallySamples = e.tallySamples[:0]
+	for _, l := range e.ownLoads {
 		m := e.tally.Meter().Rate(now, l.Service)
-		e.samples = append(e.samples, load.Sample{
+		e.loadSamples = append(e.loadSamples, load.Sample{
 			Service:  l.Service,
 			InFlight: uint32(l.InFlight),
 			Queued:   uint32(l.Queued),
@@ -44,25 +44,25 @@
 			Errors:   uint16(m.Errors),
 			P99:      m.P99,
 		})
-		e.tallied = append(e.tallied, tally.Sample{
+		e.tallySamples = append(e.tallySamples, tally.Sample{
 			Service:  l.Service,
 			Capacity: uint32(l.Capacity),
 			InFlight: uint32(l.InFlight + l.Queued),
 			Warming:  l.Warming,
 		})
 	}
-	e.stepTally(now, &tally.Measured{Samples: e.tallied}, out)
-	e.loads.Step(now, &load.Measured{Samples: e.samples})
+	e.stepTally(now, &tally.Measured{Samples: e.tallySamples}, out)
+	e.loads.Step(now, &load.Measured{Samples: e.loadSamples})
 }
 
-// maxRemotes bounds the entry VMs of one domain that requests are forwarded
+// maxRemotesPerDomain bounds the entry VMs of one domain that requests are forwarded
 // to; they are the first by a hash, so that entry VMs spread over them.
-const maxRemotes = 2
+const maxRemotesPerDomain = 2
 
-// remotes tells the dispatcher who elsewhere could take requests. What a
+// updateRemotes tells the dispatcher who elsewhere could take requests. What a
 // domain has left is divided evenly among its entry VMs, as only they know
 // how it is divided in truth; the receiver's own admission decides.
-func (e *Engine) remotes(now clock.Time, domains []member.DomainView, out *Ready) {
+func (e *Engine) updateRemotes(now clock.Time, domains []member.DomainView, out *Ready) {
 	ev := &dispatch.Remotes{}
 	if e.catalogue == nil {
 		return
@@ -80,7 +80,7 @@
 			if !ok {
 				continue
 			}
-			for _, vm := range d.VMs[:min(len(d.VMs), maxRemotes)] {
+			for _, vm := range d.VMs[:min(len(d.VMs), maxRemotesPerDomain)] {
 				ev.List = append(ev.List, dispatch.Remote{
 					VM: vm.ID, Domain: d.Domain, Region: d.Region, Service: s.Name,
 					Capacity: int(f.Slots) / d.Live,
@@ -95,16 +95,16 @@
 	e.stepDispatch(now, ev, out)
 }
 
-// weigh turns the headroom of each domain into the weight that look-ups give
+// updateWeights turns the headroom of each domain into the weight that look-ups give
 // it. It reports whether one has changed.
-func (e *Engine) weigh(now clock.Time, domains []member.DomainView) bool {
+func (e *Engine) updateWeights(now clock.Time, domains []member.DomainView) bool {
 	if e.catalogue == nil {
 		return false
 	}
 	changed := false
 	for _, d := range domains {
 		for _, s := range e.catalogue.Services {
-			changed = e.observe(now, d.Domain, s.Name) || changed
+			changed = e.observeHeadroom(now, d.Domain, s.Name) || changed
 		}
 	}
 	if changed {
@@ -113,7 +113,7 @@
 	return changed
 }
 
-func (e *Engine) observe(now clock.Time, d fleet.Domain, s fleet.ServiceName) bool {
+func (e *Engine) observeHeadroom(now clock.Time, d fleet.Domain, s fleet.ServiceName) bool {
 	f, ok := e.loads.Domain(now, s, d)
 	if !ok || f.Capacity == 0 {
 		return false
--- a/decide/engine/session_test.go
+++ b/decide/engine/session_test.go
@@ -24,7 +24,7 @@
 	datadriven.Walk(t, "testdata/sessions", func(t *testing.T, path string) {
 		s := &script{last: make(map[string]string)}
 		defer func() {
-			if err := s.w.Books.Err(); err != nil {
+			if err := s.w.Checker.Err(); err != nil {
 				t.Error(err)
 			}
 		}()
@@ -36,20 +36,20 @@
 type script struct {
 	w       *enginetest.World
 	text    strings.Builder
-	show    []string          // phrases; none: everything
+	filter  []string          // phrases; none: everything
 	last    map[string]string // last line of each repeated kind
 	start   time.Duration
 	callers map[string]*enginetest.Caller
 }
 
-// calm is how long a World runs before its session starts.
-const calm = 5 * time.Second
+// warmUp is how long a World runs before its session starts.
+const warmUp = 5 * time.Second
 
 func (s *script) run(t *testing.T, d *datadriven.TestData) string {
 	s.text.Reset()
 	commands := map[string]func(*testing.T, *datadriven.TestData){
 		"world":   s.world,
-		"show":    s.narrow,
+		"show":    s.setFilter,
 		"call":    s.call,
 		"load":    s.load,
 		"next":    s.next,
@@ -79,23 +79,23 @@
 	for range n {
 		o.VMs = append(o.VMs, east, west)
 	}
-	for _, p := range []enginetest.Place{east, west} {
+	for _, p := range []enginetest.Location{east, west} {
 		o.Targets = append(o.Targets, targets(p, mapService.Name, 2, 4, 20*time.Millisecond)...)
 		o.Targets = append(o.Targets, targets(p, postService.Name, 2, 4, 20*time.Millisecond)...)
 	}
 	s.w = enginetest.New(o)
 	s.callers = map[string]*enginetest.Caller{"east": s.w.AddCaller(0, 0), "west": s.w.AddCaller(1, 0)}
 	for _, c := range s.w.Callers {
-		c.Asks = d.HasArg("asks")
+		c.AsksOutcome = d.HasArg("asks")
 		if d.HasArg("patience") {
-			c.Patience = durationOf(t, d, "patience")
+			c.ResendAfter = durationOf(t, d, "patience")
 		}
 		if d.HasArg("deadline") {
 			c.Deadline = durationOf(t, d, "deadline")
 		}
 	}
-	s.w.Run(calm)
-	s.start = calm
+	s.w.Run(warmUp)
+	s.start = warmUp
 	s.text.Reset()
 }
 
@@ -104,22 +104,22 @@
 var repeated = []string{" < health ", " > entry-vms", " < platform-read", " > machines"}
 
 func (s *script) line(at time.Duration, line string) {
-	if strings.Contains(line, " > probe ") || !s.shown(line) || s.said(line) {
+	if strings.Contains(line, " > probe ") || !s.shown(line) || s.isRepeated(line) {
 		return
 	}
 	fmt.Fprintf(&s.text, "%10.4fs %s\n", (at - s.start).Seconds(), line)
 }
 
 func (s *script) shown(line string) bool {
-	for _, phrase := range s.show {
+	for _, phrase := range s.filter {
 		if strings.Contains(line, phrase) {
 			return true
 		}
 	}
-	return len(s.show) == 0
+	return len(s.filter) == 0
 }
 
-func (s *script) said(line string) bool {
+func (s *script) isRepeated(line string) bool {
 	for _, phrase := range repeated {
 		who, what, found := strings.Cut(line, phrase)
 		if !found {
@@ -137,12 +137,12 @@
 	return false
 }
 
-// narrow keeps the lines that hold one of the given phrases, with _ in place of
+// setFilter keeps the lines that hold one of the given phrases, with _ in place of
 // each blank.
-func (s *script) narrow(_ *testing.T, d *datadriven.TestData) {
-	s.show = nil
+func (s *script) setFilter(_ *testing.T, d *datadriven.TestData) {
+	s.filter = nil
 	for _, a := range d.CmdArgs {
-		s.show = append(s.show, strings.ReplaceAll(a.Key, "_", " "))
+		s.filter = append(s.filter, strings.ReplaceAll(a.Key, "_", " "))
 	}
 }
 
@@ -151,7 +151,7 @@
 	var service, home string
 	d.ScanArgs(t, "service", &service)
 	d.ScanArgs(t, "home", &home)
-	s.callers[home].Do(fleet.ServiceName(service), service == string(mapService.Name))
+	s.callers[home].StartWork(fleet.ServiceName(service), service == string(mapService.Name))
 }
 
 // load adds callers of the map service, each with a block of its own.
@@ -159,14 +159,14 @@
 	var n int
 	d.ScanArgs(t, "callers", &n)
 	for i := range n {
-		s.w.AddCaller(0, 1+i).Repeat(mapService, 1)
-		s.w.AddCaller(1, 1+i).Repeat(mapService, 1)
+		s.w.AddCaller(0, 1+i).GenerateLoad(mapService, 1)
+		s.w.AddCaller(1, 1+i).GenerateLoad(mapService, 1)
 	}
 }
 
 var legs = map[string]enginetest.Leg{"caller": enginetest.FromCaller, "target": enginetest.ToTarget, "vm": enginetest.BetweenVMs}
 
-var fates = map[string]enginetest.Fate{
+var faults = map[string]enginetest.Fault{
 	"lost-answer":  enginetest.LostAnswer,
 	"lost-request": enginetest.LostRequest,
 	"late-request": enginetest.DelayedRequest,
@@ -177,7 +177,7 @@
 	var leg, fate string
 	d.ScanArgs(t, "to", &leg)
 	d.ScanArgs(t, "fate", &fate)
-	s.w.Network.Next(legs[leg], fates[fate])
+	s.w.Network.SetNextFault(legs[leg], faults[fate])
 }
 
 // target changes the targets whose id starts with the given one.
@@ -194,7 +194,7 @@
 		case d.HasArg("restart"):
 			x.Restart()
 		case d.HasArg("lie"):
-			x.Failing, x.Lying = true, true
+			x.Failing, x.FalseHealth = true, true
 		}
 	}
 }
@@ -207,7 +207,7 @@
 		pause = durationOf(t, d, "pause")
 	}
 	for _, v := range s.w.VMs {
-		if !s.chosen(t, d, v) {
+		if !s.selects(t, d, v) {
 			continue
 		}
 		switch {
@@ -221,9 +221,9 @@
 	}
 }
 
-func (s *script) chosen(t *testing.T, d *datadriven.TestData, v *enginetest.VM) bool {
+func (s *script) selects(t *testing.T, d *datadriven.TestData, v *enginetest.VM) bool {
 	if d.HasArg("leader") {
-		return v.Leads()
+		return v.RunsShifts()
 	}
 	var id string
 	d.ScanArgs(t, "id", &id)
@@ -234,7 +234,7 @@
 func (s *script) net(_ *testing.T, d *datadriven.TestData) {
 	switch {
 	case d.HasArg("part"):
-		s.w.Network.Part(east.Domain, west.Domain)
+		s.w.Network.Partition(east.Domain, west.Domain)
 	case d.HasArg("heal"):
 		s.w.Network.Heal()
 		s.w.Platform.Heal()
--- a/decide/engine/shifts.go
+++ b/decide/engine/shifts.go
@@ -17,11 +17,11 @@
 func (e *Engine) stepTally(now clock.Time, ev tally.Event, out *Ready) {
 	r := &e.tallyReady
 	e.tally.Step(now, ev, r)
-	e.wakes.tally = r.Wake
+	e.wakeTimes.tally = r.Wake
 	for _, s := range r.Sends {
 		// An answer may go to an entry VM that membership does not name here;
 		// it takes the connection that the asker has opened.
-		vm, ok := e.vm(s.To)
+		vm, ok := e.findVM(s.To)
 		if !ok {
 			vm = fleet.VM{ID: s.To}
 		}
@@ -29,31 +29,31 @@
 	}
 	if r.Evidence {
 		e.evidence = e.tally.Evidence(now)
-		e.stepRunner(now, shift.Measured{Evidence: e.evidence}, out)
+		e.stepShiftRunner(now, shift.Measured{Evidence: e.evidence}, out)
 	}
 }
 
-// stepRunner steps the runner of shifts.
-func (e *Engine) stepRunner(now clock.Time, ev shift.Event, out *Ready) {
-	if d, ok := ev.(shift.Duty); ok && d.Held != e.leads {
-		e.leads = d.Held
+// stepShiftRunner steps the runner of shifts.
+func (e *Engine) stepShiftRunner(now clock.Time, ev shift.Event, out *Ready) {
+	if d, ok := ev.(shift.Duty); ok && d.Held != e.runsShifts {
+		e.runsShifts = d.Held
 		e.stepTally(now, &tally.Lead{Held: d.Held}, out)
 	}
-	if e.wakes.runner <= now {
+	if e.wakeTimes.runner <= now {
 		// The runner states a wake only when it has one; a past one left in
 		// place would be due for ever, and keep every other tick from coming.
-		e.wakes.runner = clock.Never
+		e.wakeTimes.runner = clock.Never
 	}
-	e.effects = e.runner.Step(now, ev, e.effects[:0])
+	e.effects = e.shiftRunner.Step(now, ev, e.effects[:0])
 	for _, f := range e.effects {
 		switch f := f.(type) {
 		case shift.Write:
 			out.Writes = append(out.Writes, f)
 		case shift.Wake:
-			e.wakes.runner = f.At
+			e.wakeTimes.runner = f.At
 		}
 	}
-	_, broken := e.runner.Violations()
+	_, broken := e.shiftRunner.Violations()
 	for _, v := range broken {
 		out.Dispatch.Violations = append(out.Dispatch.Violations, dispatch.Violation{
 			Invariant: "shift: " + string(v.Rule),
@@ -62,24 +62,24 @@
 	}
 }
 
-// shiftsChanged takes over the shifts of a new configuration.
-func (e *Engine) shiftsChanged(now clock.Time, c *catalogue.Catalogue, out *Ready) {
+// applyShifts takes over the shifts of a new configuration.
+func (e *Engine) applyShifts(now clock.Time, c *catalogue.Catalogue, out *Ready) {
 	e.table = shift.NewTable(c)
 	out.Gate = shift.NewGate(now, c)
 	e.stepTally(now, &tally.Configured{Catalogue: c}, out)
-	e.stepRunner(now, shift.Configured{Catalogue: c}, out)
+	e.stepShiftRunner(now, shift.Configured{Catalogue: c}, out)
 }
 
-// eligible reports whether this entry VM should try for the lease of the
+// eligibleForLease reports whether this entry VM should try for the lease of the
 // runner.
-func (e *Engine) eligible(domains []member.DomainView) bool {
+func (e *Engine) eligibleForLease(domains []member.DomainView) bool {
 	ids := tally.Candidates(domains, tally.DefaultCandidates)
 	return slices.Contains(ids, e.self.ID)
 }
 
-// served is what is noted of a request for the counts of shifts and the
+// requestRecord is what is noted of a request for the counts of shifts and the
 // measures of services.
-type served struct {
+type requestRecord struct {
 	service fleet.ServiceName
 	home    fleet.Region
 	block   uint64
@@ -90,9 +90,9 @@
 	hops    uint8
 }
 
-// note begins the record of a request.
-func (e *Engine) note(now clock.Time, c *Call) {
-	s := served{service: c.Service, home: c.Home, block: c.Block, hops: c.Hops, arrived: now}
+// startRecord begins the record of a request.
+func (e *Engine) startRecord(now clock.Time, c *Call) {
+	s := requestRecord{service: c.Service, home: c.Home, block: c.Block, hops: c.Hops, arrived: now}
 	if e.table != nil && c.Home != e.self.Region {
 		if _, id, moved := e.table.Region(c.Service, c.Home, c.Block); moved {
 			s.movedBy = id
@@ -101,16 +101,16 @@
 	e.records[c.Req] = s
 }
 
-// handed notes that a request has gone to a target or to an entry VM.
-func (e *Engine) handed(now clock.Time, req dispatch.RequestID, local bool) {
+// recordSend notes that a request has gone to a target or to an entry VM.
+func (e *Engine) recordSend(now clock.Time, req dispatch.RequestID, local bool) {
 	if s, ok := e.records[req]; ok {
 		s.sent, s.local = now, local
 		e.records[req] = s
 	}
 }
 
-// conclude ends the record of a request at its final answer.
-func (e *Engine) conclude(now clock.Time, req dispatch.RequestID, ok bool) {
+// endRecord ends the record of a request at its final answer.
+func (e *Engine) endRecord(now clock.Time, req dispatch.RequestID, ok bool) {
 	s, known := e.records[req]
 	if !known {
 		return
@@ -147,11 +147,11 @@
 	return catalogue.Share(moved * catalogue.ShareUnit / total)
 }
 
-// HoldOf returns why a shift stands still: the decision of this process if it
+// HoldReason returns why a shift stands still: the decision of this process if it
 // runs the shifts, else what the runner has written to the catalogue.
-func (e *Engine) HoldOf(id string) string {
-	if e.leads {
-		for _, s := range e.runner.Status(nil) {
+func (e *Engine) HoldReason(id string) string {
+	if e.runsShifts {
+		for _, s := range e.shiftRunner.Status(nil) {
 			if s.Shift == id {
 				return s.Decision.Reason.String()
 			}
@@ -164,5 +164,5 @@
 	return s.Hold
 }
 
-// Leads reports whether this process runs the shifts.
-func (e *Engine) Leads() bool { return e.leads }
+// RunsShifts reports whether this process runs the shifts.
+func (e *Engine) RunsShifts() bool { return e.runsShifts }
--- a/operate/experiment/experiment.go
+++ b/operate/experiment/experiment.go
@@ -96,7 +96,7 @@
 			for seed := range p.seeds {
 				plays = append(plays, play{
 					pattern: pattern, into: &o.Plays[seed],
-					variant: emulate.Variant{Seed: uint64(seed) + 1, Without: v.without},
+					variant: emulate.Variant{Seed: uint64(seed) + 1, Disabled: v.without},
 				})
 			}
 		}
--- a/serve/daemon/blocks.go
+++ b/serve/daemon/blocks.go
@@ -22,6 +22,6 @@
 	if err != nil {
 		return fmt.Errorf("daemon: --blocks-file %s: %w", d.set.BlocksFile, err)
 	}
-	d.blocks = &engine.Blocks{Table: t}
+	d.blocks = &engine.BlockTableLoaded{Table: t}
 	return nil
 }
--- a/serve/daemon/calls.go
+++ b/serve/daemon/calls.go
@@ -282,10 +282,10 @@
 		Verdict:      r.Verdict,
 		Reason:       r.Reason,
 		RetryAfterMs: r.RetryAfter.Milliseconds(),
-		Ask:          r.Ask,
-		Answered:     r.Answer,
+		Ask:          r.AskVM,
+		Answered:     r.EarlierStatus,
 	}
-	if vm, ok := d.vms[r.Ask]; ok {
+	if vm, ok := d.vms[r.AskVM]; ok {
 		e.AskAddr = vm.CallAddr
 	}
 	switch {
--- a/serve/daemon/control.go
+++ b/serve/daemon/control.go
@@ -18,13 +18,13 @@
 // learn notes the addresses that a step has brought. It goes before the effects
 // that use them: a step that learns of a target may send to it at once.
 func (d *Daemon) learn(r *engine.Ready) {
-	if r.Machines != nil {
-		d.learnTargets(r.Machines.Targets)
+	if r.MachineList != nil {
+		d.learnTargets(r.MachineList.Targets)
 		d.listed.Store(true)
 	}
 	if r.VMs != nil {
 		d.learnVMs(r.VMs)
-		d.eligible.Store(r.Eligible)
+		d.eligible.Store(r.EligibleForLease)
 	}
 }
 
@@ -34,7 +34,7 @@
 		d.config.Store(r.Catalogue)
 		d.log.WithField("revision", r.Catalogue.Revision).Info("configuration in force")
 	}
-	d.watching.Store(r.WatchMachines)
+	d.watching.Store(r.WatchMachineList)
 	for i := range r.Peers {
 		d.sendPeer(r.Peers[i])
 	}
@@ -105,7 +105,7 @@
 			d.pause()
 		default:
 			version = l.Version
-			d.core.Post(&engine.Machines{List: l})
+			d.core.Post(&engine.MachineListRead{List: l})
 		}
 	}
 }
--- a/serve/daemon/daemon.go
+++ b/serve/daemon/daemon.go
@@ -64,7 +64,7 @@
 	targets map[fleet.TargetID]fleet.Target
 	vms     map[fleet.VMID]fleet.VM
 
-	blocks     *engine.Blocks // nil without a table
+	blocks     *engine.BlockTableLoaded // nil without a table
 	reader     *store.Reader
 	writer     *store.Writer
 	platformUp atomic.Bool
--- a/serve/daemon/status.go
+++ b/serve/daemon/status.go
@@ -56,7 +56,7 @@
 		s.Shifts = append(s.Shifts, admin.ShiftStatus{
 			ID: sh.ID, State: sh.State, Service: sh.Service, From: sh.From, To: sh.To,
 			Share: sh.Share, Moved: e.MovedShare(sh.ID), MaxShare: sh.Limits.MaxShare,
-			Hold: e.HoldOf(sh.ID),
+			Hold: e.HoldReason(sh.ID),
 		})
 	}
 }
