--- a/decide/engine/calls.go
+++ b/decide/engine/calls.go
@@ -7,13 +7,13 @@
 	"github.com/azurethread/azurethread/decide/verdict"
 )
 
-// openToken is the token of a request that has no final effect yet.
+// openToken is the token of a request that has not been answered yet.
 type openToken struct {
 	id   token.ID
-	sent bool // handed to a target or an entry VM at least once
+	sent bool // sent to a target or an entry VM at least once
 }
 
-// Outcome tells what became of a token.
+// Outcome returns what is known about the request that used a token.
 func (e *Engine) Outcome(now clock.Time, tok string) token.Admission {
 	return e.ledger.Outcome(now, tok)
 }
@@ -46,9 +46,9 @@
 	e.dispatchCall(now, c, out)
 }
 
-// refuseUnknownService refuses a request of a service that this configuration does
-// not hold. Its token is spent as well: the caller is told not-run, and an
-// earlier send still on its way must not run after that.
+// refuseUnknownService refuses a request for a service that is not in the
+// configuration in force. It also invalidates the token: the answer is
+// not-run, so an earlier send that is still in transit must not run later.
 func (e *Engine) refuseUnknownService(now clock.Time, c *Call) Refusal {
 	reason := verdict.ReasonUnknownService
 	if e.catalogue == nil {
@@ -69,7 +69,7 @@
 	return r
 }
 
-// admissionRefusal is the answer to a token that was not admitted.
+// admissionRefusal returns the answer to a request whose token was not admitted.
 func admissionRefusal(req dispatch.RequestID, a token.Admission) Refusal {
 	r := Refusal{AskVM: a.VM, EarlierStatus: a.Answer}
 	r.Req = req
@@ -79,6 +79,7 @@
 	return r
 }
 
+// dispatchCall passes an admitted request to the dispatcher.
 func (e *Engine) dispatchCall(now clock.Time, c *Call, out *Ready) {
 	e.startRecord(now, c)
 	e.arrival = dispatch.Arrive{
@@ -95,8 +96,8 @@
 	e.stepDispatch(now, &e.arrival, out)
 }
 
-// callerGone settles the token of a request nobody waits for: one that was
-// never handed on has not run, and never will.
+// callerGone settles the token of a request whose caller has disconnected. If
+// the request was never sent on, it has not run and will not run.
 func (e *Engine) callerGone(now clock.Time, ev *dispatch.CallerGone, out *Ready) {
 	e.stepDispatch(now, ev, out)
 	delete(e.records, ev.Req)
@@ -111,8 +112,8 @@
 	e.settleToken(now, ev.Req, v, 0)
 }
 
-// stepDispatch steps the dispatcher, and settles the tokens and ends the
-// records of requests that got their final effect.
+// stepDispatch steps the dispatcher. It then settles the tokens and closes the
+// records of the requests that were answered.
 func (e *Engine) stepDispatch(now clock.Time, ev dispatch.Event, out *Ready) {
 	d := &out.Dispatch
 	sends, forwards := len(d.Sends), len(d.Forwards)
@@ -141,7 +142,7 @@
 	}
 }
 
-// minFailedStatus is the least HTTP status that counts as a failed answer.
+// minFailedStatus is the lowest HTTP status that counts as a failed answer.
 const minFailedStatus = 500
 
 func (e *Engine) markSent(req dispatch.RequestID) {
--- a/decide/engine/control.go
+++ b/decide/engine/control.go
@@ -2,6 +2,7 @@
 
 import (
 	"cmp"
+	"fmt"
 	"slices"
 
 	"github.com/azurethread/azurethread/decide/catalogue"
@@ -16,7 +17,7 @@
 	"github.com/azurethread/azurethread/decide/tally"
 )
 
-// peerMessage hands each part of a frame to the package it is for.
+// peerMessage passes each part of a frame to the package that handles it.
 func (e *Engine) peerMessage(now clock.Time, m *PeerMessage, out *Ready) {
 	if m.Load != nil {
 		e.loads.Step(now, &load.Received{From: m.From, Report: m.Load})
@@ -35,7 +36,7 @@
 	}
 }
 
-// stepMember steps the membership and takes over what has changed.
+// stepMember steps the membership and applies its changes to the other parts.
 func (e *Engine) stepMember(now clock.Time, ev member.Event, out *Ready) {
 	r := &e.memberReady
 	e.member.Step(now, ev, r)
@@ -55,7 +56,7 @@
 	}
 }
 
-// loadReport makes the load report that rides on a message of membership.
+// loadReport builds the load report that is sent with a membership message.
 func (e *Engine) loadReport(now clock.Time, s member.Scope) *load.Report {
 	if s == member.ScopeNone {
 		return nil
@@ -71,7 +72,8 @@
 	member.ScopeFar:    load.ScopeFar,
 }
 
-// updateLoadFleet tells the load state who takes part.
+// updateLoadFleet passes the failure domains and this VM's reporting duties to
+// the load state.
 func (e *Engine) updateLoadFleet(now clock.Time, domains []member.DomainView) {
 	d := e.member.Duties()
 	f := &load.Fleet{Representative: d.Representative, Group: d.Group, Peers: d.Peers}
@@ -81,7 +83,8 @@
 	e.loads.Step(now, f)
 }
 
-// updateVMs tells everyone who works with entry VMs.
+// updateVMs rebuilds the list of entry VMs and passes it to every part that
+// uses it.
 func (e *Engine) updateVMs(now clock.Time, domains []member.DomainView, out *Ready) {
 	e.vms = e.vms[:0:0]
 	for _, v := range domains {
@@ -101,13 +104,15 @@
 	e.updateRemotes(now, domains, out)
 	e.stepConfig(now, &config.Members{Members: e.configMembers()}, out)
 	e.rebuildView(out)
-	// Last, as a list that comes into force steps the membership again, and
-	// what that changes must not be overwritten by this older view.
+	// This comes last: a machine list that comes into force steps the
+	// membership again, and the older view of this call must not overwrite
+	// the result.
 	e.stepMachine(now, own, out)
 }
 
-// addLeavingMembers adds the members of the own domain that are leaving, as they are
-// reached by messages though not by look-ups, and returns all members.
+// addLeavingMembers adds the leaving members of the VM's own failure domain to
+// the list, because they still receive messages although look-ups no longer
+// return them. It returns all members of the domain.
 func (e *Engine) addLeavingMembers() *machine.Members {
 	own := &machine.Members{}
 	for _, vm := range e.member.Members(nil) {
@@ -127,7 +132,8 @@
 	return ms
 }
 
-// domainPeers counts the live entry VMs of the own failure domain and ranks this one.
+// domainPeers returns the number of live entry VMs in this failure domain and
+// the rank of this VM among them.
 func (e *Engine) domainPeers() *dispatch.Peers {
 	p := &dispatch.Peers{Count: 1}
 	for _, vm := range e.vms {
@@ -142,8 +148,8 @@
 	return p
 }
 
-// stepConfig steps the configuration's spread and puts what it decides in
-// force.
+// stepConfig steps the distribution of the configuration and applies the
+// catalogue that it accepts.
 func (e *Engine) stepConfig(now clock.Time, ev config.Event, out *Ready) {
 	r := &e.configReady
 	e.config.Step(now, ev, r)
@@ -185,18 +191,19 @@
 	e.rebuildView(out)
 }
 
-// checkRevision asserts that the revision in force never falls.
+// checkRevision reports a violation unless the new catalogue has a higher
+// revision than the one in force.
 func (e *Engine) checkRevision(c *catalogue.Catalogue, out *Ready) {
 	if e.catalogue == nil || c.Revision > e.catalogue.Revision {
 		return
 	}
 	out.Dispatch.Violations = append(out.Dispatch.Violations, dispatch.Violation{
 		Invariant: "revision-rises",
-		Detail:    "a catalogue of no higher revision came into force",
+		Detail:    fmt.Sprintf("catalogue revision %d applied while revision %d is in force", c.Revision, e.catalogue.Revision),
 	})
 }
 
-// stepMachine steps the spread of the machine list and takes over the list
+// stepMachine steps the distribution of the machine list and applies the list
 // that it puts in force.
 func (e *Engine) stepMachine(now clock.Time, ev machine.Event, out *Ready) {
 	r := &e.machineReady
@@ -213,7 +220,8 @@
 	}
 }
 
-// applyMachineList takes over a machine list.
+// applyMachineList passes the targets of this failure domain to the dispatcher
+// and the whole list to the membership.
 func (e *Engine) applyMachineList(now clock.Time, l *fleet.List, out *Ready) {
 	out.MachineList = l
 	own := slices.DeleteFunc(slices.Clone(l.Targets), func(t fleet.Target) bool {
@@ -223,8 +231,8 @@
 	e.stepMember(now, &member.Listed{List: *l}, out)
 }
 
-// updateReading tells the spread of the machine list whether this process reads
-// the platform for its failure domain.
+// updateReading tells the distribution of the machine list whether this
+// process reads the platform for its failure domain.
 func (e *Engine) updateReading(now clock.Time, out *Ready) {
 	on := e.config.Status(now).Reading
 	if on == e.reading {
@@ -234,7 +242,8 @@
 	e.stepMachine(now, &machine.Reading{On: on}, out)
 }
 
-// rebuildView builds the view that look-ups are answered from.
+// rebuildView rebuilds the view that answers look-ups, with and without
+// traffic shifts.
 func (e *Engine) rebuildView(out *Ready) {
 	in := steer.Inputs{Self: e.self.Region, Blocks: e.blocks, VMs: e.vms, Weights: e.weights}
 	if e.catalogue != nil {
@@ -248,7 +257,7 @@
 	}
 }
 
-// runningRoutes names the traffic that shifts are stepping now.
+// runningRoutes returns the routes of the running traffic shifts.
 func runningRoutes(c *catalogue.Catalogue) []steer.Route {
 	var rs []steer.Route
 	for _, s := range c.Shifts {
--- a/decide/engine/engine.go
+++ b/decide/engine/engine.go
@@ -19,21 +19,21 @@
 	"github.com/azurethread/azurethread/decide/token"
 )
 
-// Options of an Engine.
+// Options configure an Engine.
 type Options struct {
 	Self     fleet.VM
 	FleetKey []byte
 	Seed     uint64
-	Now      clock.Time       // instant of the start
-	Dispatch dispatch.Options // VM, Domain, Region and Seed are filled in
+	Now      clock.Time       // start of the process
+	Dispatch dispatch.Options // New sets VM, Domain, Region and Seed
 	Member   member.Options
 	Shift    shift.Options
-	// NearRTT and FarRTT are the round trips to entry VMs of other failure
-	// domains inside the region, and in other regions.
+	// NearRTT is the round-trip time to entry VMs in other failure domains of
+	// the same region, FarRTT the one to entry VMs in other regions.
 	NearRTT, FarRTT time.Duration
 }
 
-// Engine is the state of one entry VM.
+// Engine holds the state of one entry VM.
 type Engine struct {
 	self        fleet.VM
 	opts        Options
@@ -52,12 +52,12 @@
 	catalogue  *catalogue.Catalogue
 	table      *shift.Table
 	blocks     *block.Table
-	vms        []fleet.VM // of all domains, by id
+	vms        []fleet.VM // of all domains, sorted by ID
 	weights    map[steer.DomainService]steer.Weight
 	records    map[dispatch.RequestID]requestRecord
 	evidence   shift.Evidence
 	runsShifts bool // holds the lease of the shift runner
-	// watchMachineList is what the spread of the machine list last asked for.
+	// watchMachineList says whether the platform's machine list is to be watched.
 	watchMachineList bool
 	reading          bool // reads the platform for its failure domain
 
@@ -73,7 +73,7 @@
 	tallySamples []tally.Sample
 }
 
-// wakeTimes are the instants at which each part wants to be ticked.
+// wakeTimes are the times at which each part needs its next tick.
 type wakeTimes struct {
 	dispatch, member, config, refresh, tally, runner, machine clock.Time
 }
@@ -154,7 +154,7 @@
 	out.wake = e.wakeTimes.next()
 }
 
-// tick passes time in the parts that are due.
+// tick steps the parts whose wake time has come.
 func (e *Engine) tick(now clock.Time, out *Ready) {
 	if e.wakeTimes.dispatch <= now {
 		e.stepDispatch(now, &dispatch.Tick{}, out)
@@ -179,17 +179,17 @@
 	}
 }
 
-// Catalogue returns the configuration in force; nil before the first.
+// Catalogue returns the configuration in force, or nil if there is none yet.
 func (e *Engine) Catalogue() *catalogue.Catalogue { return e.catalogue }
 
-// Config gives access to the spread of the configuration, for status pages
-// and for writes.
+// Config returns the state of the configuration's distribution, for status
+// pages and for writes.
 func (e *Engine) Config() *config.State { return e.config }
 
-// Member gives access to the membership, for status pages.
+// Member returns the membership state, for status pages.
 func (e *Engine) Member() *member.State { return e.member }
 
-// Loads gives access to the known load, for status pages.
+// Loads returns the load state, for status pages.
 func (e *Engine) Loads() *load.State { return e.loads }
 
 // Shifts returns the traffic shifts of the configuration in force.
--- a/decide/engine/event.go
+++ b/decide/engine/event.go
@@ -15,11 +15,11 @@
 	"github.com/azurethread/azurethread/decide/verdict"
 )
 
-// Event is one of the pointer types of this file, or an event of one of the
-// packages that the engine composes.
+// Event is one of the pointer types in this file, or an event of one of the
+// packages that the engine combines.
 type Event any
 
-// Call is a request of a caller, or of another entry VM when Hops is not 0.
+// Call is a request from a caller, or from another entry VM if Hops is not 0.
 type Call struct {
 	Req      dispatch.RequestID
 	Service  fleet.ServiceName
@@ -28,29 +28,30 @@
 	Block    uint64       // hash of the client's block
 	Deadline clock.Time
 	Hops     uint8
-	// ExpectedWait is how long the sending entry VM expects the request would
-	// wait there; 0 for a caller's own request.
+	// ExpectedWait is how long the request would have to wait at the entry VM
+	// that forwarded it, as estimated there; 0 for a request from a caller.
 	ExpectedWait time.Duration
 	BodyBytes    int64
 }
 
-// Reject is a request that cannot be served as it is, such as one with a
-// malformed header. It passes through the engine for the sake of its token: an
-// earlier send of the same token may have run, and the answer must not deny it.
+// Reject is a request that cannot be served, such as one with a malformed
+// header. It goes through the engine because of its token: an earlier send with
+// the same token may have run, and then the answer must not be not-run.
 type Reject struct {
 	Req    dispatch.RequestID
 	Token  string // may be empty
 	Reason verdict.Reason
 }
 
-// Tick passes time; it is due at Ready.Wake.
+// Tick reports that the time given by Ready.Wake has come.
 type Tick struct{}
 
-// MachineListRead is the platform's lagging machine list as it has just been read.
+// MachineListRead is the platform's machine list as just read. The platform
+// updates it with a delay.
 type MachineListRead struct{ List fleet.List }
 
-// PeerMessage is what one frame of another entry VM brought. Of its parts
-// those that came are set.
+// PeerMessage is the content of one frame from another entry VM. Parts that the
+// frame does not contain are nil.
 type PeerMessage struct {
 	From        fleet.VMID
 	Incarnation fleet.Incarnation
@@ -61,20 +62,20 @@
 	Machine     machine.Message
 }
 
-// BlockTableLoaded is a newer table of client blocks.
+// BlockTableLoaded is a new table of client blocks.
 type BlockTableLoaded struct{ Table *block.Table }
 
 // Refusal is the final error answer to a request that was not dispatched.
 type Refusal struct {
 	dispatch.Reply
-	// AskVM names the entry VM that knows what became of the token; empty: none.
+	// AskVM is the entry VM that knows the outcome of the token; empty if none.
 	AskVM fleet.VMID
-	// EarlierStatus is the HTTP status that an earlier send of the token was
-	// answered with; 0: none.
+	// EarlierStatus is the HTTP status with which an earlier send of the token
+	// was answered; 0 if none.
 	EarlierStatus int
 }
 
-// newRefusal returns the refusal of a request that has provably not run.
+// newRefusal returns the refusal of a request that has not run.
 func newRefusal(req dispatch.RequestID, r verdict.Reason) Refusal {
 	return Refusal{Reply: dispatch.Reply{Req: req, Verdict: verdict.NotRun, Reason: r}}
 }
--- a/decide/engine/ready.go
+++ b/decide/engine/ready.go
@@ -14,8 +14,8 @@
 	"github.com/azurethread/azurethread/decide/tally"
 )
 
-// PeerSend is a message to another entry VM. Of its parts those that are set
-// go together.
+// PeerSend is a message to another entry VM. All parts that are not nil are sent
+// in one frame.
 type PeerSend struct {
 	To      fleet.VM
 	Member  member.Msg
@@ -25,48 +25,51 @@
 	Machine machine.Message
 }
 
-// Ready holds the effects of one Step. The slices belong to the caller, who
-// resets and reuses them.
+// Ready holds the effects of one Step. The caller owns the slices, and resets
+// and reuses them.
 type Ready struct {
 	Dispatch dispatch.Ready
 	Refusals []Refusal
 	Peers    []PeerSend
 
-	// The reads of the platform that configuration asks for.
+	// Watch, Fetch, Unwatch and Restore are the platform operations that the
+	// configuration needs.
 	Watch   []config.WatchPlatform
 	Fetch   []config.FetchPlatform
 	Unwatch []config.StopWatching
 	Restore []config.RestorePlatform
-	// Writes of traffic shifts, to be made by compare-and-swap.
+	// Writes are the changes to traffic shifts, to be written by
+	// compare-and-swap.
 	Writes []shift.Write
 
-	// Catalogue has come into force; nil: no change.
+	// Catalogue is the catalogue that has come into force; nil if unchanged.
 	Catalogue *catalogue.Catalogue
-	// View answers look-ups from now on; nil: no change.
+	// View is the new view for answering look-ups; nil if unchanged.
 	View *steer.View
-	// Unshifted is View as if no traffic were shifted, for look-ups that Gate
-	// keeps from being moved; set with View.
+	// Unshifted is View without traffic shifts, for look-ups that Gate does not
+	// allow to be moved; set together with View.
 	Unshifted *steer.View
-	// Gate bounds the share of look-ups that are moved; nil: no change.
+	// Gate limits the share of look-ups that are moved; nil if unchanged.
 	Gate *shift.Gate
-	// EligibleForLease says whether this process should try for the lease of the
-	// shift runner; set with VMs.
+	// EligibleForLease says whether this process should try to acquire the lease
+	// of the shift runner; set together with VMs.
 	EligibleForLease bool
-	// VMs are all known entry VMs; nil: no change.
+	// VMs are all known entry VMs; nil if unchanged.
 	VMs []fleet.VM
-	// MachineList are the own failure domain's targets and all entry VMs that are
-	// in force now; nil: no change.
+	// MachineList is the machine list that has come into force: the targets of
+	// the VM's own failure domain and all entry VMs; nil if unchanged.
 	MachineList *fleet.List
 	// WatchMachineList says whether this process should watch the platform's
-	// machine list now.
+	// machine list.
 	WatchMachineList bool
-	// Superseded says that another process runs under this VM's id: stop.
+	// Superseded says that another process runs under this VM's ID, so this one
+	// must stop.
 	Superseded bool
 
 	wake clock.Time
 }
 
-// Wake is when the next Tick is due; clock.Never when none is.
+// Wake returns when the next Tick is due, or clock.Never.
 func (r *Ready) Wake() clock.Time { return r.wake }
 
 // Reset empties r and keeps its memory.
--- a/decide/engine/refresh.go
+++ b/decide/engine/refresh.go
@@ -12,11 +12,11 @@
 	"github.com/azurethread/azurethread/decide/tally"
 )
 
-// refreshInterval is the time between two measurements of the own load, and
-// between two readings of the others' reports.
+// refreshInterval is the time between measurements of this VM's load, and
+// between evaluations of the load reports of others.
 const refreshInterval = 250 * time.Millisecond
 
-// refresh measures the own load and takes over what others have reported.
+// refresh measures this VM's load and applies the load that others reported.
 func (e *Engine) refresh(now clock.Time, out *Ready) {
 	e.wakeTimes.refresh = now.Add(refreshInterval)
 	e.measureOwnLoad(now, out)
@@ -27,7 +27,7 @@
 	}
 }
 
-// measureOwnLoad gives the own load to the reports.
+// measureOwnLoad passes this VM's load to the load state and the tally.
 func (e *Engine) measureOwnLoad(now clock.Time, out *Ready) {
 	e.ownLoads = e.dispatch.AppendLoads(e.ownLoads[:0])
 	e.loadSamples = e.loadSamples[:0]
@@ -55,13 +55,15 @@
 	e.loads.Step(now, &load.Measured{Samples: e.loadSamples})
 }
 
-// maxRemotesPerDomain bounds the entry VMs of one domain that requests are forwarded
-// to; they are the first by a hash, so that entry VMs spread over them.
+// maxRemotesPerDomain is the maximum number of entry VMs of one domain that
+// requests are forwarded to. They are the first in an order by hash, so
+// different entry VMs choose different ones.
 const maxRemotesPerDomain = 2
 
-// updateRemotes tells the dispatcher who elsewhere could take requests. What a
-// domain has left is divided evenly among its entry VMs, as only they know
-// how it is divided in truth; the receiver's own admission decides.
+// updateRemotes tells the dispatcher which entry VMs of other domains could
+// take requests. A domain's free capacity is divided evenly among its entry VMs,
+// because the actual division is known only to them; the receiver decides about
+// each request on arrival.
 func (e *Engine) updateRemotes(now clock.Time, domains []member.DomainView, out *Ready) {
 	ev := &dispatch.Remotes{}
 	if e.catalogue == nil {
@@ -95,8 +97,8 @@
 	e.stepDispatch(now, ev, out)
 }
 
-// updateWeights turns the headroom of each domain into the weight that look-ups give
-// it. It reports whether one has changed.
+// updateWeights derives the look-up weight of each domain from its headroom. It
+// reports whether any weight changed.
 func (e *Engine) updateWeights(now clock.Time, domains []member.DomainView) bool {
 	if e.catalogue == nil {
 		return false
--- a/decide/engine/shifts.go
+++ b/decide/engine/shifts.go
@@ -13,14 +13,15 @@
 	"github.com/azurethread/azurethread/decide/tally"
 )
 
-// stepTally steps the gathering of evidence, and plans on what is new.
+// stepTally steps the collection of evidence and passes new evidence to the
+// shift runner.
 func (e *Engine) stepTally(now clock.Time, ev tally.Event, out *Ready) {
 	r := &e.tallyReady
 	e.tally.Step(now, ev, r)
 	e.wakeTimes.tally = r.Wake
 	for _, s := range r.Sends {
-		// An answer may go to an entry VM that membership does not name here;
-		// it takes the connection that the asker has opened.
+		// The recipient may be missing in this VM's membership. The answer
+		// then uses the connection that the recipient has opened.
 		vm, ok := e.findVM(s.To)
 		if !ok {
 			vm = fleet.VM{ID: s.To}
@@ -33,15 +34,15 @@
 	}
 }
 
-// stepShiftRunner steps the runner of shifts.
+// stepShiftRunner steps the runner of the traffic shifts.
 func (e *Engine) stepShiftRunner(now clock.Time, ev shift.Event, out *Ready) {
 	if d, ok := ev.(shift.Duty); ok && d.Held != e.runsShifts {
 		e.runsShifts = d.Held
 		e.stepTally(now, &tally.Lead{Held: d.Held}, out)
 	}
 	if e.wakeTimes.runner <= now {
-		// The runner states a wake only when it has one; a past one left in
-		// place would be due for ever, and keep every other tick from coming.
+		// The runner returns a wake time only if it needs one. A past wake
+		// time that stays set would always be due and block all later ticks.
 		e.wakeTimes.runner = clock.Never
 	}
 	e.effects = e.shiftRunner.Step(now, ev, e.effects[:0])
@@ -62,7 +63,7 @@
 	}
 }
 
-// applyShifts takes over the shifts of a new configuration.
+// applyShifts applies the shifts of a new configuration.
 func (e *Engine) applyShifts(now clock.Time, c *catalogue.Catalogue, out *Ready) {
 	e.table = shift.NewTable(c)
 	out.Gate = shift.NewGate(now, c)
@@ -70,27 +71,27 @@
 	e.stepShiftRunner(now, shift.Configured{Catalogue: c}, out)
 }
 
-// eligibleForLease reports whether this entry VM should try for the lease of the
-// runner.
+// eligibleForLease reports whether this entry VM should try to acquire the
+// lease of the shift runner.
 func (e *Engine) eligibleForLease(domains []member.DomainView) bool {
 	ids := tally.Candidates(domains, tally.DefaultCandidates)
 	return slices.Contains(ids, e.self.ID)
 }
 
-// requestRecord is what is noted of a request for the counts of shifts and the
-// measures of services.
+// requestRecord holds the data of a request that the counts of shifts and the
+// metering of services need.
 type requestRecord struct {
 	service fleet.ServiceName
 	home    fleet.Region
 	block   uint64
 	movedBy string
 	arrived clock.Time
-	sent    clock.Time // last handed to a target or an entry VM; 0: never
-	local   bool       // last handed to a target of the own failure domain
+	sent    clock.Time // last sent to a target or an entry VM; 0 if never
+	local   bool       // last sent to a target of this failure domain
 	hops    uint8
 }
 
-// startRecord begins the record of a request.
+// startRecord creates the record of a request.
 func (e *Engine) startRecord(now clock.Time, c *Call) {
 	s := requestRecord{service: c.Service, home: c.Home, block: c.Block, hops: c.Hops, arrived: now}
 	if e.table != nil && c.Home != e.self.Region {
@@ -101,7 +102,8 @@
 	e.records[c.Req] = s
 }
 
-// recordSend notes that a request has gone to a target or to an entry VM.
+// recordSend records that a request was sent to a target (local) or to an entry
+// VM.
 func (e *Engine) recordSend(now clock.Time, req dispatch.RequestID, local bool) {
 	if s, ok := e.records[req]; ok {
 		s.sent, s.local = now, local
@@ -109,7 +111,7 @@
 	}
 }
 
-// endRecord ends the record of a request at its final answer.
+// endRecord closes the record of a request when it is answered.
 func (e *Engine) endRecord(now clock.Time, req dispatch.RequestID, ok bool) {
 	s, known := e.records[req]
 	if !known {
@@ -123,16 +125,17 @@
 	if s.hops == 0 {
 		e.tally.Served(s.service, s.home, s.block, s.movedBy, busy)
 	}
-	// A refused forward is no failed answer: its sender turns to somebody else.
-	// Counted, it held shifts back wherever spill was tried at a busy region.
+	// A refused forward is not a failed answer, because its sender tries
+	// another VM. Counting it held shifts back wherever requests were
+	// forwarded to a busy region.
 	refused := !ok && s.sent == 0 && s.hops == 0
 	if s.local || refused {
 		e.tally.Meter().Answered(now, s.service, now.Sub(s.arrived), ok)
 	}
 }
 
-// MovedShare returns the part of a shift's traffic that the last evidence
-// counts as moved. It is known only to the process that runs the shifts.
+// MovedShare returns the share of a shift's traffic that was moved, according to
+// the latest evidence. Only the process that runs the shifts knows it.
 func (e *Engine) MovedShare(id string) catalogue.Share {
 	var total, moved uint64
 	for i := range e.evidence.Counts {
@@ -147,8 +150,9 @@
 	return catalogue.Share(moved * catalogue.ShareUnit / total)
 }
 
-// HoldReason returns why a shift stands still: the decision of this process if it
-// runs the shifts, else what the runner has written to the catalogue.
+// HoldReason returns why a shift is on hold: the decision of this process if it
+// runs the shifts, otherwise the reason that the runner has written to the
+// catalogue.
 func (e *Engine) HoldReason(id string) string {
 	if e.runsShifts {
 		for _, s := range e.shiftRunner.Status(nil) {
