--- a/decide/engine/enginetest/caller.go
+++ b/decide/engine/enginetest/caller.go
@@ -13,7 +13,7 @@
 	"github.com/azurethread/azurethread/decide/verdict"
 )
 
-// How callers behave.
+// Behaviour of callers.
 const (
 	lookupChoices      = 3
 	lookupTokens       = 3
@@ -24,21 +24,21 @@
 	defaultResendAfter = 700 * time.Millisecond
 )
 
-// Caller is a caller's library with the rules that it must follow: it caches
-// look-ups for their time to live, sends non-idempotent work again only with
-// the same token to the same entry VM, and takes a fresh token after not-run
-// alone.
+// Caller is a caller's library that follows the protocol: it caches look-ups for
+// their time to live, resends non-idempotent work only with the same token to
+// the same entry VM, and uses a new token only after not-run.
 type Caller struct {
 	Name string
-	// ResendAfter is how long it waits before it sends again; Deadline how long
-	// a piece of work may take in all.
+	// ResendAfter is how long the caller waits for an answer before it resends.
+	// Deadline is how long a work may take in total.
 	ResendAfter, Deadline time.Duration
-	// CancelProbability is the part of its impatience on which it closes the connection
-	// of the first send before it sends again.
+	// CancelProbability is the probability that it closes the connections of the
+	// earlier sends before it resends.
 	CancelProbability float64
-	// Stopped callers start no more work by themselves.
+	// Stopped says that GenerateLoad starts no more work.
 	Stopped bool
-	// AsksOutcome says that it asks for the outcome of work without an answer.
+	// AsksOutcome says that it queries the outcome of work that ended as
+	// may-have-run.
 	AsksOutcome bool
 
 	w       *World
@@ -46,11 +46,11 @@
 	lookups map[fleet.ServiceName]*cachedLookup
 }
 
-// cachedLookup is a cached answer to a look-up.
+// cachedLookup is the cached answer to a look-up.
 type cachedLookup struct {
 	expires clock.Time
 	client  client
-	movedBy string // shift that moved it; empty: none
+	movedBy string // shift that moved the look-up; empty if none
 	vms     []vmChoice
 }
 
@@ -59,8 +59,8 @@
 	tokens []string
 }
 
-// AddCaller adds a caller in block n of the clients of a region, counted by
-// the order of Options.VMs.
+// AddCaller adds a caller in client block n of a region. Regions are numbered in
+// the order in which they appear in Options.VMs.
 func (w *World) AddCaller(region, n int) *Caller {
 	c := &Caller{
 		Name:        fmt.Sprintf("c%d", len(w.Callers)),
@@ -74,25 +74,25 @@
 	return c
 }
 
-// task is one work of a caller on its way.
+// task is one work that a caller is having done.
 type task struct {
 	c          *Caller
 	work       *Work
 	deadline   clock.Time
 	done       bool
-	submission *Submission // of the token in use
+	submission *Submission // current one
 	token      string
-	sends      int // under this token
+	sends      int // of the current submission
 	vm         *VM
 	client     client
 	exchanges  []*Exchange
-	movedBy    string // as of the look-up
+	movedBy    string // shift that moved the look-up
 	avoid      fleet.VMID
-	maybeRan   bool // a send may have run and nobody knows
-	timer      int  // number of the timer in force
+	maybeRan   bool // a send may have run
+	timer      int  // number of the active timer
 }
 
-// StartWork starts a work.
+// StartWork starts one work.
 func (c *Caller) StartWork(s fleet.ServiceName, idempotent bool) *Work {
 	c.w.lastNumber++
 	c.w.Checker.Counts.Works++
@@ -103,7 +103,7 @@
 	return work
 }
 
-// start sends the work under a new claim.
+// start sends the work as a new submission.
 func (t *task) start() {
 	if t.done {
 		return
@@ -131,7 +131,8 @@
 
 func (r *cachedLookup) hasToken(avoid fleet.VMID) bool { return r.pick(avoid, true) != nil }
 
-// pick returns the first choice that is not avoided, or else the first.
+// pick returns the first choice that is not the avoided one, or the avoided one
+// if there is no other. With token set it skips choices without tokens.
 func (r *cachedLookup) pick(avoid fleet.VMID, token bool) *vmChoice {
 	var second *vmChoice
 	for i := range r.vms {
@@ -149,7 +150,7 @@
 
 func (t *task) after(d time.Duration, f func()) { t.c.w.After(d, f) }
 
-// lookup asks an entry VM, any that it reaches.
+// lookup does a look-up at a random entry VM.
 func (t *task) lookup() {
 	w := t.c.w
 	v := w.VMs[w.IntN(len(w.VMs))]
@@ -189,39 +190,39 @@
 	return ids
 }
 
-// send makes one send of the claim.
+// send sends the current submission once.
 func (t *task) send() {
 	if t.done {
 		return
 	}
 	w := t.c.w
 	t.sends++
-	claim := t.submission
+	sub := t.submission
 	v, tok, from, left := t.vm, t.token, t.client, t.deadline.Sub(w.Now)
 	w.trace("%s sends %s to %s, send %d", t.c.Name, t.work.Name, v.Self.ID, t.sends)
 	var x *Exchange
-	x = w.exchange(Location{}, v.Location, claim, v.isUp, func(x *Exchange) {
+	x = w.exchange(Location{}, v.Location, sub, v.isUp, func(x *Exchange) {
 		v.accept(x, tok, from, 0, w.Now.Add(left))
 	}, func(a Answer) {
 		t.exchanges = slices.DeleteFunc(t.exchanges, func(o *Exchange) bool { return o == x })
-		t.handleAnswer(claim, a)
+		t.handleAnswer(sub, a)
 	})
 	t.exchanges = append(t.exchanges, x)
 	t.setTimer(t.c.ResendAfter, t.handleTimeout)
 }
 
-// setTimer sets the one timer of the task.
+// setTimer sets the task's only timer and replaces an earlier one.
 func (t *task) setTimer(d time.Duration, f func()) {
 	t.timer++
-	mine := t.timer
+	current := t.timer
 	t.after(d, func() {
-		if t.timer == mine && !t.done {
+		if t.timer == current && !t.done {
 			f()
 		}
 	})
 }
 
-// handleTimeout sends again after silence.
+// handleTimeout resends after ResendAfter without an answer.
 func (t *task) handleTimeout() {
 	w := t.c.w
 	if w.Chance(t.c.CancelProbability) {
@@ -231,7 +232,7 @@
 	}
 	if t.sends >= maxTokenSends {
 		t.maybeRan = true
-		return // the deadline decides
+		return // expire ends the task
 	}
 	w.Checker.Counts.Resends++
 	if t.work.Idempotent {
@@ -242,19 +243,20 @@
 	t.send()
 }
 
-// handleAnswer takes the end of one send.
-func (t *task) handleAnswer(claim *Submission, a Answer) {
+// handleAnswer handles the result of one send.
+func (t *task) handleAnswer(sub *Submission, a Answer) {
 	if t.done || a.Reason == verdict.ReasonCallerGone {
 		return
 	}
-	if a.Submission != claim {
+	if a.Submission != sub {
 		t.c.w.Checker.reportViolation("%s got the answer to %s for %s", t.c.Name, a.Submission.Work.Name, t.work.Name)
 	}
 	switch {
 	case a.Verdict == verdict.Ran:
 		t.finish(verdict.Ran)
-	case claim != t.submission:
-		// Of a claim that was given up: told not-run, or idempotent.
+	case sub != t.submission:
+		// The answer belongs to an earlier submission, which was not-run or
+		// whose work is idempotent.
 	case t.work.Idempotent:
 		t.avoid = t.vm.Self.ID
 		t.setTimer(t.retryDelay(a), t.start)
@@ -270,16 +272,18 @@
 	}
 }
 
-// submitElsewhere gives up a claim that has not run, and begins another one elsewhere.
-// Each claim ends so once at most: two sends of it may both be told not-run,
-// and a caller that began anew for each would do the work twice.
+// submitElsewhere abandons a submission that has not run and starts a new one at
+// another entry VM. A submission is abandoned only once: two of its sends may
+// both be answered not-run, and a new submission for each would run the work
+// twice.
 func (t *task) submitElsewhere(d time.Duration) {
 	t.avoid = t.vm.Self.ID
 	t.submission = nil
 	t.setTimer(d, t.start)
 }
 
-// connectFailed is an attempt that got no connection. It speaks of that send only.
+// connectFailed handles a send that got no connection. This says nothing about
+// earlier sends of the submission.
 func (t *task) connectFailed() {
 	if t.sends == 1 {
 		t.submitElsewhere(callerRetryDelay)
@@ -289,7 +293,8 @@
 	t.resend(callerRetryDelay)
 }
 
-// handleUnknownOutcome is an answer that leaves open whether the work has run.
+// handleUnknownOutcome handles an answer that does not say whether the work has
+// run.
 func (t *task) handleUnknownOutcome(a Answer) {
 	switch a.Reason {
 	case verdict.ReasonTokenElsewhere, verdict.ReasonTokenExpired, verdict.ReasonTokenInvalid:
@@ -306,13 +311,13 @@
 	case verdict.ReasonConnectionLost:
 		t.resend(callerRetryDelay)
 	default:
-		// The entry VM's own word: a further send could not tell more.
+		// The entry VM itself does not know, so another send would not help.
 		t.maybeRan = true
 		t.finish(verdict.MayHaveRun)
 	}
 }
 
-// resend sends the same token to the same entry VM once more.
+// resend sends the same token to the same entry VM again after d.
 func (t *task) resend(d time.Duration) {
 	if t.sends >= maxTokenSends {
 		return
@@ -342,7 +347,7 @@
 	t.finish(v)
 }
 
-// finish books what the caller is left with.
+// finish ends the task and records the verdict that the caller ends up with.
 func (t *task) finish(v verdict.Verdict) {
 	t.done = true
 	t.c.w.trace("%s is left with %s: %s", t.c.Name, t.work.Name, v)
@@ -352,12 +357,12 @@
 		n.Ran++
 		t.c.w.Checker.countAnswered(t.work.Service, t.client.home, t.movedBy)
 		if t.work.Runs == 0 {
-			t.c.w.Checker.reportViolation("%s was told that %s ran, and it has not", t.c.Name, t.work.Name)
+			t.c.w.Checker.reportViolation("%s got ran for %s, which has not run", t.c.Name, t.work.Name)
 		}
 	case verdict.NotRun:
 		n.NotRun++
 		if t.work.Runs > 0 && !t.work.Idempotent {
-			t.c.w.Checker.reportViolation("%s was told that %s has not run, and it has", t.c.Name, t.work.Name)
+			t.c.w.Checker.reportViolation("%s got not-run for %s, which has run", t.c.Name, t.work.Name)
 		}
 	default:
 		n.MayHaveRun++
@@ -365,18 +370,18 @@
 	}
 }
 
-// queryOutcome settles the outcome of a token with the entry VM that knows it.
+// queryOutcome asks the entry VM that the token is for about its outcome.
 func (t *task) queryOutcome() {
 	if !t.c.AsksOutcome || t.token == "" || t.submission == nil {
 		return
 	}
-	v, tok, claim := t.vm, t.token, t.submission
+	v, tok, sub := t.vm, t.token, t.submission
 	t.after(t.c.w.between(0, time.Second), func() {
 		if !v.Up || v.Paused {
 			return
 		}
 		t.c.w.Checker.Counts.Outcomes++
-		a := v.Outcome(tok, claim)
+		a := v.Outcome(tok, sub)
 		t.c.w.trace("%s asks %s for %s: %s, %s", t.c.Name, v.Self.ID, t.work.Name, a.Status, a.Verdict)
 		if a.Status == token.Duplicate && a.Verdict == verdict.MayHaveRun && !a.Pending {
 			t.c.w.Checker.Counts.Unknown++
--- a/decide/engine/enginetest/calls.go
+++ b/decide/engine/enginetest/calls.go
@@ -12,7 +12,7 @@
 	"github.com/azurethread/azurethread/decide/verdict"
 )
 
-// call is a request in hand.
+// call is a request that an entry VM has received and not answered.
 type call struct {
 	id         dispatch.RequestID
 	submission *Submission
@@ -20,11 +20,11 @@
 	client     client
 	hops       uint8
 	arrived    clock.Time
-	deadline   clock.Time // of the World's clock
-	final      bool       // answered, or its caller has gone
+	deadline   clock.Time // by the World's clock
+	final      bool       // answered, or its caller has disconnected
 }
 
-// client is where a request comes from, as a look-up said.
+// client is the origin of a request according to its look-up.
 type client struct {
 	home  fleet.Region
 	block uint64
@@ -38,11 +38,11 @@
 	to       fleet.VMID
 	x        *Exchange
 	sentAt   clock.Time
-	canceled clock.Time // 0: not
+	canceled clock.Time // 0 if not
 	answer   *Answer
 }
 
-// openCalls returns the calls without an answer, in the order of arrival.
+// openCalls returns the unanswered calls in the order of arrival.
 func (v *VM) openCalls() []*call {
 	var out []*call
 	for _, c := range v.calls {
@@ -52,7 +52,7 @@
 	return out
 }
 
-// openAttempts returns the attempts that have not ended, in order.
+// openAttempts returns the remembered attempts, sorted by ID.
 func (v *VM) openAttempts() []*attempt {
 	var out []*attempt
 	for _, a := range v.attempts {
@@ -62,7 +62,7 @@
 	return out
 }
 
-// accept takes a request that has arrived on a connection.
+// accept handles a request that has arrived on a connection.
 func (v *VM) accept(x *Exchange, tok string, from client, hops uint8, deadline clock.Time) {
 	v.lastRequest++
 	c := &call{id: v.lastRequest, submission: x.submission, x: x, client: from, hops: hops, arrived: v.w.Now, deadline: deadline}
@@ -91,8 +91,8 @@
 	}
 }
 
-// countForwarded counts the forwarded requests of a service that arrived since
-// an instant and have no answer yet.
+// countForwarded counts the unanswered forwarded requests of a service that
+// arrived at the given time or later.
 func (v *VM) countForwarded(s fleet.ServiceName, since clock.Time) int {
 	n := 0
 	for _, c := range v.forwards {
@@ -109,10 +109,11 @@
 	delete(v.calls, c.id)
 }
 
-// takeFinal claims the one final effect of a request, nil if its caller has gone.
+// takeFinal closes a call that is to be answered and returns it. It returns nil
+// if the caller has disconnected.
 func (v *VM) takeFinal(id dispatch.RequestID) *call {
 	if id > v.lastRequest || id == 0 {
-		v.w.Checker.reportViolation("%s answers request %d, which nobody made", v.Self.ID, id)
+		v.w.Checker.reportViolation("%s answers request %d, which does not exist", v.Self.ID, id)
 		return nil
 	}
 	c := v.calls[id]
@@ -133,7 +134,7 @@
 	}
 	a := v.attempts[d.Attempt]
 	if a == nil || a.answer == nil {
-		v.w.Checker.reportViolation("%s delivers to %s an answer that it does not have", v.Self.ID, c.submission.Work.Name)
+		v.w.Checker.reportViolation("%s delivers an answer to %s that it has not received", v.Self.ID, c.submission.Work.Name)
 		return
 	}
 	if a.answer.Submission.Work != c.submission.Work {
@@ -150,7 +151,7 @@
 	}
 	v.w.Checker.recordVerdict(v.Self.ID, c.submission, r.Verdict, r.Reason)
 	if r.Reason == verdict.ReasonStopping && v.Leaving && c.arrived < v.leftAt && v.pausedAt < v.leftAt {
-		v.w.Checker.reportViolation("%s leaves and cuts off %s", v.Self.ID, c.submission.Work.Name)
+		v.w.Checker.reportViolation("%s leaves and refuses %s, which arrived before", v.Self.ID, c.submission.Work.Name)
 	}
 	a := Answer{Submission: c.submission, Verdict: r.Verdict, Reason: r.Reason, RetryAfter: r.RetryAfter}
 	if r.Verdict == verdict.NotRun && c.hops == 0 {
@@ -159,7 +160,7 @@
 	c.x.Answer(a)
 }
 
-// removeFromTarget takes the attempt out of the books of its target.
+// removeFromTarget removes the attempt from the list of its target.
 func (a *attempt) removeFromTarget() {
 	if a.target != nil {
 		a.target.attempts = slices.DeleteFunc(a.target.attempts, func(o *attempt) bool { return o == a })
@@ -189,26 +190,26 @@
 	}
 	v.w.Checker.Counts.Forwards++
 	if c.hops > 0 {
-		v.w.Checker.reportViolation("%s forwards %s once more", v.Self.ID, c.submission.Work.Name)
+		v.w.Checker.reportViolation("%s forwards %s, which was already forwarded", v.Self.ID, c.submission.Work.Name)
 	}
 	a := &attempt{id: f.Attempt, call: c, to: f.VM, sentAt: v.w.Now}
 	v.start(a)
-	claim := &Submission{Work: c.submission.Work, Parent: c.submission}
+	sub := &Submission{Work: c.submission.Work, Parent: c.submission}
 	tok := v.mint(f.VM)
 	left := f.Deadline.Sub(v.now())
-	a.x = v.w.exchange(v.Location, to.Location, claim, to.isUp, func(x *Exchange) {
+	a.x = v.w.exchange(v.Location, to.Location, sub, to.isUp, func(x *Exchange) {
 		to.accept(x, tok, c.client, 1, v.w.Now.Add(left))
 	}, v.endHandler(a))
 }
 
 func (v *VM) start(a *attempt) {
 	if v.attempts[a.id] != nil {
-		v.w.Checker.reportViolation("%s gives out attempt %d twice", v.Self.ID, a.id)
+		v.w.Checker.reportViolation("%s uses attempt ID %d twice", v.Self.ID, a.id)
 	}
 	v.attempts[a.id] = a
 }
 
-// endHandler turns the end of an attempt's exchange into an event.
+// endHandler returns the function that handles the end of an attempt's exchange.
 func (v *VM) endHandler(a *attempt) func(Answer) {
 	process := v.processNumber
 	return func(ans Answer) {
@@ -218,10 +219,11 @@
 	}
 }
 
-// attemptRetention is how long an attempt is remembered after its end.
+// attemptRetention is how long an attempt is kept after its end, so that its
+// answer can be delivered.
 const attemptRetention = time.Millisecond
 
-// handleEnd books the end of an attempt and returns the event that tells it.
+// handleEnd records the end of an attempt and returns the event that reports it.
 func (v *VM) handleEnd(a *attempt, ans Answer) engine.Event {
 	a.removeFromTarget()
 	a.answer = &ans
--- a/decide/engine/enginetest/chaos.go
+++ b/decide/engine/enginetest/chaos.go
@@ -10,16 +10,16 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// The services of random Worlds: look-ups, submissions that need a token, and
-// postings that may come without.
+// The services of random Worlds: an idempotent one, one that requires a token,
+// and one for which the token is optional.
 const (
 	serviceLook = fleet.ServiceName("look")
 	serviceFile = fleet.ServiceName("file")
 	servicePost = fleet.ServiceName("post")
 )
 
-// NewRandom makes a World of 3 to 6 entry VMs from a seed, with callers that
-// load it between a third and somewhat more than all that it can do.
+// NewRandom returns a World with 3 to 6 entry VMs, drawn with a seed. Its load
+// is between 0.3 and 1.1 times the capacity of the targets.
 func NewRandom(seed uint64) *World {
 	rng := rand.New(rand.NewPCG(seed, 0x72616e646f6d))
 	vms := randomVMs(rng)
@@ -60,8 +60,8 @@
 	}
 }
 
-// randomTargets gives each failure domain one to three targets of each
-// service, and none of a service now and then.
+// randomTargets gives each failure domain one to three targets of each service,
+// and no targets of a service with probability 1/12.
 func randomTargets(rng *rand.Rand, vms []Location) []TargetOptions {
 	var out []TargetOptions
 	seen := make(map[fleet.Domain]bool)
@@ -90,7 +90,7 @@
 	return out
 }
 
-// callersPerRegion is the number of callers at home in each region.
+// callersPerRegion is the number of callers whose home is a given region.
 const callersPerRegion = 6
 
 func (w *World) addRandomCallers(rng *rand.Rand) {
@@ -115,7 +115,8 @@
 	}
 }
 
-// serviceCapacity is how many requests of a service all targets do in a second.
+// serviceCapacity returns how many requests of a service all targets together
+// can execute per second.
 func (w *World) serviceCapacity(s fleet.ServiceName) float64 {
 	r := 0.0
 	for _, t := range w.Targets {
@@ -126,7 +127,7 @@
 	return r
 }
 
-// GenerateLoad starts works again and again, at a rate in 1/s.
+// GenerateLoad starts work repeatedly at random times, at a rate in 1/s.
 func (c *Caller) GenerateLoad(s catalogue.Service, rate float64) {
 	wait := time.Duration(c.w.rng.ExpFloat64() / rate * float64(time.Second))
 	c.w.After(wait, func() {
@@ -137,14 +138,14 @@
 	})
 }
 
-// The pace of faults.
+// Bounds on the time between faults and on their duration.
 const (
 	minFaultGap = 200 * time.Millisecond
 	maxFaultGap = 3 * time.Second
 	maxOutage   = 12 * time.Second
 )
 
-// InjectFaults lets faults happen for d.
+// InjectFaults runs for d and injects random faults.
 func (w *World) InjectFaults(d time.Duration) {
 	end := w.Now.Add(d)
 	for w.Now < end {
@@ -153,7 +154,7 @@
 	}
 }
 
-// injectFault makes one thing happen, drawn at random.
+// injectFault injects one random fault or operator request.
 func (w *World) injectFault() {
 	w.Checker.Counts.Faults++
 	v := w.VMs[w.IntN(len(w.VMs))]
@@ -188,7 +189,7 @@
 	}
 }
 
-// restart starts a process that has ended.
+// restart starts a new process if none is running.
 func (v *VM) restart() {
 	if !v.Up {
 		v.Start()
@@ -215,8 +216,8 @@
 	w.After(back, t.Restart)
 }
 
-// injectPartition cuts two failure domains apart, in one direction or both, or one off
-// the platform.
+// injectPartition cuts the connections between two failure domains, in one or
+// both directions, or between one domain and the platform.
 func (w *World) injectPartition() {
 	a := w.VMs[w.IntN(len(w.VMs))].Location.Domain
 	b := w.VMs[w.IntN(len(w.VMs))].Location.Domain
@@ -245,8 +246,8 @@
 	}
 }
 
-// injectOperation lets operators change the catalogue, two of them at once now and
-// then.
+// injectOperation lets an operator change the catalogue, and with probability
+// 0.3 a second one make the same change at the same time.
 func (w *World) injectOperation() {
 	op := w.randomOperation()
 	w.Operate(w.anyLiveVM(w.VMs[0]), op)
@@ -258,8 +259,8 @@
 
 var operators = []string{"ana", "ben", "eva"}
 
-// randomOperation returns an operation that fits the catalogue, as an entry VM
-// shows it, as a rule.
+// randomOperation returns an operation that usually fits the state of the
+// catalogue in force at some entry VM.
 func (w *World) randomOperation() change.Operation {
 	op := change.Operation{Operator: operators[w.IntN(len(operators))]}
 	v := w.anyLiveVM(w.VMs[0])
@@ -292,7 +293,8 @@
 	return op
 }
 
-// randomEntry returns a shift between two regions, or out of the only one.
+// randomEntry returns a shift out of one region. If there are several regions,
+// it usually names the receiving region.
 func (w *World) randomEntry(id string) change.Entry {
 	if id == "" {
 		w.lastNumber++
@@ -321,8 +323,9 @@
 	return e
 }
 
-// Recover ends all faults, starts whoever is down and lets d pass. The load
-// goes on for as long, then callers fall silent until all work is over.
+// Recover ends all faults, restarts all targets and the entry VMs that are down,
+// and runs for d under load. It then stops the load and waits until all work
+// has ended.
 func (w *World) Recover(d time.Duration) {
 	w.Network.Heal()
 	w.Platform.Heal()
@@ -340,5 +343,5 @@
 	w.Checker.checkOpen()
 }
 
-// drainTime is longer than any deadline of a work.
+// drainTime is longer than the deadline of any work.
 const drainTime = 15 * time.Second
--- a/decide/engine/enginetest/doc.go
+++ b/decide/engine/enginetest/doc.go
@@ -1,28 +1,28 @@
-// Package enginetest joins a handful of engines with fakes of everything that
-// surrounds them, under one fake clock, and checks what must always hold.
+// Package enginetest runs a small fleet of engines against fakes of their
+// environment on a fake clock, and checks invariants.
 //
 // A World holds entry VMs (each a real engine.Engine), targets, the platform,
-// callers and operators. Whatever passes between them is a function in one
-// queue ordered by instant, so a seed decides the whole run. The fakes stand
-// at the interfaces that the daemon's transports serve: they turn effects into
-// events with the delays, losses and verdicts that the real ones produce.
+// callers and operators. Everything that passes between them is a function in
+// one queue ordered by time, so the seed determines the whole run. The fakes
+// replace the daemon's transports: they turn effects into events with the
+// delays, losses and verdicts that the real transports produce.
 //
 // # Exchanges
 //
-// A request on a connection is an Exchange: from a caller to an entry VM, from
-// there to a target or another entry VM. Its fate is drawn when it starts.
-// Whoever sent it learns of one end at most, and is told NotRun only if no
-// byte of it was handed over.
+// An Exchange is one request on one connection: from a caller to an entry VM, or
+// from an entry VM to a target or another entry VM. Its fault is drawn at the
+// start. The sender gets at most one result, and gets NotRun only if no byte of
+// the request was sent.
 //
-// # Claims
+// # Submissions
 //
-// The checks keep their own books, which share no code with the engine. A
-// Work is what a caller wants done. A Claim is what a verdict speaks of: all
-// sends under one token, or one send without a token. Each forward has a Claim
-// of its own inside the one that it serves. A run at a target counts for its
-// Claim and all those around it; a run of a Claim that anybody was told NotRun
-// of is a violation, whichever comes first.
+// The Checker keeps its own records and shares no code with the engine. A Work
+// is one thing that a caller wants done. A Submission is the unit that a
+// verdict applies to: all sends with one token, or one send without a token.
+// Each forward has its own Submission, whose parent is the forwarded one. A run
+// at a target counts for its Submission and all parents. It is a violation if a
+// Submission runs that was also reported as NotRun, in either order.
 //
-// It is no cluster simulator: it knows no topology but a list of entry VMs and
-// targets with their failure domains, and runs no experiments.
+// The package is not a cluster simulator: it models no topology beyond a list of
+// entry VMs and targets with their failure domains, and runs no experiments.
 package enginetest
--- a/decide/engine/enginetest/effects.go
+++ b/decide/engine/enginetest/effects.go
@@ -25,10 +25,12 @@
 	v.execute(r)
 }
 
-// maxTicksAtInstant is more ticks than a process has cause for at one instant.
+// maxTicksAtInstant is a number of ticks at one instant that a correct engine
+// never needs.
 const maxTicksAtInstant = 1000
 
-// checkTickRate finds an engine that asks for ticks without letting time pass.
+// checkTickRate detects an engine that keeps requesting ticks at the same
+// instant.
 func (v *VM) checkTickRate(ev engine.Event) {
 	if _, tick := ev.(*engine.Tick); !tick {
 		return
@@ -37,12 +39,12 @@
 		v.tickedAt, v.ticksAtInstant = v.w.Now, 0
 	}
 	if v.ticksAtInstant++; v.ticksAtInstant == maxTicksAtInstant {
-		v.w.Checker.reportViolation("%s ticks without end at one instant", v.Self.ID)
+		v.w.Checker.reportViolation("%s requests ticks endlessly at one instant", v.Self.ID)
 		v.Crash()
 	}
 }
 
-// noteStoppingTarget notes what an event tells the process about targets that are leaving.
+// noteStoppingTarget records that a target answered that it is stopping.
 func (v *VM) noteStoppingTarget(ev engine.Event) {
 	f, ok := ev.(*dispatch.Failed)
 	if !ok {
@@ -54,6 +56,7 @@
 	}
 }
 
+// noteLeavingTargets records since when a machine list shows targets as leaving.
 func (v *VM) noteLeavingTargets(l *fleet.List) {
 	for _, t := range v.w.Targets {
 		i := slices.IndexFunc(l.Targets, func(f fleet.Target) bool { return f.ID == t.ID })
@@ -82,8 +85,8 @@
 	})
 }
 
-// execute carries out effects as the daemon does. Events that arise at once
-// are posted after all of them, since they reuse the Ready.
+// execute executes effects as the daemon does. Events that an effect causes
+// immediately are posted after all effects, because their steps reuse the Ready.
 func (v *VM) execute(r *engine.Ready) {
 	v.traceEffects(r)
 	v.updateState(r)
@@ -118,11 +121,12 @@
 		v.writeShift(x)
 	}
 	if r.Superseded {
-		v.w.Checker.reportViolation("%s is superseded, and no other runs under its id", v.Self.ID)
+		v.w.Checker.reportViolation("%s reports that it is superseded, but no other process has its ID", v.Self.ID)
 	}
 }
 
-// updateState keeps what look-ups and addresses are answered from.
+// updateState applies the effects that look-ups and the list of known VMs depend
+// on.
 func (v *VM) updateState(r *engine.Ready) {
 	if r.Catalogue != nil {
 		v.w.Checker.checkApplied(v, r.Catalogue)
@@ -150,7 +154,8 @@
 	}
 }
 
-// liveMembers are the entry VMs of the own domain that the engine calls live.
+// liveMembers returns the entry VMs of this failure domain that the engine
+// considers live.
 func (v *VM) liveMembers() []fleet.VMID {
 	var ids []fleet.VMID
 	for _, m := range v.engine.Member().Members(nil) {
@@ -162,7 +167,7 @@
 	return ids
 }
 
-// sendPeer passes a message on.
+// sendPeer sends a message to another entry VM.
 func (v *VM) sendPeer(s engine.PeerSend) {
 	to := v.w.vmByID[s.To.ID]
 	if to == nil {
@@ -186,11 +191,12 @@
 	})
 }
 
-// postAfterStep posts an event that an effect gives rise to, once all effects of the
-// step have been carried out.
+// postAfterStep posts an event after all effects of the current step have been
+// executed.
 func (v *VM) postAfterStep(ev engine.Event) { v.postAfter(0, ev) }
 
-// listsTarget reports whether the list in force shows a target as it is.
+// listsTarget reports whether the machine list in force shows the current state
+// of a target.
 func (v *VM) listsTarget(t *Target) bool {
 	return v.machineList != nil && slices.ContainsFunc(v.machineList.Targets, func(f fleet.Target) bool {
 		return f.ID == t.ID && f.State == t.listEntry().State
--- a/decide/engine/enginetest/exchange.go
+++ b/decide/engine/enginetest/exchange.go
@@ -6,24 +6,24 @@
 	"github.com/azurethread/azurethread/decide/verdict"
 )
 
-// Fault is what happens to an exchange.
+// Fault is the fault that happens to an exchange.
 type Fault uint8
 
-// The fates of an exchange.
+// The faults of an exchange.
 const (
 	NoFault        Fault = iota
-	Refused              // no connection: nothing was sent
+	Refused              // the connection is refused, nothing is sent
 	LostRequest          // the connection goes silent, the request is lost
 	LostAnswer           // the connection goes silent, the answer is lost
 	ResetRequest         // the connection breaks, the request is lost
 	ResetAnswer          // the connection breaks, the answer is lost
-	CutAnswer            // the answer breaks off
+	CutAnswer            // the answer is truncated
 	DelayedAnswer        // the answer comes much later
 	DelayedRequest       // the request arrives much later
 	faultCount
 )
 
-// Leg is the part of its way that a request makes by an exchange.
+// Leg is the section of a request's path that an exchange covers.
 type Leg uint8
 
 // The legs of a request.
@@ -48,22 +48,22 @@
 	connectTimeout = 200 * time.Millisecond
 	lateAnswer     = 4 * time.Second
 	lateRequest    = 4 * time.Second
-	// endDelay bounds the time from a cancel to the report of its end.
+	// endDelay is the maximum time from a cancel to the report of its end.
 	endDelay = 5 * time.Millisecond
 )
 
-// Answer is what the receiver of a request says.
+// Answer is the result of an exchange as its sender sees it.
 type Answer struct {
-	Submission *Submission // that it is the answer to
+	Submission *Submission // that the answer belongs to
 	Verdict    verdict.Verdict
 	Reason     verdict.Reason
 	Status     int // 0 for a refusal
 	RetryAfter time.Duration
 	Load       *Load
-	NewToken   string // token in place of a spent one
+	NewToken   string // replaces the used token; empty if none
 }
 
-// Load is what a target says of its load.
+// Load is the load that a target reports.
 type Load struct{ InFlight, Slots int }
 
 // Exchange is one request on one connection.
@@ -74,16 +74,16 @@
 	submission *Submission
 	end        func(Answer)
 
-	ended        bool // the sender has its end, or wants none
+	ended        bool // the sender has got its result, or has crashed
 	canceled     bool
 	arrived      bool
-	closed       bool // by the receiver
+	closed       bool // by the receiver, or the connection is lost
 	onSenderGone func()
 }
 
-// exchange starts a request. Arrive is called when it reaches its receiver,
-// end when the sender learns what came of it, unless the sender never does.
-// A receiver that is not up refuses the connection.
+// exchange starts a request. It calls arrive when the request reaches the
+// receiver, and end when the sender gets the result, which may never happen. If
+// the receiver is not up, the connection is refused.
 func (w *World) exchange(from, to Location, c *Submission, up func() bool, arrive func(*Exchange), end func(Answer)) *Exchange {
 	x := &Exchange{w: w, from: from, to: to, submission: c, end: end}
 	x.fault = w.drawFault(x)
@@ -102,8 +102,8 @@
 	return x
 }
 
-// drawFault draws what happens to x. Between domains that are cut off from each
-// other either no connection is had, or one from before stays silent.
+// drawFault draws the fault of x. If the connection between the domains is cut,
+// either no connection can be opened or an existing one stays silent.
 func (w *World) drawFault(x *Exchange) Fault {
 	planned := w.Network.nextFault[x.leg()]
 	switch {
@@ -135,7 +135,7 @@
 	}
 }
 
-// breakConnection ends x for the sender by a lost connection.
+// breakConnection ends x with the result that the connection was lost.
 func (x *Exchange) breakConnection() {
 	x.closed = true
 	x.w.After(x.w.delay(x.to, x.from), func() {
@@ -163,7 +163,7 @@
 	x.w.After(d, func() { x.finish(a) })
 }
 
-// finish tells the sender its end, once.
+// finish passes the result to the sender, once.
 func (x *Exchange) finish(a Answer) {
 	if x.ended {
 		return
@@ -172,8 +172,8 @@
 	x.end(a)
 }
 
-// Cancel closes the connection on the sender's side. Its end is reported soon
-// afterwards, or a whole answer that comes first.
+// Cancel closes the connection on the sender's side. The sender gets the result
+// within endDelay, or a complete answer that arrives before.
 func (x *Exchange) Cancel(r verdict.Reason) {
 	if x.ended || x.canceled {
 		return
@@ -185,14 +185,14 @@
 	x.notifyReceiver()
 }
 
-// Abandon closes the connection of a sender that has died.
+// Abandon closes the connection because the sender has crashed.
 func (x *Exchange) Abandon() {
 	x.ended = true
 	x.canceled = true
 	x.notifyReceiver()
 }
 
-// notifyReceiver lets the receiver see the connection close.
+// notifyReceiver lets the receiver see that the connection was closed.
 func (x *Exchange) notifyReceiver() {
 	if !x.arrived || x.fault == LostRequest {
 		return
@@ -204,14 +204,15 @@
 	})
 }
 
-// Reset closes the connection of a receiver that has died.
+// Reset closes the connection because the receiver has crashed.
 func (x *Exchange) Reset() {
 	if !x.closed {
 		x.breakConnection()
 	}
 }
 
-// inProgress reports whether the request is on its way to its receiver, or there.
+// inProgress reports whether the request is in transit to its receiver or is
+// being processed there.
 func (x *Exchange) inProgress() bool {
 	return !x.closed && x.fault != Refused && x.fault != LostRequest && x.fault != ResetRequest
 }
--- a/decide/engine/enginetest/lookups.go
+++ b/decide/engine/enginetest/lookups.go
@@ -9,10 +9,11 @@
 	"github.com/azurethread/azurethread/decide/token"
 )
 
-// tokenLifetime is how long a token of a look-up can be used.
+// tokenLifetime is how long a token from a look-up is valid.
 const tokenLifetime = time.Minute
 
-// mint makes a token for the process of an entry VM as this one knows it.
+// mint makes a token for an entry VM, for the process that this VM knows there.
+// It returns "" if it knows none.
 func (v *VM) mint(id fleet.VMID) string {
 	vm, ok := v.knownVMs[id]
 	if !ok || vm.Incarnation == 0 {
@@ -35,7 +36,7 @@
 	return a
 }
 
-// Outcome answers a caller that asks what became of a token.
+// Outcome answers a caller's query for the outcome of a token.
 func (v *VM) Outcome(tok string, c *Submission) token.Admission {
 	a := v.engine.Outcome(v.now(), tok)
 	if a.Status != token.Duplicate || !a.Pending {
--- a/decide/engine/enginetest/network.go
+++ b/decide/engine/enginetest/network.go
@@ -16,28 +16,29 @@
 	delayPlatform = 2 * time.Millisecond
 )
 
-// Round trips as the settings of entry VMs state them.
+// Round-trip times in the settings of the entry VMs.
 const (
 	nearRTT = 2 * delayRegion
 	farRTT  = 2 * delayFar
 )
 
-// domainPair names a direction between two failure domains.
+// domainPair is a direction between two failure domains.
 type domainPair struct{ from, to fleet.Domain }
 
-// vmPair names a direction between two entry VMs.
+// vmPair is a direction between two entry VMs.
 type vmPair struct{ from, to fleet.VMID }
 
-// Network holds the faults between entry VMs, and on connections that carry
-// requests.
+// Network holds the faults of messages between entry VMs and of the connections
+// that carry requests.
 type Network struct {
-	// LossProbability is the part of the messages between entry VMs that is lost.
+	// LossProbability is the share of messages between entry VMs that are lost.
 	LossProbability float64
-	// Reorder lets messages overtake each other, as over several connections.
+	// Reorder allows messages to arrive out of order, as if they were sent over
+	// several connections.
 	Reorder bool
 	// ExtraDelay is added to every delay between entry VMs.
 	ExtraDelay time.Duration
-	// FaultProbability is the part of the exchanges that meet a fault of their own.
+	// FaultProbability is the share of exchanges for which a random fault is drawn.
 	FaultProbability float64
 
 	nextFault   map[Leg]Fault
@@ -55,11 +56,11 @@
 	}
 }
 
-// Cut loses everything from one failure domain to another, in that direction
+// Cut drops everything from one failure domain to another, in this direction
 // only.
 func (n *Network) Cut(from, to fleet.Domain) { n.cuts[domainPair{from, to}] = true }
 
-// Partition cuts both directions.
+// Partition cuts both directions between two failure domains.
 func (n *Network) Partition(a, b fleet.Domain) {
 	n.Cut(a, b)
 	n.Cut(b, a)
@@ -68,7 +69,7 @@
 // AddDelay adds a delay to the messages from one entry VM to another.
 func (n *Network) AddDelay(from, to fleet.VMID, d time.Duration) { n.addedDelay[vmPair{from, to}] = d }
 
-// SetNextFault decides the fate of the next exchange on a leg.
+// SetNextFault sets the fault of the next exchange on a leg.
 func (n *Network) SetNextFault(l Leg, f Fault) { n.nextFault[l] = f }
 
 // Heal ends all faults.
@@ -80,7 +81,7 @@
 
 func (n *Network) isCut(from, to Location) bool { return n.cuts[domainPair{from.Domain, to.Domain}] }
 
-// delay returns the one-way delay between two places.
+// delay returns the one-way delay between two locations.
 func (w *World) delay(from, to Location) time.Duration {
 	d := delayFar
 	switch {
@@ -94,8 +95,8 @@
 	return d + time.Duration(w.rng.Int64N(int64(d)/4+1))
 }
 
-// sendMessage carries a message between two entry VMs, in the order of sending
-// unless Reorder is set.
+// sendMessage delivers a message between two entry VMs by calling f. Messages
+// arrive in the order of sending unless Reorder is set.
 func (w *World) sendMessage(from, to *VM, f func()) {
 	n := &w.Network
 	if n.isCut(from.Location, to.Location) || w.Chance(n.LossProbability) {
--- a/decide/engine/enginetest/operator.go
+++ b/decide/engine/enginetest/operator.go
@@ -8,30 +8,30 @@
 	"github.com/azurethread/azurethread/decide/verdict"
 )
 
-// OperatorRequest is an operation that an operator wants carried out.
+// OperatorRequest is an operation that an operator requests.
 type OperatorRequest struct {
 	Op     change.Operation
 	Result Result
 	Done   bool
-	// MustPersist says that it was accepted, and that nothing has excused its loss.
+	// MustPersist says that the operation was accepted and must not get lost.
 	MustPersist bool
 
 	w       *World
 	at      *VM
 	tries   int
-	sends   int // tries that reached a process
+	sends   int // tries that reached a running process
 	refused int // sends answered not-run
 }
 
-// The patience of operators.
+// Bounds on the retries of operators.
 const (
 	operatorTimeout  = 15 * time.Second
 	maxOperatorTries = 4
 )
 
-// Operate gives an operation to an entry VM. While nobody can say what became
-// of it, it is given under the same id to another one. Not-run speaks of one
-// send only: the operator believes it once all sends have been answered so.
+// Operate sends an operation to an entry VM. While the outcome is unknown, it is
+// sent with the same ID to other VMs. Not-run applies to one send only, so the
+// operation counts as not-run when all sends have been answered so.
 func (w *World) Operate(v *VM, op change.Operation) *OperatorRequest {
 	w.Checker.Counts.Operations++
 	if op.ID == "" {
@@ -51,7 +51,7 @@
 	if o.tries++; o.tries > maxOperatorTries {
 		return
 	}
-	mine, at := o.tries, o.at
+	current, at := o.tries, o.at
 	settled := func(r Result) {
 		if o.Done {
 			return
@@ -72,7 +72,7 @@
 		o.at.Change(o.Op, func(r Result) { o.w.After(delayCaller, func() { settled(r) }) })
 	}
 	o.w.After(operatorTimeout, func() {
-		if o.tries == mine && !o.Done {
+		if o.tries == current && !o.Done {
 			o.at = o.w.anyLiveVM(o.at)
 			o.try()
 		}
@@ -86,7 +86,7 @@
 	return " (" + err.Error() + ")"
 }
 
-// anyLiveVM returns a live entry VM, v if there is no other.
+// anyLiveVM returns a random live entry VM, or v if there is none.
 func (w *World) anyLiveVM(v *VM) *VM {
 	from := w.IntN(len(w.VMs))
 	for i := range w.VMs {
@@ -97,35 +97,37 @@
 	return v
 }
 
-// recordOperation books what an entry VM says of a send of an operation.
-func (b *Checker) recordOperation(w *write, v verdict.Verdict) {
+// recordOperation records the verdict of an entry VM on one send of an
+// operation.
+func (ck *Checker) recordOperation(w *write, v verdict.Verdict) {
 	switch v {
 	case verdict.Ran:
-		b.Counts.Accepted++
+		ck.Counts.Accepted++
 	case verdict.NotRun:
 		w.refused = true
 	}
 }
 
-// checkWritten checks a document that the platform has just taken. An entry VM says
-// not-run only if no write of that send will ever take effect. Another send of
-// the same operation may still: the entry VMs don't know of each other's.
-func (b *Checker) checkWritten(w *write) {
+// checkWritten checks a document that the platform has just stored. An entry VM
+// may answer not-run only if no write of that send can still take effect.
+// Another send of the same operation may still run, because the entry VMs do not
+// know of each other's sends.
+func (ck *Checker) checkWritten(w *write) {
 	if w.refused {
-		b.reportViolation("operation %s was accepted after %s said not-run", w.op.ID, w.v.Self.ID)
+		ck.reportViolation("operation %s was stored after %s answered not-run", w.op.ID, w.v.Self.ID)
 	}
-	b.checkSameBase(w.op)
+	ck.checkSameBase(w.op)
 }
 
-// entryVersion names what a change of an entry was based on.
+// entryVersion is the version of a shift's entry that a change is based on.
 type entryVersion struct {
 	shift  string
 	expect uint64
 }
 
-// checkSameBase checks that of two changes based on the same version of an entry
-// one at most is in the platform's history.
-func (b *Checker) checkSameBase(op change.Operation) {
+// checkSameBase checks that the platform's history contains at most one change
+// based on each version of an entry.
+func (ck *Checker) checkSameBase(op change.Operation) {
 	var k entryVersion
 	switch {
 	case op.ChangeShift != nil:
@@ -137,42 +139,43 @@
 	default:
 		return
 	}
-	if id, seen := b.acceptedByBase[k]; seen && id != op.ID {
-		b.reportViolation("operations %s and %s both changed %s at revision %d", id, op.ID, k.shift, k.expect)
+	if id, seen := ck.acceptedByBase[k]; seen && id != op.ID {
+		ck.reportViolation("operations %s and %s both changed %s at revision %d", id, op.ID, k.shift, k.expect)
 	}
-	b.acceptedByBase[k] = op.ID
+	ck.acceptedByBase[k] = op.ID
 }
 
-// recordRestore excuses the loss of what only the platform had: accepted so lately
-// that no entry VM may have heard of it. What the platform has lost is no longer
-// in its history.
-func (b *Checker) recordRestore() {
+// recordRestore handles the restore of an older document at the platform.
+// Operations with a higher revision than any entry VM has in force may get lost,
+// because only the platform had them. Operations that the platform has lost are
+// removed from its history.
+func (ck *Checker) recordRestore() {
 	known := uint64(0)
-	for _, v := range b.w.VMs {
+	for _, v := range ck.w.VMs {
 		if v.Up {
 			known = max(known, v.revision)
 		}
 	}
-	for _, o := range b.operatorRequests {
+	for _, o := range ck.operatorRequests {
 		if o.Result.Revision > known {
 			o.MustPersist = false
 		}
 	}
-	for k, id := range b.acceptedByBase {
-		if _, kept := b.w.Platform.doc.operations[id]; !kept {
-			delete(b.acceptedByBase, k)
+	for k, id := range ck.acceptedByBase {
+		if _, kept := ck.w.Platform.doc.operations[id]; !kept {
+			delete(ck.acceptedByBase, k)
 		}
 	}
 }
 
-// Converged returns what is missing for all live entry VMs to hold the
-// platform's catalogue, with everything in it that was accepted, and the
-// machine list as it is.
+// Converged checks that all live entry VMs hold the platform's catalogue and the
+// current machine list, and that the catalogue contains all accepted shifts. It
+// returns the first difference.
 func (w *World) Converged() error {
 	for _, t := range w.Targets {
 		for _, v := range w.VMs {
 			if v.Up && v.Location == t.Location && !v.listsTarget(t) {
-				return fmt.Errorf("enginetest: %s does not hold %s as it is", v.Self.ID, t.ID)
+				return fmt.Errorf("enginetest: the machine list of %s does not show the state of %s", v.Self.ID, t.ID)
 			}
 		}
 	}
@@ -190,16 +193,16 @@
 			continue
 		}
 		if _, found := want.Shift(o.Op.AddShift.Entry.ID); !found {
-			return fmt.Errorf("enginetest: shift %q was accepted at revision %d and is gone", o.Op.AddShift.Entry.ID, o.Result.Revision)
+			return fmt.Errorf("enginetest: shift %q was accepted at revision %d and is missing", o.Op.AddShift.Entry.ID, o.Result.Revision)
 		}
 	}
 	return nil
 }
 
-// highestRevision is the highest revision in force at a live process.
-func (b *Checker) highestRevision() uint64 {
+// highestRevision returns the highest revision in force at a running process.
+func (ck *Checker) highestRevision() uint64 {
 	h := uint64(0)
-	for _, v := range b.w.VMs {
+	for _, v := range ck.w.VMs {
 		if v.Up {
 			h = max(h, v.revision)
 		}
--- a/decide/engine/enginetest/platform.go
+++ b/decide/engine/enginetest/platform.go
@@ -13,20 +13,20 @@
 	"github.com/azurethread/azurethread/decide/machine"
 )
 
-// document is the value that the platform holds. A document is never changed.
+// document is the value stored at the platform. Documents are immutable.
 type document struct {
 	index      uint64
 	catalogue  *catalogue.Catalogue
 	lineage    []config.Point
-	operations map[string]uint64 // revision by operation id
-	write      *write            // that made it; nil for a restore
+	operations map[string]uint64 // revision by operation ID
+	write      *write            // that created the document; nil for a restore
 }
 
-// successor returns the document that follows with catalogue c by an operation.
+// successor returns the next document, with catalogue c and the operation op.
 func (d *document) successor(c *catalogue.Catalogue, op string) document {
 	h, err := config.Hash(c)
 	if err != nil {
-		panic(err) // change.Apply makes no such catalogue
+		panic(err) // change.Apply returns only catalogues that can be hashed
 	}
 	n := document{
 		index:      d.index + 1,
@@ -43,38 +43,38 @@
 	return n
 }
 
-// lease is the hold of the duty to run the shifts.
+// lease is the lease of the shift runner as the platform holds it.
 type lease struct {
 	holder        *VM
 	processNumber int
-	until         clock.Time // of the World's clock
+	until         clock.Time // by the World's clock
 }
 
-// watch is a read that waits for a change.
+// watch is a read that waits until the document changes.
 type watch struct{ seq uint64 }
 
-// Platform is the key-value service and the machine list.
+// Platform is a fake of the platform's key-value service and machine list.
 type Platform struct {
-	// Down fails every call.
+	// Down makes every call fail.
 	Down bool
 	// ExtraDelay is added to every call.
 	ExtraDelay time.Duration
-	// LostAnswerProbability is the part of the writes whose answer is lost; such a write
-	// takes effect at once, later or never.
+	// LostAnswerProbability is the share of writes whose answer is lost. Such a
+	// write takes effect immediately, later or never.
 	LostAnswerProbability float64
-	// ListLag is how old the machine list is.
+	// ListLag is the mean delay with which changes show in the machine list.
 	ListLag time.Duration
 
 	w           *World
 	doc         document
-	previous    []document // earlier ones
+	previous    []document // earlier documents, oldest first
 	cuts        map[fleet.Domain]bool
 	shiftLease  lease
 	listVersion uint64      // newest version of the machine list
-	shownLists  []shownList // the one shown and those that follow
+	shownLists  []shownList // the current one and those that become visible later
 }
 
-// The times of the platform.
+// Times and limits of the platform.
 const (
 	listLag         = time.Second
 	failedReadDelay = time.Second
@@ -93,7 +93,7 @@
 	return p
 }
 
-// Cut keeps a failure domain from the platform.
+// Cut disconnects a failure domain from the platform.
 func (p *Platform) Cut(d fleet.Domain) { p.cuts[d] = true }
 
 // Heal ends all faults.
@@ -102,11 +102,11 @@
 	clear(p.cuts)
 }
 
-// Catalogue returns what the platform holds.
+// Catalogue returns the catalogue that the platform holds.
 func (p *Platform) Catalogue() *catalogue.Catalogue { return p.doc.catalogue }
 
-// RestoreOlder brings back a document of n changes ago, as a platform does
-// that lost its newest data.
+// RestoreOlder restores the document of n changes ago, as if the platform had
+// lost its newest data.
 func (p *Platform) RestoreOlder(n int) {
 	if n <= 0 || n > len(p.previous) {
 		return
@@ -120,13 +120,13 @@
 
 func (p *Platform) reachableFrom(v *VM) bool { return !p.Down && !p.cuts[v.Location.Domain] }
 
-// delay is the time of a message to or from the platform.
+// delay returns the one-way delay of a message to or from the platform.
 func (p *Platform) delay() time.Duration {
 	return delayPlatform + p.ExtraDelay + p.w.between(0, delayPlatform)
 }
 
-// call carries f to the platform and what it returns back. Lost is called in
-// place of it when there is no answer.
+// call runs f at the platform and then the function that f returns at the VM. If
+// there is no answer, it calls lost at the VM instead.
 func (p *Platform) call(v *VM, f func() func(), lost func()) {
 	if !p.reachableFrom(v) {
 		v.after(p.w.between(10*time.Millisecond, failedReadDelay), lost)
@@ -154,8 +154,8 @@
 	}, lost)
 }
 
-// compareAndSwap puts a document in the place of the one at index. Done is told whether
-// it did, lost is called when nobody can tell.
+// compareAndSwap stores document d if the current one has the given index. It
+// calls done with whether it was stored, or lost if the outcome is unknown.
 func (p *Platform) compareAndSwap(v *VM, index uint64, d document, by string, done func(bool), lost func()) {
 	if p.reachableFrom(v) && p.w.Chance(p.LostAnswerProbability) {
 		switch p.w.IntN(3) {
@@ -174,6 +174,7 @@
 	}, lost)
 }
 
+// storeIfUnchanged stores d if the current document has the given index.
 func (p *Platform) storeIfUnchanged(index uint64, d document, by string) bool {
 	if p.doc.index != index {
 		return false
@@ -189,7 +190,7 @@
 	return true
 }
 
-// endWatches ends all reads that wait for a change.
+// endWatches answers all reads that wait for a change.
 func (p *Platform) endWatches() {
 	for _, v := range p.w.VMs {
 		if w := v.watch; w != nil && v.Up {
@@ -199,7 +200,7 @@
 	}
 }
 
-// readResult is the event of a read of the document as it is now.
+// readResult returns the event for a read of the current document.
 func (p *Platform) readResult(v *VM, seq uint64, asked clock.Time) *config.PlatformRead {
 	if !p.reachableFrom(v) {
 		return &config.PlatformRead{Seq: seq}
@@ -214,7 +215,7 @@
 	}
 }
 
-// executeReads carries out the reads and restores that a step asks for.
+// executeReads executes the reads and restores that a step requests.
 func (p *Platform) executeReads(v *VM, r *engine.Ready) {
 	for _, s := range r.Unwatch {
 		if v.watch != nil && v.watch.seq == s.Seq {
@@ -245,11 +246,11 @@
 		p.fetch(v, w.Seq)
 		return
 	}
-	mine := &watch{seq: w.Seq}
-	v.watch = mine
+	current := &watch{seq: w.Seq}
+	v.watch = current
 	quiet := &config.PlatformRead{Seq: w.Seq, Result: config.ReadNotModified, Confirmed: v.now().Add(w.Wait)}
 	v.after(w.Wait+p.delay(), func() {
-		if v.watch == mine {
+		if v.watch == current {
 			v.watch = nil
 			if !p.reachableFrom(v) {
 				quiet = &config.PlatformRead{Seq: w.Seq}
@@ -259,13 +260,15 @@
 	})
 }
 
-// shownList is a version of the machine list, and since when it is shown.
+// shownList is a version of the machine list and the time at which it becomes
+// visible.
 type shownList struct {
 	at   clock.Time
 	list fleet.List
 }
 
-// updateList makes a new version of the machine list, shown after its lag.
+// updateList creates a new version of the machine list, which becomes visible
+// after a delay around ListLag.
 func (p *Platform) updateList() {
 	p.listVersion++
 	at := p.w.Now.Add(p.ListLag/2 + p.w.between(0, p.ListLag))
@@ -275,7 +278,7 @@
 	p.shownLists = append(p.shownLists, shownList{at: at, list: p.currentList()})
 }
 
-// shown returns the machine list as the platform shows it now.
+// shown returns the machine list that is visible now.
 func (p *Platform) shown() fleet.List {
 	for len(p.shownLists) > 1 && p.shownLists[1].at <= p.w.Now {
 		p.shownLists = p.shownLists[1:]
@@ -283,13 +286,14 @@
 	return p.shownLists[0].list
 }
 
-// The pace at which entry VMs read the machine list.
+// Interval at which entry VMs read the machine list.
 const (
 	minListPoll = 100 * time.Millisecond
 	maxListPoll = 400 * time.Millisecond
 )
 
-// watchList gives an entry VM the machine list while its engine asks for it.
+// watchList delivers the machine list to an entry VM at intervals while its
+// engine requests it.
 func (p *Platform) watchList(v *VM) {
 	v.after(p.w.between(minListPoll, maxListPoll), func() { p.watchList(v) })
 	if !v.watchingList {
@@ -308,8 +312,8 @@
 	v.postAfter(p.delay(), &engine.MachineListRead{List: l})
 }
 
-// currentList returns the list as it is now. The platform knows machines, not
-// processes, so it states no incarnations.
+// currentList returns the machine list for the current state. The platform knows
+// machines, not processes, so the list has no incarnations.
 func (p *Platform) currentList() fleet.List {
 	l := fleet.List{Version: p.listVersion}
 	for _, v := range p.w.VMs {
--- a/decide/engine/enginetest/target.go
+++ b/decide/engine/enginetest/target.go
@@ -10,50 +10,50 @@
 	"github.com/azurethread/azurethread/decide/verdict"
 )
 
-// TargetOptions describe a target.
+// TargetOptions configure a target.
 type TargetOptions struct {
 	ID       fleet.TargetID
 	Service  fleet.ServiceName
 	Location Location
 	Slots    int
-	Queue    int           // requests it holds beyond its slots before it refuses
-	Work     time.Duration // usual time of a request
+	Queue    int           // maximum number of waiting requests
+	Work     time.Duration // mean time of a request at a warm target
 }
 
-// Cold targets take coldFactor times as long until they have run coldRuns
-// requests.
+// After a restart a target is cold: it takes coldFactor times as long until it
+// has run coldRuns requests.
 const (
 	coldFactor = 5
 	coldRuns   = 20
 )
 
-// errorStatus is what a failing target answers.
+// errorStatus is the HTTP status that a failing target answers with.
 const errorStatus = 500
 
-// Target is one upstream machine.
+// Target is a fake of one target.
 type Target struct {
 	TargetOptions
 	Up bool
-	// Leaving targets are listed as leaving; Polite ones also refuse work by
-	// themselves.
+	// Leaving says that the machine list shows the target as leaving.
+	// RefusesWhileLeaving says that it also refuses new requests then.
 	Leaving, RefusesWhileLeaving bool
-	// Failing targets answer every request with an error, Lying ones say at
-	// the same time that they are well and idle.
+	// Failing says that every answer is an error. FalseHealth says that the
+	// target reports itself as healthy and idle, whatever its state.
 	Failing, FalseHealth bool
-	// SlowFactor multiplies the time of a request; 0 counts as 1.
+	// SlowFactor multiplies the time of a request; 0 means 1.
 	SlowFactor int
-	// Stuck targets answer nothing while they say that they are well.
+	// Stuck says that the target answers no request but reports itself as healthy.
 	Stuck bool
-	// Runs counts the requests begun, Shed those refused for lack of a slot.
+	// Runs counts the requests started, Shed those refused for lack of a slot.
 	Runs, Shed int
 
 	w              *World
 	processNumber  int
 	running        []*job
 	waiting        []*job
-	runsSinceStart int // requests run by this process
+	runsSinceStart int // requests started by this process
 	leavingAt      clock.Time
-	attempts       []*attempt // that entry VMs have not seen the end of
+	attempts       []*attempt // whose end the entry VM has not seen yet
 }
 
 // job is a request that the target holds.
@@ -68,23 +68,24 @@
 	w.targetByID[o.ID] = t
 }
 
-// Leave makes the target leave. It is listed as leaving, with the list's lag;
-// a polite one refuses new work at once.
-func (t *Target) Leave(polite bool) {
-	t.Leaving, t.RefusesWhileLeaving = true, polite
+// Leave makes the target leave. The machine list shows it with a delay. With
+// refuse set, the target refuses new requests immediately.
+func (t *Target) Leave(refuse bool) {
+	t.Leaving, t.RefusesWhileLeaving = true, refuse
 	t.leavingAt = t.w.Now
 	t.w.trace("%s leaves", t.ID)
 	t.w.Platform.updateList()
 }
 
-// Crash ends the process; what runs has run, and what waits never will.
+// Crash ends the process. Requests that were running count as run; waiting ones
+// never run.
 func (t *Target) Crash() {
 	t.w.trace("%s crashes", t.ID)
 	t.Up = false
 	t.processNumber++
 	for _, j := range slices.Concat(t.running, t.waiting) {
 		if t.w.Chance(0.3) {
-			j.x.closed = true // nobody tells the sender
+			j.x.closed = true // the sender is not notified
 			continue
 		}
 		j.x.Reset()
@@ -103,7 +104,7 @@
 
 func (t *Target) isUp() bool { return t.Up }
 
-// handleRequest takes a request.
+// handleRequest runs, queues or refuses a request that has arrived.
 func (t *Target) handleRequest(x *Exchange) {
 	j := &job{x: x, submission: x.submission}
 	switch {
@@ -121,7 +122,7 @@
 	}
 }
 
-// run executes a request.
+// run starts the execution of a request.
 func (t *Target) run(j *job) {
 	j.x.onSenderGone = nil
 	t.running = append(t.running, j)
@@ -145,7 +146,7 @@
 	return d/2 + time.Duration(t.w.rng.Int64N(int64(d)+1))
 }
 
-// finishJob ends a request and takes the next.
+// finishJob answers a request and starts the next one.
 func (t *Target) finishJob(j *job) {
 	t.running = slices.DeleteFunc(t.running, func(o *job) bool { return o == j })
 	if !t.Stuck {
@@ -183,7 +184,7 @@
 	return h
 }
 
-// listEntry returns the target as the list shows it.
+// listEntry returns the target as the machine list shows it.
 func (t *Target) listEntry() fleet.Target {
 	s := fleet.Target{
 		ID:          t.ID,
--- a/decide/engine/enginetest/trace.go
+++ b/decide/engine/enginetest/trace.go
@@ -11,14 +11,14 @@
 	"github.com/azurethread/azurethread/decide/shift"
 )
 
-// attemptName names an attempt by the order in which its engine gave it out.
+// attemptName formats an attempt ID as its index and the number of times that
+// the index was reused.
 func attemptName(id dispatch.AttemptID) string {
 	return fmt.Sprintf("%d/%d", uint64(id)&(1<<32-1), uint64(id)>>32)
 }
 
-// traceEvent reports an event that an engine steps. Ticks and the messages of
-// entry VMs among themselves are left out, as there are many; what they give
-// rise to is reported.
+// traceEvent traces an event that an engine processes. It omits ticks and
+// messages between entry VMs, because there are many; their effects are traced.
 func (v *VM) traceEvent(ev engine.Event) {
 	if v.w.Options.Trace == nil {
 		return
@@ -70,7 +70,7 @@
 	return b.String()
 }
 
-// traceEffects reports the effects of a step.
+// traceEffects traces the effects of a step.
 func (v *VM) traceEffects(r *engine.Ready) {
 	if v.w.Options.Trace == nil {
 		return
--- a/decide/engine/enginetest/vm.go
+++ b/decide/engine/enginetest/vm.go
@@ -14,17 +14,17 @@
 	"github.com/azurethread/azurethread/decide/steer"
 )
 
-// VM is one entry VM: an engine, and what the daemon's transports do for it.
+// VM is one entry VM: an engine, and a fake of the daemon's transports.
 type VM struct {
 	Location Location
 	Self     fleet.VM
 	Up       bool
-	// Paused processes get their events once they go on.
+	// Paused says that the process is paused; it gets its events when it resumes.
 	Paused bool
-	// Leaving processes have been told to stop, and end once nothing is in
-	// flight.
+	// Leaving says that the process is shutting down; it ends when no request is
+	// in flight.
 	Leaving bool
-	// Skew is how far the VM's clock is ahead.
+	// Skew is how far the VM's clock is ahead of the World's.
 	Skew time.Duration
 
 	w             *World
@@ -33,27 +33,27 @@
 	processNumber int
 	wake          clock.Time
 	backlog       []func()
-	pausedAt      clock.Time // end of the last pause
-	leftAt        clock.Time // when it was told to leave
+	pausedAt      clock.Time // end of the last pause, in the World's time
+	leftAt        clock.Time // when Leave was called
 
 	lastRequest     dispatch.RequestID
 	calls           map[dispatch.RequestID]*call
 	attempts        map[dispatch.AttemptID]*attempt
-	forwards        map[*Exchange]*call // open calls that other entry VMs have sent
+	forwards        map[*Exchange]*call // unanswered calls from other entry VMs
 	knownVMs        map[fleet.VMID]fleet.VM
 	view            *steer.View
-	unshifted       *steer.View // look-ups that the gate keeps from being moved
+	unshifted       *steer.View // for look-ups that the gate does not allow to be moved
 	gate            *shift.Gate
-	lookups         map[shiftService]moveCounts // answered under gate
+	lookups         map[shiftService]moveCounts // answered since gate came into force
 	catalogue       *catalogue.Catalogue
 	revision        uint64
-	targetsLeaving  map[fleet.TargetID]clock.Time // since the list said so
-	targetsStopping map[fleet.TargetID]clock.Time // since the target said so
+	targetsLeaving  map[fleet.TargetID]clock.Time // when the machine list first showed it
+	targetsStopping map[fleet.TargetID]clock.Time // when the target last reported it
 	watch           *watch
 	shiftLease      leaseView
-	machineList     *fleet.List // in force; nil: none
-	watchingList    bool        // the platform's machine list
-	listVersion     uint64      // version of the last one read; 0: none since it watches
+	machineList     *fleet.List // in force; nil if none
+	watchingList    bool        // whether it watches the platform's machine list
+	listVersion     uint64      // last version read; 0 if none since the watch began
 	tokensMinted    uint64
 
 	tickedAt       clock.Time
@@ -75,10 +75,10 @@
 	w.vmByID[id] = v
 }
 
-// now is the VM's own clock.
+// now returns the time of the VM's own clock.
 func (v *VM) now() clock.Time { return v.w.Now.Add(v.Skew) }
 
-// Start runs a new process, which knows nothing.
+// Start starts a new process with empty state.
 func (v *VM) Start() {
 	v.w.trace("%s starts", v.Self.ID)
 	v.processNumber++
@@ -112,7 +112,7 @@
 	v.pollShiftLease()
 }
 
-// Crash ends the process without a word.
+// Crash ends the process without notifying anyone.
 func (v *VM) Crash() {
 	if v.Up {
 		v.w.trace("%s crashes", v.Self.ID)
@@ -136,7 +136,7 @@
 	v.backlog = nil
 }
 
-// Pause stops the process for d; events wait for it.
+// Pause suspends the process for d; its events are queued.
 func (v *VM) Pause(d time.Duration) {
 	if !v.Up || v.Paused {
 		return
@@ -181,11 +181,11 @@
 	v.w.After(leaveDelay, func() { v.finishLeaving(process) })
 }
 
-// leaveDelay is how long a leaving process keeps refusing new requests before
-// it ends, so that others can learn of it.
+// leaveDelay is how long a leaving process refuses new requests before it ends,
+// so that other VMs learn that it is leaving.
 const leaveDelay = 2 * time.Second
 
-// finishLeaving ends the process once nothing is in flight.
+// finishLeaving ends the process when no request is in flight.
 func (v *VM) finishLeaving(process int) {
 	if v.processNumber != process {
 		return
@@ -200,7 +200,7 @@
 
 func (v *VM) isUp() bool { return v.Up }
 
-// runOrQueue calls f in the process, at once or when it goes on.
+// runOrQueue calls f now, or when the process resumes if it is paused.
 func (v *VM) runOrQueue(f func()) {
 	switch {
 	case !v.Up:
@@ -211,7 +211,7 @@
 	}
 }
 
-// after calls f after d in the process that runs now, if it runs then.
+// after calls f after d if the current process still runs then.
 func (v *VM) after(d time.Duration, f func()) {
 	process := v.processNumber
 	v.w.After(d, func() {
@@ -221,7 +221,7 @@
 	})
 }
 
-// post hands an event to the engine.
+// post passes an event to the engine.
 func (v *VM) post(ev engine.Event) { v.runOrQueue(func() { v.step(ev) }) }
 
 // postAfter posts an event after d.
--- a/decide/engine/enginetest/world.go
+++ b/decide/engine/enginetest/world.go
@@ -13,29 +13,29 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// FleetKey is the key under which all entry VMs mint tokens.
+// FleetKey is the key with which all entry VMs mint tokens.
 var FleetKey = []byte("enginetest fleet key")
 
-// epoch is the instant at which every World starts.
+// epoch is the start time of every World.
 var epoch = clock.FromWall(time.Date(2026, 3, 2, 22, 0, 0, 0, time.UTC))
 
-// Location is a failure domain with its region.
+// Location is a failure domain and its region.
 type Location struct {
 	Region fleet.Region
 	Domain fleet.Domain
 }
 
-// Options describe a World.
+// Options configure a World.
 type Options struct {
 	Seed     uint64
 	VMs      []Location // one entry VM in each
 	Targets  []TargetOptions
 	Services []catalogue.Service
-	// Trace, if set, is told what happens, one line each.
+	// Trace, if set, receives one line for each thing that happens.
 	Trace func(at time.Duration, line string)
 }
 
-// World is a whole deployment with its callers and operators.
+// World is a deployment with its callers and operators.
 type World struct {
 	Now      clock.Time
 	Options  Options
@@ -50,16 +50,17 @@
 	queue      queue
 	lastOrder  uint64
 	blocks     *block.Table
-	homes      []fleet.Region // by the number of a client's block
+	homes      []fleet.Region // regions by the second byte of a client's address
 	vmByID     map[fleet.VMID]*VM
 	targetByID map[fleet.TargetID]*Target
 	lastNumber int
 }
 
-// worldStream tells the World's random numbers from others with its seed.
+// worldStream separates the World's random numbers from others drawn with the
+// same seed.
 const worldStream = 0x776f726c64
 
-// New returns a World whose entry VMs have just started and whose platform
+// New returns a World in which the entry VMs have just started and the platform
 // holds the services at revision 1.
 func New(o Options) *World {
 	w := &World{
@@ -88,10 +89,10 @@
 	return w
 }
 
-// blocksPerRegion is the number of client blocks at home in each region.
+// blocksPerRegion is the number of client blocks whose home is a given region.
 const blocksPerRegion = 64
 
-// buildBlocks makes the table of client blocks: 10.R.B.0/24 is block B of
+// buildBlocks builds the table of client blocks: 10.R.B.0/24 is block B of
 // region R.
 func (w *World) buildBlocks() {
 	topology := block.Topology{}
@@ -122,13 +123,13 @@
 	return netip.AddrFrom4([4]byte{10, byte(region), byte(i), 0})
 }
 
-// VM returns the entry VM of an id.
+// VM returns the entry VM with the given ID.
 func (w *World) VM(id fleet.VMID) *VM { return w.vmByID[id] }
 
-// Target returns the target of an id.
+// Target returns the target with the given ID.
 func (w *World) Target(id fleet.TargetID) *Target { return w.targetByID[id] }
 
-// Chance reports true with the given probability.
+// Chance returns true with probability p.
 func (w *World) Chance(p float64) bool { return p > 0 && w.rng.Float64() < p }
 
 // IntN returns a random number below n.
@@ -139,7 +140,7 @@
 	return a + time.Duration(w.rng.Int64N(int64(b-a)+1))
 }
 
-// After calls f once d has passed.
+// After calls f after d.
 func (w *World) After(d time.Duration, f func()) { w.schedule(w.Now.Add(d), f) }
 
 func (w *World) schedule(t clock.Time, f func()) {
@@ -147,7 +148,7 @@
 	heap.Push(&w.queue, scheduledCall{at: max(t, w.Now), order: w.lastOrder, f: f})
 }
 
-// every calls f again and again.
+// every calls f repeatedly, at intervals of d.
 func (w *World) every(d time.Duration, f func()) {
 	w.After(d, func() {
 		f()
@@ -155,7 +156,7 @@
 	})
 }
 
-// Run lets d pass.
+// Run advances the clock by d and makes all calls that become due.
 func (w *World) Run(d time.Duration) {
 	end := w.Now.Add(d)
 	for len(w.queue) > 0 && w.queue[0].at <= end {
@@ -166,14 +167,14 @@
 	w.Now = end
 }
 
-// trace reports one line.
+// trace passes one line to Options.Trace.
 func (w *World) trace(format string, args ...any) {
 	if w.Options.Trace != nil {
 		w.Options.Trace(w.Now.Sub(epoch), fmt.Sprintf(format, args...))
 	}
 }
 
-// scheduledCall is something that happens at an instant.
+// scheduledCall is a function to be called at a given time.
 type scheduledCall struct {
 	at    clock.Time
 	order uint64
--- a/decide/engine/enginetest/writer.go
+++ b/decide/engine/enginetest/writer.go
@@ -13,36 +13,36 @@
 	"github.com/azurethread/azurethread/decide/verdict"
 )
 
-// The bounds on one write.
+// Bounds on the tries of one write.
 const (
 	maxTries  = 10
 	firstWait = 20 * time.Millisecond
 	maxWait   = time.Second
 )
 
-// Result is what became of an operation.
+// Result is the outcome of an operation.
 type Result struct {
 	Verdict  verdict.Verdict
 	Revision uint64 // 0 unless it ran
 	Err      error
 }
 
-// write is one operation on its way through an entry VM. It follows the
-// protocol of package serve/store: read, apply, compare-and-swap; an unknown
-// outcome is settled by the operation's id in the document.
+// write is the execution of one operation by an entry VM. It follows the protocol
+// of package serve/store: read, apply, compare-and-swap. If the outcome of the
+// write is unknown, the operation's ID in the document tells it.
 type write struct {
 	v            *VM
 	op           change.Operation
 	tries        int
 	wait         time.Duration
 	unknown      bool
-	unknownIndex uint64 // that the unknown write was conditioned on
+	unknownIndex uint64 // expected index of the write with unknown outcome
 	refused      bool   // answered not-run
 	done         func(Result)
 }
 
-// Change applies an operation through an entry VM. Done is called unless the
-// process ends first.
+// Change applies an operation through an entry VM. It calls done with the result
+// unless the process ends first.
 func (v *VM) Change(op change.Operation, done func(Result)) {
 	w := &write{v: v, op: op, wait: firstWait, done: done}
 	v.runOrQueue(w.try)
@@ -108,8 +108,8 @@
 	})
 }
 
-// build applies the operation to the newer of what the platform shows and
-// what is in force.
+// build applies the operation to the newer of the platform's catalogue and the
+// catalogue in force.
 func (w *write) build(d document) (document, error) {
 	base, ok := w.v.engine.Config().Base(w.v.now())
 	if !ok {
@@ -138,7 +138,7 @@
 	w.done(Result{Verdict: verdict.Ran, Revision: revision})
 }
 
-// restore brings the catalogue in force back to a platform that holds less.
+// restore writes the catalogue in force to a platform that holds an older one.
 func (p *Platform) restore(v *VM, c *catalogue.Catalogue) {
 	asked := v.now()
 	p.get(v, func(d document) {
@@ -154,8 +154,9 @@
 	}, func() {})
 }
 
-// writeShift makes a write of the runner. An unknown outcome is told at once,
-// and the write repeated under the same operation until it is known.
+// writeShift executes a write of the shift runner. An unknown outcome is reported
+// immediately, and the write is repeated with the same operation ID until the
+// outcome is known.
 func (v *VM) writeShift(x shift.Write) {
 	v.w.lastNumber++
 	op := change.Operation{ID: fmt.Sprintf("runner-%d", v.w.lastNumber), Operator: change.RunnerName, Kind: change.KindAdvance}
@@ -181,7 +182,7 @@
 	})
 }
 
-// The times of the lease of the shift runner.
+// Times of the shift runner's lease.
 const (
 	leaseTTL           = 15 * time.Second
 	leaseMargin        = 2 * time.Second
@@ -193,11 +194,12 @@
 // leaseView is a process's view of its lease.
 type leaseView struct {
 	eligible  bool
-	until     clock.Time // of the VM's clock; 0: not held
+	until     clock.Time // by the VM's clock; 0 if not held
 	reporting bool
 }
 
-// pollShiftLease tries for the lease, and tells the engine about it.
+// pollShiftLease tries to acquire or renew the lease at intervals, and starts
+// reporting to the engine whether it is held.
 func (v *VM) pollShiftLease() {
 	v.after(leasePollInterval, func() {
 		if v.shiftLease.eligible && !v.Leaving {
--- a/decide/engine/meter_test.go
+++ b/decide/engine/meter_test.go
@@ -13,11 +13,10 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// Symptom: a shift holds for errors at a receiver whose callers are all
-// answered.
-// Sequence: entry VMs elsewhere forward requests on the chance of a free slot;
-// the receiver has none and refuses them; they are served elsewhere.
-// Cause: refused forwards were counted as failed answers.
+// Guards against a shift that is held because of errors at a region whose
+// callers all get answers. Entry VMs elsewhere forward requests to the region,
+// which has no free slot and refuses them, and they are served elsewhere. These
+// refused forwards were counted as failed answers.
 func TestRefusedForwardIsNoError(t *testing.T) {
 	for _, c := range []struct {
 		hops   uint8
@@ -33,7 +32,7 @@
 		is.True(out.Catalogue != nil)
 		out.Reset()
 		e.Step(now, &Call{Req: 1, Service: "calc", Home: "kriti", Hops: c.hops, Deadline: now.Add(time.Second)}, &out)
-		is.Equal(len(out.Dispatch.Replies), 1) // there is no target
+		is.Equal(len(out.Dispatch.Replies), 1) // refused: there is no target
 		is.Equal(out.Dispatch.Replies[0].Req, dispatch.RequestID(1))
 		is.Equal(e.tally.Meter().Rate(now.Add(3*time.Second), "calc").Errors, c.errors)
 	}
--- a/decide/engine/moved_test.go
+++ b/decide/engine/moved_test.go
@@ -12,19 +12,19 @@
 	"github.com/matryer/is"
 )
 
-// The places of the Worlds of scripted tests.
+// Locations in the Worlds of scripted tests.
 var (
 	east = enginetest.Location{Region: "east", Domain: "east-1"}
 	west = enginetest.Location{Region: "west", Domain: "west-1"}
 )
 
-// Services of the Worlds of scripted tests.
+// Services in the Worlds of scripted tests.
 var (
 	mapService  = catalogue.Service{Name: "map", Idempotent: true, Priority: catalogue.Interactive}
 	postService = catalogue.Service{Name: "post", Priority: catalogue.Deferrable}
 )
 
-// targets returns n targets of a service in a place.
+// targets returns n targets of a service at a location.
 func targets(p enginetest.Location, s fleet.ServiceName, n, slots int, work time.Duration) []enginetest.TargetOptions {
 	var list []enginetest.TargetOptions
 	for i := range n {
@@ -36,7 +36,7 @@
 	return list
 }
 
-// shiftOf is a shift of a service from east to west.
+// shiftOf returns a shift of a service from east to west.
 func shiftOf(s fleet.ServiceName, limit, step catalogue.Share) change.Entry {
 	return change.Entry{
 		ID: "move", Owner: "team", Class: catalogue.Emergency, Service: s,
@@ -60,7 +60,7 @@
 	}
 }
 
-// mustOperate has an operation accepted.
+// mustOperate applies an operation and requires that it is accepted.
 func mustOperate(is *is.I, w *enginetest.World, v *enginetest.VM, op change.Operation) {
 	is.Helper()
 	o := w.Operate(v, op)
@@ -69,11 +69,11 @@
 	is.True(o.MustPersist)
 }
 
-// TestMovedShare has callers send evenly, and counts by the answers that they
-// get how much a shift moves. Symptom: a region gets more of another's traffic
-// than the catalogue allows. Sequence: the shift reaches its cap while some
-// callers look up more often than others. Cause: a share set on look-ups alone,
-// with no count of what they move.
+// TestMovedShare guards against a shift that moves more traffic than its cap
+// allows. This could happen if the share were applied to look-ups without
+// counting the requests they move, because some callers look up more often than
+// others. All callers send at the same rate, and the moved share is measured
+// over the answered requests.
 func TestMovedShare(t *testing.T) {
 	for seed, limit := range []catalogue.Share{1000, 3000} {
 		t.Run(fmt.Sprintf("cap=%d", limit), func(t *testing.T) {
@@ -85,13 +85,14 @@
 			is.NoErr(w.Checker.Err())
 			n := w.Checker.Counts
 			t.Logf("%d of %d requests moved, %d windows, %d above the cap", n.Moved, n.Ran, n.Windows, n.MovedOver)
-			is.True(n.Windows >= 2)                                    // enough was counted
-			is.True(n.Moved*4 >= n.Ran*int(limit)/catalogue.ShareUnit) // and the shift moved traffic
+			is.True(n.Windows >= 2)                                    // enough windows were measured
+			is.True(n.Moved*4 >= n.Ran*int(limit)/catalogue.ShareUnit) // the shift moved traffic
 		})
 	}
 }
 
-// evenWorld has 32 callers in the east, each in a client block of its own.
+// evenWorld returns a World with 32 callers in the east that send at the same
+// rate, each in its own client block.
 func evenWorld(seed uint64) *enginetest.World {
 	w := enginetest.New(enginetest.Options{
 		Seed:     seed,
--- a/decide/engine/random_test.go
+++ b/decide/engine/random_test.go
@@ -10,12 +10,13 @@
 	"github.com/azurethread/azurethread/decide/engine/enginetest"
 )
 
-// longRunVariable names the environment variable that asks for a long run: the least
-// number of engine events to step.
+// longRunVariable is the environment variable that enables TestLong. Its value is
+// the minimum number of engine events to process.
 const longRunVariable = "AZURETHREAD_LONG"
 
-// runSession runs a random World: a calm start, faults, and the time after them
-// in which everything must be well again.
+// runSession runs a random World: a start without faults, then with faults, and
+// then without faults again so that it can recover. It checks the invariants and
+// that the World has converged at the end.
 func runSession(seed uint64, faults, rest time.Duration) (*enginetest.World, error) {
 	w := enginetest.NewRandom(seed)
 	w.Run(10 * time.Second)
@@ -30,8 +31,9 @@
 	return w, nil
 }
 
-// TestRandom checks all invariants under random faults. Its seeds are fixed,
-// and chosen for sessions of few events; TestLong goes through all others.
+// TestRandom checks all invariants under random faults. The seeds are fixed and
+// were selected because their sessions have few events. TestLong covers other
+// seeds.
 func TestRandom(t *testing.T) {
 	if os.Getenv(longRunVariable) != "" {
 		t.Skip(longRunVariable + " is set: TestLong runs more")
@@ -45,8 +47,8 @@
 	}
 }
 
-// TestLong goes through the seeds from 1 until the wanted number of events is
-// stepped.
+// TestLong runs sessions with the seeds from 1 on until the required number of
+// events has been processed.
 func TestLong(t *testing.T) {
 	want, err := strconv.ParseUint(os.Getenv(longRunVariable), 10, 64)
 	if err != nil {
--- a/decide/engine/session_test.go
+++ b/decide/engine/session_test.go
@@ -14,12 +14,12 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// TestSessions plays the sessions under testdata: a World of two regions with
-// one failure domain each. They show the events that go into the engines (<)
-// and the effects that come out (>), with what targets, platform, callers and
-// operators do. Left out are ticks, messages between entry VMs, probes, lease
-// checks, and of the lines about health, membership and configuration those
-// that say the same as the last one; the command show narrows it further.
+// TestSessions runs the scripted sessions under testdata in a World of two
+// regions with one failure domain each. The output shows the events of the
+// engines (<), their effects (>), and what targets, platform, callers and
+// operators do. It omits ticks, messages between entry VMs, probes and lease
+// checks, and lines about health, entry VMs, platform reads and machine lists
+// that repeat the previous one. The command show filters the output further.
 func TestSessions(t *testing.T) {
 	datadriven.Walk(t, "testdata/sessions", func(t *testing.T, path string) {
 		s := &script{last: make(map[string]string)}
@@ -32,17 +32,17 @@
 	})
 }
 
-// script is a session under way.
+// script is the state of a running session.
 type script struct {
 	w       *enginetest.World
 	text    strings.Builder
-	filter  []string          // phrases; none: everything
-	last    map[string]string // last line of each repeated kind
+	filter  []string          // phrases to show; empty for everything
+	last    map[string]string // last line by kind and subject, for isRepeated
 	start   time.Duration
 	callers map[string]*enginetest.Caller
 }
 
-// warmUp is how long a World runs before its session starts.
+// warmUp is how long a World runs before the session starts.
 const warmUp = 5 * time.Second
 
 func (s *script) run(t *testing.T, d *datadriven.TestData) string {
@@ -67,7 +67,7 @@
 	return s.text.String()
 }
 
-// world makes the World, with the given number of entry VMs in each region.
+// world creates the World with the given number of entry VMs in each region.
 func (s *script) world(t *testing.T, d *datadriven.TestData) {
 	n := 1
 	d.MaybeScanArgs(t, "vms", &n)
@@ -99,8 +99,8 @@
 	s.text.Reset()
 }
 
-// repeated are the lines that are left out when they say nothing new about
-// their subject.
+// repeated are the kinds of lines that are omitted if they are the same as the
+// last one about their subject.
 var repeated = []string{" < health ", " > entry-vms", " < platform-read", " > machines"}
 
 func (s *script) line(at time.Duration, line string) {
@@ -137,8 +137,8 @@
 	return false
 }
 
-// setFilter keeps the lines that hold one of the given phrases, with _ in place of
-// each blank.
+// setFilter shows only lines that contain one of the given phrases. In the
+// arguments, _ stands for a blank.
 func (s *script) setFilter(_ *testing.T, d *datadriven.TestData) {
 	s.filter = nil
 	for _, a := range d.CmdArgs {
@@ -146,7 +146,7 @@
 	}
 }
 
-// call has a caller do one thing.
+// call makes a caller start one work.
 func (s *script) call(t *testing.T, d *datadriven.TestData) {
 	var service, home string
 	d.ScanArgs(t, "service", &service)
@@ -154,7 +154,7 @@
 	s.callers[home].StartWork(fleet.ServiceName(service), service == string(mapService.Name))
 }
 
-// load adds callers of the map service, each with a block of its own.
+// load adds callers of the map service, each in its own client block.
 func (s *script) load(t *testing.T, d *datadriven.TestData) {
 	var n int
 	d.ScanArgs(t, "callers", &n)
@@ -172,7 +172,7 @@
 	"late-request": enginetest.DelayedRequest,
 }
 
-// next decides what happens to the next request on a leg.
+// next sets the fault of the next request on a leg.
 func (s *script) next(t *testing.T, d *datadriven.TestData) {
 	var leg, fate string
 	d.ScanArgs(t, "to", &leg)
@@ -180,7 +180,7 @@
 	s.w.Network.SetNextFault(legs[leg], faults[fate])
 }
 
-// target changes the targets whose id starts with the given one.
+// target changes the state of the targets whose ID has the given prefix.
 func (s *script) target(t *testing.T, d *datadriven.TestData) {
 	var id string
 	d.ScanArgs(t, "id", &id)
@@ -199,8 +199,8 @@
 	}
 }
 
-// vm changes an entry VM; with the argument leader the one that runs the
-// shifts.
+// vm changes the state of the entry VMs whose ID has the given prefix, or with
+// the argument leader of the one that runs the shifts.
 func (s *script) vm(t *testing.T, d *datadriven.TestData) {
 	var pause time.Duration
 	if d.HasArg("pause") {
@@ -230,7 +230,7 @@
 	return strings.HasPrefix(string(v.Self.ID), id)
 }
 
-// net changes the network and the platform.
+// net changes the state of the network and the platform.
 func (s *script) net(_ *testing.T, d *datadriven.TestData) {
 	switch {
 	case d.HasArg("part"):
@@ -245,7 +245,7 @@
 	}
 }
 
-// change gives an operation to an entry VM.
+// change sends an operation to an entry VM.
 func (s *script) change(t *testing.T, d *datadriven.TestData) {
 	var by, kind, at string
 	limit, step, p99, class := 5000, 1000, 0, string(catalogue.Emergency)
@@ -272,7 +272,7 @@
 	s.w.Operate(s.w.VM(fleet.VMID(at)), op)
 }
 
-// advance lets time pass.
+// advance runs the World for a time.
 func (s *script) advance(t *testing.T, d *datadriven.TestData) {
 	s.w.Run(durationOf(t, d, "for"))
 }
