--- a/decide/emulate/connection.go
+++ b/decide/emulate/connection.go
@@ -8,37 +8,39 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// connectionPools are the connections of one process of an entry VM, by their other end.
+// connectionPools are the connections of one process of an entry VM, by remote
+// end.
 type connectionPools map[connectionEnd]*connectionPool
 
-// connectionEnd is what a connection leads to: a target, or the gateway that is set.
+// connectionEnd is the remote end of a connection: a gateway if it is set,
+// otherwise a target.
 type connectionEnd struct {
 	target  fleet.TargetID
 	gateway fleet.VMID
 }
 
-// connectionEnd is what s needs a connection to.
+// connectionEnd returns the remote end of the connection that s needs.
 func (s *targetSend) connectionEnd() connectionEnd {
 	if s.gateway != nil {
 		return connectionEnd{gateway: s.gateway.self.ID}
 	}
-	return connectionEnd{target: s.t.registered.ID}
+	return connectionEnd{target: s.target.registered.ID}
 }
 
-// domain is the failure domain that the connection of s leads to.
+// domain returns the failure domain of the remote end.
 func (s *targetSend) domain() fleet.Domain {
 	if s.gateway != nil {
 		return s.gateway.self.Domain
 	}
-	return s.t.registered.Domain
+	return s.target.registered.Domain
 }
 
-// connectionPool is the connections of one process to one end that carry nothing.
+// connectionPool holds the idle connections of one process to one remote end.
 type connectionPool struct {
-	free     []clock.Time  // since when they are; the one freed last at the end
-	waiting  []*targetSend // for a connection; the first to come first
+	free     []clock.Time  // since when each is idle; the latest at the end
+	waiting  []*targetSend // sends that wait for a connection, the oldest first
 	opening  int
-	lastUsed clock.Time // when a send last asked for one; 0: never
+	lastUsed clock.Time // when a send last requested a connection; 0 if never
 }
 
 func (l connectionPools) pool(e connectionEnd) *connectionPool {
@@ -50,46 +52,46 @@
 	return k
 }
 
-// gatewayIdle is how long connections between entry VMs are kept.
+// gatewayIdle is how long idle connections between entry VMs are kept.
 const gatewayIdle = time.Minute
 
-// connect calls s.carry when s has a connection: a free one, or else the one
-// that is opened for it, or one that is freed before.
-func (f *simulation) connect(s *targetSend, spare bool) {
-	idle := seconds(f.pattern.Network.IdleSeconds)
+// connect calls s.transmit when s has a connection: an idle one, or otherwise
+// the one that is opened for it or one that is released earlier.
+func (sim *simulation) connect(s *targetSend, spare bool) {
+	idle := seconds(sim.pattern.Network.IdleSeconds)
 	if idle == 0 {
-		s.transmit() // there is always a free one
+		s.transmit() // connections are always open
 		return
 	}
 	if s.gateway != nil {
 		idle = gatewayIdle
 	}
 	k := s.vm.connections.pool(s.connectionEnd())
-	s.firstUse = k.lastUsed == 0 || f.now.Sub(k.lastUsed) >= idle
-	k.lastUsed = f.now
-	k.free = slices.DeleteFunc(k.free, func(since clock.Time) bool { return f.now.Sub(since) >= idle })
+	s.firstUse = k.lastUsed == 0 || sim.now.Sub(k.lastUsed) >= idle
+	k.lastUsed = sim.now
+	k.free = slices.DeleteFunc(k.free, func(since clock.Time) bool { return sim.now.Sub(since) >= idle })
 	if n := len(k.free); n > 0 {
 		k.free = k.free[:n-1]
 		if spare && n == 1 && k.opening == 0 {
-			f.openConnection(s, false)
+			sim.openConnection(s, false)
 		}
 		s.transmit()
 		return
 	}
-	s.waitStart = f.now
+	s.waitStart = sim.now
 	k.waiting = append(k.waiting, s)
-	f.openConnection(s, true)
+	sim.openConnection(s, true)
 }
 
-// openConnection opens a connection where s goes, which waits for it or not. It takes one
-// round trip.
-func (f *simulation) openConnection(s *targetSend, waits bool) {
+// openConnection opens a connection to the remote end of s, which takes one round
+// trip. If waits is set, s waits for the connection; otherwise it is a spare one.
+func (sim *simulation) openConnection(s *targetSend, waits bool) {
 	v := s.vm
 	k, starts := v.connections.pool(s.connectionEnd()), v.processNumber
-	took := 2 * f.latency(v.self.Domain, s.domain())
+	took := 2 * sim.latency(v.self.Domain, s.domain())
 	k.opening++
-	f.recorder.result.Opened++
-	f.after(took, func() {
+	sim.recorder.result.Opened++
+	sim.after(took, func() {
 		if v.processNumber != starts {
 			return
 		}
@@ -97,35 +99,35 @@
 		if at := slices.Index(k.waiting, s); waits && at >= 0 && !s.ended {
 			k.waiting = slices.Delete(k.waiting, at, at+1)
 			s.connectTime = took
-			s.useConnection(f.now)
+			s.useConnection(sim.now)
 			return
 		}
-		f.releaseConnection(s)
+		sim.releaseConnection(s)
 	})
 }
 
-// releaseConnection has the send that has waited longest take a connection to where s went,
-// or keeps it.
-func (f *simulation) releaseConnection(s *targetSend) {
+// releaseConnection gives the connection of s to the send that has waited longest
+// for one to the same end, or keeps it as idle.
+func (sim *simulation) releaseConnection(s *targetSend) {
 	k := s.vm.connections.pool(s.connectionEnd())
 	for len(k.waiting) > 0 {
 		s := k.waiting[0]
 		k.waiting = k.waiting[1:]
 		if !s.ended {
-			s.useConnection(f.now)
+			s.useConnection(sim.now)
 			return
 		}
 	}
-	k.free = append(k.free, f.now)
+	k.free = append(k.free, sim.now)
 }
 
-// useConnection has s use the connection that it has waited for.
+// useConnection sends s on the connection that it has waited for.
 func (s *targetSend) useConnection(now clock.Time) {
 	s.connectionWait = now.Sub(s.waitStart)
 	s.transmit()
 }
 
-// durations sums up durations.
+// durations accumulates durations for their mean.
 type durations struct {
 	n   int
 	sum time.Duration
@@ -138,27 +140,27 @@
 	return m.sum.Seconds() * 1000 / float64(m.n)
 }
 
-// recordFarDelay notes how long a request to another region was on its way, once it
-// has reached its target.
-func (f *simulation) recordFarDelay(s *targetSend) {
-	if s.q.sender != nil {
-		s = s.q.sender
+// recordFarDelay records how long a request to another region was delayed beyond
+// the network's latency. It is called when the request reaches its target.
+func (sim *simulation) recordFarDelay(s *targetSend) {
+	if s.attempt.gatewaySend != nil {
+		s = s.attempt.gatewaySend
 	}
-	if s.t.region == s.vm.self.Region || f.loadSeconds() < f.pattern.Seconds/2 {
+	if s.target.region == s.vm.self.Region || sim.loadSeconds() < sim.pattern.Seconds/2 {
 		return
 	}
-	took := f.now.Sub(s.placedAt) - f.latency(s.vm.self.Domain, s.t.registered.Domain)
-	f.recorder.farDelays.n++
-	f.recorder.farDelays.sum += took
+	took := sim.now.Sub(s.placedAt) - sim.latency(s.vm.self.Domain, s.target.registered.Domain)
+	sim.recorder.farDelays.n++
+	sim.recorder.farDelays.sum += took
 }
 
-// recordConnected counts a send of which the connection is there.
-func (b *recorder) recordConnected(s *targetSend) {
-	if s.t.region == s.vm.self.Region {
+// recordConnected counts a send that has got its connection.
+func (rec *recorder) recordConnected(s *targetSend) {
+	if s.target.region == s.vm.self.Region {
 		return
 	}
-	b.result.Far++
+	rec.result.Far++
 	if s.connectionWait > 0 && !s.firstUse {
-		b.result.FarWaited++
+		rec.result.FarWaited++
 	}
 }
--- a/decide/emulate/deadly.go
+++ b/decide/emulate/deadly.go
@@ -13,31 +13,33 @@
 	"github.com/azurethread/azurethread/decide/quarantine"
 )
 
-// DeathQueryCounts counts what one query of death has done.
+// DeathQueryCounts counts the effects of one query of death: a request that
+// crashes every target that executes it.
 type DeathQueryCounts struct {
-	Crashes int `json:"ends"`    // targets that ended under it
+	Crashes int `json:"ends"`    // targets that it crashed
 	Reached int `json:"reached"` // sends of it that reached targets
-	// Late are those of them that came more than DeadlyGrace after the end of the
-	// third target.
+	// Late counts the sends that reached targets more than DetectionGrace after
+	// the third crash.
 	Late int `json:"late"`
-	// Lost are the requests of others that were lost with the targets.
+	// Lost counts the requests of other callers that were lost in the crashes.
 	Lost int `json:"lost"`
-	// Asked are the attempts of its caller.
+	// Asked counts the times that its callers started the request.
 	Asked int `json:"asked"`
 }
 
 const (
-	// DetectionGrace is how long after the third end the fleet may take to know a
-	// query of death.
+	// DetectionGrace is how long after the third crash the fleet may take to
+	// detect a query of death.
 	DetectionGrace = 4 * time.Second
-	// DetectionCrashes is the number of ends after which it must know one.
+	// DetectionCrashes is the number of crashes after which it must detect one.
 	DetectionCrashes = 3
-	// deathQueryWork is how long a target runs a query of death before it ends.
+	// deathQueryWork is how long a target executes a query of death before it
+	// crashes.
 	deathQueryWork = 60 * time.Millisecond
-	// crashDowntime is how long a target that has ended takes to start again.
+	// crashDowntime is how long a crashed target takes to restart.
 	crashDowntime = 2500 * time.Millisecond
-	// defaultRepeatInterval is the time between two callers' attempts where the event does
-	// not say.
+	// defaultRepeatInterval is the time after which a caller sends the request
+	// again if the event does not set one.
 	defaultRepeatInterval = time.Second
 )
 
@@ -47,120 +49,124 @@
 	kind       *Kind
 	domain     *Domain
 	content    quarantine.Fingerprint
-	end        clock.Time
-	thirdCrash clock.Time // when the third target ended; 0: not yet
+	endsAt     clock.Time
+	thirdCrash clock.Time // time of the third crash; 0 if not yet
 	counts     *DeathQueryCounts
 }
 
-// startDeathQuery has callers begin to send a query of death, one after the other.
-func (f *simulation) startDeathQuery(e *Event) {
-	k := slices.IndexFunc(f.pattern.Kinds, func(k Kind) bool { return e.Service == "" || k.Service == e.Service })
-	d := slices.IndexFunc(f.pattern.Domains, func(d Domain) bool { return e.Domain == "" || d.Name == e.Domain })
-	f.lastContent++
+// startDeathQuery starts the callers of a query of death, spread over one
+// interval.
+func (sim *simulation) startDeathQuery(e *Event) {
+	k := slices.IndexFunc(sim.pattern.Kinds, func(k Kind) bool { return e.Service == "" || k.Service == e.Service })
+	d := slices.IndexFunc(sim.pattern.Domains, func(d Domain) bool { return e.Domain == "" || d.Name == e.Domain })
+	sim.lastContent++
 	q := &deathQuery{
-		event: e, kind: &f.pattern.Kinds[k], domain: &f.pattern.Domains[d], content: uniqueContent(f.lastContent),
-		end: f.now.Add(seconds(e.Duration)), counts: f.recorder.addDeathQuery(),
+		event: e, kind: &sim.pattern.Kinds[k], domain: &sim.pattern.Domains[d], content: uniqueContent(sim.lastContent),
+		endsAt: sim.now.Add(seconds(e.Duration)), counts: sim.recorder.addDeathQuery(),
 	}
 	callers := max(e.Callers, 1)
 	for i := range callers {
-		f.after(q.repeatInterval()*time.Duration(i)/time.Duration(callers), func() { f.sendDeathQuery(q) })
+		sim.after(q.repeatInterval()*time.Duration(i)/time.Duration(callers), func() { sim.sendDeathQuery(q) })
 	}
 }
 
-// repeatInterval is the time between the attempts of one caller.
+// repeatInterval returns the time after which one caller sends the request again.
 func (d *deathQuery) repeatInterval() time.Duration {
 	return cmp.Or(seconds(d.event.Value), defaultRepeatInterval)
 }
 
-// sendDeathQuery has the caller send its request, and come back as others do.
-func (f *simulation) sendDeathQuery(d *deathQuery) {
+// sendDeathQuery starts the request of one caller, with the retries of an ordinary
+// request.
+func (sim *simulation) sendDeathQuery(d *deathQuery) {
 	k := d.kind
 	c := &caller{
-		kind: k, domain: d.domain, start: f.now, deadline: f.now.Add(millis(k.PatienceMS)), retries: k.Retries,
+		kind: k, domain: d.domain, startedAt: sim.now, deadline: sim.now.Add(millis(k.PatienceMS)), retries: k.Retries,
 		object: string(d.domain.Region) + "/deadly", content: d.content, deathQuery: d,
 	}
 	d.counts.Asked++
-	f.attempt(c)
+	sim.attempt(c)
 }
 
-// repeatDeathQuery has the caller send the request anew after a pause.
-func (f *simulation) repeatDeathQuery(d *deathQuery) {
-	if f.now.Add(d.repeatInterval()).After(d.end) {
+// repeatDeathQuery starts the request again after the interval.
+func (sim *simulation) repeatDeathQuery(d *deathQuery) {
+	if sim.now.Add(d.repeatInterval()).After(d.endsAt) {
 		return
 	}
-	f.after(d.repeatInterval(), func() { f.sendDeathQuery(d) })
+	sim.after(d.repeatInterval(), func() { sim.sendDeathQuery(d) })
 }
 
-// crashTarget ends the start of t that runs the query of death r.
-func (f *simulation) crashTarget(t *target, r *execution, start int64) {
+// crashTarget crashes t because of the query of death r, unless the process that
+// executed r has already ended.
+func (sim *simulation) crashTarget(t *target, r *execution, start int64) {
 	if t.registered.Born != start || t.down || r.ended {
-		return // ended before, or cancelled
+		return // the process has ended, or r was cancelled
 	}
-	d := r.send.q.deathQuery
+	d := r.send.attempt.deathQuery
 	d.counts.Crashes++
 	if d.counts.Crashes == DetectionCrashes {
-		d.thirdCrash = f.now
+		d.thirdCrash = sim.now
 	}
-	f.recorder.crashCause = d
-	f.restartTarget(t, crashDowntime)
-	f.recorder.crashCause = nil
+	sim.recorder.crashCause = d
+	sim.restartTarget(t, crashDowntime)
+	sim.recorder.crashCause = nil
 }
 
-// addDeathQuery begins the counts of a query of death.
-func (b *recorder) addDeathQuery() *DeathQueryCounts {
+// addDeathQuery adds the counts of a new query of death.
+func (rec *recorder) addDeathQuery() *DeathQueryCounts {
 	d := new(DeathQueryCounts)
-	b.deathQueries = append(b.deathQueries, d)
+	rec.deathQueries = append(rec.deathQueries, d)
 	return d
 }
 
 // countDeathQueryArrival counts a query of death that has reached a target.
-func (b *recorder) countDeathQueryArrival(now clock.Time, d *deathQuery) {
+func (rec *recorder) countDeathQueryArrival(now clock.Time, d *deathQuery) {
 	d.counts.Reached++
 	if d.thirdCrash != 0 && now.After(d.thirdCrash.Add(DetectionGrace)) {
 		d.counts.Late++
 	}
 }
 
-// countLost counts a request that is lost with the end of its target.
-func (b *recorder) countLost(q *entryAttempt) {
-	if b.crashCause != nil && q.deathQuery != b.crashCause {
-		b.crashCause.counts.Lost++
+// countLost counts a request that is lost because its target crashes.
+func (rec *recorder) countLost(q *entryAttempt) {
+	if rec.crashCause != nil && q.deathQuery != rec.crashCause {
+		rec.crashCause.counts.Lost++
 	}
 }
 
-// contentOfKind returns the content of a request of a kind.
-func (f *simulation) contentOfKind(k *Kind) quarantine.Fingerprint {
+// drawContent draws the content of a request of a kind.
+func (sim *simulation) drawContent(k *Kind) quarantine.Fingerprint {
 	if k.Contents > 0 {
-		return quarantine.FingerprintOf(quarantine.Content{Host: k.Name, URI: string(binary.AppendUvarint(nil, uint64(f.rng.IntN(k.Contents))))})
+		return quarantine.FingerprintOf(quarantine.Content{Host: k.Name, URI: string(binary.AppendUvarint(nil, uint64(sim.rng.IntN(k.Contents))))})
 	}
-	f.lastContent++
-	return uniqueContent(f.lastContent)
+	sim.lastContent++
+	return uniqueContent(sim.lastContent)
 }
 
-// uniqueContent returns the content of the request with a number of its own.
+// uniqueContent returns the n-th unique content.
 func uniqueContent(n uint64) quarantine.Fingerprint {
 	var f quarantine.Fingerprint
 	binary.BigEndian.PutUint64(f[:], n)
 	return f
 }
 
-// storeQuarantine carries a change of a quarantine to the store, of which all
-// entry VMs learn.
-func (f *simulation) storeQuarantine(q *ingress.Quarantine) {
+// storeQuarantine writes a change of a quarantine to the store and notifies all
+// entry VMs.
+func (sim *simulation) storeQuarantine(q *ingress.Quarantine) {
 	fp := q.Record.Fingerprint
 	switch {
 	case q.Keep:
 		rec := q.Record
-		f.quarantines[fp] = &rec
+		sim.quarantines[fp] = &rec
 	case q.Remove:
-		delete(f.quarantines, fp)
+		delete(sim.quarantines, fp)
 	default:
 		return
 	}
-	f.broadcast(func() ingress.Event { return &ingress.QuarantineRead{Fingerprint: fp, Record: f.quarantines[fp]} })
+	sim.broadcast(func() ingress.Event { return &ingress.QuarantineRead{Fingerprint: fp, Record: sim.quarantines[fp]} })
 }
 
-// sortedFingerprints returns the keys of a map in order, so that plays repeat.
+// sortedFingerprints returns the keys of a map in order, so that runs are
+// reproducible.
 func sortedFingerprints[V any](m map[quarantine.Fingerprint]V) []quarantine.Fingerprint {
 	keys := slices.Collect(maps.Keys(m))
 	slices.SortFunc(keys, func(a, b quarantine.Fingerprint) int { return bytes.Compare(a[:], b[:]) })
--- a/decide/emulate/doc.go
+++ b/decide/emulate/doc.go
@@ -1,14 +1,14 @@
-// Package emulate plays patterns of load and faults against the decisions of a
-// whole fleet of entry VMs, in one process and on a clock of its own.
+// Package emulate simulates a whole fleet of entry VMs under patterns of load and
+// faults, in one process and on a simulated clock.
 //
-// The decisions are the real ones: each entry VM is an ingress.Reducer. Modelled
-// are what surrounds it: targets (slots, a queue, objects that they remember, a
-// cold start, slowness, failures), the way between failure domains, callers who
-// come back when they are asked to, and the list of entry VMs. There is no
-// store: every VM learns of targets and evacuations a fixed time after they
-// change. Connections to targets are modelled where a pattern says how long they
+// The decisions are the real ones: each entry VM is an ingress.Reducer. Its
+// environment is modelled: targets (slots, a queue, cached objects, cold start,
+// slowness, failures), the latency between failure domains, callers that retry
+// when they are asked to, and the list of entry VMs. There is no store: every VM
+// learns of changes of targets and of evacuations after a fixed time.
+// Connections to targets are modelled if the pattern states how long idle ones
 // are kept. Processor time and bytes are not modelled.
 //
-// A Pattern is data. The same pattern, variant and seed give the same Result,
-// so two variants can be compared play by play.
+// A Pattern is data. The same pattern, variant and seed give the same Result, so
+// two variants can be compared run by run.
 package emulate
--- a/decide/emulate/gateway.go
+++ b/decide/emulate/gateway.go
@@ -7,63 +7,62 @@
 	"github.com/azurethread/azurethread/decide/verdict"
 )
 
-// sendToGateway takes a request to the gateway that carries it, on the connection
-// that it has.
-func (f *simulation) sendToGateway(s *targetSend) {
-	f.recorder.recordConnected(s)
-	way, g := f.latency(s.vm.self.Domain, s.gateway.self.Domain), s.gateway
-	f.after(way, func() {
+// sendToGateway sends a request to its gateway on its connection.
+func (sim *simulation) sendToGateway(s *targetSend) {
+	sim.recorder.recordConnected(s)
+	way, g := sim.latency(s.vm.self.Domain, s.gateway.self.Domain), s.gateway
+	sim.after(way, func() {
 		switch {
 		case s.ended:
 		case g.reducer == nil:
-			f.after(way, func() {
-				f.endSend(s, &ingress.Failed{Attempt: s.id, Verdict: verdict.NotRun, Reason: verdict.ReasonGateway})
+			sim.after(way, func() {
+				sim.endSend(s, &ingress.Failed{Attempt: s.id, Verdict: verdict.NotRun, Reason: verdict.ReasonGateway})
 			})
 		default:
-			f.after(way, func() { f.confirmAtSender(s) })
-			f.acceptAtGateway(s)
+			sim.after(way, func() { sim.confirmAtSender(s) })
+			sim.acceptAtGateway(s)
 		}
 	})
 }
 
-// confirmAtSender tells the VM of s that its gateway has the request.
-func (f *simulation) confirmAtSender(s *targetSend) {
+// confirmAtSender reports to the VM of s that the gateway has the request.
+func (sim *simulation) confirmAtSender(s *targetSend) {
 	if !s.ended && s.vm.processNumber == s.processNumber {
-		f.step(s.vm, &ingress.Received{Attempt: s.id})
+		sim.step(s.vm, &ingress.Received{Attempt: s.id})
 	}
 }
 
-// acceptAtGateway has a gateway take the request of s.
-func (f *simulation) acceptAtGateway(s *targetSend) {
+// acceptAtGateway passes the request of s to its gateway.
+func (sim *simulation) acceptAtGateway(s *targetSend) {
 	g := s.gateway
 	g.lastGatewayRequest++
 	s.gatewayRequest = ingress.RequestID(math.MaxUint64) - g.lastGatewayRequest
-	g.openRequests[s.gatewayRequest] = &entryAttempt{caller: s.q.caller, sender: s}
-	f.step(g, &ingress.Carry{Request: s.gatewayRequest, Target: s.t.registered.ID, Left: s.q.deadline.Sub(f.now)})
+	g.openRequests[s.gatewayRequest] = &entryAttempt{caller: s.attempt.caller, gatewaySend: s}
+	sim.step(g, &ingress.Carry{Request: s.gatewayRequest, Target: s.target.registered.ID, Left: s.attempt.deadline.Sub(sim.now)})
 }
 
-// returnFromGateway takes the end of a carried request back to the VM of s.
-func (f *simulation) returnFromGateway(s *targetSend, end any) {
-	s.gatewayRequest = 0 // it has ended there
-	f.after(f.latency(s.gateway.self.Domain, s.vm.self.Domain), func() {
+// returnFromGateway returns the result of a forwarded request to the VM of s.
+func (sim *simulation) returnFromGateway(s *targetSend, end any) {
+	s.gatewayRequest = 0 // the request has ended there
+	sim.after(sim.latency(s.gateway.self.Domain, s.vm.self.Domain), func() {
 		if !s.ended && s.vm.processNumber == s.processNumber {
-			f.releaseConnection(s)
+			sim.releaseConnection(s)
 		}
 		switch e := end.(type) {
 		case *ingress.Answered:
 			e.Attempt, e.Connect, e.Waited = s.id, s.connectTime, s.connectionWait
-			f.endSend(s, e)
+			sim.endSend(s, e)
 		case *ingress.Failed:
 			e.Attempt = s.id
-			f.endSend(s, e)
+			sim.endSend(s, e)
 		}
 	})
 }
 
-// failLostGateway ends a request whose gateway has ended.
-func (f *simulation) failLostGateway(s *targetSend) {
+// failLostGateway fails a request whose gateway has ended.
+func (sim *simulation) failLostGateway(s *targetSend) {
 	s.gatewayRequest = 0
-	f.after(f.latency(s.gateway.self.Domain, s.vm.self.Domain), func() {
-		f.endSend(s, &ingress.Failed{Attempt: s.id, Verdict: verdict.MayHaveRun, Reason: verdict.ReasonGateway})
+	sim.after(sim.latency(s.gateway.self.Domain, s.vm.self.Domain), func() {
+		sim.endSend(s, &ingress.Failed{Attempt: s.id, Verdict: verdict.MayHaveRun, Reason: verdict.ReasonGateway})
 	})
 }
--- a/decide/emulate/pattern.go
+++ b/decide/emulate/pattern.go
@@ -10,14 +10,14 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// Pattern is a deployment, its load, and what happens to it. Times are in
-// seconds where a field's name doesn't say otherwise.
+// Pattern describes a deployment, its load and the events of a run. Times are in
+// seconds unless a field's name says otherwise.
 type Pattern struct {
 	Name    string  `json:"name"`
-	Seconds float64 `json:"seconds"` // of load
+	Seconds float64 `json:"seconds"` // duration of the load
 	Network Network `json:"network"`
-	// RegionShift, RepeatRatio, RepeatSlack, ColdFactor and ColdSlack are the
-	// operators' bounds; see ingress.Bounds.
+	// RegionShift, RepeatRatio, RepeatSlack, ColdFactor and ColdSlack are bounds
+	// set by operators; see ingress.Bounds.
 	RegionShift float64 `json:"region_shift"`
 	RepeatRatio float64 `json:"repeat_ratio"`
 	RepeatSlack float64 `json:"repeat_slack"`
@@ -30,104 +30,104 @@
 	Events   []Event   `json:"events"`
 }
 
-// Network are one-way latencies, in ms.
+// Network holds the one-way latencies in ms.
 type Network struct {
 	CallerMS float64 `json:"caller_ms"` // between a caller and its entry VM
 	DomainMS float64 `json:"domain_ms"` // within a failure domain
 	RegionMS float64 `json:"region_ms"` // between failure domains of a region
 	FarMS    float64 `json:"far_ms"`    // between regions
-	// IdleSeconds is how long entry VMs keep a free connection to a target;
-	// opening one takes a round trip. 0: connections are always open.
+	// IdleSeconds is how long entry VMs keep an idle connection to a target;
+	// opening one takes a round trip. If 0, connections are always open.
 	IdleSeconds float64 `json:"idle_seconds"`
 }
 
-// Domain is a failure domain.
+// Domain describes a failure domain.
 type Domain struct {
 	Name      fleet.Domain `json:"name"`
 	Region    fleet.Region `json:"region"`
 	VMs       int          `json:"vms"`
-	PerSecond float64      `json:"per_second"` // requests of its callers
-	// Targets is how many targets each service has here.
+	PerSecond float64      `json:"per_second"` // rate of its callers' requests
+	// Targets is the number of targets of each service.
 	Targets map[fleet.ServiceName]int `json:"targets"`
 }
 
-// Service is a set of equal targets.
+// Service describes a service whose targets are all alike.
 type Service struct {
 	Name     fleet.ServiceName `json:"name"`
-	Slots    int               `json:"slots"`    // requests at work at a target
-	Queue    int               `json:"queue"`    // requests that wait there; more are refused
-	Remember int               `json:"remember"` // objects that a target remembers
+	Slots    int               `json:"slots"`    // requests that a target executes at a time
+	Queue    int               `json:"queue"`    // requests that wait at a target; further ones are refused
+	Remember int               `json:"remember"` // objects that a target caches
 	ColdRate float64           `json:"cold_rate"`
 	ColdTime float64           `json:"cold_time"`
 }
 
-// Kind is a kind of request.
+// Kind describes a kind of request.
 type Kind struct {
-	Name            string            `json:"name"`
-	Service         fleet.ServiceName `json:"service"`
-	Share           float64           `json:"share"` // of all requests, against the other kinds' shares
-	Idempotent      bool              `json:"idempotent"`
-	Priority        int               `json:"priority"`
-	TargetLatencyMS float64           `json:"aim_ms"`
-	PatienceMS      float64           `json:"patience_ms"` // how long its callers wait in all
-	WorkMS          float64           `json:"work_ms"`     // of a request for an object that is not remembered
-	Spread          float64           `json:"spread"`      // of the work: it lies within this part above or below
-	WarmSaving      float64           `json:"warm_gain"`   // part of the work that a remembered object saves
-	Objects         int               `json:"objects"`     // in each region
-	Contents        int               `json:"contents"`    // different requests; 0: no two are the same
-	BodyBytes       int               `json:"body_bytes"`
-	Retries         int               `json:"retries"` // attempts of a caller after its first
-	Worth           float64           `json:"worth"`   // of an answer within the aim
-	LateWorth       float64           `json:"late_worth"`
+	Name          string            `json:"name"`
+	Service       fleet.ServiceName `json:"service"`
+	Share         float64           `json:"share"` // share of all requests, relative to the other kinds' shares
+	Idempotent    bool              `json:"idempotent"`
+	Priority      int               `json:"priority"`
+	LatencyGoalMS float64           `json:"aim_ms"`      // answers within it have their full worth
+	PatienceMS    float64           `json:"patience_ms"` // how long callers wait in total
+	WorkMS        float64           `json:"work_ms"`     // mean work of a request whose object is not cached
+	Spread        float64           `json:"spread"`      // maximum relative deviation of the work from WorkMS
+	WarmSaving    float64           `json:"warm_gain"`   // share of the work that a cached object saves
+	Objects       int               `json:"objects"`     // number of objects in each region
+	Contents      int               `json:"contents"`    // number of different requests; 0 if all differ
+	BodyBytes     int               `json:"body_bytes"`
+	Retries       int               `json:"retries"`    // attempts of a caller after the first one
+	Worth         float64           `json:"worth"`      // value of an answer within the latency goal
+	LateWorth     float64           `json:"late_worth"` // value of a later answer
 }
 
-// EventKind names what happens.
+// EventKind is the kind of an event.
 type EventKind string
 
 // The kinds of events.
 const (
-	// Burst multiplies the load of Domain, or of all, by X.
+	// Burst multiplies the load of Domain, or of all domains, by Value.
 	Burst EventKind = "burst"
-	// Evacuate empties Domain.
+	// Evacuate evacuates Domain.
 	Evacuate EventKind = "evacuate"
-	// KillVMs ends a share of the entry VMs; they start again after For.
+	// KillVMs kills a share of the entry VMs; they restart after Duration.
 	KillVMs EventKind = "kill-vms"
-	// RestartTargets ends a share of a service's targets; they start again
-	// under their IDs after For, cold.
+	// RestartTargets stops a share of a service's targets; they restart after
+	// Duration with the same IDs, cold.
 	RestartTargets EventKind = "restart-targets"
-	// SlowTargets multiplies the work at a share of a service's targets by X.
+	// SlowTargets multiplies the work at a share of a service's targets by Value.
 	SlowTargets EventKind = "slow-targets"
-	// GreyTargets has a share of a service's targets fail the part X of their
-	// requests.
+	// GreyTargets makes a share of a service's targets fail the share Value of
+	// their requests.
 	GreyTargets EventKind = "grey-targets"
-	// ShedTargets has a share of a service's targets refuse the part X of their
-	// requests.
+	// ShedTargets makes a share of a service's targets refuse the share Value of
+	// their requests.
 	ShedTargets EventKind = "shed-targets"
-	// LimitTargets has a share of a service's targets name a limit of X requests a
-	// second in their answers.
+	// LimitTargets makes a share of a service's targets state a limit of Value
+	// requests per second in their answers.
 	LimitTargets EventKind = "limit-targets"
-	// QueryOfDeath has Callers of Domain send a request to Service that ends each
-	// target that runs it, and each of them the same one again X seconds after the
-	// end of its attempts.
+	// QueryOfDeath makes Callers in Domain send a request to Service that crashes
+	// every target that executes it. Each of them sends the same request again
+	// Value seconds after its last attempt has ended.
 	QueryOfDeath EventKind = "query-of-death"
 )
 
 var eventKinds = []EventKind{Burst, Evacuate, KillVMs, RestartTargets, SlowTargets, GreyTargets, ShedTargets, LimitTargets, QueryOfDeath}
 
-// Event is something that happens to the deployment.
+// Event is a fault, a change of load or another event of a run.
 type Event struct {
 	Kind     EventKind         `json:"kind"`
 	Start    float64           `json:"at"`
 	Duration float64           `json:"for"`
-	Share    float64           `json:"share"` // 0: all
+	Share    float64           `json:"share"` // share of the targets or VMs; 0 means all
 	Value    float64           `json:"x"`
-	Callers  int               `json:"callers"` // 0: one
-	Domain   fleet.Domain      `json:"domain"`  // empty: all
-	Service  fleet.ServiceName `json:"service"` // empty: all
+	Callers  int               `json:"callers"` // 0 means one
+	Domain   fleet.Domain      `json:"domain"`  // empty for all
+	Service  fleet.ServiceName `json:"service"` // empty for all
 }
 
-// ErrPattern means a pattern that can't be played.
-var ErrPattern = errors.New("emulate: pattern")
+// ErrPattern is the error for an invalid pattern.
+var ErrPattern = errors.New("emulate: invalid pattern")
 
 // Read decodes a pattern and checks it.
 func Read(r io.Reader) (*Pattern, error) {
@@ -140,40 +140,40 @@
 	return &p, p.Check()
 }
 
-// Check names the first defect of a pattern.
+// Check returns an error that names the first invalid value of a pattern.
 func (p *Pattern) Check() error {
 	bad := func(format string, args ...any) error {
 		return fmt.Errorf("%w %q: %s", ErrPattern, p.Name, fmt.Sprintf(format, args...))
 	}
 	if p.Seconds <= 0 || len(p.Domains) == 0 || len(p.Services) == 0 || len(p.Kinds) == 0 {
-		return bad("seconds, domains, services and kinds are needed")
+		return bad("seconds must be positive, and domains, services and kinds must not be empty")
 	}
 	named := func(s fleet.ServiceName) bool {
 		return slices.ContainsFunc(p.Services, func(v Service) bool { return v.Name == s })
 	}
 	for _, s := range p.Services {
 		if s.Slots < 1 || s.Queue < 0 || s.Remember < 0 {
-			return bad("service %q: slots", s.Name)
+			return bad("service %q: slots %d, queue %d or remember %d is out of range", s.Name, s.Slots, s.Queue, s.Remember)
 		}
 	}
 	for _, d := range p.Domains {
 		if d.Name == "" || d.Region == "" || d.VMs < 0 || d.PerSecond < 0 {
-			return bad("domain %q", d.Name)
+			return bad("domain %q: name or region %q is empty, or vms %d or per_second %v is negative", d.Name, d.Region, d.VMs, d.PerSecond)
 		}
 		for s := range d.Targets {
 			if !named(s) {
-				return bad("domain %q: no service %q", d.Name, s)
+				return bad("domain %q: unknown service %q", d.Name, s)
 			}
 		}
 	}
 	for _, k := range p.Kinds {
-		if !named(k.Service) || k.Share <= 0 || k.TargetLatencyMS <= 0 || k.PatienceMS <= 0 || k.WorkMS <= 0 || k.Objects < 0 {
-			return bad("kind %q", k.Name)
+		if !named(k.Service) || k.Share <= 0 || k.LatencyGoalMS <= 0 || k.PatienceMS <= 0 || k.WorkMS <= 0 || k.Objects < 0 {
+			return bad("kind %q: unknown service %q, or share, aim_ms, patience_ms or work_ms is not positive, or objects is negative", k.Name, k.Service)
 		}
 	}
 	for i, e := range p.Events {
 		if !slices.Contains(eventKinds, e.Kind) || e.Start < 0 || e.Share < 0 || e.Share > 1 {
-			return bad("event %d (%q)", i, e.Kind)
+			return bad("event %d: unknown kind %q, or at %v or share %v is out of range", i, e.Kind, e.Start, e.Share)
 		}
 	}
 	return nil
--- a/decide/emulate/ratelimit.go
+++ b/decide/emulate/ratelimit.go
@@ -8,10 +8,10 @@
 	"github.com/azurethread/azurethread/decide/ingress"
 )
 
-// Operators allow limitFactor times what a target's limit allows within
-// limitWindow, and limitSlack requests, once the fleet has had limitGrace to
-// learn of it. Counted is what entry VMs send that have passed on an answer with
-// the limit toldBefore earlier.
+// Within limitWindow, operators allow limitFactor times the requests that a
+// target's limit allows, plus limitSlack. This applies limitGrace after the limit
+// was first stated, so that the fleet can learn of it. Only sends of entry VMs
+// that received an answer with the limit at least minKnownTime earlier count.
 const (
 	limitWindow  = 4 * time.Second
 	limitGrace   = 4 * time.Second
@@ -20,25 +20,26 @@
 	minKnownTime = 500 * time.Millisecond
 )
 
-// Overrun is what a target got in the window in which it got most beyond its
-// limit.
+// Overrun describes the window in which a target received the most requests
+// beyond its limit.
 type Overrun struct {
 	Target   fleet.TargetID `json:"target"`
-	Second   float64        `json:"second"` // since the limit was named
+	Second   float64        `json:"second"` // time since the limit was first stated
 	Received int            `json:"got"`
 	Allowed  float64        `json:"allowed"`
-	// Named is how many requests the target got in all while it named the limit.
+	// Named is the number of requests that the target received in total while it
+	// stated the limit.
 	Named int `json:"named"`
 }
 
-// rateLimit is a time in which a target names a limit.
+// rateLimit is a period in which a target states a limit.
 type rateLimit struct {
 	target     fleet.TargetID
 	perSecond  float64
 	since      clock.Time
 	until      clock.Time
-	knownSince map[processID]clock.Time // when entry VMs first passed on an answer with it
-	sends      []clock.Time             // that came from those after the grace
+	knownSince map[processID]clock.Time // when each entry VM first received an answer with it
+	sends      []clock.Time             // times of the sends that count
 	total      int
 }
 
@@ -48,15 +49,15 @@
 	processNumber int
 }
 
-// startLimit has t name a limit from now on.
-func (b *recorder) startLimit(now clock.Time, t *target, perSecond float64) {
+// startLimit makes t state a limit from now on.
+func (rec *recorder) startLimit(now clock.Time, t *target, perSecond float64) {
 	t.limit = &rateLimit{
 		target: t.registered.ID, perSecond: perSecond, since: now, until: clock.Never, knownSince: make(map[processID]clock.Time),
 	}
-	b.limits = append(b.limits, t.limit)
+	rec.limits = append(rec.limits, t.limit)
 }
 
-// advertisedLimit is what an answer of t says of its limit.
+// advertisedLimit returns what an answer of t says about its limit.
 func (t *target) advertisedLimit(now clock.Time) ingress.RateLimit {
 	if t.limit == nil || !now.Before(t.limit.until) {
 		return ingress.RateLimit{Heard: true}
@@ -64,7 +65,7 @@
 	return ingress.RateLimit{Heard: true, Named: true, PerSecond: t.limit.perSecond}
 }
 
-// markKnown notes that v passes on an answer with the limit.
+// markKnown records that v has received an answer with the limit.
 func (l *rateLimit) markKnown(now clock.Time, v *vm) {
 	p := processID{v.self.ID, v.processNumber}
 	if _, ok := l.knownSince[p]; !ok {
@@ -72,7 +73,7 @@
 	}
 }
 
-// countArrival counts a request of v that reaches the target.
+// countArrival counts a request from v that reaches the target.
 func (l *rateLimit) countArrival(now clock.Time, v *vm) {
 	if l == nil || !now.Before(l.until) {
 		return
@@ -84,7 +85,7 @@
 	}
 }
 
-// worstOverrun returns the window that exceeds what is allowed most.
+// worstOverrun returns the window with the most requests beyond what is allowed.
 func worstOverrun(all []*rateLimit) Overrun {
 	var worst Overrun
 	for _, l := range all {
--- a/decide/emulate/reach.go
+++ b/decide/emulate/reach.go
@@ -10,49 +10,51 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// arrival notes when requests reach targets, and where.
+// arrival records when a request reached a target.
 type arrival struct {
 	at          clock.Time
-	otherRegion bool // from the region of their callers
+	otherRegion bool // the target is not in the caller's region
 }
 
-// ShareChange is a change of the share of a region's requests that reach targets of
-// other regions, from one window to the next.
+// ShareChange is the change, from one window to the next, of the share of a
+// region's requests that reach targets in other regions.
 type ShareChange struct {
 	Region   fleet.Region
-	Second   float64 // at which the first window ends and the next one begins
+	Second   float64 // boundary between the two windows
 	Before   RegionCount
 	After    RegionCount
-	Deviates float64 // standard deviations of chance that it lies beyond the bound
+	Deviates float64 // excess over the bound, in standard deviations
 }
 
-// RegionCount counts requests of a region and those of them that reached others.
+// RegionCount counts the requests of a region (All) and those of them that reached
+// targets in other regions (Away).
 type RegionCount struct{ All, Away int }
 
 func (s RegionCount) otherShare() float64 { return float64(s.Away) / float64(s.All) }
 
-// Change is by how much the share differs.
+// Change returns the absolute change of the share.
 func (s *ShareChange) Change() float64 { return math.Abs(s.After.otherShare() - s.Before.otherShare()) }
 
-// shareCheckInterval is the distance between the instants at which windows are compared.
+// shareCheckInterval is the interval at which windows are compared.
 const shareCheckInterval = 100 * time.Millisecond
 
-// minWindowRequests is the number of requests in a window below which its share says
-// nothing: by chance alone one of 20 deviates by 0.11, which is most of what
-// operators allow.
+// minWindowRequests is the minimum number of requests in a window for its share
+// to be compared. With 20 requests the standard deviation of the share is up to
+// 0.11, which is most of the change that operators allow.
 const minWindowRequests = 20
 
-// worstShareChange compares, for each region and at each step of the load, the
-// requests that reached targets in the window before with those in the window
-// after, and returns the change that is hardest to put down to chance. The last
-// window begins with the end of the load: it holds what was on its way then.
-func (b *recorder) worstShareChange(bound float64, window, load time.Duration) ShareChange {
+// worstShareChange compares, for each region and at each shareCheckInterval of the
+// load, the requests that reached targets in the window before and in the window
+// after. It returns the change that is least likely to exceed the bound by
+// chance. The last window starts at the end of the load; it holds the requests
+// that were in transit then.
+func (rec *recorder) worstShareChange(bound float64, window, load time.Duration) ShareChange {
 	var worst ShareChange
-	for _, region := range sortedKeys(b.arrivals) {
-		list := b.arrivals[region]
+	for _, region := range sortedKeys(rec.arrivals) {
+		list := rec.arrivals[region]
 		slices.SortStableFunc(list, func(x, y arrival) int { return cmp.Compare(x.at, y.at) })
-		for at := b.loadStart.Add(window); at <= b.loadStart.Add(load); at = at.Add(shareCheckInterval) {
-			s := ShareChange{Region: region, Second: at.Sub(b.loadStart).Seconds()}
+		for at := rec.loadStart.Add(window); at <= rec.loadStart.Add(load); at = at.Add(shareCheckInterval) {
+			s := ShareChange{Region: region, Second: at.Sub(rec.loadStart).Seconds()}
 			s.Before, s.After = countArrivals(list, at.Add(-window), at), countArrivals(list, at, at.Add(window))
 			if min(s.Before.All, s.After.All) < minWindowRequests {
 				continue
@@ -66,16 +68,16 @@
 	return worst
 }
 
-// standardDeviation is the standard deviation of the difference if both windows were drawn
-// with the share of the two together.
+// standardDeviation returns the standard deviation of the change if the requests
+// of both windows were drawn with their common share.
 func (s *ShareChange) standardDeviation() float64 {
 	both := RegionCount{All: s.Before.All + s.After.All, Away: s.Before.Away + s.After.Away}
 	p := both.otherShare()
-	least := 1 / float64(both.All) // a share of 0 or 1 is not known for certain
+	least := 1 / float64(both.All) // an observed share of 0 or 1 is not exact
 	return math.Sqrt(max(p*(1-p), least) * (1/float64(s.Before.All) + 1/float64(s.After.All)))
 }
 
-// countArrivals counts what came from one instant until another.
+// countArrivals counts the arrivals from one time to another.
 func countArrivals(list []arrival, from, until clock.Time) RegionCount {
 	var s RegionCount
 	first, _ := slices.BinarySearchFunc(list, from, func(x arrival, at clock.Time) int { return cmp.Compare(x.at, at) })
--- a/decide/emulate/sites_test.go
+++ b/decide/emulate/sites_test.go
@@ -64,7 +64,7 @@
 	aim, worth := d.spread(200, 1500), d.between(1, 3)
 	return Kind{
 		Name: fmt.Sprintf("k%d", i), Service: services[d.IntN(len(services))].Name, Share: d.between(1, 6),
-		Idempotent: d.IntN(2) == 0, Priority: d.IntN(3), TargetLatencyMS: aim, PatienceMS: aim * d.between(2, 5),
+		Idempotent: d.IntN(2) == 0, Priority: d.IntN(3), LatencyGoalMS: aim, PatienceMS: aim * d.between(2, 5),
 		WorkMS: aim * d.between(0.3, 1.2), Spread: d.between(0, 0.5), WarmSaving: d.between(0.2, 0.8),
 		Objects: int(d.spread(10, 300)), BodyBytes: d.IntN(2) * 60_000, Retries: d.IntN(3),
 		Worth: worth, LateWorth: worth * d.between(0, 0.4),
--- a/decide/emulate/target.go
+++ b/decide/emulate/target.go
@@ -9,18 +9,18 @@
 	"github.com/azurethread/azurethread/decide/ingress"
 )
 
-// target is a modelled target: it works on slots requests at a time, keeps a
-// few waiting, refuses more, and remembers the objects that it handled last.
+// target models a target: it executes Slots requests at a time, queues some,
+// refuses further ones, and caches the objects that it handled last.
 type target struct {
 	registered ingress.Target
 	region     fleet.Region
 	service    *Service
 
 	down         bool
-	slowFactor   float64    // work is multiplied by it
-	errorShare   float64    // part of the requests that fail
-	refusedShare float64    // part of the requests that are refused
-	limit        *rateLimit // the rate that it names; nil: it has never named one
+	slowFactor   float64    // multiplies the work
+	errorShare   float64    // share of the requests that fail
+	refusedShare float64    // share of the requests that are refused
+	limit        *rateLimit // latest limit that it stated; nil if none
 	coldEnd      clock.Time
 
 	running int
@@ -28,24 +28,24 @@
 	objects objectCache
 }
 
-// execution is one request at a target.
+// execution is one request that a target executes or queues.
 type execution struct {
 	send        *targetSend
 	object      string
-	targetStart int64 // of the target: which of its starts has the request
+	targetStart int64 // identifies the target's process that has the request
 	ended       bool
 }
 
-// coldWorkFactor is how much longer work takes at a target that is cold.
+// coldWorkFactor multiplies the work at a cold target.
 const coldWorkFactor = 2
 
-// workTime draws how long a request takes.
-func (t *target) workTime(f *simulation, k *Kind, object string) time.Duration {
-	ms := k.WorkMS * (1 + k.Spread*(2*f.rng.Float64()-1)) * t.slowFactor
+// workTime draws how long the execution of a request takes.
+func (t *target) workTime(sim *simulation, k *Kind, object string) time.Duration {
+	ms := k.WorkMS * (1 + k.Spread*(2*sim.rng.Float64()-1)) * t.slowFactor
 	if t.objects.touch(object, t.service.Remember) {
 		ms *= 1 - k.WarmSaving
 	}
-	if f.now.Before(t.coldEnd) {
+	if sim.now.Before(t.coldEnd) {
 		ms *= coldWorkFactor
 	}
 	return millis(ms)
@@ -55,66 +55,66 @@
 	return ingress.Load{Known: true, Running: t.running, Waiting: len(t.queue), Slots: t.service.Slots}
 }
 
-// handleRequest accepts a request, or refuses it.
-func (t *target) handleRequest(f *simulation, r *execution) {
+// handleRequest executes, queues or refuses a request.
+func (t *target) handleRequest(sim *simulation, r *execution) {
 	switch {
-	case t.refusedShare > 0 && f.rng.Float64() < t.refusedShare:
+	case t.refusedShare > 0 && sim.rng.Float64() < t.refusedShare:
 		r.ended = true
-		f.sendAnswer(t, r, ingress.Refused)
+		sim.sendAnswer(t, r, ingress.Refused)
 	case len(t.queue) >= t.service.Queue && t.running >= t.service.Slots:
 		r.ended = true
-		f.sendAnswer(t, r, ingress.Refused)
+		sim.sendAnswer(t, r, ingress.Refused)
 	case t.running >= t.service.Slots:
 		t.queue = append(t.queue, r)
 	default:
-		t.startExecution(f, r)
+		t.startExecution(sim, r)
 	}
 }
 
-func (t *target) startExecution(f *simulation, r *execution) {
+func (t *target) startExecution(sim *simulation, r *execution) {
 	t.running++
-	took := t.workTime(f, r.send.q.kind, r.object)
+	took := t.workTime(sim, r.send.attempt.kind, r.object)
 	start := t.registered.Born
-	if r.send.q.deathQuery != nil {
-		f.after(deathQueryWork, func() { f.crashTarget(t, r, start) })
+	if r.send.attempt.deathQuery != nil {
+		sim.after(deathQueryWork, func() { sim.crashTarget(t, r, start) })
 		return
 	}
-	f.after(took, func() {
+	sim.after(took, func() {
 		if t.registered.Born != start || t.down {
-			return // it has ended meanwhile
+			return // the process has ended
 		}
 		t.running--
-		t.startNext(f)
+		t.startNext(sim)
 		if r.ended {
 			return // cancelled
 		}
 		r.ended = true
 		outcome := ingress.Served
-		if t.errorShare > 0 && f.rng.Float64() < t.errorShare {
+		if t.errorShare > 0 && sim.rng.Float64() < t.errorShare {
 			outcome = ingress.ServerError
 		}
-		f.sendAnswer(t, r, outcome)
+		sim.sendAnswer(t, r, outcome)
 	})
 }
 
-// startNext begins the work on the request that has waited longest.
-func (t *target) startNext(f *simulation) {
+// startNext starts the requests that have waited longest while slots are free.
+func (t *target) startNext(sim *simulation) {
 	for len(t.queue) > 0 && t.running < t.service.Slots {
 		r := t.queue[0]
 		t.queue = t.queue[1:]
 		if !r.ended {
-			t.startExecution(f, r)
+			t.startExecution(sim, r)
 		}
 	}
 }
 
-// objectCache holds the objects handled last, the latest first.
+// objectCache is an LRU cache of object names.
 type objectCache struct {
 	order list.List
 	at    map[string]*list.Element
 }
 
-// touch reports whether the object was remembered, and remembers it.
+// touch reports whether the object was cached, and caches it.
 func (m *objectCache) touch(object string, most int) bool {
 	if object == "" || most == 0 {
 		return false
