--- a/decide/emulate/deadly_test.go
+++ b/decide/emulate/deathquery_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// queryOfDeath is a pattern in which a caller sends a query of death all day.
+// queryOfDeath returns a pattern in which a caller sends a query of death
+// repeatedly.
 func queryOfDeath(t *testing.T, change func(*Pattern)) *Pattern {
 	return smallRegion(t, func(p *Pattern) {
 		p.Events = []Event{{Kind: QueryOfDeath, Start: 4, Duration: 18, Service: "read", Domain: "a1"}}
@@ -15,12 +16,12 @@
 	})
 }
 
-// maxSendsAfterDetection is how often a query of death may reach targets once the fleet
-// must know it.
+// maxSendsAfterDetection is how often a query of death may reach targets after the
+// fleet must have detected it.
 const maxSendsAfterDetection = 3
 
-// A request that ends every target that runs it is sent to target after target,
-// as each attempt of its caller looks new.
+// Guards against a request that crashes every target that executes it and is sent
+// to one target after another, because each attempt of its caller looks new.
 func TestQueryOfDeathIsKeptFromTargets(t *testing.T) {
 	patterns := map[string]func(*Pattern){
 		"one caller":            nil,
@@ -51,7 +52,7 @@
 					for _, d := range Run(p, Variant{Seed: seed}).DeathQueries {
 						t.Logf("%+v", d)
 						if d.Late > maxSendsAfterDetection {
-							t.Errorf("%d sends reached targets %v after the third end or later, %d are allowed", d.Late, DetectionGrace, maxSendsAfterDetection)
+							t.Errorf("%d sends reached targets %v or more after the third crash, at most %d are allowed", d.Late, DetectionGrace, maxSendsAfterDetection)
 						}
 					}
 				})
--- a/decide/emulate/emulate_test.go
+++ b/decide/emulate/emulate_test.go
@@ -22,7 +22,7 @@
 	return readPattern(t, "small-region", change)
 }
 
-// readPattern reads a pattern of testdata.
+// readPattern reads a pattern from testdata and applies change to it.
 func readPattern(t *testing.T, name string, change func(*Pattern)) *Pattern {
 	t.Helper()
 	b, err := os.ReadFile(filepath.Join("testdata", name+".json"))
@@ -39,8 +39,7 @@
 	return p
 }
 
-// runSeeds are the results of a pattern with the seeds from 1 on, played beside each
-// other.
+// runSeeds runs a pattern in parallel with the seeds from 1 on.
 func runSeeds(p *Pattern, seeds int, without ingress.Mechanisms) []*Result {
 	results := make([]*Result, seeds)
 	parallel(seeds, func(i int) {
@@ -49,8 +48,7 @@
 	return results
 }
 
-// parallel calls f with the numbers below n, as many at a time as there are
-// processors.
+// parallel calls f with the numbers below n, with GOMAXPROCS calls at a time.
 func parallel(n int, f func(i int)) {
 	next := make(chan int)
 	var working sync.WaitGroup
@@ -68,10 +66,10 @@
 	working.Wait()
 }
 
-// fewSeeds is how many plays a mechanism's worth is told from where it is large.
+// fewSeeds is the number of runs for effects that are large compared to chance.
 const fewSeeds = 3
 
-// meanOf plays a pattern with a few seeds and returns the mean of a figure.
+// meanOf runs a pattern with a few seeds and returns the mean of a figure.
 func meanOf(p *Pattern, without ingress.Mechanisms, figure func(*Result) float64) float64 {
 	sum := 0.0
 	for _, r := range runSeeds(p, fewSeeds, without) {
@@ -82,7 +80,8 @@
 
 func totalWorth(r *Result) float64 { return r.All.Worth() }
 
-func TestPlaysRepeat(t *testing.T) {
+// A run must be reproducible from its pattern, variant and seed.
+func TestRunsAreReproducible(t *testing.T) {
 	is := is.New(t)
 	p := smallRegion(t, func(p *Pattern) {
 		p.Events = append(p.Events,
@@ -97,8 +96,8 @@
 	is.Equal(play(), play())
 }
 
-// Every caller has one end, whatever happens.
-func TestEveryCallerIsCountedOnce(t *testing.T) {
+// Each request must have exactly one outcome, under every kind of event.
+func TestEachCallerIsCountedOnce(t *testing.T) {
 	for _, e := range []Event{
 		{Kind: Burst, Start: 4, Duration: 3, Value: 3},
 		{Kind: Evacuate, Start: 4, Duration: 4, Domain: "a1"},
@@ -121,7 +120,8 @@
 	}
 }
 
-func TestBadPatternsAreNamed(t *testing.T) {
+// The error about an invalid pattern must name the invalid value.
+func TestInvalidPatterns(t *testing.T) {
 	b, err := os.ReadFile("testdata/small-region.json")
 	if err != nil {
 		t.Fatal(err)
@@ -140,14 +140,12 @@
 	}
 }
 
-// Pattern: three regions of equal load, one with a tenth of the slots; a failure
-// domain of the largest is emptied for six seconds, then a crowd of 1.6 times
-// the callers comes for four.
-//
-// Symptom: callers of the small region are refused beside free targets
-// elsewhere.
-// Cause: without a share that runs elsewhere its targets are all there is.
-func TestASmallRegionIsHelped(t *testing.T) {
+// Guards against refusals in a small region while targets elsewhere are free,
+// which happen if all its requests have to run in the region itself. The pattern
+// has three regions of equal load, one with a tenth of the slots. A failure
+// domain of the largest region is evacuated for six seconds, and later the load
+// is 1.6 times as high for four seconds.
+func TestSmallRegionUsesOtherRegions(t *testing.T) {
 	is := is.New(t)
 	p := smallRegion(t, nil)
 	all := meanOf(p, 0, (*Result).WorstDomain)
@@ -155,11 +153,10 @@
 	is.True(meanOf(p, ingress.Elsewhere, (*Result).WorstDomain) < all-0.3)
 }
 
-// Pattern: the entry VMs of the largest region are restarted in turn.
-//
-// Symptom: half of the answers are late for two seconds after each restart.
-// Cause: where objects are warm was known to the coordinator alone.
-func TestRestartsInTurnLoseNoPlaces(t *testing.T) {
+// Guards against late answers after the restart of an entry VM: half of them
+// were late for two seconds if only the coordinator knew at which targets an
+// object is cached. The entry VMs of the largest region are restarted in turn.
+func TestRollingRestartKeepsPlacements(t *testing.T) {
 	is := is.New(t)
 	p := smallRegion(t, func(p *Pattern) {
 		p.Events = nil
@@ -175,30 +172,29 @@
 	}
 	gain, deviation := meanGain(gains)
 	t.Logf("worth %+.5f (standard error %.5f)", gain, deviation)
-	const chance = 3 // standard errors: of mechanisms without a worth one in 700 seems to have one
-	is.True(gain > chance*deviation)
+	const confidence = 3 // standard errors: one useless mechanism in 700 exceeds this by chance
+	is.True(gain > confidence*deviation)
 }
 
-// recallSeeds is how many plays tell the worth of recall from chance: two plays
-// of one seed part ways with the first request that is placed elsewhere, and
-// then differ by as much as recall is worth.
+// recallSeeds is the number of runs needed to distinguish the gain of recall from
+// chance. Two runs with the same seed diverge at the first request that is placed
+// differently, and the resulting random differences are as large as the gain.
 const recallSeeds = 24
 
-// Pattern: the load of an ordinary day, warm after some seconds.
-//
-// Symptom: targets work on cold objects and refuse requests, while others are
-// idle.
-// Cause: each entry VM counts only its own requests at a target.
-func TestOneVMPlacesForItsRegion(t *testing.T) {
+// Guards against targets that execute requests for uncached objects and refuse
+// requests while others are idle, which happens if each entry VM counts only its
+// own requests at a target. The pattern has the load of an ordinary day, under
+// which the caches are warm after some seconds.
+func TestCoordinatorPlacesForItsRegion(t *testing.T) {
 	is := is.New(t)
 	p := smallRegion(t, func(p *Pattern) { p.Events, p.Seconds = nil, 12 })
 	is.True(meanOf(p, 0, totalWorth) > meanOf(p, ingress.Coordinators, totalWorth)+0.02)
 }
 
-// Pattern of large-fleet.json: 295 entry VMs and 1,617 targets in three regions,
-// one with a tenth of the slots, more objects there than its targets remember,
-// and a loss of all VMs. Ten seconds of it are too long for a test; `azurethread
-// experiment` plays them.
+// All patterns in testdata must be valid. The pattern in large-fleet.json has 295
+// entry VMs and 1,617 targets in three regions, one of them with a tenth of the
+// slots and more objects than its targets can cache, and all VMs are lost. Its
+// ten seconds take too long for a test; `azurethread experiment` runs them.
 func TestPatternsAreValid(t *testing.T) {
 	is := is.New(t)
 	files, err := filepath.Glob("testdata/*.json")
@@ -213,16 +209,13 @@
 	}
 }
 
-// Pattern of far-region.json: three regions of equal load, one with a tenth of
-// the slots, which sends two of three requests to the others; connections are
-// kept for six seconds.
-//
-// Symptom: requests to other regions are answered two crossings later than they
-// need to be.
-// Sequence: a connection to a target is in use when the next request for it
-// comes, which has one opened.
-// Cause: connections were opened only once requests waited for them.
-func TestSpareConnectionsSpareWaits(t *testing.T) {
+// Guards against requests to other regions whose answers take two crossings
+// longer than necessary. This happens if connections are opened only when
+// requests wait for them: the connection to a target is in use when the next
+// request arrives, and a new one has to be opened. In far-region.json three
+// regions have equal load, one has a tenth of the slots and sends two of three
+// requests to the others, and idle connections are kept for six seconds.
+func TestSpareConnectionsReduceWaits(t *testing.T) {
 	is := is.New(t)
 	p := readPattern(t, "far-region", nil)
 	with, without := runSeeds(p, fewSeeds, 0), runSeeds(p, fewSeeds, ingress.SpareConnections)
@@ -232,36 +225,36 @@
 	}
 }
 
-// Pattern: the same; and a failure domain that is emptied, and a crowd.
-//
-// Symptom: more than the operators' part of a region's requests change the
-// region in which they reach targets within two seconds.
-// Cause: shares are moved where requests are placed; what is on its way longer,
-// waits or fails could make what reaches targets differ from that.
-func TestWhatReachesTargetsChangesItsRegionSlowly(t *testing.T) {
+// Guards against a share of a region's requests that changes the region in which
+// they reach targets within two seconds by more than operators allow. The shares
+// are limited where requests are placed; requests that are longer in transit,
+// wait or fail could make the arrivals at targets differ from that. The patterns
+// are the one above, and one with an evacuated failure domain and a burst.
+func TestArrivalsChangeRegionSlowly(t *testing.T) {
 	is := is.New(t)
-	const chance = 3 // standard deviations: one window in 700 lies beyond
+	const confidence = 3 // standard deviations: one window in 700 exceeds this by chance
 	for _, name := range []string{"far-region", "small-region"} {
 		p := readPattern(t, name, nil)
 		for _, r := range runSeeds(p, fewSeeds, 0) {
 			is.True(r.WorstShift.Region != "")
-			is.True(r.WorstShift.Deviates < chance)
+			is.True(r.WorstShift.Deviates < confidence)
 		}
 	}
 }
 
-// Guards against a share that swings between all and none of a region's
-// requests after the region has lost its VMs and targets: callers' latency and
-// the load of targets swing with it, however even the mean of two seconds is.
-func TestTheShareDoesNotSwingAfterALoss(t *testing.T) {
+// Guards against a share that oscillates between all and none of a region's
+// requests after the region has lost its VMs and targets. The callers' latency
+// and the load of targets would oscillate too, even if the mean over two seconds
+// is stable.
+func TestShareDoesNotOscillateAfterRegionLoss(t *testing.T) {
 	const (
 		region = "b"
 		window = time.Second / 2
-		first  = 11*time.Second + window // the first requests have places
+		first  = 11*time.Second + window // the first requests have been placed by then
 		chance = 4                       // standard deviations
 	)
 	p := readPattern(t, "lost-region", nil)
-	// What a share changes by from one window to the next that moves evenly, as
+	// The change from one window to the next of a share that moves steadily and as
 	// fast as operators allow.
 	bound := p.RegionShift * window.Seconds() / ShareWindow.Seconds()
 	parallel(fewSeeds, func(i int) {
@@ -280,8 +273,8 @@
 	})
 }
 
-// Guards against requests to other regions that wait for connections, which take
-// two crossings to open.
+// Guards against requests to other regions that wait for new connections, which
+// take two crossings to open.
 func TestRequestsToOtherRegionsTakeOneCrossing(t *testing.T) {
 	is := is.New(t)
 	for _, name := range []string{"requests-end", "far-region", "lost-region"} {
@@ -292,11 +285,11 @@
 	}
 }
 
-// Guards against requests to other regions that are on their way for longer than
-// the network takes: when requests end, what still reaches targets is nearly all
-// in other regions.
+// Guards against requests to other regions that are delayed beyond the network's
+// latency: when the load ends, nearly all requests that still reach targets would
+// do so in other regions.
 func TestTheEndOfRequestsKeepsTheShareOfARegion(t *testing.T) {
-	const chance = 3 // standard deviations: one window in 700 lies beyond
+	const chance = 3 // standard deviations: one window in 700 exceeds this by chance
 	p := readPattern(t, "requests-end", nil)
 	for _, r := range runSeeds(p, fewSeeds, 0) {
 		worst := r.WorstShift
--- a/decide/emulate/event.go
+++ b/decide/emulate/event.go
@@ -54,17 +54,17 @@
 // eachTarget visits the share of the targets that an event applies to, spread
 // over the failure domains.
 func (sim *simulation) eachTarget(e *Event, visit func(*target)) {
-	var fit []*target
+	var matching []*target
 	for _, t := range sim.targetList {
 		if (e.Service == "" || e.Service == t.registered.Service) && (e.Domain == "" || e.Domain == t.registered.Domain) {
-			fit = append(fit, t)
+			matching = append(matching, t)
 		}
 	}
 	// The order is a fixed shuffle, so the end of an event visits the same
 	// targets as its start.
-	slices.SortFunc(fit, func(a, b *target) int { return cmp.Compare(hash(a), hash(b)) })
-	for i, t := range fit {
-		if sim.selected(e.Share, i, len(fit)) {
+	slices.SortFunc(matching, func(a, b *target) int { return cmp.Compare(hash(a), hash(b)) })
+	for i, t := range matching {
+		if sim.selected(e.Share, i, len(matching)) {
 			visit(t)
 		}
 	}
@@ -73,14 +73,14 @@
 func hash(t *target) uint64 { return rank.Score("event", string(t.registered.ID)) }
 
 func (sim *simulation) killVMs(e *Event) {
-	var fit []*vm
+	var matching []*vm
 	for _, v := range sim.vms {
 		if e.Domain == "" || e.Domain == v.self.Domain {
-			fit = append(fit, v)
+			matching = append(matching, v)
 		}
 	}
-	for i, v := range fit {
-		if !sim.selected(e.Share, i, len(fit)) || v.reducer == nil {
+	for i, v := range matching {
+		if !sim.selected(e.Share, i, len(matching)) || v.reducer == nil {
 			continue
 		}
 		v.reducer = nil
--- a/decide/emulate/ratelimit_test.go
+++ b/decide/emulate/ratelimit_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// limitPattern is a pattern in which targets name a limit.
+// limitPattern returns a pattern in which targets state a rate limit.
 func limitPattern(t *testing.T, change func(*Pattern)) *Pattern {
 	return smallRegion(t, func(p *Pattern) {
 		p.Events = []Event{{Kind: LimitTargets, Start: 4, Duration: 16, Service: "read", Share: 0.15, Value: 4.8}}
@@ -15,8 +15,9 @@
 	})
 }
 
-// A target that names the rate that it takes gets as many requests as before.
-func TestTargetsThatNameALimitAreNotOverrun(t *testing.T) {
+// Guards against a target that states its rate limit and still gets as many
+// requests as before.
+func TestRateLimitsOfTargetsAreKept(t *testing.T) {
 	patterns := map[string]func(*Pattern){
 		"a few targets":  nil,
 		"half of them":   func(p *Pattern) { p.Events[0].Share = 0.5 },
@@ -50,7 +51,7 @@
 					w := Run(p, Variant{Seed: seed}).WorstLimit
 					t.Logf("%+v", w)
 					if float64(w.Received) > w.Allowed {
-						t.Errorf("%s got %d requests in %v, %.1f are allowed", w.Target, w.Received, limitWindow, w.Allowed)
+						t.Errorf("%s got %d requests in %v, at most %.1f are allowed", w.Target, w.Received, limitWindow, w.Allowed)
 					}
 				})
 			}
--- a/decide/emulate/sites_test.go
+++ b/decide/emulate/sites_test.go
@@ -16,8 +16,8 @@
 	"github.com/azurethread/azurethread/decide/ingress"
 )
 
-// randomSite draws a deployment, its load and its troubles. Every figure lies
-// within what a deployment might have; none is that of one we know.
+// randomSite draws a deployment, its load and its faults. All values are drawn
+// from plausible ranges and are independent of any known deployment.
 func randomSite(seed uint64) *Pattern {
 	d := draw{rand.New(rand.NewPCG(seed, 26))}
 	p := &Pattern{
@@ -47,7 +47,8 @@
 
 func (d draw) between(low, high float64) float64 { return low + (high-low)*d.Float64() }
 
-// spread is between low and high, as often below their geometric mean as above.
+// spread draws a number between low and high on a logarithmic scale, so half of
+// them are below the geometric mean.
 func (d draw) spread(low, high float64) float64 {
 	return low * math.Pow(high/low, d.Float64())
 }
@@ -71,8 +72,8 @@
 	}
 }
 
-// domains are those of two to four regions that differ in size by up to ten
-// times.
+// domains draws the failure domains of two to four regions that differ in size by
+// up to a factor of ten.
 func (d draw) domains(services []Service) []Domain {
 	var all []Domain
 	for r := range 2 + d.IntN(3) {
@@ -91,8 +92,8 @@
 	return all
 }
 
-// load gives each failure domain callers, so that the service that is needed
-// most has between four tenths and all of its slots at work.
+// load sets the callers' rate of each failure domain. The total is such that the
+// most loaded service uses between four tenths and all of its slots.
 func (d draw) load(p *Pattern) {
 	slots, need := make(map[fleet.ServiceName]float64), make(map[fleet.ServiceName]float64)
 	for _, s := range p.Services {
@@ -138,13 +139,14 @@
 	return e
 }
 
-// siteWorth is the mean worth of a drawn site's plays with and without a mechanism.
+// siteWorth is the mean worth of a random site's runs with and without a
+// mechanism.
 type siteWorth struct{ with, without float64 }
 
 func (d siteWorth) gain() float64  { return d.with - d.without }
 func (d siteWorth) level() float64 { return d.with + d.without }
 
-// meanWorths returns the mean worth of each site's plays.
+// meanWorths returns the mean worth of each site's runs.
 func meanWorths(sites []*Pattern, without ingress.Mechanisms) []float64 {
 	worth := make([]float64, len(sites))
 	parallel(len(sites), func(i int) {
@@ -155,9 +157,9 @@
 	return worth
 }
 
-// worstTenth are the sites with the least worth, by the mean of both variants:
-// chosen by one of them, sites at which it had bad luck would stand for a
-// difference.
+// worstTenth returns the tenth of the sites with the lowest worth. It ranks them by
+// the mean of both variants: ranked by one variant only, sites with a bad result by
+// chance would appear as a difference.
 func worstTenth(all []siteWorth) []siteWorth {
 	all = slices.Clone(all)
 	slices.SortFunc(all, func(a, b siteWorth) int { return cmp.Compare(a.level(), b.level()) })
@@ -174,14 +176,13 @@
 	return gain, stat.StdErr(deviation, float64(len(gains)))
 }
 
-var siteCount = flag.Int("sites", 120, "how many sites TestNoMechanismHarmsTheWorstSites draws")
+var siteCount = flag.Int("sites", 120, "number of random sites in TestNoMechanismHarmsTheWorstSites")
 
-// Pattern: deployments, loads and troubles drawn at random.
-//
-// Symptom: what was chosen on the deployments that we know makes others worse.
-// Cause: a mechanism that answers their figures, not what they have in common.
+// Guards against mechanisms that improve the known deployments but make others
+// worse, because they fit the figures of these deployments and not what
+// deployments have in common. The deployments, loads and faults are random.
 func TestNoMechanismHarmsTheWorstSites(t *testing.T) {
-	const chance = 3 // standard errors: one mechanism in 700 lies beyond by chance
+	const confidence = 3 // standard errors: one mechanism in 700 exceeds this by chance
 	sites := make([]*Pattern, *siteCount)
 	for i := range sites {
 		sites[i] = randomSite(uint64(i))
@@ -200,7 +201,7 @@
 			gain, deviation := meanGain(worstTenth(all))
 			everywhere, of := meanGain(all)
 			t.Logf("worth of the worst tenth %+.4f (standard error %.4f), of all %+.4f (%.4f)", gain, deviation, everywhere, of)
-			is.True(gain >= -chance*deviation)
+			is.True(gain >= -confidence*deviation)
 		})
 	}
 }
--- a/decide/emulate/target.go
+++ b/decide/emulate/target.go
@@ -115,8 +115,8 @@
 }
 
 // touch reports whether the object was cached, and caches it.
-func (m *objectCache) touch(object string, most int) bool {
-	if object == "" || most == 0 {
+func (m *objectCache) touch(object string, capacity int) bool {
+	if object == "" || capacity == 0 {
 		return false
 	}
 	if m.at == nil {
@@ -127,7 +127,7 @@
 		return true
 	}
 	m.at[object] = m.order.PushFront(object)
-	if m.order.Len() > most {
+	if m.order.Len() > capacity {
 		last := m.order.Back()
 		m.order.Remove(last)
 		delete(m.at, last.Value.(string))
