--- a/decide/emulate/connection.go
+++ b/decide/emulate/connection.go
@@ -87,12 +87,12 @@
 // trip. If waits is set, s waits for the connection; otherwise it is a spare one.
 func (sim *simulation) openConnection(s *targetSend, waits bool) {
 	v := s.vm
-	k, starts := v.connections.pool(s.connectionEnd()), v.processNumber
+	k, process := v.connections.pool(s.connectionEnd()), v.processNumber
 	took := 2 * sim.latency(v.self.Domain, s.domain())
 	k.opening++
 	sim.recorder.result.Opened++
 	sim.after(took, func() {
-		if v.processNumber != starts {
+		if v.processNumber != process {
 			return
 		}
 		k.opening--
--- a/decide/emulate/fleet.go
+++ b/decide/emulate/fleet.go
@@ -280,9 +280,9 @@
 		return
 	}
 	v.nextTick = wake
-	starts := v.processNumber
+	process := v.processNumber
 	sim.schedule(wake, func() {
-		if v.processNumber == starts && v.nextTick == wake {
+		if v.processNumber == process && v.nextTick == wake {
 			v.nextTick = clock.Never
 			sim.step(v, &ingress.Tick{})
 		}
@@ -376,7 +376,7 @@
 
 // probe reports to an entry VM whether a target is listening.
 func (sim *simulation) probe(v *vm, p ingress.Probe) {
-	t, starts := sim.targets[p.Target], v.processNumber
+	t, process := sim.targets[p.Target], v.processNumber
 	way := sim.latency(v.self.Domain, t.registered.Domain)
 	sim.after(way, func() {
 		found := ingress.ListeningYes
@@ -384,7 +384,7 @@
 			found = ingress.ListeningNo
 		}
 		sim.after(way, func() {
-			if v.processNumber == starts {
+			if v.processNumber == process {
 				sim.step(v, &ingress.Probed{Target: p.Target, Born: p.Born, Listening: found})
 			}
 		})
--- a/decide/emulate/pattern.go
+++ b/decide/emulate/pattern.go
@@ -53,12 +53,12 @@
 
 // Service describes a service whose targets are all alike.
 type Service struct {
-	Name     fleet.ServiceName `json:"name"`
-	Slots    int               `json:"slots"`    // requests that a target executes at a time
-	Queue    int               `json:"queue"`    // requests that wait at a target; further ones are refused
-	Remember int               `json:"remember"` // objects that a target caches
-	ColdRate float64           `json:"cold_rate"`
-	ColdTime float64           `json:"cold_time"`
+	Name          fleet.ServiceName `json:"name"`
+	Slots         int               `json:"slots"`    // requests that a target executes at a time
+	Queue         int               `json:"queue"`    // requests that wait at a target; further ones are refused
+	CachedObjects int               `json:"remember"` // objects that a target caches
+	ColdRate      float64           `json:"cold_rate"`
+	ColdTime      float64           `json:"cold_time"`
 }
 
 // Kind describes a kind of request.
@@ -71,7 +71,7 @@
 	LatencyGoalMS float64           `json:"aim_ms"`      // answers within it have their full worth
 	PatienceMS    float64           `json:"patience_ms"` // how long callers wait in total
 	WorkMS        float64           `json:"work_ms"`     // mean work of a request whose object is not cached
-	Spread        float64           `json:"spread"`      // maximum relative deviation of the work from WorkMS
+	WorkSpread    float64           `json:"spread"`      // maximum relative deviation of the work from WorkMS
 	WarmSaving    float64           `json:"warm_gain"`   // share of the work that a cached object saves
 	Objects       int               `json:"objects"`     // number of objects in each region
 	Contents      int               `json:"contents"`    // number of different requests; 0 if all differ
@@ -152,8 +152,8 @@
 		return slices.ContainsFunc(p.Services, func(v Service) bool { return v.Name == s })
 	}
 	for _, s := range p.Services {
-		if s.Slots < 1 || s.Queue < 0 || s.Remember < 0 {
-			return bad("service %q: slots %d, queue %d or remember %d is out of range", s.Name, s.Slots, s.Queue, s.Remember)
+		if s.Slots < 1 || s.Queue < 0 || s.CachedObjects < 0 {
+			return bad("service %q: slots %d, queue %d or remember %d is out of range", s.Name, s.Slots, s.Queue, s.CachedObjects)
 		}
 	}
 	for _, d := range p.Domains {
--- a/decide/emulate/sites_test.go
+++ b/decide/emulate/sites_test.go
@@ -57,7 +57,7 @@
 	slots := 2 + d.IntN(6)
 	return Service{
 		Name: fleet.ServiceName(fmt.Sprintf("s%d", i)), Slots: slots, Queue: d.IntN(4 * slots),
-		Remember: 10 + d.IntN(110), ColdRate: d.between(4, 40), ColdTime: d.between(1, 4),
+		CachedObjects: 10 + d.IntN(110), ColdRate: d.between(4, 40), ColdTime: d.between(1, 4),
 	}
 }
 
@@ -66,7 +66,7 @@
 	return Kind{
 		Name: fmt.Sprintf("k%d", i), Service: services[d.IntN(len(services))].Name, Share: d.between(1, 6),
 		Idempotent: d.IntN(2) == 0, Priority: d.IntN(3), LatencyGoalMS: aim, PatienceMS: aim * d.between(2, 5),
-		WorkMS: aim * d.between(0.3, 1.2), Spread: d.between(0, 0.5), WarmSaving: d.between(0.2, 0.8),
+		WorkMS: aim * d.between(0.3, 1.2), WorkSpread: d.between(0, 0.5), WarmSaving: d.between(0.2, 0.8),
 		Objects: int(d.spread(10, 300)), BodyBytes: d.IntN(2) * 60_000, Retries: d.IntN(3),
 		Worth: worth, LateWorth: worth * d.between(0, 0.4),
 	}
--- a/decide/emulate/target.go
+++ b/decide/emulate/target.go
@@ -41,8 +41,8 @@
 
 // workTime draws how long the execution of a request takes.
 func (t *target) workTime(sim *simulation, k *Kind, object string) time.Duration {
-	ms := k.WorkMS * (1 + k.Spread*(2*sim.rng.Float64()-1)) * t.slowFactor
-	if t.objects.touch(object, t.service.Remember) {
+	ms := k.WorkMS * (1 + k.WorkSpread*(2*sim.rng.Float64()-1)) * t.slowFactor
+	if t.objects.touch(object, t.service.CachedObjects) {
 		ms *= 1 - k.WarmSaving
 	}
 	if sim.now.Before(t.coldEnd) {
--- a/decide/engine/enginetest/operator.go
+++ b/decide/engine/enginetest/operator.go
@@ -17,7 +17,7 @@
 	MustPersist bool
 
 	w       *World
-	at      *VM
+	vm      *VM
 	tries   int
 	sends   int // tries that reached a running process
 	refused int // sends answered not-run
@@ -38,7 +38,7 @@
 		w.lastNumber++
 		op.ID = fmt.Sprintf("op-%d", w.lastNumber)
 	}
-	o := &OperatorRequest{Op: op, w: w, at: v}
+	o := &OperatorRequest{Op: op, w: w, vm: v}
 	w.Checker.operatorRequests = append(w.Checker.operatorRequests, o)
 	o.try()
 	return o
@@ -51,7 +51,7 @@
 	if o.tries++; o.tries > maxOperatorTries {
 		return
 	}
-	current, at := o.tries, o.at
+	current, at := o.tries, o.vm
 	settled := func(r Result) {
 		if o.Done {
 			return
@@ -66,14 +66,14 @@
 			o.Done = o.refused == o.sends
 		}
 	}
-	if o.at.Up {
+	if o.vm.Up {
 		o.sends++
-		o.w.trace("%s gives %s, %s %s, to %s", o.Op.Operator, o.Op.ID, o.Op.Kind, o.Op.Subject(), o.at.Self.ID)
-		o.at.Change(o.Op, func(r Result) { o.w.After(delayCaller, func() { settled(r) }) })
+		o.w.trace("%s gives %s, %s %s, to %s", o.Op.Operator, o.Op.ID, o.Op.Kind, o.Op.Subject(), o.vm.Self.ID)
+		o.vm.Change(o.Op, func(r Result) { o.w.After(delayCaller, func() { settled(r) }) })
 	}
 	o.w.After(operatorTimeout, func() {
 		if o.tries == current && !o.Done {
-			o.at = o.w.anyLiveVM(o.at)
+			o.vm = o.w.anyLiveVM(o.vm)
 			o.try()
 		}
 	})
@@ -114,7 +114,7 @@
 // know of each other's sends.
 func (ck *Checker) checkWritten(w *write) {
 	if w.refused {
-		ck.reportViolation("operation %s was stored after %s answered not-run", w.op.ID, w.v.Self.ID)
+		ck.reportViolation("operation %s was stored after %s answered not-run", w.op.ID, w.vm.Self.ID)
 	}
 	ck.checkSameBase(w.op)
 }
--- a/decide/engine/enginetest/writer.go
+++ b/decide/engine/enginetest/writer.go
@@ -29,9 +29,9 @@
 
 // write is the execution of one operation by an entry VM. It follows the protocol
 // of package serve/store: read, apply, compare-and-swap. If the outcome of the
-// write is unknown, the operation's ID in the document tells it.
+// write is unknown, it is determined by the operation ID in the document.
 type write struct {
-	v            *VM
+	vm           *VM
 	op           change.Operation
 	tries        int
 	wait         time.Duration
@@ -44,14 +44,14 @@
 // Change applies an operation through an entry VM. It calls done with the result
 // unless the process ends first.
 func (v *VM) Change(op change.Operation, done func(Result)) {
-	w := &write{v: v, op: op, wait: firstWait, done: done}
+	w := &write{vm: v, op: op, wait: firstWait, done: done}
 	v.runOrQueue(w.try)
 }
 
 func (w *write) try() {
 	w.tries++
-	asked := w.v.now()
-	w.v.w.Platform.get(w.v, func(d document) { w.handleRead(d, asked) }, func() { w.retry(errUnreachable) })
+	asked := w.vm.now()
+	w.vm.w.Platform.get(w.vm, func(d document) { w.handleRead(d, asked) }, func() { w.retry(errUnreachable) })
 }
 
 var (
@@ -66,7 +66,7 @@
 		return
 	}
 	w.wait = min(2*w.wait, maxWait)
-	w.v.after(w.wait/2+w.v.w.between(0, w.wait), w.try)
+	w.vm.after(w.wait/2+w.vm.w.between(0, w.wait), w.try)
 }
 
 func (w *write) fail(err error) {
@@ -74,7 +74,7 @@
 	if w.unknown {
 		v = verdict.MayHaveRun
 	}
-	w.v.w.Checker.recordOperation(w, v)
+	w.vm.w.Checker.recordOperation(w, v)
 	w.done(Result{Verdict: v, Err: err})
 }
 
@@ -95,8 +95,8 @@
 		w.fail(err)
 		return
 	}
-	asked = w.v.now()
-	w.v.w.Platform.compareAndSwap(w.v, d.index, next, w.op.Operator+" "+string(w.op.Kind)+" "+w.op.Subject(), func(ok bool) {
+	asked = w.vm.now()
+	w.vm.w.Platform.compareAndSwap(w.vm, d.index, next, w.op.Operator+" "+string(w.op.Kind)+" "+w.op.Subject(), func(ok bool) {
 		if !ok {
 			w.retry(errConflict)
 			return
@@ -111,7 +111,7 @@
 // build applies the operation to the newer of the platform's catalogue and the
 // catalogue in force.
 func (w *write) build(d document) (document, error) {
-	base, ok := w.v.engine.Config().Base(w.v.now())
+	base, ok := w.vm.engine.Config().Base(w.vm.now())
 	if !ok {
 		return document{}, errBehind
 	}
@@ -122,8 +122,8 @@
 		at.index = d.index
 	}
 	next := max(from.Revision, base.Floor) + 1
-	from.Revision = max(next, uint64(w.v.now())/uint64(time.Millisecond)) - 1
-	c, err := change.Apply(from, w.op, w.v.now())
+	from.Revision = max(next, uint64(w.vm.now())/uint64(time.Millisecond)) - 1
+	c, err := change.Apply(from, w.op, w.vm.now())
 	if err != nil {
 		return document{}, err
 	}
@@ -133,8 +133,8 @@
 }
 
 func (w *write) handleAccepted(d document, revision uint64, asked clock.Time) {
-	w.v.w.Checker.recordOperation(w, verdict.Ran)
-	w.v.step(&config.Accepted{Catalogue: d.catalogue, Confirmed: asked})
+	w.vm.w.Checker.recordOperation(w, verdict.Ran)
+	w.vm.step(&config.Accepted{Catalogue: d.catalogue, Confirmed: asked})
 	w.done(Result{Verdict: verdict.Ran, Revision: revision})
 }
 
