--- a/decide/emulate/connection.go
+++ b/decide/emulate/connection.go
@@ -8,124 +8,126 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// links are the connections of one process of an entry VM, by their other end.
-type links map[end]*link
+// connectionPools are the connections of one process of an entry VM, by remote
+// end.
+type connectionPools map[connectionEnd]*connectionPool
 
-// end is what a connection leads to: a target, or the gateway that is set.
-type end struct {
+// connectionEnd is the remote end of a connection: a gateway if it is set,
+// otherwise a target.
+type connectionEnd struct {
 	target  fleet.TargetID
 	gateway fleet.VMID
 }
 
-// leads is what s needs a connection to.
-func (s *send) leads() end {
-	if s.gate != nil {
-		return end{gateway: s.gate.self.ID}
+// connectionEnd returns the remote end of the connection that s needs.
+func (s *targetSend) connectionEnd() connectionEnd {
+	if s.gateway != nil {
+		return connectionEnd{gateway: s.gateway.self.ID}
 	}
-	return end{target: s.t.reg.ID}
+	return connectionEnd{target: s.target.registered.ID}
 }
 
-// domain is the failure domain that the connection of s leads to.
-func (s *send) domain() fleet.Domain {
-	if s.gate != nil {
-		return s.gate.self.Domain
+// domain returns the failure domain of the remote end.
+func (s *targetSend) domain() fleet.Domain {
+	if s.gateway != nil {
+		return s.gateway.self.Domain
 	}
-	return s.t.reg.Domain
+	return s.target.registered.Domain
 }
 
-// link is the connections of one process to one end that carry nothing.
-type link struct {
-	free    []clock.Time // since when they are; the one freed last at the end
-	waiting []*send      // for a connection; the first to come first
-	opening int
-	used    clock.Time // when a send last asked for one; 0: never
+// connectionPool holds the idle connections of one process to one remote end.
+type connectionPool struct {
+	free     []clock.Time  // since when each is idle; the latest at the end
+	waiting  []*targetSend // sends that wait for a connection, the oldest first
+	opening  int
+	lastUsed clock.Time // when a send last requested a connection; 0 if never
 }
 
-func (l links) to(e end) *link {
+func (l connectionPools) pool(e connectionEnd) *connectionPool {
 	k, ok := l[e]
 	if !ok {
-		k = new(link)
+		k = new(connectionPool)
 		l[e] = k
 	}
 	return k
 }
 
-// gatewayIdle is how long connections between entry VMs are kept.
+// gatewayIdle is how long idle connections between entry VMs are kept.
 const gatewayIdle = time.Minute
 
-// connect calls s.carry when s has a connection: a free one, or else the one
-// that is opened for it, or one that is freed before.
-func (f *fleetRun) connect(s *send, spare bool) {
-	idle := seconds(f.p.Network.IdleSeconds)
+// connect calls s.transmit when s has a connection: an idle one, or otherwise
+// the one that is opened for it or one that is released earlier.
+func (sim *simulation) connect(s *targetSend, spare bool) {
+	idle := seconds(sim.pattern.Network.IdleSeconds)
 	if idle == 0 {
-		s.carry() // there is always a free one
+		s.transmit() // connections are always open
 		return
 	}
-	if s.gate != nil {
+	if s.gateway != nil {
 		idle = gatewayIdle
 	}
-	k := s.vm.links.to(s.leads())
-	s.anew = k.used == 0 || f.now.Sub(k.used) >= idle
-	k.used = f.now
-	k.free = slices.DeleteFunc(k.free, func(since clock.Time) bool { return f.now.Sub(since) >= idle })
+	k := s.vm.connections.pool(s.connectionEnd())
+	s.firstUse = k.lastUsed == 0 || sim.now.Sub(k.lastUsed) >= idle
+	k.lastUsed = sim.now
+	k.free = slices.DeleteFunc(k.free, func(since clock.Time) bool { return sim.now.Sub(since) >= idle })
 	if n := len(k.free); n > 0 {
 		k.free = k.free[:n-1]
 		if spare && n == 1 && k.opening == 0 {
-			f.open(s, false)
+			sim.openConnection(s, false)
 		}
-		s.carry()
+		s.transmit()
 		return
 	}
-	s.began = f.now
+	s.waitStart = sim.now
 	k.waiting = append(k.waiting, s)
-	f.open(s, true)
+	sim.openConnection(s, true)
 }
 
-// open opens a connection where s goes, which waits for it or not. It takes one
-// round trip.
-func (f *fleetRun) open(s *send, waits bool) {
+// openConnection opens a connection to the remote end of s, which takes one round
+// trip. If waits is set, s waits for the connection; otherwise it is a spare one.
+func (sim *simulation) openConnection(s *targetSend, waits bool) {
 	v := s.vm
-	k, starts := v.links.to(s.leads()), v.starts
-	took := 2 * f.way(v.self.Domain, s.domain())
+	k, process := v.connections.pool(s.connectionEnd()), v.processNumber
+	took := 2 * sim.latency(v.self.Domain, s.domain())
 	k.opening++
-	f.books.r.Opened++
-	f.after(took, func() {
-		if v.starts != starts {
+	sim.recorder.result.Opened++
+	sim.after(took, func() {
+		if v.processNumber != process {
 			return
 		}
 		k.opening--
 		if at := slices.Index(k.waiting, s); waits && at >= 0 && !s.ended {
 			k.waiting = slices.Delete(k.waiting, at, at+1)
-			s.opened = took
-			s.begin(f.now)
+			s.connectTime = took
+			s.useConnection(sim.now)
 			return
 		}
-		f.freed(s)
+		sim.releaseConnection(s)
 	})
 }
 
-// freed has the send that has waited longest take a connection to where s went,
-// or keeps it.
-func (f *fleetRun) freed(s *send) {
-	k := s.vm.links.to(s.leads())
+// releaseConnection gives the connection of s to the send that has waited longest
+// for one to the same end, or keeps it as idle.
+func (sim *simulation) releaseConnection(s *targetSend) {
+	k := s.vm.connections.pool(s.connectionEnd())
 	for len(k.waiting) > 0 {
 		s := k.waiting[0]
 		k.waiting = k.waiting[1:]
 		if !s.ended {
-			s.begin(f.now)
+			s.useConnection(sim.now)
 			return
 		}
 	}
-	k.free = append(k.free, f.now)
+	k.free = append(k.free, sim.now)
 }
 
-// begin has s use the connection that it has waited for.
-func (s *send) begin(now clock.Time) {
-	s.waited = now.Sub(s.began)
-	s.carry()
+// useConnection sends s on the connection that it has waited for.
+func (s *targetSend) useConnection(now clock.Time) {
+	s.connectionWait = now.Sub(s.waitStart)
+	s.transmit()
 }
 
-// durations sums up durations.
+// durations accumulates durations for their mean.
 type durations struct {
 	n   int
 	sum time.Duration
@@ -138,27 +140,27 @@
 	return m.sum.Seconds() * 1000 / float64(m.n)
 }
 
-// noteReached notes how long a request to another region was on its way, once it
-// has reached its target.
-func (f *fleetRun) noteReached(s *send) {
-	if s.q.sender != nil {
-		s = s.q.sender
+// recordFarDelay records how long a request to another region was delayed beyond
+// the network's latency. It is called when the request reaches its target.
+func (sim *simulation) recordFarDelay(s *targetSend) {
+	if s.attempt.gatewaySend != nil {
+		s = s.attempt.gatewaySend
 	}
-	if s.t.region == s.vm.self.Region || f.second() < f.p.Seconds/2 {
+	if s.target.region == s.vm.self.Region || sim.loadSeconds() < sim.pattern.Seconds/2 {
 		return
 	}
-	took := f.now.Sub(s.placed) - f.way(s.vm.self.Domain, s.t.reg.Domain)
-	f.books.delayed.n++
-	f.books.delayed.sum += took
+	took := sim.now.Sub(s.placedAt) - sim.latency(s.vm.self.Domain, s.target.registered.Domain)
+	sim.recorder.farDelays.n++
+	sim.recorder.farDelays.sum += took
 }
 
-// noteConnected counts a send of which the connection is there.
-func (b *books) noteConnected(s *send) {
-	if s.t.region == s.vm.self.Region {
+// recordConnected counts a send that has got its connection.
+func (rec *recorder) recordConnected(s *targetSend) {
+	if s.target.region == s.vm.self.Region {
 		return
 	}
-	b.r.Far++
-	if s.waited > 0 && !s.anew {
-		b.r.FarWaited++
+	rec.result.Far++
+	if s.connectionWait > 0 && !s.firstUse {
+		rec.result.FarWaited++
 	}
 }
--- a/decide/emulate/gateway.go
+++ b/decide/emulate/gateway.go
@@ -7,63 +7,62 @@
 	"github.com/azurethread/azurethread/decide/verdict"
 )
 
-// toGateway takes a request to the gateway that carries it, on the connection
-// that it has.
-func (f *fleetRun) toGateway(s *send) {
-	f.books.noteConnected(s)
-	way, g := f.way(s.vm.self.Domain, s.gate.self.Domain), s.gate
-	f.after(way, func() {
+// sendToGateway sends a request to its gateway on its connection.
+func (sim *simulation) sendToGateway(s *targetSend) {
+	sim.recorder.recordConnected(s)
+	way, g := sim.latency(s.vm.self.Domain, s.gateway.self.Domain), s.gateway
+	sim.after(way, func() {
 		switch {
 		case s.ended:
-		case g.r == nil:
-			f.after(way, func() {
-				f.end(s, &ingress.Failed{Attempt: s.id, Verdict: verdict.NotRun, Reason: verdict.ReasonGateway})
+		case g.reducer == nil:
+			sim.after(way, func() {
+				sim.endSend(s, &ingress.Failed{Attempt: s.id, Verdict: verdict.NotRun, Reason: verdict.ReasonGateway})
 			})
 		default:
-			f.after(way, func() { f.received(s) })
-			f.carried(s)
+			sim.after(way, func() { sim.confirmAtSender(s) })
+			sim.acceptAtGateway(s)
 		}
 	})
 }
 
-// received tells the VM of s that its gateway has the request.
-func (f *fleetRun) received(s *send) {
-	if !s.ended && s.vm.starts == s.starts {
-		f.step(s.vm, &ingress.Received{Attempt: s.id})
+// confirmAtSender reports to the VM of s that the gateway has the request.
+func (sim *simulation) confirmAtSender(s *targetSend) {
+	if !s.ended && s.vm.processNumber == s.processNumber {
+		sim.step(s.vm, &ingress.Received{Attempt: s.id})
 	}
 }
 
-// carried has a gateway take the request of s.
-func (f *fleetRun) carried(s *send) {
-	g := s.gate
-	g.carried++
-	s.gateID = ingress.RequestID(math.MaxUint64) - g.carried
-	g.open[s.gateID] = &try{caller: s.q.caller, sender: s}
-	f.step(g, &ingress.Carry{Request: s.gateID, Target: s.t.reg.ID, Left: s.q.due.Sub(f.now)})
+// acceptAtGateway passes the request of s to its gateway.
+func (sim *simulation) acceptAtGateway(s *targetSend) {
+	g := s.gateway
+	g.lastGatewayRequest++
+	s.gatewayRequest = ingress.RequestID(math.MaxUint64) - g.lastGatewayRequest
+	g.openRequests[s.gatewayRequest] = &entryAttempt{caller: s.attempt.caller, gatewaySend: s}
+	sim.step(g, &ingress.Carry{Request: s.gatewayRequest, Target: s.target.registered.ID, Left: s.attempt.deadline.Sub(sim.now)})
 }
 
-// fromGateway takes the end of a carried request back to the VM of s.
-func (f *fleetRun) fromGateway(s *send, end any) {
-	s.gateID = 0 // it has ended there
-	f.after(f.way(s.gate.self.Domain, s.vm.self.Domain), func() {
-		if !s.ended && s.vm.starts == s.starts {
-			f.freed(s)
+// returnFromGateway returns the result of a forwarded request to the VM of s.
+func (sim *simulation) returnFromGateway(s *targetSend, end any) {
+	s.gatewayRequest = 0 // the request has ended there
+	sim.after(sim.latency(s.gateway.self.Domain, s.vm.self.Domain), func() {
+		if !s.ended && s.vm.processNumber == s.processNumber {
+			sim.releaseConnection(s)
 		}
 		switch e := end.(type) {
 		case *ingress.Answered:
-			e.Attempt, e.Connect, e.Waited = s.id, s.opened, s.waited
-			f.end(s, e)
+			e.Attempt, e.Connect, e.Waited = s.id, s.connectTime, s.connectionWait
+			sim.endSend(s, e)
 		case *ingress.Failed:
 			e.Attempt = s.id
-			f.end(s, e)
+			sim.endSend(s, e)
 		}
 	})
 }
 
-// gatewayLost ends a request whose gateway has ended.
-func (f *fleetRun) gatewayLost(s *send) {
-	s.gateID = 0
-	f.after(f.way(s.gate.self.Domain, s.vm.self.Domain), func() {
-		f.end(s, &ingress.Failed{Attempt: s.id, Verdict: verdict.MayHaveRun, Reason: verdict.ReasonGateway})
+// failLostGateway fails a request whose gateway has ended.
+func (sim *simulation) failLostGateway(s *targetSend) {
+	s.gatewayRequest = 0
+	sim.after(sim.latency(s.gateway.self.Domain, s.vm.self.Domain), func() {
+		sim.endSend(s, &ingress.Failed{Attempt: s.id, Verdict: verdict.MayHaveRun, Reason: verdict.ReasonGateway})
 	})
 }
--- a/decide/emulate/ratelimit.go
+++ b/decide/emulate/ratelimit.go
@@ -8,84 +8,85 @@
 	"github.com/azurethread/azurethread/decide/ingress"
 )
 
-// Operators allow limitFactor times what a target's limit allows within
-// limitWindow, and limitSlack requests, once the fleet has had limitGrace to
-// learn of it. Counted is what entry VMs send that have passed on an answer with
-// the limit toldBefore earlier.
+// Within limitWindow, operators allow limitFactor times the requests that a
+// target's limit allows, plus limitSlack. This applies limitGrace after the limit
+// was first stated, so that the fleet can learn of it. Only sends of entry VMs
+// that received an answer with the limit at least minKnownTime earlier count.
 const (
-	limitWindow = 4 * time.Second
-	limitGrace  = 4 * time.Second
-	limitFactor = 1.5
-	limitSlack  = 5
-	toldBefore  = 500 * time.Millisecond
+	limitWindow  = 4 * time.Second
+	limitGrace   = 4 * time.Second
+	limitFactor  = 1.5
+	limitSlack   = 5
+	minKnownTime = 500 * time.Millisecond
 )
 
-// Overrun is what a target got in the window in which it got most beyond its
-// limit.
+// Overrun describes the window in which a target received the most requests
+// beyond its limit.
 type Overrun struct {
-	Target  fleet.TargetID `json:"target"`
-	Second  float64        `json:"second"` // since the limit was named
-	Got     int            `json:"got"`
-	Allowed float64        `json:"allowed"`
-	// Named is how many requests the target got in all while it named the limit.
+	Target   fleet.TargetID `json:"target"`
+	Second   float64        `json:"second"` // time since the limit was first stated
+	Received int            `json:"got"`
+	Allowed  float64        `json:"allowed"`
+	// Named is the number of requests that the target received in total while it
+	// stated the limit.
 	Named int `json:"named"`
 }
 
-// limited is a time in which a target names a limit.
-type limited struct {
-	target    fleet.TargetID
-	perSecond float64
-	since     clock.Time
-	until     clock.Time
-	told      map[process]clock.Time // when entry VMs first passed on an answer with it
-	sends     []clock.Time           // that came from those after the grace
-	named     int
+// rateLimit is a period in which a target states a limit.
+type rateLimit struct {
+	target     fleet.TargetID
+	perSecond  float64
+	since      clock.Time
+	until      clock.Time
+	knownSince map[processID]clock.Time // when each entry VM first received an answer with it
+	sends      []clock.Time             // times of the sends that count
+	total      int
 }
 
-// process is one process of an entry VM.
-type process struct {
-	vm     fleet.VMID
-	starts int
+// processID is one process of an entry VM.
+type processID struct {
+	vm            fleet.VMID
+	processNumber int
 }
 
-// limit has t name a limit from now on.
-func (b *books) limit(now clock.Time, t *target, perSecond float64) {
-	t.limited = &limited{
-		target: t.reg.ID, perSecond: perSecond, since: now, until: clock.Never, told: make(map[process]clock.Time),
+// startLimit makes t state a limit from now on.
+func (rec *recorder) startLimit(now clock.Time, t *target, perSecond float64) {
+	t.limit = &rateLimit{
+		target: t.registered.ID, perSecond: perSecond, since: now, until: clock.Never, knownSince: make(map[processID]clock.Time),
 	}
-	b.limited = append(b.limited, t.limited)
+	rec.limits = append(rec.limits, t.limit)
 }
 
-// names is what an answer of t says of its limit.
-func (t *target) names(now clock.Time) ingress.RateLimit {
-	if t.limited == nil || !now.Before(t.limited.until) {
+// advertisedLimit returns what an answer of t says about its limit.
+func (t *target) advertisedLimit(now clock.Time) ingress.RateLimit {
+	if t.limit == nil || !now.Before(t.limit.until) {
 		return ingress.RateLimit{Heard: true}
 	}
-	return ingress.RateLimit{Heard: true, Named: true, PerSecond: t.limited.perSecond}
+	return ingress.RateLimit{Heard: true, Named: true, PerSecond: t.limit.perSecond}
 }
 
-// tell notes that v passes on an answer with the limit.
-func (l *limited) tell(now clock.Time, v *vm) {
-	p := process{v.self.ID, v.starts}
-	if _, ok := l.told[p]; !ok {
-		l.told[p] = now
+// markKnown records that v has received an answer with the limit.
+func (l *rateLimit) markKnown(now clock.Time, v *vm) {
+	p := processID{v.self.ID, v.processNumber}
+	if _, ok := l.knownSince[p]; !ok {
+		l.knownSince[p] = now
 	}
 }
 
-// reach counts a request of v that reaches the target.
-func (l *limited) reach(now clock.Time, v *vm) {
+// countArrival counts a request from v that reaches the target.
+func (l *rateLimit) countArrival(now clock.Time, v *vm) {
 	if l == nil || !now.Before(l.until) {
 		return
 	}
-	l.named++
-	told, ok := l.told[process{v.self.ID, v.starts}]
-	if ok && now.Sub(told) >= toldBefore && now.Sub(l.since) >= limitGrace {
+	l.total++
+	told, ok := l.knownSince[processID{v.self.ID, v.processNumber}]
+	if ok && now.Sub(told) >= minKnownTime && now.Sub(l.since) >= limitGrace {
 		l.sends = append(l.sends, now)
 	}
 }
 
-// worstOverrun returns the window that exceeds what is allowed most.
-func worstOverrun(all []*limited) Overrun {
+// worstOverrun returns the window with the most requests beyond what is allowed.
+func worstOverrun(all []*rateLimit) Overrun {
 	var worst Overrun
 	for _, l := range all {
 		allowed := limitFactor*l.perSecond*limitWindow.Seconds() + limitSlack
@@ -95,10 +96,10 @@
 				first++
 			}
 			got := i + 1 - first
-			if worst.Target == "" || float64(got)-allowed > float64(worst.Got)-worst.Allowed {
+			if worst.Target == "" || float64(got)-allowed > float64(worst.Received)-worst.Allowed {
 				worst = Overrun{
 					Target: l.target, Second: l.sends[first].Sub(l.since).Seconds(),
-					Got: got, Allowed: allowed, Named: l.named,
+					Received: got, Allowed: allowed, Named: l.total,
 				}
 			}
 		}
--- a/decide/engine/enginetest/network.go
+++ b/decide/engine/enginetest/network.go
@@ -16,72 +16,73 @@
 	delayPlatform = 2 * time.Millisecond
 )
 
-// Round trips as the settings of entry VMs state them.
+// Round-trip times in the settings of the entry VMs.
 const (
 	nearRTT = 2 * delayRegion
 	farRTT  = 2 * delayFar
 )
 
-// cut names a direction between two failure domains.
-type cut struct{ from, to fleet.Domain }
+// domainPair is a direction between two failure domains.
+type domainPair struct{ from, to fleet.Domain }
 
-// link names a direction between two entry VMs.
-type link struct{ from, to fleet.VMID }
+// vmPair is a direction between two entry VMs.
+type vmPair struct{ from, to fleet.VMID }
 
-// Network holds the faults between entry VMs, and on connections that carry
-// requests.
+// Network holds the faults of messages between entry VMs and of the connections
+// that carry requests.
 type Network struct {
-	// Loss is the part of the messages between entry VMs that is lost.
-	Loss float64
-	// Reorder lets messages overtake each other, as over several connections.
+	// LossProbability is the share of messages between entry VMs that are lost.
+	LossProbability float64
+	// Reorder allows messages to arrive out of order, as if they were sent over
+	// several connections.
 	Reorder bool
-	// Extra is added to every delay between entry VMs.
-	Extra time.Duration
-	// Faulty is the part of the exchanges that meet a fault of their own.
-	Faulty float64
-
-	next map[Leg]Fate
-	cuts map[cut]bool
-	slow map[link]time.Duration
-	last map[link]clock.Time // arrival of the last message
+	// ExtraDelay is added to every delay between entry VMs.
+	ExtraDelay time.Duration
+	// FaultProbability is the share of exchanges for which a random fault is drawn.
+	FaultProbability float64
+
+	nextFault   map[Leg]Fault
+	cuts        map[domainPair]bool
+	addedDelay  map[vmPair]time.Duration
+	lastArrival map[vmPair]clock.Time // arrival of the last message
 }
 
 func newNetwork() Network {
 	return Network{
-		next: make(map[Leg]Fate),
-		cuts: make(map[cut]bool),
-		slow: make(map[link]time.Duration),
-		last: make(map[link]clock.Time),
+		nextFault:   make(map[Leg]Fault),
+		cuts:        make(map[domainPair]bool),
+		addedDelay:  make(map[vmPair]time.Duration),
+		lastArrival: make(map[vmPair]clock.Time),
 	}
 }
 
-// Cut loses everything from one failure domain to another, in that direction
+// Cut drops everything from one failure domain to another, in this direction
 // only.
-func (n *Network) Cut(from, to fleet.Domain) { n.cuts[cut{from, to}] = true }
+func (n *Network) Cut(from, to fleet.Domain) { n.cuts[domainPair{from, to}] = true }
 
-// Part cuts both directions.
-func (n *Network) Part(a, b fleet.Domain) {
+// Partition cuts both directions between two failure domains.
+func (n *Network) Partition(a, b fleet.Domain) {
 	n.Cut(a, b)
 	n.Cut(b, a)
 }
 
-// Slow adds a delay to the messages from one entry VM to another.
-func (n *Network) Slow(from, to fleet.VMID, d time.Duration) { n.slow[link{from, to}] = d }
+// AddDelay adds a delay to the messages from one entry VM to another.
+func (n *Network) AddDelay(from, to fleet.VMID, d time.Duration) { n.addedDelay[vmPair{from, to}] = d }
 
-// Next decides the fate of the next exchange on a leg.
-func (n *Network) Next(l Leg, f Fate) { n.next[l] = f }
+// SetNextFault sets the fault of the next exchange on a leg.
+func (n *Network) SetNextFault(l Leg, f Fault) { n.nextFault[l] = f }
 
 // Heal ends all faults.
 func (n *Network) Heal() {
 	clear(n.cuts)
-	clear(n.slow)
-	n.Loss, n.Faulty, n.Extra, n.Reorder = 0, 0, 0, false
+	clear(n.addedDelay)
+	n.LossProbability, n.FaultProbability, n.ExtraDelay, n.Reorder = 0, 0, 0, false
 }
 
-func (n *Network) isCut(from, to Place) bool { return n.cuts[cut{from.Domain, to.Domain}] }
+func (n *Network) isCut(from, to Location) bool { return n.cuts[domainPair{from.Domain, to.Domain}] }
 
-// delay returns the one-way delay between two places.
-func (w *World) delay(from, to Place) time.Duration {
+// delay returns the one-way delay between two locations.
+func (w *World) delay(from, to Location) time.Duration {
 	d := delayFar
 	switch {
 	case from.Domain == "" || to.Domain == "":
@@ -94,20 +95,20 @@
 	return d + time.Duration(w.rng.Int64N(int64(d)/4+1))
 }
 
-// message carries a message between two entry VMs, in the order of sending
-// unless Reorder is set.
-func (w *World) message(from, to *VM, f func()) {
+// sendMessage delivers a message between two entry VMs by calling f. Messages
+// arrive in the order of sending unless Reorder is set.
+func (w *World) sendMessage(from, to *VM, f func()) {
 	n := &w.Network
-	if n.isCut(from.Place, to.Place) || w.Chance(n.Loss) {
+	if n.isCut(from.Location, to.Location) || w.Chance(n.LossProbability) {
 		return
 	}
-	key := link{from.Self.ID, to.Self.ID}
-	d := w.delay(from.Place, to.Place) + n.Extra + n.slow[key]
+	key := vmPair{from.Self.ID, to.Self.ID}
+	d := w.delay(from.Location, to.Location) + n.ExtraDelay + n.addedDelay[key]
 	if n.Reorder {
 		w.After(d+w.between(0, 20*time.Millisecond), f)
 		return
 	}
-	at := max(w.Now.Add(d), n.last[key])
-	n.last[key] = at
-	w.at(at, f)
+	at := max(w.Now.Add(d), n.lastArrival[key])
+	n.lastArrival[key] = at
+	w.schedule(at, f)
 }
--- a/decide/engine/enginetest/platform.go
+++ b/decide/engine/enginetest/platform.go
@@ -13,20 +13,20 @@
 	"github.com/azurethread/azurethread/decide/machine"
 )
 
-// document is the value that the platform holds. A document is never changed.
+// document is the value stored at the platform. Documents are immutable.
 type document struct {
 	index      uint64
 	catalogue  *catalogue.Catalogue
 	lineage    []config.Point
-	operations map[string]uint64 // revision by operation id
-	write      *write            // that made it; nil for a restore
+	operations map[string]uint64 // revision by operation ID
+	write      *write            // that created the document; nil for a restore
 }
 
-// next returns the document that follows with catalogue c by an operation.
-func (d *document) next(c *catalogue.Catalogue, op string) document {
+// successor returns the next document, with catalogue c and the operation op.
+func (d *document) successor(c *catalogue.Catalogue, op string) document {
 	h, err := config.Hash(c)
 	if err != nil {
-		panic(err) // change.Apply makes no such catalogue
+		panic(err) // change.Apply returns only catalogues that can be hashed
 	}
 	n := document{
 		index:      d.index + 1,
@@ -43,43 +43,43 @@
 	return n
 }
 
-// lease is the hold of the duty to run the shifts.
+// lease is the lease of the shift runner as the platform holds it.
 type lease struct {
-	holder  *VM
-	process int
-	until   clock.Time // of the World's clock
+	holder        *VM
+	processNumber int
+	until         clock.Time // by the World's clock
 }
 
-// watch is a read that waits for a change.
+// watch is a read that waits until the document changes.
 type watch struct{ seq uint64 }
 
-// Platform is the key-value service and the machine list.
+// Platform is a fake of the platform's key-value service and machine list.
 type Platform struct {
-	// Down fails every call.
+	// Down makes every call fail.
 	Down bool
-	// Slow is added to every call.
-	Slow time.Duration
-	// LostAnswers is the part of the writes whose answer is lost; such a write
-	// takes effect at once, later or never.
-	LostAnswers float64
-	// ListLag is how old the machine list is.
+	// ExtraDelay is added to every call.
+	ExtraDelay time.Duration
+	// LostAnswerProbability is the share of writes whose answer is lost. Such a
+	// write takes effect immediately, later or never.
+	LostAnswerProbability float64
+	// ListLag is the mean delay with which changes show in the machine list.
 	ListLag time.Duration
 
-	w     *World
-	doc   document
-	old   []document // earlier ones
-	cuts  map[fleet.Domain]bool
-	duty  lease
-	list  uint64      // newest version of the machine list
-	lists []shownList // the one shown and those that follow
+	w           *World
+	doc         document
+	previous    []document // earlier documents, oldest first
+	cuts        map[fleet.Domain]bool
+	shiftLease  lease
+	listVersion uint64      // newest version of the machine list
+	shownLists  []shownList // the current one and those that become visible later
 }
 
-// The times of the platform.
+// Times and limits of the platform.
 const (
-	listLag      = time.Second
-	readFails    = time.Second
-	lateWrite    = 3 * time.Second
-	maxDocuments = 64
+	listLag         = time.Second
+	failedReadDelay = time.Second
+	maxWriteDelay   = 3 * time.Second
+	maxDocuments    = 64
 )
 
 func newPlatform(w *World, services []catalogue.Service) *Platform {
@@ -88,61 +88,61 @@
 	for i := range c.Services {
 		c.Services[i].Revision = 1
 	}
-	p.doc = (&document{}).next(c, "")
-	p.listChanged()
+	p.doc = (&document{}).successor(c, "")
+	p.updateList()
 	return p
 }
 
-// Cut keeps a failure domain from the platform.
+// Cut disconnects a failure domain from the platform.
 func (p *Platform) Cut(d fleet.Domain) { p.cuts[d] = true }
 
 // Heal ends all faults.
 func (p *Platform) Heal() {
-	p.Down, p.Slow, p.LostAnswers, p.ListLag = false, 0, 0, listLag
+	p.Down, p.ExtraDelay, p.LostAnswerProbability, p.ListLag = false, 0, 0, listLag
 	clear(p.cuts)
 }
 
-// Catalogue returns what the platform holds.
+// Catalogue returns the catalogue that the platform holds.
 func (p *Platform) Catalogue() *catalogue.Catalogue { return p.doc.catalogue }
 
-// RestoreOlder brings back a document of n changes ago, as a platform does
-// that lost its newest data.
+// RestoreOlder restores the document of n changes ago, as if the platform had
+// lost its newest data.
 func (p *Platform) RestoreOlder(n int) {
-	if n <= 0 || n > len(p.old) {
+	if n <= 0 || n > len(p.previous) {
 		return
 	}
-	p.doc = p.old[len(p.old)-n]
-	p.old = p.old[:len(p.old)-n]
+	p.doc = p.previous[len(p.previous)-n]
+	p.previous = p.previous[:len(p.previous)-n]
 	p.w.trace("platform comes back with revision %d", p.doc.catalogue.Revision)
-	p.w.Books.restored()
-	p.wake()
+	p.w.Checker.recordRestore()
+	p.endWatches()
 }
 
-func (p *Platform) reaches(v *VM) bool { return !p.Down && !p.cuts[v.Place.Domain] }
+func (p *Platform) reachableFrom(v *VM) bool { return !p.Down && !p.cuts[v.Location.Domain] }
 
-// trip is the time of a message to or from the platform.
-func (p *Platform) trip() time.Duration {
-	return delayPlatform + p.Slow + p.w.between(0, delayPlatform)
+// delay returns the one-way delay of a message to or from the platform.
+func (p *Platform) delay() time.Duration {
+	return delayPlatform + p.ExtraDelay + p.w.between(0, delayPlatform)
 }
 
-// call carries f to the platform and what it returns back. Lost is called in
-// place of it when there is no answer.
+// call runs f at the platform and then the function that f returns at the VM. If
+// there is no answer, it calls lost at the VM instead.
 func (p *Platform) call(v *VM, f func() func(), lost func()) {
-	if !p.reaches(v) {
-		v.after(p.w.between(10*time.Millisecond, readFails), lost)
+	if !p.reachableFrom(v) {
+		v.after(p.w.between(10*time.Millisecond, failedReadDelay), lost)
 		return
 	}
-	process := v.process
-	p.w.After(p.trip(), func() {
+	process := v.processNumber
+	p.w.After(p.delay(), func() {
 		done := f()
-		if v.process != process {
+		if v.processNumber != process {
 			return
 		}
-		if !p.reaches(v) {
-			v.after(readFails, lost)
+		if !p.reachableFrom(v) {
+			v.after(failedReadDelay, lost)
 			return
 		}
-		v.after(p.trip(), done)
+		v.after(p.delay(), done)
 	})
 }
 
@@ -154,54 +154,55 @@
 	}, lost)
 }
 
-// swap puts a document in the place of the one at index. Done is told whether
-// it did, lost is called when nobody can tell.
-func (p *Platform) swap(v *VM, index uint64, d document, by string, done func(bool), lost func()) {
-	if p.reaches(v) && p.w.Chance(p.LostAnswers) {
+// compareAndSwap stores document d if the current one has the given index. It
+// calls done with whether it was stored, or lost if the outcome is unknown.
+func (p *Platform) compareAndSwap(v *VM, index uint64, d document, by string, done func(bool), lost func()) {
+	if p.reachableFrom(v) && p.w.Chance(p.LostAnswerProbability) {
 		switch p.w.IntN(3) {
 		case 0:
 		case 1:
-			p.w.After(p.trip(), func() { p.put(index, d, by) })
+			p.w.After(p.delay(), func() { p.storeIfUnchanged(index, d, by) })
 		default:
-			p.w.After(p.w.between(0, lateWrite), func() { p.put(index, d, by) })
+			p.w.After(p.w.between(0, maxWriteDelay), func() { p.storeIfUnchanged(index, d, by) })
 		}
-		v.after(readFails, lost)
+		v.after(failedReadDelay, lost)
 		return
 	}
 	p.call(v, func() func() {
-		ok := p.put(index, d, by)
+		ok := p.storeIfUnchanged(index, d, by)
 		return func() { done(ok) }
 	}, lost)
 }
 
-func (p *Platform) put(index uint64, d document, by string) bool {
+// storeIfUnchanged stores d if the current document has the given index.
+func (p *Platform) storeIfUnchanged(index uint64, d document, by string) bool {
 	if p.doc.index != index {
 		return false
 	}
-	p.old = append(p.old, p.doc)
-	p.old = p.old[max(0, len(p.old)-maxDocuments):]
+	p.previous = append(p.previous, p.doc)
+	p.previous = p.previous[max(0, len(p.previous)-maxDocuments):]
 	p.doc = d
 	p.w.trace("platform accepts revision %d (%s)", d.catalogue.Revision, by)
 	if d.write != nil {
-		p.w.Books.written(d.write)
+		p.w.Checker.checkWritten(d.write)
 	}
-	p.wake()
+	p.endWatches()
 	return true
 }
 
-// wake ends all reads that wait for a change.
-func (p *Platform) wake() {
+// endWatches answers all reads that wait for a change.
+func (p *Platform) endWatches() {
 	for _, v := range p.w.VMs {
 		if w := v.watch; w != nil && v.Up {
 			v.watch = nil
-			v.later(p.trip(), p.outcome(v, w.seq, v.now()))
+			v.postAfter(p.delay(), p.readResult(v, w.seq, v.now()))
 		}
 	}
 }
 
-// outcome is the event of a read of the document as it is now.
-func (p *Platform) outcome(v *VM, seq uint64, asked clock.Time) *config.PlatformRead {
-	if !p.reaches(v) {
+// readResult returns the event for a read of the current document.
+func (p *Platform) readResult(v *VM, seq uint64, asked clock.Time) *config.PlatformRead {
+	if !p.reachableFrom(v) {
 		return &config.PlatformRead{Seq: seq}
 	}
 	return &config.PlatformRead{
@@ -214,8 +215,8 @@
 	}
 }
 
-// read carries out the reads and restores that a step asks for.
-func (p *Platform) read(v *VM, r *engine.Ready) {
+// executeReads executes the reads and restores that a step requests.
+func (p *Platform) executeReads(v *VM, r *engine.Ready) {
 	for _, s := range r.Unwatch {
 		if v.watch != nil && v.watch.seq == s.Seq {
 			v.watch = nil
@@ -225,7 +226,7 @@
 		p.fetch(v, f.Seq)
 	}
 	for _, w := range r.Watch {
-		p.await(v, w)
+		p.startWatch(v, w)
 	}
 	for _, x := range r.Restore {
 		p.restore(v, x.Catalogue)
@@ -235,23 +236,23 @@
 func (p *Platform) fetch(v *VM, seq uint64) {
 	asked := v.now()
 	p.call(v, func() func() {
-		ev := p.outcome(v, seq, asked)
+		ev := p.readResult(v, seq, asked)
 		return func() { v.step(ev) }
 	}, func() { v.step(&config.PlatformRead{Seq: seq}) })
 }
 
-func (p *Platform) await(v *VM, w config.WatchPlatform) {
-	if !p.reaches(v) || w.After != p.doc.index {
+func (p *Platform) startWatch(v *VM, w config.WatchPlatform) {
+	if !p.reachableFrom(v) || w.After != p.doc.index {
 		p.fetch(v, w.Seq)
 		return
 	}
-	mine := &watch{seq: w.Seq}
-	v.watch = mine
+	current := &watch{seq: w.Seq}
+	v.watch = current
 	quiet := &config.PlatformRead{Seq: w.Seq, Result: config.ReadNotModified, Confirmed: v.now().Add(w.Wait)}
-	v.after(w.Wait+p.trip(), func() {
-		if v.watch == mine {
+	v.after(w.Wait+p.delay(), func() {
+		if v.watch == current {
 			v.watch = nil
-			if !p.reaches(v) {
+			if !p.reachableFrom(v) {
 				quiet = &config.PlatformRead{Seq: w.Seq}
 			}
 			v.step(quiet)
@@ -259,59 +260,62 @@
 	})
 }
 
-// shownList is a version of the machine list, and since when it is shown.
+// shownList is a version of the machine list and the time at which it becomes
+// visible.
 type shownList struct {
 	at   clock.Time
 	list fleet.List
 }
 
-// listChanged makes a new version of the machine list, shown after its lag.
-func (p *Platform) listChanged() {
-	p.list++
+// updateList creates a new version of the machine list, which becomes visible
+// after a delay around ListLag.
+func (p *Platform) updateList() {
+	p.listVersion++
 	at := p.w.Now.Add(p.ListLag/2 + p.w.between(0, p.ListLag))
-	if n := len(p.lists); n > 0 {
-		at = max(at, p.lists[n-1].at)
+	if n := len(p.shownLists); n > 0 {
+		at = max(at, p.shownLists[n-1].at)
 	}
-	p.lists = append(p.lists, shownList{at: at, list: p.describe()})
+	p.shownLists = append(p.shownLists, shownList{at: at, list: p.currentList()})
 }
 
-// shown returns the machine list as the platform shows it now.
+// shown returns the machine list that is visible now.
 func (p *Platform) shown() fleet.List {
-	for len(p.lists) > 1 && p.lists[1].at <= p.w.Now {
-		p.lists = p.lists[1:]
+	for len(p.shownLists) > 1 && p.shownLists[1].at <= p.w.Now {
+		p.shownLists = p.shownLists[1:]
 	}
-	return p.lists[0].list
+	return p.shownLists[0].list
 }
 
-// The pace at which entry VMs read the machine list.
+// Interval at which entry VMs read the machine list.
 const (
 	minListPoll = 100 * time.Millisecond
 	maxListPoll = 400 * time.Millisecond
 )
 
-// watchList gives an entry VM the machine list while its engine asks for it.
+// watchList delivers the machine list to an entry VM at intervals while its
+// engine requests it.
 func (p *Platform) watchList(v *VM) {
 	v.after(p.w.between(minListPoll, maxListPoll), func() { p.watchList(v) })
-	if !v.watching {
-		v.listed = 0
+	if !v.watchingList {
+		v.listVersion = 0
 		return
 	}
-	if !p.reaches(v) {
+	if !p.reachableFrom(v) {
 		return
 	}
 	l := p.shown()
-	if l.Version == v.listed {
+	if l.Version == v.listVersion {
 		v.step(&machine.Unchanged{})
 		return
 	}
-	v.listed = l.Version
-	v.later(p.trip(), &engine.Machines{List: l})
+	v.listVersion = l.Version
+	v.postAfter(p.delay(), &engine.MachineListRead{List: l})
 }
 
-// describe returns the list as it is now. The platform knows machines, not
-// processes, so it states no incarnations.
-func (p *Platform) describe() fleet.List {
-	l := fleet.List{Version: p.list}
+// currentList returns the machine list for the current state. The platform knows
+// machines, not processes, so the list has no incarnations.
+func (p *Platform) currentList() fleet.List {
+	l := fleet.List{Version: p.listVersion}
 	for _, v := range p.w.VMs {
 		vm := v.Self
 		vm.Incarnation = 0
@@ -321,7 +325,7 @@
 		l.VMs = append(l.VMs, vm)
 	}
 	for _, t := range p.w.Targets {
-		l.Targets = append(l.Targets, t.describe())
+		l.Targets = append(l.Targets, t.listEntry())
 	}
 	return l
 }
--- a/serve/daemon/calls.go
+++ b/serve/daemon/calls.go
@@ -283,10 +283,10 @@
 		Verdict:       r.Verdict,
 		Reason:        r.Reason,
 		RetryAfterMs:  r.RetryAfter.Milliseconds(),
-		TokenOwner:    r.Ask,
-		EarlierStatus: r.Answer,
+		TokenOwner:    r.AskVM,
+		EarlierStatus: r.EarlierStatus,
 	}
-	if vm, ok := d.vms[r.Ask]; ok {
+	if vm, ok := d.vms[r.AskVM]; ok {
 		e.TokenOwnerAddr = vm.CallAddr
 	}
 	switch {
--- a/serve/daemon/control.go
+++ b/serve/daemon/control.go
@@ -19,13 +19,13 @@
 // changed. It runs before the other effects, because a step that adds a target
 // may send to it at once.
 func (d *Daemon) updateAddresses(r *engine.Ready) {
-	if r.Machines != nil {
-		d.updateTargets(r.Machines.Targets)
+	if r.MachineList != nil {
+		d.updateTargets(r.MachineList.Targets)
 		d.hasMachineList.Store(true)
 	}
 	if r.VMs != nil {
 		d.updateVMs(r.VMs)
-		d.eligible.Store(r.Eligible)
+		d.eligible.Store(r.EligibleForLease)
 	}
 }
 
@@ -35,7 +35,7 @@
 		d.config.Store(r.Catalogue)
 		d.log.WithField("revision", r.Catalogue.Revision).Info("configuration in force")
 	}
-	d.watchesMachines.Store(r.WatchMachines)
+	d.watchesMachines.Store(r.WatchMachineList)
 	for i := range r.Peers {
 		d.sendPeer(r.Peers[i])
 	}
@@ -107,7 +107,7 @@
 			d.waitForRetry()
 		default:
 			version = l.Version
-			d.core.Post(&engine.Machines{List: l})
+			d.core.Post(&engine.MachineListRead{List: l})
 		}
 	}
 }
--- a/serve/daemon/daemon.go
+++ b/serve/daemon/daemon.go
@@ -64,7 +64,7 @@
 	targets map[fleet.TargetID]fleet.Target
 	vms     map[fleet.VMID]fleet.VM
 
-	blocks            *engine.Blocks // nil if no file is configured
+	blocks            *engine.BlockTableLoaded // nil if no file is configured
 	reader            *store.Reader
 	writer            *store.Writer
 	platformReachable atomic.Bool
