--- a/standin/caller/caller.go
+++ b/standin/caller/caller.go
@@ -21,8 +21,8 @@
 	// maxResends bounds the re-sends of an idempotent request that may have
 	// run.
 	maxResends = 2
-	// maxRefusals bounds the sends of one request that were not run.
-	maxRefusals = 4
+	// maxNotRunSends bounds the sends of one request that were not run.
+	maxNotRunSends = 4
 	// lookupRounds and lookupPause bound the tries of a look-up; a round
 	// asks every entry address once.
 	lookupRounds = 3
@@ -70,10 +70,10 @@
 	options Options
 	http    *http.Client
 
-	mu    sync.Mutex
-	rand  *rand.Rand
-	cache map[fleet.ServiceName]*lookup
-	turn  int // index of the next of Options.Targets
+	mu              sync.Mutex
+	rand            *rand.Rand
+	cache           map[fleet.ServiceName]*cachedLookup
+	nextTargetIndex int // index of the next of Options.Targets
 }
 
 // direct reports whether requests go straight to targets.
@@ -103,7 +103,7 @@
 			options: own,
 			http:    h,
 			rand:    rand.New(rand.NewPCG(o.Seed+uint64(i), seedStream)),
-			cache:   map[fleet.ServiceName]*lookup{},
+			cache:   map[fleet.ServiceName]*cachedLookup{},
 		})
 	}
 	return cs
@@ -120,7 +120,7 @@
 	Path       string // below the service, without a leading slash
 	Idempotent bool
 	Body       []byte
-	Size       int           // bytes of the answer; zero means payload.DefaultSize
+	AnswerSize int           // bytes of the answer; zero means payload.DefaultSize
 	Chunked    bool          // whether the answer comes without a length
 	Deadline   time.Duration // for all sends together; zero means DefaultDeadline
 }
@@ -175,12 +175,12 @@
 	}
 	p.run(ctx)
 	p.outcome.Latency = time.Since(start)
-	p.duplicate(ctx)
+	p.sendDuplicate(ctx)
 	return p.outcome
 }
 
-// chance reports true in the given part of all calls.
-func (c *Caller) chance(share float64) bool {
+// sample reports true in the given part of all calls.
+func (c *Caller) sample(share float64) bool {
 	if share <= 0 {
 		return false
 	}
--- a/standin/caller/caller_test.go
+++ b/standin/caller/caller_test.go
@@ -197,7 +197,7 @@
 	run, err := caller.Load{
 		Callers: callers,
 		Kinds: []caller.Kind{
-			{Service: "table", Idempotent: true, Weight: 3, Size: 1000},
+			{Service: "table", Idempotent: true, Weight: 3, AnswerSize: 1000},
 			{Service: "permit", Weight: 1, BodySize: 2000},
 		},
 		Rate:  5000,
--- a/standin/caller/load.go
+++ b/standin/caller/load.go
@@ -26,7 +26,7 @@
 	Idempotent bool
 	Weight     float64 // relative to the other kinds
 	BodySize   int     // bytes of the request's body
-	Size       int     // bytes of the answer
+	AnswerSize int     // bytes of the answer
 	Deadline   time.Duration
 }
 
@@ -48,13 +48,13 @@
 
 // Run is a load under way.
 type Run struct {
-	load     Load
-	prefix   string
-	rand     *rand.Rand
-	total    float64 // of the kinds' weights
-	bodies   [][]byte
-	requests sync.WaitGroup
-	finished chan struct{}
+	load        Load
+	prefix      string
+	rand        *rand.Rand
+	totalWeight float64 // of the kinds' weights
+	bodies      [][]byte
+	requests    sync.WaitGroup
+	finished    chan struct{}
 
 	mu       sync.Mutex
 	inFlight int
@@ -78,7 +78,7 @@
 		report:   newReport(),
 	}
 	for _, k := range l.Kinds {
-		r.total += k.Weight
+		r.totalWeight += k.Weight
 		r.bodies = append(r.bodies, make([]byte, k.BodySize))
 	}
 	go r.generate(ctx)
@@ -119,8 +119,8 @@
 			return
 		}
 		c := r.load.Callers[r.rand.IntN(len(r.load.Callers))]
-		req := r.request(i)
-		if !r.begin() {
+		req := r.newRequest(i)
+		if !r.admit() {
 			continue
 		}
 		// A load that ends early leaves the requests in flight alone.
@@ -136,8 +136,8 @@
 	return sleep(ctx, d)
 }
 
-func (r *Run) request(i int) Request {
-	k := r.pick()
+func (r *Run) newRequest(i int) Request {
+	k := r.pickKind()
 	kind := r.load.Kinds[k]
 	return Request{
 		ID:         fmt.Sprintf("%s-%d", r.prefix, i),
@@ -145,14 +145,14 @@
 		Path:       kind.Path,
 		Idempotent: kind.Idempotent,
 		Body:       r.bodies[k],
-		Size:       kind.Size,
+		AnswerSize: kind.AnswerSize,
 		Deadline:   kind.Deadline,
 	}
 }
 
-// pick chooses a kind by weight.
-func (r *Run) pick() int {
-	x := r.rand.Float64() * r.total
+// pickKind chooses a kind by weight.
+func (r *Run) pickKind() int {
+	x := r.rand.Float64() * r.totalWeight
 	for i, k := range r.load.Kinds {
 		x -= k.Weight
 		if x < 0 {
@@ -162,7 +162,7 @@
 	return len(r.load.Kinds) - 1
 }
 
-func (r *Run) begin() bool {
+func (r *Run) admit() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.inFlight >= r.load.MaxInFlight {
@@ -170,7 +170,7 @@
 		return false
 	}
 	r.inFlight++
-	r.report.InFlightHigh = max(r.report.InFlightHigh, r.inFlight)
+	r.report.PeakInFlight = max(r.report.PeakInFlight, r.inFlight)
 	r.requests.Add(1)
 	return true
 }
--- a/standin/caller/lookup.go
+++ b/standin/caller/lookup.go
@@ -14,8 +14,8 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// maxLookupSize bounds the answer to a look-up, in bytes.
-const maxLookupSize = 1 << 20
+// maxLookupBodySize bounds the answer to a look-up, in bytes.
+const maxLookupBodySize = 1 << 20
 
 // errNoEntryVM means that no entry VM could be chosen for a request.
 var errNoEntryVM = errors.New("caller: no entry VM")
@@ -38,8 +38,8 @@
 	EntryVMs []EntryVM         `json:"entry_vms"`
 }
 
-// lookup is a cached Lookup. Its tokens are used up.
-type lookup struct {
+// cachedLookup is a cached Lookup. Its tokens are used up.
+type cachedLookup struct {
 	Lookup
 	expires time.Time
 }
@@ -61,7 +61,7 @@
 			break
 		}
 		for _, addr := range c.options.EntryAddrs {
-			l, err := c.ask(ctx, addr, service)
+			l, err := c.requestLookup(ctx, addr, service)
 			if err == nil {
 				return l, nil
 			}
@@ -71,7 +71,7 @@
 	return Lookup{}, fmt.Errorf("caller: look-up of %s: %w", service, errors.Join(errs...))
 }
 
-func (c *Caller) ask(ctx context.Context, addr string, service fleet.ServiceName) (Lookup, error) {
+func (c *Caller) requestLookup(ctx context.Context, addr string, service fleet.ServiceName) (Lookup, error) {
 	q := url.Values{
 		"service": {string(service)},
 		"client":  {c.options.Client},
@@ -86,7 +86,7 @@
 		return Lookup{}, err
 	}
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxLookupSize))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxLookupBodySize))
 	if err != nil {
 		return Lookup{}, err
 	}
@@ -103,40 +103,40 @@
 	return l, nil
 }
 
-// route chooses the first entry VM that has not been tried, with a token if
+// chooseRoute chooses the first entry VM that has not been tried, with a token if
 // the request needs one. When the cache has none it asks anew, once.
-func (c *Caller) route(ctx context.Context, r Request, tried map[fleet.VMID]bool) (route, error) {
+func (c *Caller) chooseRoute(ctx context.Context, r Request, tried map[fleet.VMID]bool) (route, error) {
 	if c.direct() {
-		return c.nextTarget(), nil
+		return c.nextTargetRoute(), nil
 	}
-	if chosen, ok := c.cached(r, tried); ok {
+	if chosen, ok := c.cachedRoute(r, tried); ok {
 		return chosen, nil
 	}
 	answer, err := c.Lookup(ctx, r.Service)
 	if err != nil {
 		return route{}, err
 	}
-	l := c.store(r.Service, answer)
-	if chosen, ok := c.pick(l, r, tried); ok {
+	l := c.cacheLookup(r.Service, answer)
+	if chosen, ok := c.takeRoute(l, r, tried); ok {
 		return chosen, nil
 	}
 	clear(tried) // every entry VM has been tried once: begin again
-	if chosen, ok := c.pick(l, r, tried); ok {
+	if chosen, ok := c.takeRoute(l, r, tried); ok {
 		return chosen, nil
 	}
 	return route{}, errNoEntryVM
 }
 
-func (c *Caller) nextTarget() route {
+func (c *Caller) nextTargetRoute() route {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	addr := c.options.Targets[c.turn%len(c.options.Targets)]
-	c.turn++
+	addr := c.options.Targets[c.nextTargetIndex%len(c.options.Targets)]
+	c.nextTargetIndex++
 	return route{vm: EntryVM{ID: fleet.VMID(addr), Addr: addr}}
 }
 
-func (c *Caller) store(service fleet.ServiceName, answer Lookup) *lookup {
-	l := &lookup{
+func (c *Caller) cacheLookup(service fleet.ServiceName, answer Lookup) *cachedLookup {
+	l := &cachedLookup{
 		Lookup:  answer,
 		expires: time.Now().Add(time.Duration(answer.TTL) * time.Millisecond),
 	}
@@ -146,19 +146,19 @@
 	return l
 }
 
-// cached chooses from the cache, while that holds.
-func (c *Caller) cached(r Request, tried map[fleet.VMID]bool) (route, bool) {
+// cachedRoute chooses from the cache, while that holds.
+func (c *Caller) cachedRoute(r Request, tried map[fleet.VMID]bool) (route, bool) {
 	c.mu.Lock()
 	l := c.cache[r.Service]
 	c.mu.Unlock()
 	if l == nil || !time.Now().Before(l.expires) {
 		return route{}, false
 	}
-	return c.pick(l, r, tried)
+	return c.takeRoute(l, r, tried)
 }
 
-// pick chooses from a look-up and uses a token up.
-func (c *Caller) pick(l *lookup, r Request, tried map[fleet.VMID]bool) (route, bool) {
+// takeRoute chooses from a look-up and uses a token up.
+func (c *Caller) takeRoute(l *cachedLookup, r Request, tried map[fleet.VMID]bool) (route, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for i := range l.EntryVMs {
@@ -181,8 +181,8 @@
 	return route{}, false
 }
 
-// forget drops the cached look-up of a service, as after a failed connection.
-func (c *Caller) forget(service fleet.ServiceName) {
+// dropLookup drops the cached look-up of a service, as after a failed connection.
+func (c *Caller) dropLookup(service fleet.ServiceName) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.cache, service)
--- a/standin/caller/progress.go
+++ b/standin/caller/progress.go
@@ -10,25 +10,25 @@
 
 // progress is one request under way.
 type progress struct {
-	caller   *Caller
-	request  Request
-	outcome  Outcome
-	tried    map[fleet.VMID]bool
-	last     route
-	resends  int
-	refusals int
+	caller      *Caller
+	request     Request
+	outcome     Outcome
+	tried       map[fleet.VMID]bool
+	lastRoute   route
+	resends     int
+	notRunSends int
 }
 
 // run sends the request until it is over.
 func (p *progress) run(ctx context.Context) {
-	to, err := p.caller.route(ctx, p.request, p.tried)
+	to, err := p.caller.chooseRoute(ctx, p.request, p.tried)
 	if err != nil {
 		p.outcome.Reason = verdict.ReasonNotReady
 		return
 	}
 	for {
 		res := p.attempt(ctx, to)
-		again, same := p.next(res)
+		again, same := p.decideResend(res)
 		if !again || ctx.Err() != nil {
 			return
 		}
@@ -38,7 +38,7 @@
 		if same {
 			continue
 		}
-		if to, err = p.caller.route(ctx, p.request, p.tried); err != nil {
+		if to, err = p.caller.chooseRoute(ctx, p.request, p.tried); err != nil {
 			return
 		}
 	}
@@ -48,7 +48,7 @@
 func (p *progress) attempt(ctx context.Context, to route) result {
 	ctx, cancel := context.WithTimeout(ctx, p.attemptTimeout())
 	defer cancel()
-	p.last = to
+	p.lastRoute = to
 	p.tried[to.vm.ID] = true
 	res := p.caller.send(ctx, p.request, to)
 
@@ -62,7 +62,7 @@
 	if !res.answered {
 		o.Reason = res.reason
 	}
-	if res.unmarked {
+	if res.missingVerdict {
 		o.Unmarked++
 	}
 	switch res.fault {
@@ -71,7 +71,7 @@
 	case timedOut:
 		o.TimedOut++
 	case notConnected:
-		p.caller.forget(p.request.Service)
+		p.caller.dropLookup(p.request.Service)
 	}
 	return res
 }
@@ -90,9 +90,9 @@
 	}
 }
 
-// next decides, by the caller's part, whether to send again, and whether by
+// decideResend decides, by the caller's part, whether to send again, and whether by
 // the same route.
-func (p *progress) next(res result) (again, same bool) {
+func (p *progress) decideResend(res result) (again, same bool) {
 	switch {
 	case res.answered || res.verdict == verdict.Ran:
 		return false, false
@@ -100,9 +100,9 @@
 		p.resends++
 		return p.resends <= maxResends, false
 	case p.request.Idempotent || p.outcome.Verdict == verdict.NotRun:
-		p.refusals++
-		return p.refusals < maxRefusals, false
-	case p.caller.options.ResendLost && res.fault != noFault && p.last.token != "":
+		p.notRunSends++
+		return p.notRunSends < maxNotRunSends, false
+	case p.caller.options.ResendLost && res.fault != noFault && p.lastRoute.token != "":
 		p.resends++
 		return p.resends <= 1, true
 	default:
@@ -110,16 +110,16 @@
 	}
 }
 
-// duplicate sends a request that is over a second time, if the caller is to
+// sendDuplicate sends a request that is over a second time, if the caller is to
 // misbehave so. The result doesn't matter: the targets' records show whether
 // it ran.
-func (p *progress) duplicate(ctx context.Context) {
-	if p.request.Idempotent || p.last.token == "" || p.outcome.Verdict == verdict.NotRun {
+func (p *progress) sendDuplicate(ctx context.Context) {
+	if p.request.Idempotent || p.lastRoute.token == "" || p.outcome.Verdict == verdict.NotRun {
 		return
 	}
-	if !p.caller.chance(p.caller.options.DuplicateShare) {
+	if !p.caller.sample(p.caller.options.DuplicateShare) {
 		return
 	}
 	p.outcome.Duplicate = true
-	p.caller.send(ctx, p.request, p.last)
+	p.caller.send(ctx, p.request, p.lastRoute)
 }
--- a/standin/caller/report.go
+++ b/standin/caller/report.go
@@ -11,9 +11,9 @@
 
 // The histograms' range, in microseconds, and precision, in digits.
 const (
-	lowestLatency   = 1
-	highestLatency  = int64(10 * time.Minute / time.Microsecond)
-	latencyAccuracy = 3
+	lowestLatency  = 1
+	highestLatency = int64(10 * time.Minute / time.Microsecond)
+	latencyDigits  = 3
 )
 
 // Counts are numbers of requests by outcome.
@@ -58,14 +58,14 @@
 	Counts
 	Services     map[fleet.ServiceName]Counts
 	Outcomes     []Outcome
-	InFlightHigh int
+	PeakInFlight int
 
 	latency  *hdrhistogram.Histogram // of answered requests
 	services map[fleet.ServiceName]*hdrhistogram.Histogram
 }
 
 func newHistogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(lowestLatency, highestLatency, latencyAccuracy)
+	return hdrhistogram.New(lowestLatency, highestLatency, latencyDigits)
 }
 
 func newReport() *Report {
--- a/standin/caller/send.go
+++ b/standin/caller/send.go
@@ -20,8 +20,8 @@
 const (
 	tokenHeader  = "Azurethread-Token"
 	clientHeader = "Azurethread-Client"
-	// maxErrorSize bounds an error's body, in bytes.
-	maxErrorSize = 64 << 10
+	// maxErrorBodySize bounds an error's body, in bytes.
+	maxErrorBodySize = 64 << 10
 )
 
 // fault is a way in which a send ended without a whole answer.
@@ -36,15 +36,15 @@
 
 // result is what came of one send.
 type result struct {
-	verdict    verdict.Verdict
-	reason     verdict.Reason
-	fault      fault
-	answered   bool // a whole answer of a target
-	wrong      bool
-	unmarked   bool // an error answer without a verdict
-	status     int
-	target     fleet.TargetID
-	retryAfter time.Duration
+	verdict        verdict.Verdict
+	reason         verdict.Reason
+	fault          fault
+	answered       bool // a whole answer of a target
+	wrong          bool
+	missingVerdict bool // an error answer without a verdict
+	status         int
+	target         fleet.TargetID
+	retryAfter     time.Duration
 }
 
 // errorBody is the JSON of an entry VM's error answer.
@@ -61,13 +61,13 @@
 	trace := &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { connected.Store(true) },
 	}
-	req, err := c.build(httptrace.WithClientTrace(ctx, trace), r, to)
+	req, err := c.newHTTPRequest(httptrace.WithClientTrace(ctx, trace), r, to)
 	if err != nil {
 		return result{verdict: verdict.NotRun, reason: verdict.ReasonBadRequest}
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return failed(err, connected.Load())
+		return transportFailure(err, connected.Load())
 	}
 	defer resp.Body.Close()
 	if resp.Header.Get(payload.HashHeader) != "" {
@@ -79,7 +79,7 @@
 	return readError(resp)
 }
 
-func (c *Caller) build(ctx context.Context, r Request, to route) (*http.Request, error) {
+func (c *Caller) newHTTPRequest(ctx context.Context, r Request, to route) (*http.Request, error) {
 	path := "/v1/call/" + string(r.Service) + "/" + r.Path
 	if c.direct() {
 		path = "/" + r.Path
@@ -92,8 +92,8 @@
 	}
 	h := req.Header
 	h.Set(payload.IDHeader, r.ID)
-	if r.Size > 0 {
-		h.Set(payload.SizeHeader, strconv.Itoa(r.Size))
+	if r.AnswerSize > 0 {
+		h.Set(payload.SizeHeader, strconv.Itoa(r.AnswerSize))
 	}
 	if r.Chunked {
 		h.Set(payload.ChunkedHeader, "yes")
@@ -110,8 +110,8 @@
 	return req, nil
 }
 
-// failed reads an error of the transport.
-func failed(err error, connected bool) result {
+// transportFailure reads an error of the transport.
+func transportFailure(err error, connected bool) result {
 	timeout := errors.Is(err, context.DeadlineExceeded)
 	switch {
 	case !connected && timeout:
@@ -127,25 +127,25 @@
 
 // checkAnswer checks a target's answer against the request.
 func checkAnswer(resp *http.Response, r Request) result {
-	size := r.Size
+	size := r.AnswerSize
 	if size == 0 {
 		size = payload.DefaultSize
 	}
 	err := payload.Check(resp.Body, r.ID, size)
-	if err != nil && !errors.Is(err, payload.ErrWrong) {
-		return failed(err, true)
+	if err != nil && !errors.Is(err, payload.ErrWrongContent) {
+		return transportFailure(err, true)
 	}
 	own := resp.Header.Get(payload.IDHeader) == r.ID &&
 		resp.Header.Get(payload.HashHeader) == payload.HashOf(r.Body) &&
 		resp.StatusCode == http.StatusOK
 	said := resp.Header.Get(verdict.Header)
 	return result{
-		verdict:  verdict.Ran,
-		answered: true,
-		wrong:    err != nil || !own,
-		unmarked: said != "" && said != verdict.Ran.String(),
-		status:   resp.StatusCode,
-		target:   fleet.TargetID(resp.Header.Get(payload.TargetHeader)),
+		verdict:        verdict.Ran,
+		answered:       true,
+		wrong:          err != nil || !own,
+		missingVerdict: said != "" && said != verdict.Ran.String(),
+		status:         resp.StatusCode,
+		target:         fleet.TargetID(resp.Header.Get(payload.TargetHeader)),
 	}
 }
 
@@ -161,9 +161,9 @@
 
 // readError reads an entry VM's error, or a target's that it passed on.
 func readError(resp *http.Response) result {
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxErrorSize))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxErrorBodySize))
 	if err != nil {
-		return failed(err, true)
+		return transportFailure(err, true)
 	}
 	v, known := verdict.Parse(resp.Header.Get(verdict.Header))
 	var e errorBody
@@ -172,8 +172,8 @@
 		verdict: v,
 		reason:  e.Reason,
 		// A target's own error, which has run, has a body of its own.
-		unmarked:   !known || (v != verdict.Ran && (!parsed || e.Verdict != v)),
-		status:     resp.StatusCode,
-		retryAfter: time.Duration(e.RetryAfter) * time.Millisecond,
+		missingVerdict: !known || (v != verdict.Ran && (!parsed || e.Verdict != v)),
+		status:         resp.StatusCode,
+		retryAfter:     time.Duration(e.RetryAfter) * time.Millisecond,
 	}
 }
--- a/standin/deployment/description.go
+++ b/standin/deployment/description.go
@@ -13,16 +13,16 @@
 )
 
 const (
-	// connections is how many connections every target accepts.
-	connections = 330
-	// queue is how many requests a target accepts beyond its slots.
-	queue = 2
+	// targetConnections is how many connections every target accepts.
+	targetConnections = 330
+	// targetQueue is how many requests a target accepts beyond its slots.
+	targetQueue = 2
 
 	kib = 1 << 10
 )
 
-// cold is the cold start of every target.
-var cold = target.Cold{Factor: 3, Requests: 50, For: 2 * time.Second}
+// coldStart is the cold start of every target.
+var coldStart = target.Cold{Factor: 3, Requests: 50, Duration: 2 * time.Second}
 
 // Region is a region with its failure domains.
 type Region struct {
@@ -35,11 +35,11 @@
 // Service is a service with its targets.
 type Service struct {
 	catalogue.Service
-	Targets  int
-	Slots    int
-	Work     target.Work
-	BodySize int // of a typical request, in bytes
-	Size     int // of a typical answer, in bytes
+	Targets    int
+	Slots      int
+	Work       target.Work
+	BodySize   int // of a typical request, in bytes
+	AnswerSize int // of a typical answer, in bytes
 }
 
 // Capacity returns the requests a second that all targets of the service can
@@ -83,28 +83,28 @@
 		EntryVMs: 8,
 		Services: []Service{
 			{
-				Service: catalogue.Service{Name: "calc-lookup", Idempotent: true, Priority: catalogue.Interactive},
-				Targets: 16,
-				Slots:   3,
-				Work:    target.Work{Base: 20 * time.Millisecond, Tail: 10 * time.Millisecond},
-				Size:    4 * kib,
+				Service:    catalogue.Service{Name: "calc-lookup", Idempotent: true, Priority: catalogue.Interactive},
+				Targets:    16,
+				Slots:      3,
+				Work:       target.Work{Base: 20 * time.Millisecond, Tail: 10 * time.Millisecond},
+				AnswerSize: 4 * kib,
 			},
 			{
-				Service:  catalogue.Service{Name: "permit-file", Priority: catalogue.Deferrable},
-				Targets:  12,
-				Slots:    3,
-				Work:     target.Work{Base: 40 * time.Millisecond, Tail: 20 * time.Millisecond},
-				BodySize: 32 * kib,
-				Size:     256,
+				Service:    catalogue.Service{Name: "permit-file", Priority: catalogue.Deferrable},
+				Targets:    12,
+				Slots:      3,
+				Work:       target.Work{Base: 40 * time.Millisecond, Tail: 20 * time.Millisecond},
+				BodySize:   32 * kib,
+				AnswerSize: 256,
 			},
 			{
 				// Fees are posted here, so it is not idempotent as a whole.
-				Service:  catalogue.Service{Name: "drawing-vault", Priority: catalogue.Deferrable},
-				Targets:  12,
-				Slots:    3,
-				Work:     target.Work{Base: 60 * time.Millisecond, Tail: 40 * time.Millisecond},
-				BodySize: 64 * kib,
-				Size:     256,
+				Service:    catalogue.Service{Name: "drawing-vault", Priority: catalogue.Deferrable},
+				Targets:    12,
+				Slots:      3,
+				Work:       target.Work{Base: 60 * time.Millisecond, Tail: 40 * time.Millisecond},
+				BodySize:   64 * kib,
+				AnswerSize: 256,
 			},
 		},
 		DomainLatency: 1500 * time.Microsecond,
@@ -121,27 +121,27 @@
 		EntryVMs: 9,
 		Services: []Service{
 			{
-				Service: catalogue.Service{Name: "meter-lookup", Idempotent: true, Priority: catalogue.Interactive},
-				Targets: 14,
-				Slots:   9,
-				Work:    target.Work{Base: 60 * time.Millisecond, Tail: 30 * time.Millisecond},
-				Size:    kib,
+				Service:    catalogue.Service{Name: "meter-lookup", Idempotent: true, Priority: catalogue.Interactive},
+				Targets:    14,
+				Slots:      9,
+				Work:       target.Work{Base: 60 * time.Millisecond, Tail: 30 * time.Millisecond},
+				AnswerSize: kib,
 			},
 			{
-				Service:  catalogue.Service{Name: "switching", Priority: catalogue.Deferrable},
-				Targets:  12,
-				Slots:    6,
-				Work:     target.Work{Base: 60 * time.Millisecond, Tail: 40 * time.Millisecond},
-				BodySize: 4 * kib,
-				Size:     256,
+				Service:    catalogue.Service{Name: "switching", Priority: catalogue.Deferrable},
+				Targets:    12,
+				Slots:      6,
+				Work:       target.Work{Base: 60 * time.Millisecond, Tail: 40 * time.Millisecond},
+				BodySize:   4 * kib,
+				AnswerSize: 256,
 			},
 			{
 				// An agent waits for it at the counter.
-				Service: catalogue.Service{Name: "statements", Idempotent: true, Priority: catalogue.Interactive},
-				Targets: 12,
-				Slots:   3,
-				Work:    target.Work{Base: 60 * time.Millisecond, Tail: 60 * time.Millisecond},
-				Size:    64 * kib,
+				Service:    catalogue.Service{Name: "statements", Idempotent: true, Priority: catalogue.Interactive},
+				Targets:    12,
+				Slots:      3,
+				Work:       target.Work{Base: 60 * time.Millisecond, Tail: 60 * time.Millisecond},
+				AnswerSize: 64 * kib,
 			},
 		},
 		DomainLatency: time.Millisecond,
@@ -160,21 +160,21 @@
 	return Description{}, fmt.Errorf("deployment: no deployment %q", name)
 }
 
-// place is a failure domain and its region.
-type place struct {
+// location is a failure domain and its region.
+type location struct {
 	region fleet.Region
 	domain fleet.Domain
 }
 
-// places returns all failure domains, the regions taking turns, so that what
+// locations returns all failure domains, the regions taking turns, so that what
 // does not divide evenly goes to different regions.
-func (d Description) places() []place {
-	var ps []place
+func (d Description) locations() []location {
+	var ps []location
 	for i := 0; ; i++ {
 		before := len(ps)
 		for _, r := range d.Regions {
 			if i < len(r.Domains) {
-				ps = append(ps, place{region: r.Name, domain: r.Domains[i]})
+				ps = append(ps, location{region: r.Name, domain: r.Domains[i]})
 			}
 		}
 		if len(ps) == before {
@@ -185,7 +185,7 @@
 
 // VMs returns the entry VMs, without addresses.
 func (d Description) VMs() []fleet.VM {
-	ps := d.places()
+	ps := d.locations()
 	var vms []fleet.VM
 	for i := range d.EntryVMs {
 		p := ps[i%len(ps)]
@@ -204,7 +204,7 @@
 // service begins where the one before it ended, so that the failure domains
 // also hold the same number of all targets together, within one.
 func (d Description) targets() []fleet.Target {
-	ps := d.places()
+	ps := d.locations()
 	var ts []fleet.Target
 	for _, s := range d.Services {
 		for i := range s.Targets {
@@ -216,7 +216,7 @@
 				Domain:      p.domain,
 				Site:        fleet.Site(p.domain),
 				Slots:       s.Slots,
-				Connections: connections,
+				Connections: targetConnections,
 			})
 		}
 	}
@@ -253,7 +253,7 @@
 			Idempotent: s.Idempotent,
 			Weight:     s.Capacity(),
 			BodySize:   s.BodySize,
-			Size:       s.Size,
+			AnswerSize: s.AnswerSize,
 		})
 	}
 	return ks
--- a/standin/deployment/running.go
+++ b/standin/deployment/running.go
@@ -77,7 +77,7 @@
 			return err
 		}
 	}
-	r.update(func(l *fleet.List) {
+	r.updateMachines(func(l *fleet.List) {
 		l.VMs = slices.Clone(vms)
 		for _, t := range r.Targets {
 			l.Targets = append(l.Targets, t.Machine)
@@ -99,10 +99,10 @@
 			Service:     m.Service,
 			ID:          m.ID,
 			Slots:       m.Slots,
-			Queue:       queue,
+			Queue:       targetQueue,
 			Connections: m.Connections,
 			Work:        service.Work,
-			Cold:        cold,
+			Cold:        coldStart,
 			Warm:        !o.Cold,
 			Seed:        o.Seed + uint64(i),
 		})
@@ -150,8 +150,8 @@
 	return fleet.List{VMs: slices.Clone(r.machines.VMs), Targets: slices.Clone(r.machines.Targets)}
 }
 
-// update changes the machines, and the platform's list after its lag.
-func (r *Running) update(change func(*fleet.List)) {
+// updateMachines changes the machines, and the platform's list after its lag.
+func (r *Running) updateMachines(change func(*fleet.List)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	change(&r.machines)
@@ -160,7 +160,7 @@
 
 // SetVM replaces the entry VM of the same id, as after a restart, or adds it.
 func (r *Running) SetVM(vm fleet.VM) {
-	r.update(func(l *fleet.List) {
+	r.updateMachines(func(l *fleet.List) {
 		i := slices.IndexFunc(l.VMs, func(v fleet.VM) bool { return v.ID == vm.ID })
 		if i < 0 {
 			l.VMs = append(l.VMs, vm)
@@ -181,7 +181,7 @@
 
 // SetTargetState changes a target's state in the machine list alone.
 func (r *Running) SetTargetState(id fleet.TargetID, s fleet.State) {
-	r.update(func(l *fleet.List) {
+	r.updateMachines(func(l *fleet.List) {
 		for i := range l.Targets {
 			if l.Targets[i].ID == id {
 				l.Targets[i].State = s
@@ -225,18 +225,18 @@
 		sum.Started += s.Started
 		sum.Completed += s.Completed
 		sum.Shed += s.Shed
-		sum.Overfull += s.Overfull
-		sum.HighWater = max(sum.HighWater, s.HighWater)
+		sum.ArrivedAtCapacity += s.ArrivedAtCapacity
+		sum.PeakInFlight = max(sum.PeakInFlight, s.PeakInFlight)
 		sum.RefusedLeaving += s.RefusedLeaving
 		sum.LastArrival = max(sum.LastArrival, s.LastArrival)
 		sum.Cancelled += s.Cancelled
 		sum.Expired += s.Expired
 		sum.BrokenBodies += s.BrokenBodies
-		sum.CutByStop += s.CutByStop
+		sum.CutByShutdown += s.CutByShutdown
 		sum.CutAnswers += s.CutAnswers
 		sum.Connections += s.Connections
-		sum.ConnectionsHigh = max(sum.ConnectionsHigh, s.ConnectionsHigh)
-		sum.ConnectionsDenied += s.ConnectionsDenied
+		sum.PeakConnections = max(sum.PeakConnections, s.PeakConnections)
+		sum.ConnectionsRefused += s.ConnectionsRefused
 	}
 	return sum
 }
--- a/standin/link/link.go
+++ b/standin/link/link.go
@@ -16,8 +16,8 @@
 const (
 	// queueLength bounds the pieces on their way in one direction.
 	queueLength = 1024
-	// pieceSize is the largest piece read at once, in bytes.
-	pieceSize = 32 << 10
+	// maxSegmentSize is the largest piece read at once, in bytes.
+	maxSegmentSize = 32 << 10
 	// flushTimeout bounds the sending of what was queued at Close.
 	flushTimeout = time.Second
 )
@@ -52,11 +52,11 @@
 	}
 }
 
-// piece is some bytes, or the end of a stream, on the way.
-type piece struct {
-	due  time.Time
-	data []byte
-	err  error
+// segment is some bytes, or the end of a stream, on the way.
+type segment struct {
+	deliverAt time.Time
+	data      []byte
+	err       error
 }
 
 // conn delays one connection. Its read deadlines take effect at the
@@ -64,23 +64,23 @@
 // net/http client sets none.
 type conn struct {
 	net.Conn
-	latency time.Duration
-	out, in chan piece
-	closing chan struct{}
-	once    sync.Once
+	latency            time.Duration
+	outgoing, incoming chan segment
+	closing            chan struct{}
+	closeOnce          sync.Once
 
-	reading sync.Mutex
-	rest    piece // what Read has not handed on yet
+	readMu sync.Mutex
+	unread segment // what Read has not handed on yet
 }
 
 // Delay wraps c with a one-way latency in each direction.
 func Delay(c net.Conn, latency time.Duration) net.Conn {
 	d := &conn{
-		Conn:    c,
-		latency: latency,
-		out:     make(chan piece, queueLength),
-		in:      make(chan piece, queueLength),
-		closing: make(chan struct{}),
+		Conn:     c,
+		latency:  latency,
+		outgoing: make(chan segment, queueLength),
+		incoming: make(chan segment, queueLength),
+		closing:  make(chan struct{}),
 	}
 	go d.send()
 	go d.receive()
@@ -93,22 +93,22 @@
 	defer c.Conn.Close()
 	for {
 		select {
-		case p := <-c.out:
-			if !c.forward(p) {
+		case p := <-c.outgoing:
+			if !c.deliver(p) {
 				return
 			}
 		case <-c.closing:
-			c.drain()
+			c.flush()
 			return
 		}
 	}
 }
 
-func (c *conn) drain() {
+func (c *conn) flush() {
 	for {
 		select {
-		case p := <-c.out:
-			if !c.forward(p) {
+		case p := <-c.outgoing:
+			if !c.deliver(p) {
 				return
 			}
 		default:
@@ -117,8 +117,8 @@
 	}
 }
 
-func (c *conn) forward(p piece) bool {
-	time.Sleep(time.Until(p.due))
+func (c *conn) deliver(p segment) bool {
+	time.Sleep(time.Until(p.deliverAt))
 	_, err := c.Conn.Write(p.data)
 	return err == nil
 }
@@ -126,11 +126,11 @@
 // receive queues what arrives for Read.
 func (c *conn) receive() {
 	for {
-		b := make([]byte, pieceSize)
+		b := make([]byte, maxSegmentSize)
 		n, err := c.Conn.Read(b)
-		p := piece{due: time.Now().Add(c.latency), data: b[:n], err: err}
+		p := segment{deliverAt: time.Now().Add(c.latency), data: b[:n], err: err}
 		select {
-		case c.in <- p:
+		case c.incoming <- p:
 		case <-c.closing:
 			return
 		}
@@ -148,9 +148,9 @@
 		return 0, net.ErrClosed
 	default:
 	}
-	p := piece{due: time.Now().Add(c.latency), data: append([]byte(nil), b...)}
+	p := segment{deliverAt: time.Now().Add(c.latency), data: append([]byte(nil), b...)}
 	select {
-	case c.out <- p:
+	case c.outgoing <- p:
 		return len(b), nil
 	case <-c.closing:
 		return 0, net.ErrClosed
@@ -159,22 +159,22 @@
 
 // Read implements net.Conn.
 func (c *conn) Read(b []byte) (int, error) {
-	c.reading.Lock()
-	defer c.reading.Unlock()
-	if len(c.rest.data) == 0 && c.rest.err == nil {
+	c.readMu.Lock()
+	defer c.readMu.Unlock()
+	if len(c.unread.data) == 0 && c.unread.err == nil {
 		select {
-		case c.rest = <-c.in:
+		case c.unread = <-c.incoming:
 		case <-c.closing:
 			return 0, net.ErrClosed
 		}
-		if err := c.waitUntil(c.rest.due); err != nil {
+		if err := c.waitUntil(c.unread.deliverAt); err != nil {
 			return 0, err
 		}
 	}
-	n := copy(b, c.rest.data)
-	c.rest.data = c.rest.data[n:]
-	if n == 0 && c.rest.err != nil {
-		return 0, c.rest.err
+	n := copy(b, c.unread.data)
+	c.unread.data = c.unread.data[n:]
+	if n == 0 && c.unread.err != nil {
+		return 0, c.unread.err
 	}
 	return n, nil
 }
@@ -192,7 +192,7 @@
 
 // Close implements net.Conn.
 func (c *conn) Close() error {
-	c.once.Do(func() {
+	c.closeOnce.Do(func() {
 		// A peer that reads nothing would hold send, and with it the
 		// connection below, for good.
 		c.Conn.SetWriteDeadline(time.Now().Add(c.latency + flushTimeout))
--- a/standin/payload/payload.go
+++ b/standin/payload/payload.go
@@ -51,8 +51,8 @@
 // wordSize is the unit of the generator, in bytes.
 const wordSize = 8
 
-// ErrWrong means that a body is not the content of its request.
-var ErrWrong = errors.New("payload: wrong content")
+// ErrWrongContent means that a body is not the content of its request.
+var ErrWrongContent = errors.New("payload: wrong content")
 
 func generator(id string) *rand.ChaCha8 { return rand.NewChaCha8(sha256.Sum256([]byte(id))) }
 
@@ -81,17 +81,17 @@
 	for {
 		// Whole blocks, because a ChaCha8 makes another stream when it is
 		// read in other portions than multiples of a word.
-		k, err := fill(r, got)
+		k, err := readFull(r, got)
 		seen += k
 		if seen > n {
-			return fmt.Errorf("%w: more than %d bytes", ErrWrong, n)
+			return fmt.Errorf("%w: more than %d bytes", ErrWrongContent, n)
 		}
 		g.Read(want[:k])
 		if !bytes.Equal(got[:k], want[:k]) {
-			return fmt.Errorf("%w: differs before byte %d", ErrWrong, seen)
+			return fmt.Errorf("%w: differs before byte %d", ErrWrongContent, seen)
 		}
 		if err == io.EOF {
-			return whole(seen, n)
+			return checkSize(seen, n)
 		}
 		if err != nil {
 			return err
@@ -99,10 +99,10 @@
 	}
 }
 
-// fill reads until b is full or r fails. It differs from io.ReadFull in that
+// readFull reads until b is full or r fails. It differs from io.ReadFull in that
 // it keeps the end of r apart from an io.ErrUnexpectedEOF of r's own, by
 // which net/http says that an answer was cut.
-func fill(r io.Reader, b []byte) (int, error) {
+func readFull(r io.Reader, b []byte) (int, error) {
 	n := 0
 	for n < len(b) {
 		k, err := r.Read(b[n:])
@@ -114,9 +114,9 @@
 	return n, nil
 }
 
-func whole(seen, n int) error {
+func checkSize(seen, n int) error {
 	if seen != n {
-		return fmt.Errorf("%w: %d bytes of %d", ErrWrong, seen, n)
+		return fmt.Errorf("%w: %d bytes of %d", ErrWrongContent, seen, n)
 	}
 	return nil
 }
--- a/standin/payload/payload_test.go
+++ b/standin/payload/payload_test.go
@@ -26,12 +26,12 @@
 		is.Equal(len(own), n)
 		is.NoErr(payload.Check(bytes.NewReader(own), "a", n))
 		is.NoErr(payload.Check(iotest.OneByteReader(bytes.NewReader(own)), "a", n))
-		is.True(errors.Is(payload.Check(bytes.NewReader(append(own, 0)), "a", n), payload.ErrWrong))
+		is.True(errors.Is(payload.Check(bytes.NewReader(append(own, 0)), "a", n), payload.ErrWrongContent))
 		if n == 0 {
 			continue
 		}
-		is.True(errors.Is(payload.Check(bytes.NewReader(own[:n-1]), "a", n), payload.ErrWrong))
-		is.True(errors.Is(payload.Check(bytes.NewReader(content(is, "b", n)), "a", n), payload.ErrWrong))
+		is.True(errors.Is(payload.Check(bytes.NewReader(own[:n-1]), "a", n), payload.ErrWrongContent))
+		is.True(errors.Is(payload.Check(bytes.NewReader(content(is, "b", n)), "a", n), payload.ErrWrongContent))
 	}
 }
 
--- a/standin/platform/data.go
+++ b/standin/platform/data.go
@@ -22,11 +22,11 @@
 
 // data is the content of the service. It has no locks and reads no clock.
 type data struct {
-	index   uint64 // of the newest change
-	entries map[string]api.Entry
-	deleted map[string]uint64 // index of the deletion of an absent key
-	leases  map[api.LeaseID]lease
-	granted uint64 // number of leases ever granted
+	index         uint64 // of the newest change
+	entries       map[string]api.Entry
+	deleted       map[string]uint64 // index of the deletion of an absent key
+	leases        map[api.LeaseID]lease
+	leasesGranted uint64 // number of leases ever granted
 }
 
 func newData() data {
@@ -100,8 +100,8 @@
 }
 
 func (d *data) grant(ttl time.Duration, now time.Time) api.LeaseID {
-	d.granted++
-	id := api.LeaseID(fmt.Sprintf("lease-%d", d.granted))
+	d.leasesGranted++
+	id := api.LeaseID(fmt.Sprintf("lease-%d", d.leasesGranted))
 	d.leases[id] = lease{ttl: ttl, deadline: now.Add(ttl)}
 	return id
 }
--- a/standin/platform/endpoint.go
+++ b/standin/platform/endpoint.go
@@ -18,12 +18,12 @@
 
 const (
 	keyPrefix = "/v1/kv/"
-	// listenTries and listenPause bound the wait for the port to be free
+	// listenAttempts and listenPause bound the wait for the port to be free
 	// again after a Refusing outage.
-	listenTries = 50
-	listenPause = 20 * time.Millisecond
-	// lapsedLease is the published API's text for an unknown session.
-	lapsedLease = "invalid session"
+	listenAttempts = 50
+	listenPause    = 20 * time.Millisecond
+	// invalidSessionText is the published API's text for an unknown session.
+	invalidSessionText = "invalid session"
 )
 
 // Endpoint is one address at which the service answers HTTP.
@@ -31,11 +31,11 @@
 	server *Server
 	addr   string
 
-	switching sync.Mutex // held during SetOutage and close
-	mu        sync.Mutex
-	http      *http.Server // nil while refusing
-	outage    Outage
-	changed   chan struct{}
+	outageMu sync.Mutex // held during SetOutage and close
+	mu       sync.Mutex
+	http     *http.Server // nil while refusing
+	outage   Outage
+	changed  chan struct{}
 }
 
 // Endpoint opens a further address. Its outage can be set apart from the
@@ -66,8 +66,8 @@
 
 // SetOutage sets the outage of this endpoint alone.
 func (e *Endpoint) SetOutage(o Outage) error {
-	e.switching.Lock()
-	defer e.switching.Unlock()
+	e.outageMu.Lock()
+	defer e.outageMu.Unlock()
 	e.mu.Lock()
 	previous := e.outage
 	e.outage = o
@@ -76,7 +76,7 @@
 	e.mu.Unlock()
 	switch {
 	case o == Refusing && previous != Refusing:
-		return e.shut()
+		return e.closeServer()
 	case o != Refusing && previous == Refusing:
 		return e.reopen()
 	}
@@ -85,7 +85,7 @@
 
 func (e *Endpoint) reopen() error {
 	var err error
-	for range listenTries {
+	for range listenAttempts {
 		var l net.Listener
 		if l, err = net.Listen("tcp", e.addr); err == nil {
 			e.serve(l)
@@ -96,8 +96,8 @@
 	return fmt.Errorf("standin platform: reopen: %w", err)
 }
 
-// shut closes the listener and cuts all connections.
-func (e *Endpoint) shut() error {
+// closeServer closes the listener and cuts all connections.
+func (e *Endpoint) closeServer() error {
 	e.mu.Lock()
 	h := e.http
 	e.http = nil
@@ -109,13 +109,13 @@
 }
 
 func (e *Endpoint) close() error {
-	e.switching.Lock()
-	defer e.switching.Unlock()
-	return e.shut()
+	e.outageMu.Lock()
+	defer e.outageMu.Unlock()
+	return e.closeServer()
 }
 
-// state implements gate.
-func (e *Endpoint) state() (Outage, <-chan struct{}) {
+// outageState implements outageSource.
+func (e *Endpoint) outageState() (Outage, <-chan struct{}) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.outage, e.changed
@@ -133,23 +133,23 @@
 	return m
 }
 
-// refuse answers an error of an operation. Where the connection is to be cut
+// answerError answers an error of an operation. Where the connection is to be cut
 // it aborts the handler, which closes the connection without an answer.
-func refuse(w http.ResponseWriter, err error) {
+func answerError(w http.ResponseWriter, err error) {
 	switch {
 	case errors.Is(err, api.ErrTooLarge):
 		http.Error(w, err.Error(), http.StatusRequestEntityTooLarge)
 	case errors.Is(err, api.ErrLeaseLost):
-		http.Error(w, lapsedLease, http.StatusInternalServerError)
-	case errors.Is(err, errTTL):
+		http.Error(w, invalidSessionText, http.StatusInternalServerError)
+	case errors.Is(err, errTTLTooShort):
 		http.Error(w, err.Error(), http.StatusBadRequest)
 	default:
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// blocking reads the index and wait of a blocking query.
-func blocking(q url.Values) (after uint64, wait time.Duration, err error) {
+// parseBlockingQuery reads the index and wait of a blocking query.
+func parseBlockingQuery(q url.Values) (after uint64, wait time.Duration, err error) {
 	if q.Get("index") == "" {
 		return 0, 0, nil
 	}
@@ -199,14 +199,14 @@
 		e.getPrefix(w, r, key)
 		return
 	}
-	after, wait, err := blocking(q)
+	after, wait, err := parseBlockingQuery(q)
 	if err != nil || key == "" {
 		http.Error(w, "bad key, index or wait", http.StatusBadRequest)
 		return
 	}
 	entry, found, err := e.server.get(r.Context(), e, key, after, wait)
 	if err != nil {
-		refuse(w, err)
+		answerError(w, err)
 		return
 	}
 	var es []api.Entry
@@ -219,7 +219,7 @@
 func (e *Endpoint) getPrefix(w http.ResponseWriter, r *http.Request, prefix string) {
 	es, err := e.server.list(r.Context(), e, prefix)
 	if err != nil {
-		refuse(w, err)
+		answerError(w, err)
 		return
 	}
 	index := uint64(firstIndex)
@@ -229,17 +229,17 @@
 	answerEntries(w, es, index)
 }
 
-// body reads a value, one byte beyond the limit at most. It is read before
+// readBody reads a value, one byte beyond the limit at most. It is read before
 // the call is held, since net/http notices a client that has gone only when
 // the body has been read.
-func body(r *http.Request) ([]byte, error) {
+func readBody(r *http.Request) ([]byte, error) {
 	return io.ReadAll(io.LimitReader(r.Body, api.MaxValueSize+1))
 }
 
 func (e *Endpoint) putKey(w http.ResponseWriter, r *http.Request) {
 	key := strings.TrimPrefix(r.URL.Path, keyPrefix)
 	q := r.URL.Query()
-	value, err := body(r)
+	value, err := readBody(r)
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
@@ -259,7 +259,7 @@
 		next, err = e.server.compareAndSwap(r.Context(), e, key, value, index)
 	}
 	if err != nil {
-		refuse(w, err)
+		answerError(w, err)
 		return
 	}
 	answerJSON(w, next != 0)
@@ -277,7 +277,7 @@
 	}
 	ok, err := e.server.remove(r.Context(), e, key, index)
 	if err != nil {
-		refuse(w, err)
+		answerError(w, err)
 		return
 	}
 	answerJSON(w, ok)
@@ -290,7 +290,7 @@
 }
 
 func (e *Endpoint) createSession(w http.ResponseWriter, r *http.Request) {
-	value, err := body(r)
+	value, err := readBody(r)
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
@@ -306,7 +306,7 @@
 	}
 	id, err := e.server.grant(r.Context(), e, ttl)
 	if err != nil {
-		refuse(w, err)
+		answerError(w, err)
 		return
 	}
 	answerJSON(w, wireSession{ID: string(id), TTL: s.TTL})
@@ -316,7 +316,7 @@
 	id := r.PathValue("id")
 	ok, err := e.server.renew(r.Context(), e, api.LeaseID(id))
 	if err != nil {
-		refuse(w, err)
+		answerError(w, err)
 		return
 	}
 	if !ok {
@@ -328,21 +328,21 @@
 
 func (e *Endpoint) destroySession(w http.ResponseWriter, r *http.Request) {
 	if err := e.server.revoke(r.Context(), e, api.LeaseID(r.PathValue("id"))); err != nil {
-		refuse(w, err)
+		answerError(w, err)
 		return
 	}
 	answerJSON(w, true)
 }
 
 func (e *Endpoint) getMachines(w http.ResponseWriter, r *http.Request) {
-	after, wait, err := blocking(r.URL.Query())
+	after, wait, err := parseBlockingQuery(r.URL.Query())
 	if err != nil {
 		http.Error(w, "bad index or wait", http.StatusBadRequest)
 		return
 	}
 	l, err := e.server.machineList(r.Context(), e, after, wait)
 	if err != nil {
-		refuse(w, err)
+		answerError(w, err)
 		return
 	}
 	w.Header().Set(api.IndexHeader, strconv.FormatUint(l.Version, 10))
--- a/standin/platform/server.go
+++ b/standin/platform/server.go
@@ -58,20 +58,20 @@
 	now    func() time.Time
 	minTTL time.Duration
 
-	mu           sync.Mutex
-	data         data
-	changed      chan struct{} // closed and replaced at every change
-	machines     fleet.List
-	pending      []pendingList
-	lag          time.Duration
-	counts       Counts
-	outage       Outage
-	beforeDelay  time.Duration
-	afterDelay   time.Duration
-	lostAnswers  int
-	endpoints    []*Endpoint
-	stopTick     context.CancelFunc
-	tickFinished chan struct{}
+	mu            sync.Mutex
+	data          data
+	changed       chan struct{} // closed and replaced at every change
+	machines      fleet.List
+	pending       []pendingList
+	lag           time.Duration
+	counts        Counts
+	outage        Outage
+	beforeDelay   time.Duration
+	afterDelay    time.Duration
+	answersToLose int
+	endpoints     []*Endpoint
+	stopTick      context.CancelFunc
+	tickFinished  chan struct{}
 }
 
 // pendingList is a machine list that does not show yet.
@@ -114,11 +114,11 @@
 	s.mu.Lock()
 	s.stopTick, s.tickFinished = cancel, finished
 	s.mu.Unlock()
-	go s.tickUntil(ctx, finished)
+	go s.tickLoop(ctx, finished)
 	return nil
 }
 
-func (s *Server) tickUntil(ctx context.Context, finished chan<- struct{}) {
+func (s *Server) tickLoop(ctx context.Context, finished chan<- struct{}) {
 	defer close(finished)
 	t := time.NewTicker(tickInterval)
 	defer t.Stop()
@@ -165,11 +165,11 @@
 func (s *Server) Tick() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.tick()
+	s.applyDue()
 }
 
-// tick needs s.mu.
-func (s *Server) tick() {
+// applyDue needs s.mu.
+func (s *Server) applyDue() {
 	now := s.now()
 	moved := s.data.expire(now)
 	for len(s.pending) > 0 && !now.Before(s.pending[0].visible) {
@@ -178,12 +178,12 @@
 		moved = true
 	}
 	if moved {
-		s.wake()
+		s.notifyWaiters()
 	}
 }
 
-// wake needs s.mu.
-func (s *Server) wake() {
+// notifyWaiters needs s.mu.
+func (s *Server) notifyWaiters() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
@@ -202,7 +202,7 @@
 	l.VMs = slices.Clone(l.VMs)
 	l.Targets = slices.Clone(l.Targets)
 	s.pending = append(s.pending, pendingList{visible: s.now().Add(s.lag), list: l})
-	s.tick()
+	s.applyDue()
 }
 
 // SetMachineLag sets the lag of later changes to the machine list.
@@ -216,7 +216,7 @@
 func (s *Server) SetOutage(o Outage) error {
 	s.mu.Lock()
 	s.outage = o
-	s.wake()
+	s.notifyWaiters()
 	endpoints := slices.Clone(s.endpoints)
 	s.mu.Unlock()
 	var errs []error
@@ -238,7 +238,7 @@
 func (s *Server) LoseAnswers(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lostAnswers = n
+	s.answersToLose = n
 }
 
 // Snapshot returns the present content.
@@ -252,10 +252,10 @@
 func (s *Server) Restore(p Snapshot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	granted := s.data.granted
+	granted := s.data.leasesGranted
 	s.data = p.data.clone()
-	s.data.granted = max(s.data.granted, granted) // a lease's name is never given out again
-	s.wake()
+	s.data.leasesGranted = max(s.data.leasesGranted, granted) // a lease's name is never given out again
+	s.notifyWaiters()
 }
 
 // Counts returns the calls so far.
--- a/standin/platform/view.go
+++ b/standin/platform/view.go
@@ -41,8 +41,8 @@
 	v.changed = make(chan struct{})
 }
 
-// state implements gate.
-func (v *View) state() (Outage, <-chan struct{}) {
+// outageState implements outageSource.
+func (v *View) outageState() (Outage, <-chan struct{}) {
 	v.mu.Lock()
 	own, ownChanged := v.outage, v.changed
 	v.mu.Unlock()
@@ -54,10 +54,10 @@
 	return v.server.outage, v.server.changed
 }
 
-// reach fails like a refused connection.
-func (v *View) reach() error {
-	if o, _ := v.state(); o == Refusing {
-		return failure(verdict.NotRun, verdict.ReasonConnect, errCut)
+// checkReachable fails like a refused connection.
+func (v *View) checkReachable() error {
+	if o, _ := v.outageState(); o == Refusing {
+		return verdictError(verdict.NotRun, verdict.ReasonConnect, errConnectionCut)
 	}
 	return nil
 }
@@ -66,23 +66,23 @@
 // and an outage that begins ends the call.
 func (v *View) call(ctx context.Context, f func(ctx context.Context) error) error {
 	if err := ctx.Err(); err != nil {
-		return failure(verdict.NotRun, endReason(err), err)
+		return verdictError(verdict.NotRun, contextReason(err), err)
 	}
-	if err := v.reach(); err != nil {
+	if err := v.checkReachable(); err != nil {
 		return err
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	go v.cutWhenRefusing(ctx, cancel)
-	return v.verdictOf(ctx, f(ctx))
+	return v.withVerdict(ctx, f(ctx))
 }
 
 // cutWhenRefusing ends a call as the closing of its connection would.
 func (v *View) cutWhenRefusing(ctx context.Context, cancel context.CancelCauseFunc) {
 	for {
-		o, changed := v.state()
+		o, changed := v.outageState()
 		if o == Refusing {
-			cancel(errCut)
+			cancel(errConnectionCut)
 			return
 		}
 		select {
@@ -93,25 +93,25 @@
 	}
 }
 
-func (v *View) verdictOf(ctx context.Context, err error) error {
+func (v *View) withVerdict(ctx context.Context, err error) error {
 	switch {
 	case err == nil, errors.Is(err, api.ErrTooLarge), errors.Is(err, api.ErrLeaseLost):
 		return err
-	case errors.Is(err, errCut), errors.Is(context.Cause(ctx), errCut):
-		return failure(verdict.MayHaveRun, verdict.ReasonConnectionLost, errCut)
+	case errors.Is(err, errConnectionCut), errors.Is(context.Cause(ctx), errConnectionCut):
+		return verdictError(verdict.MayHaveRun, verdict.ReasonConnectionLost, errConnectionCut)
 	default:
-		return failure(verdict.MayHaveRun, endReason(err), err)
+		return verdictError(verdict.MayHaveRun, contextReason(err), err)
 	}
 }
 
-func endReason(err error) verdict.Reason {
+func contextReason(err error) verdict.Reason {
 	if errors.Is(err, context.DeadlineExceeded) {
 		return verdict.ReasonDeadline
 	}
 	return verdict.ReasonCallerGone
 }
 
-func failure(v verdict.Verdict, r verdict.Reason, err error) error {
+func verdictError(v verdict.Verdict, r verdict.Reason, err error) error {
 	return &verdict.Error{Verdict: v, Reason: r, Err: err}
 }
 
--- a/standin/target/handler.go
+++ b/standin/target/handler.go
@@ -13,20 +13,20 @@
 	"github.com/azurethread/azurethread/standin/payload"
 )
 
-// maxAnswer bounds the answer that a request may ask for, in bytes.
-const maxAnswer = 64 << 20
+// maxAnswerSize bounds the answer that a request may ask for, in bytes.
+const maxAnswerSize = 64 << 20
 
 func (s *Server) handler() http.Handler {
 	m := http.NewServeMux()
 	m.HandleFunc("GET /healthz", s.healthz)
 	m.HandleFunc("GET /loadz", s.loadz)
-	m.HandleFunc("/", s.work)
+	m.HandleFunc("/", s.handleRequest)
 	return m
 }
 
 func (s *Server) healthz(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
-	_, healthy := s.reports.show(time.Now())
+	_, healthy := s.reporter.current(time.Now())
 	s.mu.Unlock()
 	if !healthy {
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -35,7 +35,7 @@
 
 func (s *Server) loadz(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
-	load, _ := s.reports.show(time.Now())
+	load, _ := s.reporter.current(time.Now())
 	s.mu.Unlock()
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(load) // an error means that the client has gone
@@ -43,23 +43,23 @@
 
 // refuse says that the request has not run and will not.
 func (s *Server) refuse(w http.ResponseWriter) {
-	s.stateLoad(w.Header())
+	s.setLoadHeader(w.Header())
 	w.Header().Set(payload.RefusedHeader, payload.RefusedNotRun)
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// stateLoad reports the load with an answer, as the load endpoint would: it
+// setLoadHeader reports the load with an answer, as the load endpoint would: it
 // lags and lies alike.
-func (s *Server) stateLoad(h http.Header) {
+func (s *Server) setLoadHeader(h http.Header) {
 	s.mu.Lock()
-	load, _ := s.reports.show(time.Now())
+	load, _ := s.reporter.current(time.Now())
 	s.mu.Unlock()
 	h.Set(payload.LoadHeader, fmt.Sprintf("%d/%d", load.InFlight, load.Slots))
 }
 
-// work runs one request.
-func (s *Server) work(w http.ResponseWriter, r *http.Request) {
-	if !s.accept() {
+// handleRequest runs one request.
+func (s *Server) handleRequest(w http.ResponseWriter, r *http.Request) {
+	if !s.admit() {
 		s.refuse(w)
 		return
 	}
@@ -67,17 +67,17 @@
 	defer cancel()
 	hash := payload.NewHash()
 	if _, err := io.Copy(hash, r.Body); err != nil {
-		s.release(false, func(st *Stats) { st.BrokenBodies++ })
+		s.releaseRequest(false, func(st *Stats) { st.BrokenBodies++ })
 		http.Error(w, "body ends early", http.StatusBadRequest)
 		return
 	}
 	if !s.takeSlot(ctx) {
-		s.release(false, s.endedBy(ctx))
+		s.releaseRequest(false, s.countEnd(ctx))
 		s.refuse(w)
 		return
 	}
 	if !s.execute(ctx, r.Header.Get(payload.IDHeader)) {
-		s.release(true, s.endedBy(ctx))
+		s.releaseRequest(true, s.countEnd(ctx))
 		w.WriteHeader(http.StatusGatewayTimeout)
 		return
 	}
@@ -93,8 +93,8 @@
 	return context.WithTimeout(r.Context(), time.Duration(ms)*time.Millisecond)
 }
 
-// endedBy counts why ctx ended. The end by a crash is counted there.
-func (s *Server) endedBy(ctx context.Context) func(*Stats) {
+// countEnd counts why ctx ended. The end by a crash is counted there.
+func (s *Server) countEnd(ctx context.Context) func(*Stats) {
 	expired := errors.Is(ctx.Err(), context.DeadlineExceeded)
 	return func(st *Stats) {
 		switch {
@@ -106,26 +106,26 @@
 	}
 }
 
-// accept takes a request in, or refuses it.
-func (s *Server) accept() bool {
+// admit takes a request in, or refuses it.
+func (s *Server) admit() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.stats.Arrived++
-	if s.idle != nil {
+	if s.drained != nil {
 		s.stats.RefusedLeaving++
-		s.stats.LastArrival = time.Since(s.leftAt)
+		s.stats.LastArrival = time.Since(s.leaveStarted)
 		return false
 	}
 	if s.inFlight >= s.options.Slots {
-		s.stats.Overfull++
+		s.stats.ArrivedAtCapacity++
 	}
 	if s.inFlight >= s.options.Slots+s.options.Queue {
 		s.stats.Shed++
 		return false
 	}
 	s.inFlight++
-	s.stats.HighWater = max(s.stats.HighWater, s.inFlight)
-	s.report(time.Now())
+	s.stats.PeakInFlight = max(s.stats.PeakInFlight, s.inFlight)
+	s.recordReport(time.Now())
 	return true
 }
 
@@ -145,8 +145,8 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.working++
-	s.report(time.Now())
+	s.executing++
+	s.recordReport(time.Now())
 	return true
 }
 
@@ -170,8 +170,8 @@
 	}
 }
 
-// release gives a request up, with its slot if it has one.
-func (s *Server) release(slot bool, count func(*Stats)) {
+// releaseRequest gives a request up, with its slot if it has one.
+func (s *Server) releaseRequest(slot bool, count func(*Stats)) {
 	if slot {
 		<-s.slots
 	}
@@ -179,11 +179,11 @@
 	defer s.mu.Unlock()
 	s.inFlight--
 	if slot {
-		s.working--
+		s.executing--
 	}
 	count(&s.stats)
-	s.report(time.Now())
-	s.settle()
+	s.recordReport(time.Now())
+	s.signalIfDrained()
 }
 
 // answer releases the slot and then answers. In this order, because the
@@ -194,11 +194,11 @@
 	defer s.endAnswer()
 	id := r.Header.Get(payload.IDHeader)
 	n, err := strconv.Atoi(r.Header.Get(payload.SizeHeader))
-	if err != nil || n < 0 || n > maxAnswer {
+	if err != nil || n < 0 || n > maxAnswerSize {
 		n = payload.DefaultSize
 	}
 	h := w.Header()
-	s.stateLoad(h)
+	s.setLoadHeader(h)
 	h.Set(payload.IDHeader, id)
 	h.Set(payload.HashHeader, hash)
 	h.Set(payload.TargetHeader, string(s.options.ID))
@@ -206,7 +206,7 @@
 	if r.Header.Get(payload.ChunkedHeader) == "" {
 		h.Set("Content-Length", strconv.Itoa(n))
 	}
-	if s.takeCut() {
+	if s.takeAnswerCut() {
 		_ = payload.Write(w, id, n/2)
 		_ = http.NewResponseController(w).Flush()
 		panic(http.ErrAbortHandler) // closes the connection
@@ -219,23 +219,23 @@
 	s.mu.Lock()
 	s.answering++ // before the release, so that a leaving target is not empty yet
 	s.mu.Unlock()
-	s.release(true, func(st *Stats) { st.Completed++ })
+	s.releaseRequest(true, func(st *Stats) { st.Completed++ })
 }
 
 func (s *Server) endAnswer() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.answering--
-	s.settle()
+	s.signalIfDrained()
 }
 
-func (s *Server) takeCut() bool {
+func (s *Server) takeAnswerCut() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.cutLeft <= 0 {
+	if s.answersToCut <= 0 {
 		return false
 	}
-	s.cutLeft--
+	s.answersToCut--
 	s.stats.CutAnswers++
 	return true
 }
--- a/standin/target/listener.go
+++ b/standin/target/listener.go
@@ -11,10 +11,10 @@
 	net.Listener
 	limit int // 0 is none
 
-	mu        sync.Mutex
-	conns     map[*conn]struct{}
-	highWater int
-	refused   uint64 // connections beyond the limit
+	mu      sync.Mutex
+	conns   map[*conn]struct{}
+	peak    int
+	refused uint64 // connections beyond the limit
 }
 
 func newListener(l net.Listener, limit int) *listener {
@@ -43,13 +43,13 @@
 		l.refused++
 		return nil
 	}
-	t := &conn{Conn: c, owner: l}
+	t := &conn{Conn: c, listener: l}
 	l.conns[t] = struct{}{}
-	l.highWater = max(l.highWater, len(l.conns))
+	l.peak = max(l.peak, len(l.conns))
 	return t
 }
 
-func (l *listener) forget(c *conn) {
+func (l *listener) untrack(c *conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.conns, c)
@@ -92,9 +92,9 @@
 // and dropped, and nothing reaches the peer, not even an end.
 type conn struct {
 	net.Conn
-	owner  *listener
-	silent atomic.Bool
-	once   sync.Once
+	listener  *listener
+	silent    atomic.Bool
+	closeOnce sync.Once
 }
 
 // Read implements net.Conn.
@@ -117,16 +117,16 @@
 
 // Close implements net.Conn.
 func (c *conn) Close() error {
-	c.once.Do(func() { c.owner.forget(c) })
+	c.closeOnce.Do(func() { c.listener.untrack(c) })
 	if c.silent.Load() {
-		return c.abandon()
+		return c.closeAfterPeer()
 	}
 	return c.Conn.Close()
 }
 
-// abandon keeps a silent connection open below, as a lost one would be, until
+// closeAfterPeer keeps a silent connection open below, as a lost one would be, until
 // the peer closes it. Closing it would tell the peer what it can't know.
-func (c *conn) abandon() error {
+func (c *conn) closeAfterPeer() error {
 	go func() {
 		buf := make([]byte, 1024)
 		for {
--- a/standin/target/report.go
+++ b/standin/target/report.go
@@ -20,10 +20,10 @@
 // reporter holds back reports so that the endpoints lag, and changes them so
 // that they lie. It has no locks.
 type reporter struct {
-	lag     time.Duration
-	history []report // by time; the first is the one that shows
-	lie     func(Load) Load
-	health  func(bool) bool
+	lag            time.Duration
+	history        []report // by time; the first is the one that shows
+	overrideLoad   func(Load) Load
+	overrideHealth func(bool) bool
 }
 
 func (r *reporter) add(n report) {
@@ -39,14 +39,14 @@
 	}
 }
 
-func (r *reporter) show(now time.Time) (Load, bool) {
+func (r *reporter) current(now time.Time) (Load, bool) {
 	r.prune(now)
 	first := r.history[0]
-	if r.lie != nil {
-		first.load = r.lie(first.load)
+	if r.overrideLoad != nil {
+		first.load = r.overrideLoad(first.load)
 	}
-	if r.health != nil {
-		first.healthy = r.health(first.healthy)
+	if r.overrideHealth != nil {
+		first.healthy = r.overrideHealth(first.healthy)
 	}
 	return first.load, first.healthy
 }
--- a/standin/target/target.go
+++ b/standin/target/target.go
@@ -14,10 +14,10 @@
 )
 
 const (
-	// restartTries and restartPause bound the wait for the port to be free
+	// restartAttempts and restartPause bound the wait for the port to be free
 	// again after a crash.
-	restartTries = 50
-	restartPause = 20 * time.Millisecond
+	restartAttempts = 50
+	restartPause    = 20 * time.Millisecond
 )
 
 // Options configures a Server.
@@ -32,7 +32,7 @@
 	Connections int
 	Work        Work
 	Cold        Cold
-	// Warm starts it warm; Restart and Chill make it cold all the same.
+	// Warm starts it warm; Restart and MakeCold make it cold all the same.
 	Warm bool
 	// Seed starts the generator of service times.
 	Seed uint64
@@ -40,25 +40,25 @@
 
 // Stats are the records of a target since New.
 type Stats struct {
-	Arrived   uint64 // requests that reached the target, refused ones included
-	Started   uint64 // executions begun
-	Completed uint64 // executions ended with an answer
-	Shed      uint64 // refused because slots and queue were taken
-	Overfull  uint64 // arrivals that found all slots taken, shed or queued
-	HighWater int    // most requests in it at once, refused ones left out
+	Arrived           uint64 // requests that reached the target, refused ones included
+	Started           uint64 // executions begun
+	Completed         uint64 // executions ended with an answer
+	Shed              uint64 // refused because slots and queue were taken
+	ArrivedAtCapacity uint64 // arrivals that found all slots taken, shed or queued
+	PeakInFlight      int    // most requests in it at once, refused ones left out
 
 	RefusedLeaving uint64        // refused because it was leaving
 	LastArrival    time.Duration // from Leave to the last refused arrival
 
-	Cancelled    uint64 // ended because the client had gone
-	Expired      uint64 // ended because the deadline had passed
-	BrokenBodies uint64 // request bodies that ended early; not run
-	CutByStop    uint64 // in it, or being answered, at Crash or Close
-	CutAnswers   uint64 // cut by CutAnswers
+	Cancelled     uint64 // ended because the client had gone
+	Expired       uint64 // ended because the deadline had passed
+	BrokenBodies  uint64 // request bodies that ended early; not run
+	CutByShutdown uint64 // in it, or being answered, at Crash or Close
+	CutAnswers    uint64 // cut by CutAnswers
 
-	Connections       int    // open now
-	ConnectionsHigh   int    // most open at once
-	ConnectionsDenied uint64 // beyond the limit
+	Connections        int    // open now
+	PeakConnections    int    // most open at once
+	ConnectionsRefused uint64 // beyond the limit
 }
 
 // Server is one target. All methods are safe for concurrent use.
@@ -66,20 +66,20 @@
 	options Options
 	slots   chan struct{} // holds a token for each request at work
 
-	mu         sync.Mutex
-	timer      *workTimer
-	reports    reporter
-	executions map[string]int // by request id
-	stats      Stats
-	inFlight   int // accepted, neither answered nor given up
-	working    int // those of inFlight that have a slot
-	answering  int // being answered
-	leftAt     time.Time
-	idle       chan struct{} // closed when leaving and empty; nil before Leave
-	cutLeft    int
-	addr       string
-	http       *http.Server
-	listener   *listener
+	mu           sync.Mutex
+	timer        *workTimer
+	reporter     reporter
+	executions   map[string]int // by request id
+	stats        Stats
+	inFlight     int // accepted, neither answered nor given up
+	executing    int // those of inFlight that have a slot
+	answering    int // being answered
+	leaveStarted time.Time
+	drained      chan struct{} // closed when leaving and empty; nil before Leave
+	answersToCut int
+	addr         string
+	http         *http.Server
+	listener     *listener
 }
 
 // New returns a target that does not listen yet.
@@ -93,9 +93,9 @@
 		executions: map[string]int{},
 	}
 	if o.Warm {
-		s.timer.warm(now)
+		s.timer.makeWarm(now)
 	}
-	s.report(now)
+	s.recordReport(now)
 	return s
 }
 
@@ -140,21 +140,21 @@
 func (s *Server) Leave() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.idle != nil {
+	if s.drained != nil {
 		return
 	}
 	now := time.Now()
-	s.leftAt = now
-	s.idle = make(chan struct{})
-	s.report(now)
-	s.settle()
+	s.leaveStarted = now
+	s.drained = make(chan struct{})
+	s.recordReport(now)
+	s.signalIfDrained()
 }
 
 // Drained waits until a leaving target has finished all its work. It returns
 // the time since Leave.
 func (s *Server) Drained(ctx context.Context) (time.Duration, error) {
 	s.mu.Lock()
-	idle, leftAt := s.idle, s.leftAt
+	idle, leftAt := s.drained, s.leaveStarted
 	s.mu.Unlock()
 	if idle == nil {
 		return 0, errors.New("standin target: not leaving")
@@ -167,15 +167,15 @@
 	}
 }
 
-// settle needs s.mu. It notices that a leaving target has become empty.
-func (s *Server) settle() {
-	if s.idle == nil || s.inFlight > 0 || s.answering > 0 {
+// signalIfDrained needs s.mu. It notices that a leaving target has become empty.
+func (s *Server) signalIfDrained() {
+	if s.drained == nil || s.inFlight > 0 || s.answering > 0 {
 		return
 	}
 	select {
-	case <-s.idle:
+	case <-s.drained:
 	default:
-		close(s.idle)
+		close(s.drained)
 	}
 }
 
@@ -185,8 +185,8 @@
 	h, l := s.http, s.listener
 	s.http = nil
 	if h != nil {
-		s.stats.CutByStop += uint64(s.inFlight + s.answering)
-		s.keepConnectionStats()
+		s.stats.CutByShutdown += uint64(s.inFlight + s.answering)
+		s.collectConnectionStats()
 	}
 	s.mu.Unlock()
 	if h == nil {
@@ -205,10 +205,10 @@
 // longer leaving.
 func (s *Server) Restart() error {
 	var err error
-	for range restartTries {
+	for range restartAttempts {
 		var l net.Listener
 		if l, err = net.Listen("tcp", s.Addr()); err == nil {
-			s.renew()
+			s.resetForRestart()
 			s.serve(l)
 			return nil
 		}
@@ -217,22 +217,22 @@
 	return fmt.Errorf("standin target: restart: %w", err)
 }
 
-func (s *Server) renew() {
+func (s *Server) resetForRestart() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	s.idle = nil
-	s.timer.chill(now)
-	s.report(now)
+	s.drained = nil
+	s.timer.makeCold(now)
+	s.recordReport(now)
 }
 
-// Chill makes the target cold, as after the loss of its cache.
-func (s *Server) Chill() {
+// MakeCold makes the target cold, as after the loss of its cache.
+func (s *Server) MakeCold() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	s.timer.chill(now)
-	s.report(now)
+	s.timer.makeCold(now)
+	s.recordReport(now)
 }
 
 // SilenceConnections makes n of the existing connections silent, or all if n
@@ -251,7 +251,7 @@
 func (s *Server) CutAnswers(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.cutLeft = n
+	s.answersToCut = n
 }
 
 // SetReportLag makes the health and load endpoints tell what was true so long
@@ -259,14 +259,14 @@
 func (s *Server) SetReportLag(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.reports.lag = d
+	s.reporter.lag = d
 }
 
 // SetLoadReport changes what the load endpoint says; nil makes it truthful.
 func (s *Server) SetLoadReport(f func(Load) Load) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.reports.lie = f
+	s.reporter.overrideLoad = f
 }
 
 // SetHealthReport changes what the health endpoint says; nil makes it
@@ -274,7 +274,7 @@
 func (s *Server) SetHealthReport(f func(healthy bool) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.reports.health = f
+	s.reporter.overrideHealth = f
 }
 
 // SetWork changes the service times of requests that begin from now on.
@@ -296,13 +296,13 @@
 func (s *Server) Stats() Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.keepConnectionStats()
+	s.collectConnectionStats()
 	return s.stats
 }
 
-// keepConnectionStats needs s.mu. The listener's records are added when it
+// collectConnectionStats needs s.mu. The listener's records are added when it
 // closes, so that they outlive a restart.
-func (s *Server) keepConnectionStats() {
+func (s *Server) collectConnectionStats() {
 	if s.listener == nil {
 		return
 	}
@@ -310,20 +310,20 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s.stats.Connections = len(l.conns)
-	s.stats.ConnectionsHigh = max(s.stats.ConnectionsHigh, l.highWater)
-	s.stats.ConnectionsDenied += l.refused
+	s.stats.PeakConnections = max(s.stats.PeakConnections, l.peak)
+	s.stats.ConnectionsRefused += l.refused
 	l.refused = 0
 }
 
-// report needs s.mu.
-func (s *Server) report(now time.Time) {
-	s.reports.add(report{
+// recordReport needs s.mu.
+func (s *Server) recordReport(now time.Time) {
+	s.reporter.add(report{
 		at:      now,
-		healthy: s.idle == nil,
+		healthy: s.drained == nil,
 		load: Load{
 			InFlight: s.inFlight,
 			Slots:    s.options.Slots,
-			Queued:   s.inFlight - s.working,
+			Queued:   s.inFlight - s.executing,
 			Cold:     s.timer.coldness(now) > 0,
 		},
 	})
--- a/standin/target/target_test.go
+++ b/standin/target/target_test.go
@@ -101,9 +101,9 @@
 		waitFor(s, func(st target.Stats) bool { return st.Cancelled == uint64(i+1) })
 	}
 	st := s.Stats()
-	is.Equal(st.HighWater, 2)
+	is.Equal(st.PeakInFlight, 2)
 	is.Equal(st.Shed, uint64(1))
-	is.Equal(st.Overfull, uint64(2))
+	is.Equal(st.ArrivedAtCapacity, uint64(2))
 	is.Equal(len(s.Executions()), 1) // the queued one never ran
 }
 
@@ -145,7 +145,7 @@
 	health, err := client().Get("http://" + s.Addr() + "/healthz")
 	is.NoErr(err)
 	is.Equal(health.StatusCode, http.StatusServiceUnavailable)
-	is.Equal(s.Stats().CutByStop, uint64(0))
+	is.Equal(s.Stats().CutByShutdown, uint64(0))
 	is.Equal(s.Stats().RefusedLeaving, uint64(1))
 }
 
@@ -161,7 +161,7 @@
 	waitFor(s, started(1))
 	s.Crash()
 	is.True(<-cut != nil)
-	is.Equal(s.Stats().CutByStop, uint64(1))
+	is.Equal(s.Stats().CutByShutdown, uint64(1))
 	_, err := send(context.Background(), client(), s, "b", nil)
 	is.True(err != nil)
 	s.SetWork(target.Work{})
@@ -217,8 +217,8 @@
 	is.NoErr(err)
 	_, err = send(context.Background(), client(), s, "b", nil)
 	is.True(err != nil)
-	is.Equal(s.Stats().ConnectionsHigh, 1)
-	is.Equal(s.Stats().ConnectionsDenied, uint64(1))
+	is.Equal(s.Stats().PeakConnections, 1)
+	is.Equal(s.Stats().ConnectionsRefused, uint64(1))
 }
 
 func load(is *is.I, s *target.Server) target.Load {
--- a/standin/target/timing.go
+++ b/standin/target/timing.go
@@ -23,28 +23,30 @@
 // case the colder one counts.
 type Cold struct {
 	Factor   float64
-	For      time.Duration
+	Duration time.Duration
 	Requests int
 }
 
 // workTimer draws service times. It has no locks.
 type workTimer struct {
-	rand  *rand.Rand
-	work  Work
-	cold  Cold
-	since time.Time // when it was last cold through
-	begun int       // requests since then
+	rand         *rand.Rand
+	work         Work
+	cold         Cold
+	coldSince    time.Time // when it was last cold through
+	startedSince int       // requests since then
 }
 
 func newWorkTimer(w Work, c Cold, seed uint64, now time.Time) *workTimer {
-	return &workTimer{rand: rand.New(rand.NewPCG(seed, seedStream)), work: w, cold: c, since: now}
+	return &workTimer{rand: rand.New(rand.NewPCG(seed, seedStream)), work: w, cold: c, coldSince: now}
 }
 
-// chill makes the target cold through.
-func (t *workTimer) chill(now time.Time) { t.since, t.begun = now, 0 }
+// makeCold makes the target cold through.
+func (t *workTimer) makeCold(now time.Time) { t.coldSince, t.startedSince = now, 0 }
 
-// warm ends the cold start.
-func (t *workTimer) warm(now time.Time) { t.since, t.begun = now.Add(-t.cold.For), t.cold.Requests }
+// makeWarm ends the cold start.
+func (t *workTimer) makeWarm(now time.Time) {
+	t.coldSince, t.startedSince = now.Add(-t.cold.Duration), t.cold.Requests
+}
 
 // coldness is 1 for a target that is cold through, 0 for a warm one.
 func (t *workTimer) coldness(now time.Time) float64 {
@@ -52,11 +54,11 @@
 		return 0
 	}
 	var left float64
-	if t.cold.For > 0 {
-		left = 1 - float64(now.Sub(t.since))/float64(t.cold.For)
+	if t.cold.Duration > 0 {
+		left = 1 - float64(now.Sub(t.coldSince))/float64(t.cold.Duration)
 	}
 	if t.cold.Requests > 0 {
-		left = max(left, 1-float64(t.begun)/float64(t.cold.Requests))
+		left = max(left, 1-float64(t.startedSince)/float64(t.cold.Requests))
 	}
 	return max(left, 0)
 }
@@ -64,7 +66,7 @@
 // next returns the service time of a request that begins now.
 func (t *workTimer) next(now time.Time) time.Duration {
 	factor := 1 + (t.cold.Factor-1)*t.coldness(now)
-	t.begun++
+	t.startedSince++
 	d := float64(t.work.Base) + t.rand.ExpFloat64()*float64(t.work.Tail)
 	return time.Duration(factor * d)
 }
--- a/standin/target/timing_test.go
+++ b/standin/target/timing_test.go
@@ -10,17 +10,17 @@
 func TestColdStartDecays(t *testing.T) {
 	is := is.New(t)
 	at := time.Unix(0, 0)
-	w := newWorkTimer(Work{Base: time.Millisecond}, Cold{Factor: 3, For: 10 * time.Second, Requests: 4}, 1, at)
+	w := newWorkTimer(Work{Base: time.Millisecond}, Cold{Factor: 3, Duration: 10 * time.Second, Requests: 4}, 1, at)
 	is.Equal(w.next(at), 3*time.Millisecond)
 	half := at.Add(5 * time.Second)
-	w.begun = 2
+	w.startedSince = 2
 	is.Equal(w.next(half), 2*time.Millisecond)
 	end := at.Add(10 * time.Second)
 	is.Equal(w.next(end), 1500*time.Microsecond) // warm by time, a quarter cold by requests
 	is.Equal(w.next(end), time.Millisecond)
-	w.chill(end)
+	w.makeCold(end)
 	is.Equal(w.next(end), 3*time.Millisecond)
-	w.warm(end)
+	w.makeWarm(end)
 	is.Equal(w.next(end), time.Millisecond)
 }
 
