--- a/standin/caller/caller.go
+++ b/standin/caller/caller.go
@@ -13,59 +13,59 @@
 )
 
 const (
-	// DefaultTokens is how many tokens a look-up asks for.
+	// DefaultTokens is the number of tokens that a look-up asks for.
 	DefaultTokens = 16
-	// DefaultDeadline bounds a request that states no deadline.
+	// DefaultDeadline applies to requests without a deadline.
 	DefaultDeadline = 10 * time.Second
 
-	// maxResends bounds the re-sends of an idempotent request that may have
+	// maxResends limits the re-sends of an idempotent request that may have
 	// run.
 	maxResends = 2
-	// maxNotRunSends bounds the sends of one request that were not run.
+	// maxNotRunSends limits the sends of one request that end as not-run.
 	maxNotRunSends = 4
-	// lookupRounds and lookupPause bound the tries of a look-up; a round
-	// asks every entry address once.
+	// lookupRounds is the number of attempts of a look-up at each entry
+	// address, with lookupPause between rounds.
 	lookupRounds = 3
 	lookupPause  = 50 * time.Millisecond
 
 	dialTimeout  = 2 * time.Second
 	maxIdleConns = 1024
-	// seedStream separates the generators of callers from other users of a
-	// seed.
+	// seedStream is the PCG stream of callers, so that other users of the same
+	// seed draw different numbers.
 	seedStream = 0x63616c6c65720001
 )
 
 // Options configures callers.
 type Options struct {
-	// EntryAddrs are the host:port at which a look-up may be asked for, in
-	// order of preference.
+	// EntryAddrs lists host:port addresses for look-ups, in order of
+	// preference.
 	EntryAddrs []string
-	// Targets are host:port of targets. If there are any, requests go
-	// straight to them in turn, without a look-up: the baseline.
+	// Targets lists host:port addresses of targets. If it is not empty,
+	// requests go directly to the targets in turn, without a look-up, as a
+	// baseline.
 	Targets []string
-	// Client is the address that look-ups are for, such as "10.1.2.3".
+	// Client is the client address sent in look-ups, such as "10.1.2.3".
 	Client string
-	// Tokens is how many tokens each look-up asks for; zero means
+	// Tokens is the number of tokens that each look-up asks for; zero means
 	// DefaultTokens.
 	Tokens int
-	// AttemptTimeout bounds one send of a request that may be sent again;
+	// AttemptTimeout limits one send of a request that may be sent again;
 	// zero means half of the request's deadline.
 	AttemptTimeout time.Duration
 	// ResendLost sends a non-idempotent request whose answer was lost once
-	// more, with its token.
+	// more, with the same token.
 	ResendLost bool
-	// DuplicateShare is the part of the non-idempotent requests that are
-	// sent a second time, with the same token, after they are over. This is
-	// not a caller's part but its misbehaviour.
+	// DuplicateShare is the share of non-idempotent requests that are sent a
+	// second time, with the same token, after they have ended. It simulates a
+	// faulty caller.
 	DuplicateShare float64
 	// Latency returns the one-way latency to a host:port; nil means none.
 	Latency func(addr string) time.Duration
-	// Seed starts the generator of the caller's choices.
+	// Seed seeds the caller's random choices.
 	Seed uint64
 }
 
-// Caller is the client library for one client address. It is safe for
-// concurrent use.
+// Caller sends requests for one client address. It is safe for concurrent use.
 type Caller struct {
 	options Options
 	http    *http.Client
@@ -73,17 +73,17 @@
 	mu              sync.Mutex
 	rand            *rand.Rand
 	cache           map[fleet.ServiceName]*cachedLookup
-	nextTargetIndex int // index of the next of Options.Targets
+	nextTargetIndex int // index in Options.Targets, before the modulo
 }
 
-// direct reports whether requests go straight to targets.
+// direct reports whether requests go directly to targets.
 func (c *Caller) direct() bool { return len(c.options.Targets) > 0 }
 
 // New returns a caller.
 func New(o Options) *Caller { return NewMany(o, []string{o.Client})[0] }
 
-// NewMany returns one caller for each client address. They share their
-// connections.
+// NewMany returns one caller for each client address. The callers share one
+// connection pool.
 func NewMany(o Options, clients []string) []*Caller {
 	if o.Tokens == 0 {
 		o.Tokens = DefaultTokens
@@ -109,51 +109,52 @@
 	return cs
 }
 
-// Close closes idle connections, also those of the callers made together
-// with c.
+// Close closes the idle connections of c and of all callers that share its
+// connection pool.
 func (c *Caller) Close() { c.http.CloseIdleConnections() }
 
 // Request is one logical request.
 type Request struct {
-	ID         string // unique; the targets' records go by it
+	ID         string // unique; the targets count executions by it
 	Service    fleet.ServiceName
-	Path       string // below the service, without a leading slash
+	Path       string // relative to the service, without a leading slash
 	Idempotent bool
 	Body       []byte
 	AnswerSize int           // bytes of the answer; zero means payload.DefaultSize
-	Chunked    bool          // whether the answer comes without a length
+	Chunked    bool          // whether to ask for an answer without a length
 	Deadline   time.Duration // for all sends together; zero means DefaultDeadline
 }
 
-// Outcome is what became of a request, as the caller saw it.
+// Outcome is the result of a request as seen by the caller.
 type Outcome struct {
 	ID         string
 	Service    fleet.ServiceName
 	Client     string
 	Idempotent bool
-	// Verdict joins those of all sends. It is NotRun if there was none.
+	// Verdict combines the verdicts of all sends. It is NotRun without a send.
 	Verdict verdict.Verdict
-	// Reason is that of the last send without an answer.
+	// Reason is the reason of the last send without an answer.
 	Reason verdict.Reason
-	// Answered says that a whole answer came; Wrong that it was not whole or
-	// not the request's own although it passed for that.
+	// Answered reports that a complete answer of a target was received.
 	Answered bool
-	Wrong    bool
-	Status   int // of the last answer; 0 without one
+	// Wrong reports that an answer seemed complete but had wrong content or
+	// belonged to another request.
+	Wrong  bool
+	Status int // of the last answer; 0 without one
 
 	Sends     int
-	Lost      int // sends that ended by a lost connection or a cut answer
-	TimedOut  int // sends that ended by their timeout
-	Unmarked  int // error answers without a verdict
+	Lost      int // sends that ended with a lost connection or a cut answer
+	TimedOut  int // sends that timed out
+	Unmarked  int // error answers without a valid verdict
 	Duplicate bool
 
-	EntryVM fleet.VMID // of the last send
+	EntryVM fleet.VMID // that received the last send
 	Region  fleet.Region
-	Target  fleet.TargetID // that answered
+	Target  fleet.TargetID // that sent the answer
 	Latency time.Duration
 }
 
-// Do carries out one request to its end.
+// Do sends one request, with re-sends, and returns its outcome.
 func (c *Caller) Do(ctx context.Context, r Request) Outcome {
 	if r.Deadline == 0 {
 		r.Deadline = DefaultDeadline
@@ -179,7 +180,7 @@
 	return p.outcome
 }
 
-// sample reports true in the given part of all calls.
+// sample reports true for the given share of calls, at random.
 func (c *Caller) sample(share float64) bool {
 	if share <= 0 {
 		return false
--- a/standin/caller/load.go
+++ b/standin/caller/load.go
@@ -13,45 +13,45 @@
 )
 
 const (
-	// DefaultMaxInFlight bounds the requests of a load at once.
+	// DefaultMaxInFlight limits the requests of a load that are in flight.
 	DefaultMaxInFlight = 4096
-	// idPrefixLength is the part of a UUID that tells loads apart.
+	// idPrefixLength is the length of the UUID prefix in a load's request IDs.
 	idPrefixLength = 8
 )
 
-// Kind is one kind of request in a load.
+// Kind describes one kind of request in a load.
 type Kind struct {
 	Service    fleet.ServiceName
 	Path       string
 	Idempotent bool
 	Weight     float64 // relative to the other kinds
-	BodySize   int     // bytes of the request's body
+	BodySize   int     // bytes of the request body
 	AnswerSize int     // bytes of the answer
 	Deadline   time.Duration
 }
 
 // Load is an open-loop load: requests arrive as a Poisson process, whether or
-// not earlier ones have been answered.
+// not earlier requests have been answered.
 type Load struct {
-	Callers []*Caller // each request takes one at random
+	Callers []*Caller // chosen at random for each request
 	Kinds   []Kind
-	Rate    float64 // requests a second
-	// For and Count bound the load; at least one must be set.
+	Rate    float64 // requests per second
+	// For and Count limit the load; at least one must be set.
 	For   time.Duration
 	Count int
-	// MaxInFlight bounds the requests at once; zero means
+	// MaxInFlight limits the requests in flight; zero means
 	// DefaultMaxInFlight. Arrivals beyond it are counted as dropped and not
 	// sent.
 	MaxInFlight int
 	Seed        uint64
 }
 
-// Run is a load under way.
+// Run is a running load.
 type Run struct {
 	load        Load
 	prefix      string
 	rand        *rand.Rand
-	totalWeight float64 // of the kinds' weights
+	totalWeight float64 // sum of the weights of all kinds
 	bodies      [][]byte
 	requests    sync.WaitGroup
 	finished    chan struct{}
@@ -61,8 +61,8 @@
 	report   *Report
 }
 
-// Start begins the load. It ends by its bounds or with ctx; the requests then
-// in flight are waited for.
+// Start starts the load. It generates requests until For or Count is reached or
+// ctx ends, and then waits for the requests in flight.
 func (l Load) Start(ctx context.Context) (*Run, error) {
 	if err := l.validate(); err != nil {
 		return nil, err
@@ -88,22 +88,22 @@
 func (l Load) validate() error {
 	switch {
 	case len(l.Callers) == 0 || len(l.Kinds) == 0:
-		return fmt.Errorf("caller: load without callers or kinds")
+		return fmt.Errorf("caller: load has %d callers and %d kinds, wants at least one of each", len(l.Callers), len(l.Kinds))
 	case l.Rate <= 0:
-		return fmt.Errorf("caller: load with rate %v", l.Rate)
+		return fmt.Errorf("caller: load rate is %v, must be positive", l.Rate)
 	case l.For <= 0 && l.Count <= 0:
-		return fmt.Errorf("caller: load without bound")
+		return fmt.Errorf("caller: load has neither a duration nor a count")
 	}
 	for _, k := range l.Kinds {
 		if k.Weight <= 0 {
-			return fmt.Errorf("caller: load of %s with weight %v", k.Service, k.Weight)
+			return fmt.Errorf("caller: weight of service %q is %v, must be positive", k.Service, k.Weight)
 		}
 	}
 	return nil
 }
 
-// generate starts the requests at their planned arrivals. An arrival that it
-// is late for starts at once.
+// generate starts each request at its planned arrival, or immediately if that
+// time has passed.
 func (r *Run) generate(ctx context.Context) {
 	defer close(r.finished)
 	defer r.requests.Wait()
@@ -123,7 +123,7 @@
 		if !r.admit() {
 			continue
 		}
-		// A load that ends early leaves the requests in flight alone.
+		// The end of ctx stops new arrivals, not the requests in flight.
 		go r.do(context.WithoutCancel(ctx), c, req, arrival)
 	}
 }
@@ -150,7 +150,7 @@
 	}
 }
 
-// pickKind chooses a kind by weight.
+// pickKind returns the index of a random kind, chosen by weight.
 func (r *Run) pickKind() int {
 	x := r.rand.Float64() * r.totalWeight
 	for i, k := range r.load.Kinds {
@@ -186,14 +186,14 @@
 	r.report.add(o)
 }
 
-// Counts returns the counts so far, for a display of progress.
+// Counts returns the counts so far.
 func (r *Run) Counts() Counts {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.report.Counts
 }
 
-// Wait waits for the end of the load and of all its requests.
+// Wait waits until the load and all its requests have ended.
 func (r *Run) Wait() *Report {
 	<-r.finished
 	return r.report
--- a/standin/caller/lookup.go
+++ b/standin/caller/lookup.go
@@ -14,11 +14,11 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// maxLookupBodySize bounds the answer to a look-up, in bytes.
+// maxLookupBodySize limits the answer to a look-up, in bytes.
 const maxLookupBodySize = 1 << 20
 
-// errNoEntryVM means that no entry VM could be chosen for a request.
-var errNoEntryVM = errors.New("caller: no entry VM")
+// errNoEntryVM means that a look-up offers no entry VM for a request.
+var errNoEntryVM = errors.New("caller: look-up offers no entry VM")
 
 // EntryVM is one entry VM in the answer to a look-up.
 type EntryVM struct {
@@ -34,26 +34,26 @@
 	Service  fleet.ServiceName `json:"service"`
 	Revision uint64            `json:"revision"`
 	TTL      int64             `json:"ttl_ms"`
-	Client   string            `json:"client"` // to be sent with each request
+	Client   string            `json:"client"` // must be sent with each request
 	EntryVMs []EntryVM         `json:"entry_vms"`
 }
 
-// cachedLookup is a cached Lookup. Its tokens are used up.
+// cachedLookup is a cached Lookup. Each token is removed when it is used.
 type cachedLookup struct {
 	Lookup
 	expires time.Time
 }
 
-// route is the choice of an entry VM for one send.
+// route is the entry VM and token for one send.
 type route struct {
 	vm    EntryVM
 	token string // empty for an idempotent request
-	// client is what the look-up said of the client; requests carry it.
+	// client is the Client field of the look-up, sent with each request.
 	client string
 }
 
-// Lookup asks for the entry VMs of a service, without the cache. Entry
-// addresses that fail are passed over.
+// Lookup looks up the entry VMs of a service without using the cache. It tries
+// the entry addresses in order until one succeeds.
 func (c *Caller) Lookup(ctx context.Context, service fleet.ServiceName) (Lookup, error) {
 	var errs []error
 	for round := range lookupRounds {
@@ -103,8 +103,8 @@
 	return l, nil
 }
 
-// chooseRoute chooses the first entry VM that has not been tried, with a token if
-// the request needs one. When the cache has none it asks anew, once.
+// chooseRoute chooses the first entry VM that has not been tried, with a token
+// if the request needs one. If the cache offers none, it makes one new look-up.
 func (c *Caller) chooseRoute(ctx context.Context, r Request, tried map[fleet.VMID]bool) (route, error) {
 	if c.direct() {
 		return c.nextTargetRoute(), nil
@@ -120,7 +120,7 @@
 	if chosen, ok := c.takeRoute(l, r, tried); ok {
 		return chosen, nil
 	}
-	clear(tried) // every entry VM has been tried once: begin again
+	clear(tried) // every entry VM has been tried: start over
 	if chosen, ok := c.takeRoute(l, r, tried); ok {
 		return chosen, nil
 	}
@@ -146,7 +146,7 @@
 	return l
 }
 
-// cachedRoute chooses from the cache, while that holds.
+// cachedRoute chooses a route from the cached look-up, unless that has expired.
 func (c *Caller) cachedRoute(r Request, tried map[fleet.VMID]bool) (route, bool) {
 	c.mu.Lock()
 	l := c.cache[r.Service]
@@ -157,7 +157,7 @@
 	return c.takeRoute(l, r, tried)
 }
 
-// takeRoute chooses from a look-up and uses a token up.
+// takeRoute chooses a route from a look-up and removes the token it uses.
 func (c *Caller) takeRoute(l *cachedLookup, r Request, tried map[fleet.VMID]bool) (route, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -170,8 +170,8 @@
 			return route{vm: *vm, client: l.Client}, true
 		}
 		if len(vm.Tokens) == 0 {
-			// The order is the system's decision; rather than pass over an
-			// entry VM for want of a token, ask for more.
+			// The system chose the order of the entry VMs, so make a new
+			// look-up for more tokens instead of skipping this one.
 			return route{}, false
 		}
 		token := vm.Tokens[0]
@@ -181,14 +181,14 @@
 	return route{}, false
 }
 
-// dropLookup drops the cached look-up of a service, as after a failed connection.
+// dropLookup removes the look-up of a service from the cache.
 func (c *Caller) dropLookup(service fleet.ServiceName) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.cache, service)
 }
 
-// sleep reports false when ctx ended first.
+// sleep waits for d. It reports false if ctx ends first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/standin/caller/progress.go
+++ b/standin/caller/progress.go
@@ -8,7 +8,7 @@
 	"github.com/azurethread/azurethread/decide/verdict"
 )
 
-// progress is one request under way.
+// progress is the state of one request between its sends.
 type progress struct {
 	caller      *Caller
 	request     Request
@@ -19,7 +19,7 @@
 	notRunSends int
 }
 
-// run sends the request until it is over.
+// run sends the request until it needs no further send or its deadline passes.
 func (p *progress) run(ctx context.Context) {
 	to, err := p.caller.chooseRoute(ctx, p.request, p.tried)
 	if err != nil {
@@ -28,14 +28,14 @@
 	}
 	for {
 		res := p.attempt(ctx, to)
-		again, same := p.decideResend(res)
-		if !again || ctx.Err() != nil {
+		resend, sameRoute := p.decideResend(res)
+		if !resend || ctx.Err() != nil {
 			return
 		}
 		if res.retryAfter > 0 && !sleep(ctx, res.retryAfter) {
 			return
 		}
-		if same {
+		if sameRoute {
 			continue
 		}
 		if to, err = p.caller.chooseRoute(ctx, p.request, p.tried); err != nil {
@@ -44,7 +44,7 @@
 	}
 }
 
-// attempt sends once and records the result.
+// attempt sends the request once and records the result.
 func (p *progress) attempt(ctx context.Context, to route) result {
 	ctx, cancel := context.WithTimeout(ctx, p.attemptTimeout())
 	defer cancel()
@@ -76,8 +76,8 @@
 	return res
 }
 
-// attemptTimeout bounds one send. A non-idempotent request that is never sent
-// again gains nothing from giving up early.
+// attemptTimeout returns the time limit of one send. A non-idempotent request
+// that is not sent again after a timeout may use its whole deadline.
 func (p *progress) attemptTimeout() time.Duration {
 	o := p.caller.options
 	switch {
@@ -90,9 +90,9 @@
 	}
 }
 
-// decideResend decides, by the caller's part, whether to send again, and whether by
-// the same route.
-func (p *progress) decideResend(res result) (again, same bool) {
+// decideResend reports whether to send again, and whether by the same route.
+// The package comment states the rules.
+func (p *progress) decideResend(res result) (resend, sameRoute bool) {
 	switch {
 	case res.answered || res.verdict == verdict.Ran:
 		return false, false
@@ -110,9 +110,9 @@
 	}
 }
 
-// sendDuplicate sends a request that is over a second time, if the caller is to
-// misbehave so. The result doesn't matter: the targets' records show whether
-// it ran.
+// sendDuplicate sends a completed non-idempotent request again for the
+// configured share of requests. It ignores the result: the targets' records
+// show whether the duplicate ran.
 func (p *progress) sendDuplicate(ctx context.Context) {
 	if p.request.Idempotent || p.lastRoute.token == "" || p.outcome.Verdict == verdict.NotRun {
 		return
--- a/standin/caller/report.go
+++ b/standin/caller/report.go
@@ -16,19 +16,19 @@
 	latencyDigits  = 3
 )
 
-// Counts are numbers of requests by outcome.
+// Counts holds numbers of requests and sends by outcome.
 type Counts struct {
 	Requests     uint64
-	Answered     uint64 // with a whole answer, right or wrong
-	WrongAnswers uint64 // not whole, or another request's, though passing for whole
-	Failed       uint64 // ran, and the answer was an error of the target
+	Answered     uint64 // complete answer received, with right or wrong content
+	WrongAnswers uint64 // answer seemed complete but had wrong content or belonged to another request
+	Failed       uint64 // ran, and the target answered with an error
 	NotRun       uint64
 	MayHaveRun   uint64
-	Lost         uint64 // sends that ended by a lost connection or a cut answer
-	TimedOut     uint64 // sends that ended by their timeout
-	Unmarked     uint64 // error answers without a verdict
+	Lost         uint64 // sends that ended with a lost connection or a cut answer
+	TimedOut     uint64 // sends that timed out
+	Unmarked     uint64 // error answers without a valid verdict
 	Resent       uint64 // sends beyond the first of each request
-	Dropped      uint64 // arrivals not sent, beyond the load's MaxInFlight
+	Dropped      uint64 // arrivals not sent because of the load's MaxInFlight
 }
 
 func (c *Counts) add(o Outcome) {
@@ -52,8 +52,8 @@
 	c.Resent += uint64(max(o.Sends-1, 0))
 }
 
-// Report is the record of a load. It must not be read before Run.Wait has
-// returned it.
+// Report holds the results of a load. It must not be read before Run.Wait
+// returns it.
 type Report struct {
 	Counts
 	Services     map[fleet.ServiceName]Counts
@@ -91,16 +91,16 @@
 		r.services[o.Service] = h
 	}
 	us := min(max(o.Latency.Microseconds(), lowestLatency), highestLatency)
-	// A value within the range is never refused.
+	// RecordValue fails only for values outside the range.
 	_ = r.latency.RecordValue(us)
 	_ = h.RecordValue(us)
 }
 
-// Quantile returns the latency of the answered requests at q, between 0 and
-// 100.
+// Quantile returns the q-th percentile of the latency of answered requests; q is
+// between 0 and 100.
 func (r *Report) Quantile(q float64) time.Duration { return quantile(r.latency, q) }
 
-// ServiceQuantile is Quantile for one service.
+// ServiceQuantile returns the Quantile of one service.
 func (r *Report) ServiceQuantile(s fleet.ServiceName, q float64) time.Duration {
 	h := r.services[s]
 	if h == nil {
@@ -113,22 +113,22 @@
 	return time.Duration(h.ValueAtQuantile(q)) * time.Microsecond
 }
 
-// Proof is what the callers' and the targets' records show together.
+// Proof holds the differences between the callers' and the targets' records.
 type Proof struct {
 	Repeated    uint64 // non-idempotent requests that ran more than once
-	FalseNotRun uint64 // requests told not-run that ran
+	FalseNotRun uint64 // requests with the verdict not-run that ran
 	NeverRan    uint64 // answered requests that never ran
-	CutRan      uint64 // requests that ran and ended by a lost connection
-	Unknown     uint64 // executions of requests that no caller has sent
+	CutRan      uint64 // requests that ran but lost their answer with the connection
+	Unknown     uint64 // executed request IDs that no caller sent
 }
 
-// Prove compares the callers' outcomes with the targets' executions: how
-// often each request ran, by request id, summed over all targets.
+// Prove compares the callers' outcomes with the targets' executions, which are
+// counts by request ID, summed over all targets.
 func Prove(outcomes []Outcome, executions map[string]int) Proof {
 	var p Proof
-	known := make(map[string]bool, len(outcomes))
+	sent := make(map[string]bool, len(outcomes))
 	for _, o := range outcomes {
-		known[o.ID] = true
+		sent[o.ID] = true
 		ran := executions[o.ID]
 		if ran > 1 && !o.Idempotent {
 			p.Repeated++
@@ -144,7 +144,7 @@
 		}
 	}
 	for id := range executions {
-		if !known[id] {
+		if !sent[id] {
 			p.Unknown++
 		}
 	}
--- a/standin/caller/send.go
+++ b/standin/caller/send.go
@@ -20,11 +20,11 @@
 const (
 	tokenHeader  = "Azurethread-Token"
 	clientHeader = "Azurethread-Client"
-	// maxErrorBodySize bounds an error's body, in bytes.
+	// maxErrorBodySize limits the body of an error answer, in bytes.
 	maxErrorBodySize = 64 << 10
 )
 
-// fault is a way in which a send ended without a whole answer.
+// fault is a transport failure of a send.
 type fault uint8
 
 const (
@@ -34,20 +34,20 @@
 	timedOut
 )
 
-// result is what came of one send.
+// result is the result of one send.
 type result struct {
 	verdict        verdict.Verdict
 	reason         verdict.Reason
 	fault          fault
-	answered       bool // a whole answer of a target
+	answered       bool // complete answer of a target received
 	wrong          bool
-	missingVerdict bool // an error answer without a verdict
+	missingVerdict bool // answer without a valid verdict
 	status         int
 	target         fleet.TargetID
 	retryAfter     time.Duration
 }
 
-// errorBody is the JSON of an entry VM's error answer.
+// errorBody is the JSON body of an entry VM's error answer.
 type errorBody struct {
 	Verdict    verdict.Verdict `json:"verdict"`
 	Reason     verdict.Reason  `json:"reason"`
@@ -55,7 +55,7 @@
 	Message    string          `json:"message"`
 }
 
-// send makes one attempt.
+// send sends the request once.
 func (c *Caller) send(ctx context.Context, r Request, to route) result {
 	var connected atomic.Bool
 	trace := &httptrace.ClientTrace{
@@ -84,8 +84,8 @@
 	if c.direct() {
 		path = "/" + r.Path
 	}
-	// net/http sends a GET again by itself on a lost connection, which the
-	// caller's record of sends would miss; it never does so with a POST.
+	// net/http retries a GET after a lost connection, which the caller's count
+	// of sends would miss; it never retries a POST.
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+to.vm.Addr+path, bytes.NewReader(r.Body))
 	if err != nil {
 		return nil, err
@@ -110,7 +110,7 @@
 	return req, nil
 }
 
-// transportFailure reads an error of the transport.
+// transportFailure converts an error of the HTTP transport to a result.
 func transportFailure(err error, connected bool) result {
 	timeout := errors.Is(err, context.DeadlineExceeded)
 	switch {
@@ -125,7 +125,7 @@
 	}
 }
 
-// checkAnswer checks a target's answer against the request.
+// checkAnswer checks that a target's answer is complete and belongs to r.
 func checkAnswer(resp *http.Response, r Request) result {
 	size := r.AnswerSize
 	if size == 0 {
@@ -138,19 +138,19 @@
 	own := resp.Header.Get(payload.IDHeader) == r.ID &&
 		resp.Header.Get(payload.HashHeader) == payload.HashOf(r.Body) &&
 		resp.StatusCode == http.StatusOK
-	said := resp.Header.Get(verdict.Header)
+	stated := resp.Header.Get(verdict.Header)
 	return result{
 		verdict:        verdict.Ran,
 		answered:       true,
 		wrong:          err != nil || !own,
-		missingVerdict: said != "" && said != verdict.Ran.String(),
+		missingVerdict: stated != "" && stated != verdict.Ran.String(),
 		status:         resp.StatusCode,
 		target:         fleet.TargetID(resp.Header.Get(payload.TargetHeader)),
 	}
 }
 
-// readRefusal reads, in direct mode, a target's answer to what it didn't run
-// to its end.
+// readRefusal reads a target's error answer to a request that was sent directly
+// to it.
 func readRefusal(resp *http.Response) result {
 	res := result{status: resp.StatusCode}
 	if resp.Header.Get(payload.RefusedHeader) == payload.RefusedNotRun {
@@ -159,7 +159,8 @@
 	return res
 }
 
-// readError reads an entry VM's error, or a target's that it passed on.
+// readError reads an error answer of an entry VM, or one of a target that the
+// entry VM forwarded.
 func readError(resp *http.Response) result {
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxErrorBodySize))
 	if err != nil {
@@ -171,7 +172,8 @@
 	return result{
 		verdict: v,
 		reason:  e.Reason,
-		// A target's own error, which has run, has a body of its own.
+		// A forwarded error of a target has the verdict ran and the target's
+		// own body.
 		missingVerdict: !known || (v != verdict.Ran && (!parsed || e.Verdict != v)),
 		status:         resp.StatusCode,
 		retryAfter:     time.Duration(e.RetryAfter) * time.Millisecond,
--- a/standin/deployment/description.go
+++ b/standin/deployment/description.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	// targetConnections is how many connections every target accepts.
+	// targetConnections is the connection limit of every target.
 	targetConnections = 330
-	// targetQueue is how many requests a target accepts beyond its slots.
+	// targetQueue is the number of requests that may wait for a slot of a target.
 	targetQueue = 2
 
 	kib = 1 << 10
@@ -28,7 +28,7 @@
 type Region struct {
 	Name    fleet.Region
 	Domains []fleet.Domain
-	// Clients holds the addresses of the region's clients.
+	// Clients is the address range of the region's clients.
 	Clients netip.Prefix
 }
 
@@ -42,8 +42,8 @@
 	AnswerSize int // of a typical answer, in bytes
 }
 
-// Capacity returns the requests a second that all targets of the service can
-// do when warm.
+// Capacity returns the number of requests per second that all warm targets of
+// the service can execute.
 func (s Service) Capacity() float64 {
 	return float64(s.Targets*s.Slots) / s.Work.Mean().Seconds()
 }
@@ -55,7 +55,7 @@
 	EntryVMs int
 	Services []Service
 
-	// One-way latencies between failure domains of a region, between
+	// One-way latencies between failure domains of one region, between
 	// regions, and from a client to its region.
 	DomainLatency time.Duration
 	RegionLatency time.Duration
@@ -98,7 +98,7 @@
 				AnswerSize: 256,
 			},
 			{
-				// Fees are posted here, so it is not idempotent as a whole.
+				// Not idempotent, because some of its requests post fees.
 				Service:    catalogue.Service{Name: "drawing-vault", Priority: catalogue.Deferrable},
 				Targets:    12,
 				Slots:      3,
@@ -136,7 +136,7 @@
 				AnswerSize: 256,
 			},
 			{
-				// An agent waits for it at the counter.
+				// Interactive, because an agent at a counter waits for the answer.
 				Service:    catalogue.Service{Name: "statements", Idempotent: true, Priority: catalogue.Interactive},
 				Targets:    12,
 				Slots:      3,
@@ -157,17 +157,17 @@
 			return d, nil
 		}
 	}
-	return Description{}, fmt.Errorf("deployment: no deployment %q", name)
+	return Description{}, fmt.Errorf("deployment: unknown deployment %q", name)
 }
 
-// location is a failure domain and its region.
+// location is a failure domain with its region.
 type location struct {
 	region fleet.Region
 	domain fleet.Domain
 }
 
-// locations returns all failure domains, the regions taking turns, so that what
-// does not divide evenly goes to different regions.
+// locations returns all failure domains, alternating between the regions, so
+// that the remainder of an uneven division is spread over different regions.
 func (d Description) locations() []location {
 	var ps []location
 	for i := 0; ; i++ {
@@ -200,9 +200,9 @@
 	return vms
 }
 
-// targets returns the targets of all services, without addresses. Each
-// service begins where the one before it ended, so that the failure domains
-// also hold the same number of all targets together, within one.
+// targets returns the targets of all services, without addresses. Each service
+// starts at the failure domain after the last one of the service before, so
+// that the total numbers of targets per failure domain differ by at most one.
 func (d Description) targets() []fleet.Target {
 	ps := d.locations()
 	var ts []fleet.Target
@@ -223,7 +223,7 @@
 	return ts
 }
 
-// Service returns the service of the given name.
+// Service returns the service with the given name.
 func (d Description) Service(n fleet.ServiceName) (Service, bool) {
 	i := slices.IndexFunc(d.Services, func(s Service) bool { return s.Name == n })
 	if i < 0 {
@@ -232,7 +232,7 @@
 	return d.Services[i], true
 }
 
-// Catalogue returns the first catalogue: all services, no shifts.
+// Catalogue returns the first catalogue: all services and no traffic shifts.
 func (d Description) Catalogue() catalogue.Catalogue {
 	c := catalogue.Catalogue{Revision: 1}
 	for _, s := range d.Services {
@@ -243,7 +243,8 @@
 	return c
 }
 
-// Kinds returns a mix of requests that loads all services alike.
+// Kinds returns a mix of requests that loads all services in proportion to their
+// capacity.
 func (d Description) Kinds() []caller.Kind {
 	var ks []caller.Kind
 	for _, s := range d.Services {
@@ -259,18 +260,18 @@
 	return ks
 }
 
-// Rate returns the requests a second that, in the mix of Kinds, take the
-// given part of every service's capacity.
-func (d Description) Rate(part float64) float64 {
+// Rate returns the number of requests per second that, in the mix of Kinds, uses
+// the given share of every service's capacity.
+func (d Description) Rate(share float64) float64 {
 	var total float64
 	for _, s := range d.Services {
 		total += s.Capacity()
 	}
-	return part * total
+	return share * total
 }
 
-// ClientAddrs returns n addresses of clients of the region, each in a /24 of its
-// own as long as there are.
+// ClientAddrs returns n client addresses of the region. The first 256 are in
+// different /24 blocks.
 func (r Region) ClientAddrs(n int) []string {
 	base := r.Clients.Addr().As4()
 	var addrs []string
--- a/standin/deployment/doc.go
+++ b/standin/deployment/doc.go
@@ -1,13 +1,13 @@
-// Package deployment describes the users' deployments at the sizes of today,
+// Package deployment describes the users' deployments at their present sizes,
 // and runs their stand-ins on loopback.
 //
-// A Description says what there is: regions, failure domains, entry VMs,
-// services and their targets, spread evenly over the failure domains. Start
-// runs the platform and all targets, and puts the machine list and the first
-// catalogue into the platform. The entry VMs themselves are the system under
-// test, and are started by whoever calls Start.
+// A Description lists regions, failure domains, entry VMs, services and their
+// targets, which are spread evenly over the failure domains. Start runs the
+// platform and all targets, and stores the machine list and the first catalogue
+// in the platform. The entry VMs are the system under test; the caller of Start
+// runs them.
 //
-// Sizes, slots, connections and latencies are the users'. Service times,
-// sizes of bodies and cold starts are not known; those here are chosen so
-// that one machine can load a whole deployment.
+// Numbers of VMs and targets, slots, connections and latencies are those of the
+// users. Their service times, body sizes and cold starts are not known; the
+// values here allow one machine to load a whole deployment.
 package deployment
--- a/standin/deployment/running.go
+++ b/standin/deployment/running.go
@@ -22,38 +22,38 @@
 
 // Options configures Start.
 type Options struct {
-	// Seed starts the generators of the service times.
+	// Seed seeds the random service times.
 	Seed uint64
-	// Cold starts the targets cold. By default they are as in a deployment
-	// that has been at work.
+	// Cold makes the targets begin with a cold start. By default they are
+	// warm, as in a deployment that has been running for some time.
 	Cold bool
 	// Platform configures the platform.
 	Platform platform.Options
-	// PutCatalogue writes the first catalogue to the platform, in the format
-	// that the daemons read. Nil leaves the platform empty.
+	// PutCatalogue writes the first catalogue to the platform in the format
+	// that the daemons read. If it is nil, no catalogue is written.
 	PutCatalogue func(ctx context.Context, s api.Store, c catalogue.Catalogue) error
-	// VMs are the entry VMs with their addresses. Nil takes the
-	// description's, with free ports of 127.0.0.1.
+	// VMs lists the entry VMs with their addresses. Nil means the entry VMs of
+	// the description, on free ports of 127.0.0.1.
 	VMs []fleet.VM
 }
 
-// Target is one target with its place.
+// Target is one target with its entry in the machine list.
 type Target struct {
 	*target.Server
 	Machine fleet.Target
 }
 
-// Running is a deployment's stand-ins at work.
+// Running holds the running stand-ins of a deployment.
 type Running struct {
 	Description Description
 	Platform    *platform.Server
 	Targets     []*Target
 
 	mu       sync.Mutex
-	machines fleet.List // as things are, not as the lagging list shows
+	machines fleet.List // present state, ahead of the platform's list by the lag
 }
 
-// Start runs the platform and the targets of a deployment on loopback.
+// Start starts the platform and the targets of a deployment on loopback.
 func Start(ctx context.Context, d Description, o Options) (*Running, error) {
 	r := &Running{Description: d, Platform: platform.New(o.Platform)}
 	if err := r.start(ctx, o); err != nil {
@@ -87,7 +87,7 @@
 		return nil
 	}
 	if err := o.PutCatalogue(ctx, r.Platform.Store(), r.Description.Catalogue()); err != nil {
-		return fmt.Errorf("deployment: first catalogue: %w", err)
+		return fmt.Errorf("deployment: put first catalogue: %w", err)
 	}
 	return nil
 }
@@ -115,15 +115,15 @@
 	return nil
 }
 
-// withFreePorts gives the entry VMs addresses that are free now. All ports
-// are held until the last is known, so none is given twice; another process
-// may still take one before its daemon listens.
+// withFreePorts sets the addresses of the entry VMs to free ports. All ports
+// stay open until the last one is known, so that none is assigned twice.
+// Another process may still take a port before the daemon listens on it.
 func withFreePorts(vms []fleet.VM) ([]fleet.VM, error) {
 	var addrs []string
 	for range len(vms) * addrsPerVM {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
-			return nil, fmt.Errorf("deployment: %w", err)
+			return nil, fmt.Errorf("deployment: find free port: %w", err)
 		}
 		defer l.Close()
 		addrs = append(addrs, l.Addr().String())
@@ -135,7 +135,7 @@
 	return vms, nil
 }
 
-// Close stops everything.
+// Close stops all targets and the platform.
 func (r *Running) Close() error {
 	for _, t := range r.Targets {
 		t.Server.Close()
@@ -143,14 +143,15 @@
 	return r.Platform.Close()
 }
 
-// Machines returns the machines as they are. The platform's own list lags.
+// Machines returns the present machines. The platform's list may lag behind.
 func (r *Running) Machines() fleet.List {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return fleet.List{VMs: slices.Clone(r.machines.VMs), Targets: slices.Clone(r.machines.Targets)}
 }
 
-// updateMachines changes the machines, and the platform's list after its lag.
+// updateMachines applies change to the machines and passes the result to the
+// platform, which publishes it after its lag.
 func (r *Running) updateMachines(change func(*fleet.List)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -158,7 +159,7 @@
 	r.Platform.SetMachines(r.machines)
 }
 
-// SetVM replaces the entry VM of the same id, as after a restart, or adds it.
+// SetVM replaces the entry VM with the same ID, as after a restart, or adds it.
 func (r *Running) SetVM(vm fleet.VM) {
 	r.updateMachines(func(l *fleet.List) {
 		i := slices.IndexFunc(l.VMs, func(v fleet.VM) bool { return v.ID == vm.ID })
@@ -170,7 +171,7 @@
 	})
 }
 
-// Target returns the target of the given id, or nil.
+// Target returns the target with the given ID, or nil.
 func (r *Running) Target(id fleet.TargetID) *Target {
 	i := slices.IndexFunc(r.Targets, func(t *Target) bool { return t.Machine.ID == id })
 	if i < 0 {
@@ -179,7 +180,7 @@
 	return r.Targets[i]
 }
 
-// SetTargetState changes a target's state in the machine list alone.
+// SetTargetState changes a target's state in the machine list only.
 func (r *Running) SetTargetState(id fleet.TargetID, s fleet.State) {
 	r.updateMachines(func(l *fleet.List) {
 		for i := range l.Targets {
@@ -190,13 +191,15 @@
 	})
 }
 
-// Leave makes a target leave, at the target and in the machine list.
+// Leave makes a target refuse new requests and marks it as leaving in the
+// machine list.
 func (r *Running) Leave(t *Target) {
 	t.Server.Leave()
 	r.SetTargetState(t.Machine.ID, fleet.Leaving)
 }
 
-// Executions returns how often each request ran, summed over all targets.
+// Executions returns the number of executions by request ID, summed over all
+// targets.
 func (r *Running) Executions() map[string]int {
 	sum := map[string]int{}
 	for _, t := range r.Targets {
@@ -215,8 +218,8 @@
 	return "", false
 }
 
-// Totals returns the records of all targets together: counts are summed,
-// high-water marks are the highest.
+// Totals returns the combined Stats of all targets: the sum of counts and the
+// maximum of peak values.
 func (r *Running) Totals() target.Stats {
 	var sum target.Stats
 	for _, t := range r.Targets {
@@ -241,9 +244,9 @@
 	return sum
 }
 
-// Callers returns n callers for each region. Each prefers the entry VMs of
-// its own region for its look-ups. With latency, their connections have the
-// description's.
+// Callers returns n callers for each region. For look-ups, each prefers the
+// entry VMs of its own region. If latency is set, the callers' connections have
+// the latencies of the description.
 func (r *Running) Callers(o caller.Options, n int, latency bool) []*caller.Caller {
 	vms := r.Machines().VMs
 	var all []*caller.Caller
@@ -278,7 +281,8 @@
 	return 1
 }
 
-// latencyFrom returns the latency from clients of a region to entry VMs.
+// latencyFrom returns the latencies from clients of a region to the addresses of
+// the entry VMs.
 func (r *Running) latencyFrom(region fleet.Region, vms []fleet.VM) func(string) time.Duration {
 	latencies := map[string]time.Duration{}
 	for _, vm := range vms {
--- a/standin/link/link.go
+++ b/standin/link/link.go
@@ -1,9 +1,9 @@
-// Package link gives connections of the stand-ins the one-way latency that a
-// wide-area link would have.
+// Package link adds the one-way latency of a wide-area link to connections of
+// the stand-ins.
 //
-// Bytes are delayed in both directions, in order and without holding up the
-// bytes behind them, so throughput is that of the connection below. Only the
-// dialling end is wrapped; the other end needs nothing.
+// Bytes are delayed in both directions and stay in order. A delayed byte doesn't
+// block the bytes after it, so the throughput is that of the underlying
+// connection. Only the dialling side is wrapped.
 package link
 
 import (
@@ -14,11 +14,11 @@
 )
 
 const (
-	// queueLength bounds the pieces on their way in one direction.
+	// queueLength is the largest number of delayed segments per direction.
 	queueLength = 1024
-	// maxSegmentSize is the largest piece read at once, in bytes.
+	// maxSegmentSize is the largest segment read at once, in bytes.
 	maxSegmentSize = 32 << 10
-	// flushTimeout bounds the sending of what was queued at Close.
+	// flushTimeout limits the sending of queued segments after Close.
 	flushTimeout = time.Second
 )
 
@@ -26,11 +26,11 @@
 type Dialer struct {
 	// Latency returns the one-way latency to host:port. Nil means none.
 	Latency func(addr string) time.Duration
-	// Timeout bounds a dial. Zero means none.
+	// Timeout limits a dial. Zero means no limit.
 	Timeout time.Duration
 }
 
-// DialContext connects to addr; the connection takes one round trip more.
+// DialContext connects to addr. Dialling takes one additional round trip.
 func (d *Dialer) DialContext(ctx context.Context, network, addr string) (net.Conn, error) {
 	plain := net.Dialer{Timeout: d.Timeout}
 	c, err := plain.DialContext(ctx, network, addr)
@@ -52,16 +52,16 @@
 	}
 }
 
-// segment is some bytes, or the end of a stream, on the way.
+// segment is a delayed piece of a stream, or the error that ends the stream.
 type segment struct {
 	deliverAt time.Time
 	data      []byte
 	err       error
 }
 
-// conn delays one connection. Its read deadlines take effect at the
-// connection below, that is, earlier by the latency than at the reader; a
-// net/http client sets none.
+// conn is a connection with latency. A read deadline applies to the underlying
+// connection, so the reader sees it take effect later by the latency; a net/http
+// client sets none.
 type conn struct {
 	net.Conn
 	latency            time.Duration
@@ -70,10 +70,10 @@
 	closeOnce          sync.Once
 
 	readMu sync.Mutex
-	unread segment // what Read has not handed on yet
+	unread segment // part of a received segment that Read has not returned yet
 }
 
-// Delay wraps c with a one-way latency in each direction.
+// Delay returns c with a one-way latency in each direction.
 func Delay(c net.Conn, latency time.Duration) net.Conn {
 	d := &conn{
 		Conn:     c,
@@ -87,8 +87,9 @@
 	return d
 }
 
-// send writes what Write has queued. After Close it writes what had been
-// queued before, as the bytes on a real link still arrive.
+// send writes the queued segments to the underlying connection. After Close it
+// still writes the segments queued before, because bytes that are already on a
+// real link arrive too.
 func (c *conn) send() {
 	defer c.Conn.Close()
 	for {
@@ -123,7 +124,7 @@
 	return err == nil
 }
 
-// receive queues what arrives for Read.
+// receive queues received data for Read.
 func (c *conn) receive() {
 	for {
 		b := make([]byte, maxSegmentSize)
@@ -140,8 +141,8 @@
 	}
 }
 
-// Write implements net.Conn. An error of the connection below shows at a
-// later Read, as it would on a real link.
+// Write implements net.Conn. An error of the underlying connection appears at a
+// later Read, as on a real link.
 func (c *conn) Write(b []byte) (int, error) {
 	select {
 	case <-c.closing:
@@ -193,8 +194,8 @@
 // Close implements net.Conn.
 func (c *conn) Close() error {
 	c.closeOnce.Do(func() {
-		// A peer that reads nothing would hold send, and with it the
-		// connection below, for good.
+		// Without a deadline, a peer that doesn't read would block send
+		// forever and keep the underlying connection open.
 		c.Conn.SetWriteDeadline(time.Now().Add(c.latency + flushTimeout))
 		close(c.closing)
 	})
--- a/standin/platform/data.go
+++ b/standin/platform/data.go
@@ -10,23 +10,24 @@
 	api "github.com/azurethread/azurethread/serve/platform"
 )
 
-// firstIndex is the index that the service reports for a key that it has
-// never held. The published API never reports 0, which would not block.
+// firstIndex is the index reported for a key that was never written. The
+// published API never reports 0, because a query with index 0 doesn't block.
 const firstIndex = 1
 
-// lease is a session of the published API.
+// lease is a lease, called a session in the published API.
 type lease struct {
 	ttl      time.Duration
 	deadline time.Time
 }
 
-// data is the content of the service. It has no locks and reads no clock.
+// data is the content of the service. It is not safe for concurrent use, and
+// its methods get the time from the caller.
 type data struct {
-	index         uint64 // of the newest change
+	index         uint64 // of the latest change
 	entries       map[string]api.Entry
-	deleted       map[string]uint64 // index of the deletion of an absent key
+	deleted       map[string]uint64 // index of the deletion, by deleted key
 	leases        map[api.LeaseID]lease
-	leasesGranted uint64 // number of leases ever granted
+	leasesGranted uint64 // total number, used for lease IDs
 }
 
 func newData() data {
@@ -46,7 +47,8 @@
 	return c
 }
 
-// get returns the entry, or the index to wait after and false.
+// get returns the entry of key. If there is none, it returns false and an entry
+// with the index after which to wait for a change.
 func (d *data) get(key string) (api.Entry, bool) {
 	if e, ok := d.entries[key]; ok {
 		e.Value = slices.Clone(e.Value)
@@ -74,7 +76,7 @@
 	return d.index
 }
 
-// compareAndSwap returns the new index, or 0 when the compare failed.
+// compareAndSwap returns the new index, or 0 if the entry has another index.
 func (d *data) compareAndSwap(key string, value []byte, index uint64) uint64 {
 	e, ok := d.entries[key]
 	if ok != (index != 0) || (ok && e.Index != index) {
@@ -83,8 +85,8 @@
 	return d.put(key, value, e.Lease)
 }
 
-// remove reports false when the compare failed. An index of 0 removes the
-// entry whatever its index.
+// remove reports false if the entry has another index. Index 0 removes the
+// entry unconditionally.
 func (d *data) remove(key string, index uint64) bool {
 	e, ok := d.entries[key]
 	if !ok {
@@ -116,7 +118,7 @@
 	return true
 }
 
-// revoke ends a lease. What it held stays, without a holder.
+// revoke ends a lease. The entries that it held stay, without a lease.
 func (d *data) revoke(id api.LeaseID) {
 	if _, ok := d.leases[id]; !ok {
 		return
@@ -129,22 +131,22 @@
 	}
 }
 
-// expire revokes the leases that have lapsed and reports whether any had.
+// expire revokes the expired leases and reports whether there were any.
 func (d *data) expire(now time.Time) bool {
-	var lapsed []api.LeaseID
+	var expired []api.LeaseID
 	for id, l := range d.leases {
 		if !now.Before(l.deadline) {
-			lapsed = append(lapsed, id)
+			expired = append(expired, id)
 		}
 	}
-	slices.Sort(lapsed)
-	for _, id := range lapsed {
+	slices.Sort(expired)
+	for _, id := range expired {
 		d.revoke(id)
 	}
-	return len(lapsed) > 0
+	return len(expired) > 0
 }
 
-// acquire returns the new index, or 0 when another lease holds the key.
+// acquire returns the new index, or 0 if another lease holds the key.
 func (d *data) acquire(key string, value []byte, id api.LeaseID) (uint64, error) {
 	if _, ok := d.leases[id]; !ok {
 		return 0, api.ErrLeaseLost
--- a/standin/platform/doc.go
+++ b/standin/platform/doc.go
@@ -1,25 +1,24 @@
-// Package platform is a stand-in for the platform's key-value service and its
-// lagging list of machines, for tests and the demo.
+// Package platform implements a test server that stands in for the platform's
+// key-value service and its machine list, for tests and the demo.
 //
-// A Server keeps everything in memory and answers the protocol that
-// serve/platform documents, over HTTP at one or more endpoints and in process
-// through Store. Switches that can be set at run time bring about what the
-// real service does at its worst:
+// A Server keeps all data in memory. It implements the protocol that
+// serve/platform documents, over HTTP at one or more endpoints, and in process
+// through Store. It can simulate these faults of the real service at run time:
 //
 //   - SetOutage: an endpoint refuses connections, or accepts them and never
-//     answers; a failure domain that is cut off from the service is one
-//     endpoint's outage.
-//   - SetDelay: every call takes longer, before or after it takes effect.
+//     answers. The outage of a single endpoint simulates a failure domain that
+//     can't reach the service.
+//   - SetDelay: every call is delayed before and after it takes effect.
 //   - LoseAnswers: a write takes effect, and the connection is cut before its
 //     answer.
-//   - Snapshot and Restore: the service comes back with older data, and gives
-//     out again the indexes that it had given to the writes it lost.
-//   - SetMachineLag: a change to the machine list shows only after a while.
+//   - Snapshot and Restore: the service returns to older data and reuses the
+//     indexes of the writes that it lost.
+//   - SetMachineLag: changes to the machine list become visible after a delay.
 //
-// Leases lapse on the clock given in Options. With a clock that a test
-// advances by hand, Tick puts into effect what has become due.
+// Leases expire by the clock given in Options. A test that advances this clock
+// calls Tick to apply expired leases and due machine lists.
 //
-// The server is net/http's on purpose: it shares no code with the nbhttp
-// engine of the daemon under test, so a fault in the one can't cancel out a
-// fault in the other.
+// The server uses net/http deliberately: it shares no code with the nbhttp
+// engine of the daemon under test, so a fault in one can't hide a fault in the
+// other.
 package platform
--- a/standin/platform/endpoint.go
+++ b/standin/platform/endpoint.go
@@ -18,28 +18,29 @@
 
 const (
 	keyPrefix = "/v1/kv/"
-	// listenAttempts and listenPause bound the wait for the port to be free
+	// listenAttempts and listenPause bound the wait until the port is free
 	// again after a Refusing outage.
 	listenAttempts = 50
 	listenPause    = 20 * time.Millisecond
-	// invalidSessionText is the published API's text for an unknown session.
+	// invalidSessionText is the published API's error text for an unknown
+	// session.
 	invalidSessionText = "invalid session"
 )
 
-// Endpoint is one address at which the service answers HTTP.
+// Endpoint is one HTTP address of the service.
 type Endpoint struct {
 	server *Server
 	addr   string
 
-	outageMu sync.Mutex // held during SetOutage and close
+	outageMu sync.Mutex // serializes SetOutage and close
 	mu       sync.Mutex
 	http     *http.Server // nil while refusing
 	outage   Outage
-	changed  chan struct{}
+	changed  chan struct{} // closed and replaced when outage changes
 }
 
-// Endpoint opens a further address. Its outage can be set apart from the
-// others', as when one failure domain is cut off from the service.
+// Endpoint opens an HTTP endpoint on addr. Its outage can be set independently
+// of other endpoints, to simulate a failure domain that can't reach the service.
 func (s *Server) Endpoint(addr string) (*Endpoint, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -61,10 +62,10 @@
 	e.mu.Lock()
 	e.http = h
 	e.mu.Unlock()
-	go h.Serve(l) // returns at close
+	go h.Serve(l) // returns when h is closed
 }
 
-// SetOutage sets the outage of this endpoint alone.
+// SetOutage sets the outage of this endpoint only.
 func (e *Endpoint) SetOutage(o Outage) error {
 	e.outageMu.Lock()
 	defer e.outageMu.Unlock()
@@ -93,10 +94,10 @@
 		}
 		time.Sleep(listenPause)
 	}
-	return fmt.Errorf("standin platform: reopen: %w", err)
+	return fmt.Errorf("standin platform: reopen endpoint: %w", err)
 }
 
-// closeServer closes the listener and cuts all connections.
+// closeServer closes the listener and all connections.
 func (e *Endpoint) closeServer() error {
 	e.mu.Lock()
 	h := e.http
@@ -133,8 +134,9 @@
 	return m
 }
 
-// answerError answers an error of an operation. Where the connection is to be cut
-// it aborts the handler, which closes the connection without an answer.
+// answerError answers with the HTTP error for err. For other errors, such as
+// errConnectionCut, it aborts the handler, which closes the connection without
+// an answer.
 func answerError(w http.ResponseWriter, err error) {
 	switch {
 	case errors.Is(err, api.ErrTooLarge):
@@ -148,7 +150,7 @@
 	}
 }
 
-// parseBlockingQuery reads the index and wait of a blocking query.
+// parseBlockingQuery parses the index and wait parameters of a blocking query.
 func parseBlockingQuery(q url.Values) (after uint64, wait time.Duration, err error) {
 	if q.Get("index") == "" {
 		return 0, 0, nil
@@ -164,7 +166,7 @@
 	return after, wait, err
 }
 
-// wireEntry is an entry in the published API's form.
+// wireEntry is the published API's JSON form of an entry.
 type wireEntry struct {
 	Key         string
 	Value       []byte
@@ -188,7 +190,7 @@
 
 func answerJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
-	// An error here means that the caller has gone.
+	// Fails only if the caller has disconnected.
 	_ = json.NewEncoder(w).Encode(v)
 }
 
@@ -201,7 +203,7 @@
 	}
 	after, wait, err := parseBlockingQuery(q)
 	if err != nil || key == "" {
-		http.Error(w, "bad key, index or wait", http.StatusBadRequest)
+		http.Error(w, "invalid key, index or wait", http.StatusBadRequest)
 		return
 	}
 	entry, found, err := e.server.get(r.Context(), e, key, after, wait)
@@ -229,9 +231,9 @@
 	answerEntries(w, es, index)
 }
 
-// readBody reads a value, one byte beyond the limit at most. It is read before
-// the call is held, since net/http notices a client that has gone only when
-// the body has been read.
+// readBody reads a value, at most one byte beyond the limit. Handlers call it
+// before a call can be delayed, because net/http detects a disconnected client
+// only after the body has been read.
 func readBody(r *http.Request) ([]byte, error) {
 	return io.ReadAll(io.LimitReader(r.Body, api.MaxValueSize+1))
 }
@@ -244,7 +246,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	if key == "" || q.Has("cas") == q.Has("acquire") {
-		http.Error(w, "want a key and either cas or acquire", http.StatusBadRequest)
+		http.Error(w, "key and exactly one of cas and acquire required", http.StatusBadRequest)
 		return
 	}
 	var next uint64
@@ -253,7 +255,7 @@
 	} else {
 		index, bad := strconv.ParseUint(q.Get("cas"), 10, 64)
 		if bad != nil {
-			http.Error(w, "bad cas", http.StatusBadRequest)
+			http.Error(w, "invalid cas", http.StatusBadRequest)
 			return
 		}
 		next, err = e.server.compareAndSwap(r.Context(), e, key, value, index)
@@ -271,7 +273,7 @@
 	if q := r.URL.Query(); q.Has("cas") {
 		var err error
 		if index, err = strconv.ParseUint(q.Get("cas"), 10, 64); err != nil {
-			http.Error(w, "bad cas", http.StatusBadRequest)
+			http.Error(w, "invalid cas", http.StatusBadRequest)
 			return
 		}
 	}
@@ -283,7 +285,7 @@
 	answerJSON(w, ok)
 }
 
-// wireSession is a session in the published API's form.
+// wireSession is the published API's JSON form of a session.
 type wireSession struct {
 	ID  string
 	TTL string
@@ -296,12 +298,12 @@
 	}
 	var s wireSession
 	if err := json.Unmarshal(value, &s); err != nil {
-		http.Error(w, "bad session", http.StatusBadRequest)
+		http.Error(w, "invalid JSON of session", http.StatusBadRequest)
 		return
 	}
 	ttl, err := time.ParseDuration(s.TTL)
 	if err != nil {
-		http.Error(w, "bad TTL", http.StatusBadRequest)
+		http.Error(w, "invalid TTL of session", http.StatusBadRequest)
 		return
 	}
 	id, err := e.server.grant(r.Context(), e, ttl)
@@ -337,7 +339,7 @@
 func (e *Endpoint) getMachines(w http.ResponseWriter, r *http.Request) {
 	after, wait, err := parseBlockingQuery(r.URL.Query())
 	if err != nil {
-		http.Error(w, "bad index or wait", http.StatusBadRequest)
+		http.Error(w, "invalid index or wait", http.StatusBadRequest)
 		return
 	}
 	l, err := e.server.machineList(r.Context(), e, after, wait)
--- a/standin/platform/operations.go
+++ b/standin/platform/operations.go
@@ -9,7 +9,7 @@
 	api "github.com/azurethread/azurethread/serve/platform"
 )
 
-// callKind is what a call counts as.
+// callKind is the kind of a call in Counts.
 type callKind uint8
 
 const (
@@ -19,21 +19,23 @@
 )
 
 var (
-	// errConnectionCut means that the connection ends without an answer, whether or
-	// not the call took effect.
+	// errConnectionCut means that the connection is closed without an answer,
+	// whether or not the call took effect.
 	errConnectionCut = errors.New("standin platform: connection cut")
-	// errTTLTooShort refuses a lease that is shorter than the shortest.
-	errTTLTooShort = errors.New("standin platform: TTL too short")
+	// errTTLTooShort means that a lease was requested with a TTL below
+	// Options.MinLeaseTTL.
+	errTTLTooShort = errors.New("standin platform: session TTL below minimum")
 )
 
-// outageSource is the way by which a call arrives: an endpoint or a view.
+// outageSource is the endpoint or view through which a call arrives.
 type outageSource interface {
-	// outageState returns the outage now, and a channel that is closed at the
-	// next change of it.
+	// outageState returns the present outage and a channel that is closed when
+	// it changes.
 	outageState() (Outage, <-chan struct{})
 }
 
-// admit counts a call and holds it for as long as the switches say.
+// admit counts a call and applies the delay and the outage that precede its
+// effect.
 func (s *Server) admit(ctx context.Context, src outageSource, k callKind) error {
 	s.mu.Lock()
 	switch k {
@@ -52,7 +54,8 @@
 	return awaitOutageEnd(ctx, src)
 }
 
-// finish holds the answer of a call that has taken effect, or loses it.
+// finish applies the delay and the outage that precede the answer, or drops the
+// answer of a write if LoseAnswers asks for it.
 func (s *Server) finish(ctx context.Context, src outageSource, k callKind) error {
 	s.mu.Lock()
 	delay := s.afterDelay
@@ -84,7 +87,8 @@
 	}
 }
 
-// awaitOutageEnd keeps a call silent during an outage and cuts it afterwards.
+// awaitOutageEnd blocks a call during a Hanging outage and returns
+// errConnectionCut when it ends or when the service refuses connections.
 func awaitOutageEnd(ctx context.Context, src outageSource) error {
 	held := false
 	for {
@@ -104,7 +108,7 @@
 	}
 }
 
-// execute carries out a read or a write under the lock.
+// execute runs a read or a write while holding s.mu.
 func (s *Server) execute(ctx context.Context, src outageSource, k callKind, f func(d *data, now time.Time)) error {
 	if err := s.admit(ctx, src, k); err != nil {
 		return err
@@ -120,8 +124,8 @@
 	return s.finish(ctx, src, k)
 }
 
-// poll calls ready under the lock at every change until it reports true or
-// the wait ends. A wait of 0 or less makes it a read.
+// poll calls ready, while holding s.mu, at every change until it reports true
+// or the wait ends. With a wait of 0 or less, the call is a read.
 func (s *Server) poll(ctx context.Context, src outageSource, wait time.Duration, ready func() bool) error {
 	k := watch
 	if wait <= 0 {
@@ -160,7 +164,7 @@
 	s.counts.Waiting += n
 }
 
-// get reads one entry, waiting for an index above after.
+// get returns one entry. If after is not 0, it waits for an index above after.
 func (s *Server) get(ctx context.Context, src outageSource, key string, after uint64, wait time.Duration) (e api.Entry, found bool, err error) {
 	if after == 0 {
 		wait = 0
@@ -219,7 +223,8 @@
 	return next, err
 }
 
-// list of machines, waiting for a version other than after.
+// machineList returns the machine list. If after is not 0, it waits for a
+// version other than after.
 func (s *Server) machineList(ctx context.Context, src outageSource, after uint64, wait time.Duration) (l fleet.List, err error) {
 	if after == 0 {
 		wait = 0
--- a/standin/platform/server.go
+++ b/standin/platform/server.go
@@ -12,55 +12,56 @@
 )
 
 const (
-	// tickInterval is how often a started server looks for leases and
-	// machine-list changes that have become due.
+	// tickInterval is the interval at which a started server checks for expired
+	// leases and due machine lists.
 	tickInterval = 20 * time.Millisecond
-	// maxWait is the longest that a watch is held.
+	// maxWait is the longest wait of a watch.
 	maxWait = 10 * time.Minute
 )
 
 // Options configures a Server.
 type Options struct {
-	// Now is the clock that leases and the machine list's lag run on. Nil
-	// means time.Now. A watch's wait and SetDelay are always in real time.
+	// Now is the clock for leases and the lag of the machine list. Nil means
+	// time.Now. The waits of watches and SetDelay always use real time.
 	Now func() time.Time
-	// MinLeaseTTL is the shortest lease granted; shorter ones are refused
-	// over HTTP and raised in process. Zero means the published API's,
-	// api.MinLeaseTTL.
+	// MinLeaseTTL is the shortest TTL of a lease. A shorter TTL is refused over
+	// HTTP and raised to the minimum in process. Zero means api.MinLeaseTTL,
+	// the minimum of the published API.
 	MinLeaseTTL time.Duration
 	// MachineLag is the initial lag of the machine list.
 	MachineLag time.Duration
 }
 
-// Outage is a way of not answering.
+// Outage is the way in which an endpoint or a view fails to answer.
 type Outage uint8
 
 const (
-	// Up answers.
+	// Up means no outage.
 	Up Outage = iota
 	// Refusing closes all connections and refuses new ones.
 	Refusing
-	// Hanging accepts connections and requests and never answers them. They
+	// Hanging accepts connections and requests without answering. The requests
 	// are cut, without effect, when the outage ends.
 	Hanging
 )
 
-// Counts are the calls that the server has received, by kind.
+// Counts holds the numbers of calls that the server has received.
 type Counts struct {
 	Reads   uint64 // Get, List, and Machines without a wait
-	Writes  uint64 // compare-and-swap, delete, acquire, and every call on a lease
-	Watches uint64 // Watch and Machines with a wait, counted when they begin
-	Waiting int    // watches held now
+	Writes  uint64 // compare-and-swap, delete, acquire, and all calls on leases
+	Watches uint64 // Watch and Machines with a wait, counted at their start
+	Waiting int    // watches that are waiting now
 }
 
-// Server is the stand-in. All methods are safe for concurrent use.
+// Server is a stand-in for the platform. Its methods are safe for concurrent
+// use.
 type Server struct {
 	now    func() time.Time
 	minTTL time.Duration
 
 	mu            sync.Mutex
 	data          data
-	changed       chan struct{} // closed and replaced at every change
+	changed       chan struct{} // closed and replaced at every change of data, machines or outage
 	machines      fleet.List
 	pending       []pendingList
 	lag           time.Duration
@@ -74,17 +75,17 @@
 	tickFinished  chan struct{}
 }
 
-// pendingList is a machine list that does not show yet.
+// pendingList is a machine list that is not visible yet.
 type pendingList struct {
 	visible time.Time
 	list    fleet.List
 }
 
-// Snapshot is the content of the service at one moment.
+// Snapshot is a copy of the content of the service.
 type Snapshot struct{ data data }
 
-// New returns a server that is reachable in process only; Start opens its
-// first endpoint.
+// New returns a server without endpoints. It is reachable in process through
+// Store; Start opens its first endpoint.
 func New(o Options) *Server {
 	if o.Now == nil {
 		o.Now = time.Now
@@ -98,13 +99,13 @@
 		lag:     o.MachineLag,
 		data:    newData(),
 		changed: make(chan struct{}),
-		// Version 0 asks for an answer at once, so no list may bear it.
+		// A query with version 0 doesn't wait, so no list has version 0.
 		machines: fleet.List{Version: 1},
 	}
 }
 
-// Start opens the first endpoint at addr, such as "127.0.0.1:0", and begins
-// to tick.
+// Start opens the first endpoint on addr, such as "127.0.0.1:0", and starts
+// calling Tick periodically.
 func (s *Server) Start(addr string) error {
 	if _, err := s.Endpoint(addr); err != nil {
 		return err
@@ -160,42 +161,42 @@
 	return errors.Join(errs...)
 }
 
-// Tick puts into effect what has become due by the clock: lapsed leases and
-// changes of the machine list. A started server does so by itself.
+// Tick revokes expired leases and publishes machine lists whose lag has passed.
+// A started server does this periodically.
 func (s *Server) Tick() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.applyDue()
 }
 
-// applyDue needs s.mu.
+// applyDue does the work of Tick. The caller holds s.mu.
 func (s *Server) applyDue() {
 	now := s.now()
-	moved := s.data.expire(now)
+	changed := s.data.expire(now)
 	for len(s.pending) > 0 && !now.Before(s.pending[0].visible) {
 		s.publish(s.pending[0].list)
 		s.pending = s.pending[1:]
-		moved = true
+		changed = true
 	}
-	if moved {
+	if changed {
 		s.notifyWaiters()
 	}
 }
 
-// notifyWaiters needs s.mu.
+// notifyWaiters wakes up the waiting calls. The caller holds s.mu.
 func (s *Server) notifyWaiters() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// publish needs s.mu.
+// publish makes l the visible machine list. The caller holds s.mu.
 func (s *Server) publish(l fleet.List) {
 	l.Version = s.machines.Version + 1
 	s.machines = l
 }
 
-// SetMachines changes the machine list; the change shows after the lag. The
-// server sets the version.
+// SetMachines replaces the machine list. The new list becomes visible after the
+// lag; the server sets its version.
 func (s *Server) SetMachines(l fleet.List) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -205,14 +206,14 @@
 	s.applyDue()
 }
 
-// SetMachineLag sets the lag of later changes to the machine list.
+// SetMachineLag sets the lag of later calls of SetMachines.
 func (s *Server) SetMachineLag(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lag = d
 }
 
-// SetOutage sets the outage of every endpoint and of the in-process views.
+// SetOutage sets the outage of all endpoints and in-process views.
 func (s *Server) SetOutage(o Outage) error {
 	s.mu.Lock()
 	s.outage = o
@@ -226,8 +227,8 @@
 	return errors.Join(errs...)
 }
 
-// SetDelay makes every call wait before it takes effect and again before it
-// is answered.
+// SetDelay delays every call before it takes effect and again before it is
+// answered.
 func (s *Server) SetDelay(before, after time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -241,24 +242,24 @@
 	s.answersToLose = n
 }
 
-// Snapshot returns the present content.
+// Snapshot returns a copy of the present content.
 func (s *Server) Snapshot() Snapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return Snapshot{data: s.data.clone()}
 }
 
-// Restore brings back older content, index included.
+// Restore replaces the content, including the latest index, by older content.
 func (s *Server) Restore(p Snapshot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	granted := s.data.leasesGranted
 	s.data = p.data.clone()
-	s.data.leasesGranted = max(s.data.leasesGranted, granted) // a lease's name is never given out again
+	s.data.leasesGranted = max(s.data.leasesGranted, granted) // lease IDs are never reused
 	s.notifyWaiters()
 }
 
-// Counts returns the calls so far.
+// Counts returns the counts so far.
 func (s *Server) Counts() Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/standin/platform/view.go
+++ b/standin/platform/view.go
@@ -11,15 +11,16 @@
 	api "github.com/azurethread/azurethread/serve/platform"
 )
 
-// View is the service as one client sees it, in process. It obeys the
-// server's switches, and has an outage of its own for a client that is cut
-// off alone. It implements the Store and Machines interfaces.
+// View is an in-process client of the service. The faults set at the server
+// apply to it. SetOutage also sets an outage for this view only, to simulate a
+// single client that can't reach the service. View implements api.Store and
+// api.Machines.
 type View struct {
 	server *Server
 
 	mu      sync.Mutex
 	outage  Outage
-	changed chan struct{}
+	changed chan struct{} // closed and replaced when outage changes
 }
 
 var (
@@ -32,7 +33,7 @@
 	return &View{server: s, changed: make(chan struct{})}
 }
 
-// SetOutage sets the outage of this view alone.
+// SetOutage sets the outage of this view only.
 func (v *View) SetOutage(o Outage) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -54,7 +55,8 @@
 	return v.server.outage, v.server.changed
 }
 
-// checkReachable fails like a refused connection.
+// checkReachable returns the error of a refused connection during a Refusing
+// outage.
 func (v *View) checkReachable() error {
 	if o, _ := v.outageState(); o == Refusing {
 		return verdictError(verdict.NotRun, verdict.ReasonConnect, errConnectionCut)
@@ -62,8 +64,8 @@
 	return nil
 }
 
-// call runs f as a client's call: errors of the transport become verdicts,
-// and an outage that begins ends the call.
+// call runs f as a client's call over a connection: it converts errors to
+// errors with a verdict, and cuts the call when a Refusing outage begins.
 func (v *View) call(ctx context.Context, f func(ctx context.Context) error) error {
 	if err := ctx.Err(); err != nil {
 		return verdictError(verdict.NotRun, contextReason(err), err)
@@ -77,7 +79,8 @@
 	return v.withVerdict(ctx, f(ctx))
 }
 
-// cutWhenRefusing ends a call as the closing of its connection would.
+// cutWhenRefusing cancels a call, as a closed connection would, when a Refusing
+// outage begins.
 func (v *View) cutWhenRefusing(ctx context.Context, cancel context.CancelCauseFunc) {
 	for {
 		o, changed := v.outageState()
--- a/standin/target/doc.go
+++ b/standin/target/doc.go
@@ -1,26 +1,28 @@
-// Package target is a stand-in for a target (upstream): one machine of one
-// service, with its slots, its connection limit and its ways of failing.
+// Package target implements a test server that stands in for a target
+// (upstream): one machine of one service, with a number of slots, a
+// connection limit and faults that can be injected.
 //
-// A request occupies one of the slots for a service time drawn from a seeded
-// distribution, longer while the target is cold. When all slots and the small
-// queue behind them are taken, or the target is leaving, it refuses with 503
-// and the header "Azurethread-Refused: not-run", before running anything.
+// A request occupies one slot for a service time drawn from a seeded
+// distribution; service times are longer during a cold start. When all slots
+// and the queue are full, or the target is leaving, the target refuses the
+// request before running it, with status 503 and the header
+// "Azurethread-Refused: not-run".
 //
-// Faults, settable at run time:
+// Faults that can be set at run time:
 //
-//   - Leave: refuses new work and finishes the rest.
-//   - Crash: closes the listener and resets every connection; Restart opens it
-//     again, cold.
-//   - SilenceConnections: existing connections lose everything sent on them in
+//   - Leave: refuses new requests and finishes the accepted ones.
+//   - Crash: closes the listener and resets every connection; Restart listens
+//     again, with a cold start.
+//   - SilenceConnections: existing connections drop everything sent on them in
 //     either direction, while new connections work.
 //   - CutAnswers: answers end half-way.
-//   - SetLoadReport, SetHealthReport, SetReportLag: /loadz and /healthz lie or
-//     lag.
+//   - SetLoadReport, SetHealthReport, SetReportLag: /loadz and /healthz report
+//     false or outdated values.
 //
 // A target keeps records that don't depend on the system under test: how
-// often each request ran, how many requests were in it at once, how many
-// connections it had, and what it cut off. Together with the caller's record
-// they prove or disprove the promises.
+// often each request ran, the most requests in flight at once, the number of
+// connections, and the requests and answers that it cut. Compared with the
+// callers' records, they show whether the system keeps its guarantees.
 //
-// The server is net/http's on purpose; see package standin/platform.
+// The server uses net/http deliberately; package standin/platform explains why.
 package target
--- a/standin/target/handler.go
+++ b/standin/target/handler.go
@@ -13,7 +13,7 @@
 	"github.com/azurethread/azurethread/standin/payload"
 )
 
-// maxAnswerSize bounds the answer that a request may ask for, in bytes.
+// maxAnswerSize is the largest answer that a request may ask for, in bytes.
 const maxAnswerSize = 64 << 20
 
 func (s *Server) handler() http.Handler {
@@ -38,18 +38,18 @@
 	load, _ := s.reporter.current(time.Now())
 	s.mu.Unlock()
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(load) // an error means that the client has gone
+	_ = json.NewEncoder(w).Encode(load) // fails only if the client has disconnected
 }
 
-// refuse says that the request has not run and will not.
+// refuse answers that the request was not run.
 func (s *Server) refuse(w http.ResponseWriter) {
 	s.setLoadHeader(w.Header())
 	w.Header().Set(payload.RefusedHeader, payload.RefusedNotRun)
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// setLoadHeader reports the load with an answer, as the load endpoint would: it
-// lags and lies alike.
+// setLoadHeader sets the load header to the load that /loadz reports, including
+// its lag and overrides.
 func (s *Server) setLoadHeader(h http.Header) {
 	s.mu.Lock()
 	load, _ := s.reporter.current(time.Now())
@@ -57,7 +57,7 @@
 	h.Set(payload.LoadHeader, fmt.Sprintf("%d/%d", load.InFlight, load.Slots))
 }
 
-// handleRequest runs one request.
+// handleRequest executes and answers one request.
 func (s *Server) handleRequest(w http.ResponseWriter, r *http.Request) {
 	if !s.admit() {
 		s.refuse(w)
@@ -68,7 +68,7 @@
 	hash := payload.NewHash()
 	if _, err := io.Copy(hash, r.Body); err != nil {
 		s.releaseRequest(false, func(st *Stats) { st.BrokenBodies++ })
-		http.Error(w, "body ends early", http.StatusBadRequest)
+		http.Error(w, "request body ends early", http.StatusBadRequest)
 		return
 	}
 	if !s.takeSlot(ctx) {
@@ -84,7 +84,7 @@
 	s.answer(w, r, hash.String())
 }
 
-// withDeadline bounds the request by its deadline header, if it has one.
+// withDeadline applies the request's deadline header, if there is one.
 func withDeadline(r *http.Request) (context.Context, context.CancelFunc) {
 	ms, err := strconv.ParseInt(r.Header.Get(payload.DeadlineHeader), 10, 64)
 	if err != nil {
@@ -93,7 +93,8 @@
 	return context.WithTimeout(r.Context(), time.Duration(ms)*time.Millisecond)
 }
 
-// countEnd counts why ctx ended. The end by a crash is counted there.
+// countEnd returns a function that counts the cause of ctx's end. Crash counts
+// the requests that it cuts itself.
 func (s *Server) countEnd(ctx context.Context) func(*Stats) {
 	expired := errors.Is(ctx.Err(), context.DeadlineExceeded)
 	return func(st *Stats) {
@@ -106,7 +107,7 @@
 	}
 }
 
-// admit takes a request in, or refuses it.
+// admit counts a request and reports whether the target accepts it.
 func (s *Server) admit() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -129,7 +130,7 @@
 	return true
 }
 
-// takeSlot waits for a slot; it reports false when ctx ended first.
+// takeSlot waits for a slot. It reports false if ctx ends first.
 func (s *Server) takeSlot(ctx context.Context) bool {
 	if ctx.Err() != nil {
 		return false
@@ -139,7 +140,7 @@
 	case <-ctx.Done():
 		return false
 	}
-	if ctx.Err() != nil { // both were ready
+	if ctx.Err() != nil { // select may choose the slot when both cases are ready
 		<-s.slots
 		return false
 	}
@@ -150,8 +151,8 @@
 	return true
 }
 
-// execute runs the request for its service time; it reports false when ctx
-// ended it.
+// execute runs the request for its service time. It reports false if ctx ends
+// first.
 func (s *Server) execute(ctx context.Context, id string) bool {
 	s.mu.Lock()
 	s.stats.Started++
@@ -170,7 +171,7 @@
 	}
 }
 
-// releaseRequest gives a request up, with its slot if it has one.
+// releaseRequest ends an accepted request and frees its slot if it has one.
 func (s *Server) releaseRequest(slot bool, count func(*Stats)) {
 	if slot {
 		<-s.slots
@@ -186,9 +187,9 @@
 	s.signalIfDrained()
 }
 
-// answer releases the slot and then answers. In this order, because the
-// sender may send its next request as soon as it has the answer; a slot
-// released later would let that one find the target full when it is not.
+// answer frees the slot and then answers. The sender may send its next request
+// as soon as it has the answer; if the slot were freed later, that request
+// could be refused although the target has capacity.
 func (s *Server) answer(w http.ResponseWriter, r *http.Request, hash string) {
 	s.beginAnswer()
 	defer s.endAnswer()
@@ -211,13 +212,13 @@
 		_ = http.NewResponseController(w).Flush()
 		panic(http.ErrAbortHandler) // closes the connection
 	}
-	// An error means that the client has gone; there is nobody to tell.
+	// Fails only if the client has disconnected.
 	_ = payload.Write(w, id, n)
 }
 
 func (s *Server) beginAnswer() {
 	s.mu.Lock()
-	s.answering++ // before the release, so that a leaving target is not empty yet
+	s.answering++ // before the release, or a leaving target would count as drained
 	s.mu.Unlock()
 	s.releaseRequest(true, func(st *Stats) { st.Completed++ })
 }
--- a/standin/target/listener.go
+++ b/standin/target/listener.go
@@ -6,23 +6,23 @@
 	"sync/atomic"
 )
 
-// listener tracks the connections of one target and enforces its limit.
+// listener tracks the connections of one target and limits their number.
 type listener struct {
 	net.Listener
-	limit int // 0 is none
+	limit int // 0 means no limit
 
 	mu      sync.Mutex
 	conns   map[*conn]struct{}
 	peak    int
-	refused uint64 // connections beyond the limit
+	refused uint64 // connections closed because of the limit
 }
 
 func newListener(l net.Listener, limit int) *listener {
 	return &listener{Listener: l, limit: limit, conns: map[*conn]struct{}{}}
 }
 
-// Accept implements net.Listener. A connection beyond the limit is closed at
-// once.
+// Accept implements net.Listener. It closes connections beyond the limit
+// immediately.
 func (l *listener) Accept() (net.Conn, error) {
 	for {
 		c, err := l.Listener.Accept()
@@ -55,8 +55,8 @@
 	delete(l.conns, c)
 }
 
-// silence makes n connections silent, or all if n is negative, and returns
-// how many it was.
+// silence makes n connections silent, or all if n is negative, and returns the
+// number of connections it made silent.
 func (l *listener) silence(n int) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -72,7 +72,7 @@
 	return done
 }
 
-// reset closes all connections so that the peers see a reset.
+// reset closes all connections with a TCP reset.
 func (l *listener) reset() {
 	l.mu.Lock()
 	var conns []*conn
@@ -82,14 +82,14 @@
 	l.mu.Unlock()
 	for _, c := range conns {
 		if t, ok := c.Conn.(*net.TCPConn); ok {
-			t.SetLinger(0) // best effort: a plain close serves too
+			t.SetLinger(0) // best effort: without it the peer sees an orderly close
 		}
 		c.Close()
 	}
 }
 
-// conn is a connection that can go silent: what the peer sends on it is taken
-// and dropped, and nothing reaches the peer, not even an end.
+// conn is a connection that can be made silent: data in both directions is
+// dropped, and the peer doesn't see a close either.
 type conn struct {
 	net.Conn
 	listener  *listener
@@ -124,8 +124,8 @@
 	return c.Conn.Close()
 }
 
-// closeAfterPeer keeps a silent connection open below, as a lost one would be, until
-// the peer closes it. Closing it would tell the peer what it can't know.
+// closeAfterPeer keeps the underlying connection open until the peer closes it.
+// The peer of a lost connection would not see a close either.
 func (c *conn) closeAfterPeer() error {
 	go func() {
 		buf := make([]byte, 1024)
--- a/standin/target/report.go
+++ b/standin/target/report.go
@@ -2,26 +2,26 @@
 
 import "time"
 
-// Load is what the load endpoint reports.
+// Load is the JSON body of the load endpoint.
 type Load struct {
-	InFlight int  `json:"in_flight"` // requests accepted and not answered
+	InFlight int  `json:"in_flight"` // requests accepted and not yet answered
 	Slots    int  `json:"slots"`
-	Queued   int  `json:"queued"` // those of InFlight that wait for a slot
+	Queued   int  `json:"queued"` // requests of InFlight that wait for a slot
 	Cold     bool `json:"cold"`
 }
 
-// report is what the endpoints would say at one moment.
+// report is the health and load of a target at one time.
 type report struct {
 	at      time.Time
 	load    Load
 	healthy bool
 }
 
-// reporter holds back reports so that the endpoints lag, and changes them so
-// that they lie. It has no locks.
+// reporter delays and overrides the reports of the health and load endpoints.
+// It is not safe for concurrent use.
 type reporter struct {
 	lag            time.Duration
-	history        []report // by time; the first is the one that shows
+	history        []report // in order of time; the first one is reported
 	overrideLoad   func(Load) Load
 	overrideHealth func(bool) bool
 }
@@ -31,7 +31,7 @@
 	r.prune(n.at)
 }
 
-// prune drops the reports that a newer one has replaced at the lagging end.
+// prune drops the reports that precede the one to be reported at now.
 func (r *reporter) prune(now time.Time) {
 	shown := now.Add(-r.lag)
 	for len(r.history) > 1 && !r.history[1].at.After(shown) {
--- a/standin/target/target.go
+++ b/standin/target/target.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	// restartAttempts and restartPause bound the wait for the port to be free
+	// restartAttempts and restartPause bound the wait until the port is free
 	// again after a crash.
 	restartAttempts = 50
 	restartPause    = 20 * time.Millisecond
@@ -24,65 +24,66 @@
 type Options struct {
 	Service fleet.ServiceName
 	ID      fleet.TargetID
-	// Slots is how many requests it works on at once; at least 1.
+	// Slots is the number of requests that execute at once, at least 1.
 	Slots int
-	// Queue is how many more it accepts before it sheds.
+	// Queue is the number of accepted requests that may wait for a slot.
 	Queue int
-	// Connections is the limit on open connections; 0 is none.
+	// Connections limits the open connections; 0 means no limit.
 	Connections int
 	Work        Work
 	Cold        Cold
-	// Warm starts it warm; Restart and MakeCold make it cold all the same.
+	// Warm skips the cold start of a new target; Restart and MakeCold still
+	// begin one.
 	Warm bool
-	// Seed starts the generator of service times.
+	// Seed seeds the random service times.
 	Seed uint64
 }
 
-// Stats are the records of a target since New.
+// Stats holds the counts of a target since New.
 type Stats struct {
-	Arrived           uint64 // requests that reached the target, refused ones included
-	Started           uint64 // executions begun
-	Completed         uint64 // executions ended with an answer
-	Shed              uint64 // refused because slots and queue were taken
-	ArrivedAtCapacity uint64 // arrivals that found all slots taken, shed or queued
-	PeakInFlight      int    // most requests in it at once, refused ones left out
-
-	RefusedLeaving uint64        // refused because it was leaving
-	LastArrival    time.Duration // from Leave to the last refused arrival
-
-	Cancelled     uint64 // ended because the client had gone
-	Expired       uint64 // ended because the deadline had passed
-	BrokenBodies  uint64 // request bodies that ended early; not run
-	CutByShutdown uint64 // in it, or being answered, at Crash or Close
-	CutAnswers    uint64 // cut by CutAnswers
+	Arrived           uint64 // requests received, including refused ones
+	Started           uint64 // executions started
+	Completed         uint64 // executions that ended with an answer
+	Shed              uint64 // refused because the slots and the queue were full
+	ArrivedAtCapacity uint64 // arrived while all slots were in use; queued or shed
+	PeakInFlight      int    // most accepted requests at once
+
+	RefusedLeaving uint64        // refused because the target was leaving
+	LastArrival    time.Duration // time from Leave to the last request refused for it
+
+	Cancelled     uint64 // ended because the client disconnected
+	Expired       uint64 // ended because the deadline passed
+	BrokenBodies  uint64 // not run because the request body ended early
+	CutByShutdown uint64 // accepted or being answered at Crash or Close
+	CutAnswers    uint64 // answers cut by CutAnswers
 
 	Connections        int    // open now
 	PeakConnections    int    // most open at once
-	ConnectionsRefused uint64 // beyond the limit
+	ConnectionsRefused uint64 // closed because of the limit
 }
 
-// Server is one target. All methods are safe for concurrent use.
+// Server is one target. Its methods are safe for concurrent use.
 type Server struct {
 	options Options
-	slots   chan struct{} // holds a token for each request at work
+	slots   chan struct{} // holds one element for each executing request
 
 	mu           sync.Mutex
 	timer        *workTimer
 	reporter     reporter
-	executions   map[string]int // by request id
+	executions   map[string]int // by request ID
 	stats        Stats
-	inFlight     int // accepted, neither answered nor given up
-	executing    int // those of inFlight that have a slot
-	answering    int // being answered
+	inFlight     int // accepted and not released
+	executing    int // requests of inFlight that have a slot
+	answering    int // answers being written
 	leaveStarted time.Time
-	drained      chan struct{} // closed when leaving and empty; nil before Leave
+	drained      chan struct{} // nil before Leave; closed when no request is left
 	answersToCut int
 	addr         string
 	http         *http.Server
 	listener     *listener
 }
 
-// New returns a target that does not listen yet.
+// New returns a target; Start makes it listen.
 func New(o Options) *Server {
 	o.Slots = max(o.Slots, 1)
 	now := time.Now()
@@ -99,7 +100,7 @@
 	return s
 }
 
-// Start listens at addr, such as "127.0.0.1:0".
+// Start listens on addr, such as "127.0.0.1:0".
 func (s *Server) Start(addr string) error {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -115,17 +116,18 @@
 	s.addr = l.Addr().String()
 	s.listener = newListener(l, s.options.Connections)
 	s.http = &http.Server{Handler: s.handler()}
-	go s.http.Serve(s.listener) // returns at Crash and Close
+	go s.http.Serve(s.listener) // returns after Crash or Close
 }
 
-// Addr returns host:port, also while the target is down.
+// Addr returns the target's host:port, also after a crash.
 func (s *Server) Addr() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.addr
 }
 
-// Target describes the target to the machine list, without its place.
+// Target returns the target's entry for the machine list, without region,
+// domain and site.
 func (s *Server) Target() fleet.Target {
 	return fleet.Target{
 		ID:          s.options.ID,
@@ -136,7 +138,7 @@
 	}
 }
 
-// Leave refuses new work from now on and lets the rest finish.
+// Leave makes the target refuse new requests and finish the accepted ones.
 func (s *Server) Leave() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -150,24 +152,25 @@
 	s.signalIfDrained()
 }
 
-// Drained waits until a leaving target has finished all its work. It returns
-// the time since Leave.
+// Drained waits until a leaving target has finished all accepted requests. It
+// returns the time since Leave.
 func (s *Server) Drained(ctx context.Context) (time.Duration, error) {
 	s.mu.Lock()
 	idle, leftAt := s.drained, s.leaveStarted
 	s.mu.Unlock()
 	if idle == nil {
-		return 0, errors.New("standin target: not leaving")
+		return 0, errors.New("standin target: wait for drain: target is not leaving")
 	}
 	select {
 	case <-idle:
 		return time.Since(leftAt), nil
 	case <-ctx.Done():
-		return 0, fmt.Errorf("standin target: drain: %w", ctx.Err())
+		return 0, fmt.Errorf("standin target: wait for drain: %w", ctx.Err())
 	}
 }
 
-// signalIfDrained needs s.mu. It notices that a leaving target has become empty.
+// signalIfDrained closes s.drained when a leaving target has no requests left.
+// The caller holds s.mu.
 func (s *Server) signalIfDrained() {
 	if s.drained == nil || s.inFlight > 0 || s.answering > 0 {
 		return
@@ -179,7 +182,7 @@
 	}
 }
 
-// Crash closes the listener and resets all connections at once.
+// Crash closes the listener and resets all connections immediately.
 func (s *Server) Crash() {
 	s.mu.Lock()
 	h, l := s.http, s.listener
@@ -197,12 +200,12 @@
 	h.Close()
 }
 
-// Close stops the target. Unlike after Leave and Drained, requests in it are
-// cut.
+// Close stops the target and cuts the requests in flight. Call Leave and
+// Drained first to let them finish.
 func (s *Server) Close() { s.Crash() }
 
-// Restart opens a crashed target at its old address. It is cold, and no
-// longer leaving.
+// Restart makes a crashed target listen on its old address again. It begins a
+// cold start and is no longer leaving.
 func (s *Server) Restart() error {
 	var err error
 	for range restartAttempts {
@@ -226,7 +229,7 @@
 	s.recordReport(now)
 }
 
-// MakeCold makes the target cold, as after the loss of its cache.
+// MakeCold begins a cold start, as after the loss of a cache.
 func (s *Server) MakeCold() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -236,7 +239,7 @@
 }
 
 // SilenceConnections makes n of the existing connections silent, or all if n
-// is negative, and returns how many it was.
+// is negative, and returns the number of connections it made silent.
 func (s *Server) SilenceConnections(n int) int {
 	s.mu.Lock()
 	l := s.listener
@@ -247,52 +250,52 @@
 	return l.silence(n)
 }
 
-// CutAnswers cuts the next n answers half-way.
+// CutAnswers makes the next n answers end half-way.
 func (s *Server) CutAnswers(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.answersToCut = n
 }
 
-// SetReportLag makes the health and load endpoints tell what was true so long
-// ago.
+// SetReportLag delays the health and load reports by d.
 func (s *Server) SetReportLag(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.reporter.lag = d
 }
 
-// SetLoadReport changes what the load endpoint says; nil makes it truthful.
+// SetLoadReport sets a function that replaces the reported load; nil restores
+// true reports.
 func (s *Server) SetLoadReport(f func(Load) Load) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.reporter.overrideLoad = f
 }
 
-// SetHealthReport changes what the health endpoint says; nil makes it
-// truthful.
+// SetHealthReport sets a function that replaces the reported health; nil
+// restores true reports.
 func (s *Server) SetHealthReport(f func(healthy bool) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.reporter.overrideHealth = f
 }
 
-// SetWork changes the service times of requests that begin from now on.
+// SetWork changes the service times of requests that start after the call.
 func (s *Server) SetWork(w Work) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.timer.work = w
 }
 
-// Executions returns how often each request ran, by request id. A request
-// that began and was cut off counts: it may have had its effect.
+// Executions returns the number of executions by request ID. An execution that
+// was cut counts, because it may have taken effect.
 func (s *Server) Executions() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return maps.Clone(s.executions)
 }
 
-// Stats returns the records so far.
+// Stats returns the counts so far.
 func (s *Server) Stats() Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -300,8 +303,9 @@
 	return s.stats
 }
 
-// collectConnectionStats needs s.mu. The listener's records are added when it
-// closes, so that they outlive a restart.
+// collectConnectionStats adds the listener's counts to s.stats. It also runs
+// before the listener closes, so that a restart doesn't lose them. The caller
+// holds s.mu.
 func (s *Server) collectConnectionStats() {
 	if s.listener == nil {
 		return
@@ -315,7 +319,8 @@
 	l.refused = 0
 }
 
-// recordReport needs s.mu.
+// recordReport adds the present health and load to the reports. The caller
+// holds s.mu.
 func (s *Server) recordReport(now time.Time) {
 	s.reporter.add(report{
 		at:      now,
--- a/standin/target/timing.go
+++ b/standin/target/timing.go
@@ -5,11 +5,12 @@
 	"time"
 )
 
-// seedStream separates the generators of targets from other users of a seed.
+// seedStream is the PCG stream of targets, so that other users of the same seed
+// draw different numbers.
 const seedStream = 0x7461726765740001
 
-// Work is the distribution of the service time: Base plus an exponentially
-// distributed tail of mean Tail.
+// Work is the distribution of service times: Base plus an exponentially
+// distributed time of mean Tail.
 type Work struct {
 	Base time.Duration
 	Tail time.Duration
@@ -18,29 +19,29 @@
 // Mean returns the mean service time of a warm target.
 func (w Work) Mean() time.Duration { return w.Base + w.Tail }
 
-// Cold is a cold start: service times begin multiplied by Factor, which falls
-// to 1 evenly over the first Requests, or over For, or over both, in which
-// case the colder one counts.
+// Cold describes a cold start. Service times are multiplied by a factor that
+// falls linearly from Factor to 1 over the first Requests requests or over
+// Duration. If both are set, the higher factor applies.
 type Cold struct {
 	Factor   float64
 	Duration time.Duration
 	Requests int
 }
 
-// workTimer draws service times. It has no locks.
+// workTimer draws service times. It is not safe for concurrent use.
 type workTimer struct {
 	rand         *rand.Rand
 	work         Work
 	cold         Cold
-	coldSince    time.Time // when it was last cold through
-	startedSince int       // requests since then
+	coldSince    time.Time // start of the last cold start
+	startedSince int       // requests started since coldSince
 }
 
 func newWorkTimer(w Work, c Cold, seed uint64, now time.Time) *workTimer {
 	return &workTimer{rand: rand.New(rand.NewPCG(seed, seedStream)), work: w, cold: c, coldSince: now}
 }
 
-// makeCold makes the target cold through.
+// makeCold begins a cold start.
 func (t *workTimer) makeCold(now time.Time) { t.coldSince, t.startedSince = now, 0 }
 
 // makeWarm ends the cold start.
@@ -48,7 +49,8 @@
 	t.coldSince, t.startedSince = now.Add(-t.cold.Duration), t.cold.Requests
 }
 
-// coldness is 1 for a target that is cold through, 0 for a warm one.
+// coldness returns the remaining part of the cold start, from 1 at its
+// beginning to 0 for a warm target.
 func (t *workTimer) coldness(now time.Time) float64 {
 	if t.cold.Factor <= 1 {
 		return 0
@@ -63,7 +65,7 @@
 	return max(left, 0)
 }
 
-// next returns the service time of a request that begins now.
+// next returns the service time of a request that starts at now.
 func (t *workTimer) next(now time.Time) time.Duration {
 	factor := 1 + (t.cold.Factor-1)*t.coldness(now)
 	t.startedSince++
