--- a/standin/caller/bench_test.go
+++ b/standin/caller/bench_test.go
@@ -21,8 +21,8 @@
 	return caller.New(caller.Options{Targets: []string{s.Addr()}}), s
 }
 
-// BenchmarkDirect is a call straight to a target: the bound of what the
-// stand-ins can load a hop with.
+// BenchmarkDirect measures calls sent directly to a target, which is the upper
+// limit of the load that the stand-ins can put on one hop.
 func BenchmarkDirect(b *testing.B) {
 	c, _ := directCaller(b)
 	var n atomic.Int64
@@ -37,7 +37,7 @@
 	})
 }
 
-// BenchmarkLoad offers an open-loop load and reports what came of it.
+// BenchmarkLoad runs an open-loop load and reports its counts and latencies.
 func BenchmarkLoad(b *testing.B) {
 	const rate = 2000
 	for b.Loop() {
--- a/standin/caller/caller.go
+++ b/standin/caller/caller.go
@@ -97,10 +97,10 @@
 	}}
 	var cs []*Caller
 	for i, client := range clients {
-		own := o
-		own.Client = client
+		callerOptions := o
+		callerOptions.Client = client
 		cs = append(cs, &Caller{
-			options: own,
+			options: callerOptions,
 			http:    h,
 			rand:    rand.New(rand.NewPCG(o.Seed+uint64(i), seedStream)),
 			cache:   map[fleet.ServiceName]*cachedLookup{},
--- a/standin/caller/caller_test.go
+++ b/standin/caller/caller_test.go
@@ -22,19 +22,19 @@
 	"github.com/azurethread/azurethread/standin/target"
 )
 
-// answer is what the scripted entry VM does with one call.
+// answer is a scripted response of an entry VM to one call.
 type answer struct {
 	verdict verdict.Verdict
 	reason  verdict.Reason
-	cut     bool // close the connection without an answer
+	cut     bool // close the connection without answering
 	content string
-	half    bool // cut the content half-way
-	bare    bool // an error without a verdict
+	half    bool // cut the answer after half of the content
+	bare    bool // answer with an error without a verdict
 }
 
 var ran = answer{verdict: verdict.Ran}
 
-// entryVM answers look-ups and, from a script, calls.
+// entryVM is a test entry VM that answers look-ups, and calls from a script.
 type entryVM struct {
 	*httptest.Server
 	mu      sync.Mutex
@@ -54,8 +54,8 @@
 
 func (e *entryVM) addr() string { return e.Listener.Addr().String() }
 
-// seen returns the tokens of the calls, in order.
-func (e *entryVM) seen() []string {
+// seenTokens returns the tokens of the calls received, in order.
+func (e *entryVM) seenTokens() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return slices.Clone(e.tokens)
@@ -110,7 +110,7 @@
 	w.Write(b.Bytes())
 }
 
-func TestCallersPart(t *testing.T) {
+func TestResendRules(t *testing.T) {
 	notRun := answer{verdict: verdict.NotRun, reason: verdict.ReasonOverload}
 	mayHaveRun := answer{verdict: verdict.MayHaveRun, reason: verdict.ReasonConnectionLost}
 	cut := answer{cut: true}
@@ -123,14 +123,14 @@
 		answered   bool
 		tokens     []string
 	}{
-		"idempotent, lost twice":         {idempotent: true, script: []answer{cut, half, ran}, want: verdict.Ran, answered: true, tokens: []string{"", "", ""}},
-		"idempotent, lost three times":   {idempotent: true, script: []answer{cut, mayHaveRun, half}, want: verdict.MayHaveRun, tokens: []string{"", "", ""}},
-		"not idempotent, not run":        {script: []answer{notRun, ran}, want: verdict.Ran, answered: true, tokens: []string{"token-1-0", "token-2-0"}},
-		"not idempotent, may have run":   {script: []answer{mayHaveRun}, want: verdict.MayHaveRun, tokens: []string{"token-1-0"}},
-		"not idempotent, lost":           {script: []answer{cut}, want: verdict.MayHaveRun, tokens: []string{"token-1-0"}},
-		"not idempotent, lost, sent on":  {resendLost: true, script: []answer{cut, ran}, want: verdict.Ran, answered: true, tokens: []string{"token-1-0", "token-1-0"}},
-		"lost, then refused as not run":  {resendLost: true, script: []answer{cut, notRun}, want: verdict.MayHaveRun, tokens: []string{"token-1-0", "token-1-0"}},
-		"not idempotent, always refused": {script: []answer{notRun, notRun, notRun, notRun}, want: verdict.NotRun, tokens: []string{"token-1-0", "token-2-0", "token-3-0", "token-4-0"}},
+		"idempotent, lost twice":             {idempotent: true, script: []answer{cut, half, ran}, want: verdict.Ran, answered: true, tokens: []string{"", "", ""}},
+		"idempotent, lost three times":       {idempotent: true, script: []answer{cut, mayHaveRun, half}, want: verdict.MayHaveRun, tokens: []string{"", "", ""}},
+		"not idempotent, not run":            {script: []answer{notRun, ran}, want: verdict.Ran, answered: true, tokens: []string{"token-1-0", "token-2-0"}},
+		"not idempotent, may have run":       {script: []answer{mayHaveRun}, want: verdict.MayHaveRun, tokens: []string{"token-1-0"}},
+		"not idempotent, lost":               {script: []answer{cut}, want: verdict.MayHaveRun, tokens: []string{"token-1-0"}},
+		"not idempotent, lost, resent":       {resendLost: true, script: []answer{cut, ran}, want: verdict.Ran, answered: true, tokens: []string{"token-1-0", "token-1-0"}},
+		"not idempotent, lost, then not run": {resendLost: true, script: []answer{cut, notRun}, want: verdict.MayHaveRun, tokens: []string{"token-1-0", "token-1-0"}},
+		"not idempotent, never run":          {script: []answer{notRun, notRun, notRun, notRun}, want: verdict.NotRun, tokens: []string{"token-1-0", "token-2-0", "token-3-0", "token-4-0"}},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -143,7 +143,7 @@
 			is.Equal(o.Verdict, tc.want)
 			is.Equal(o.Answered, tc.answered)
 			is.Equal(o.Wrong, false)
-			is.Equal(e.seen(), tc.tokens)
+			is.Equal(e.seenTokens(), tc.tokens)
 		})
 	}
 }
@@ -161,7 +161,7 @@
 	is.Equal(o.Verdict, verdict.MayHaveRun)
 }
 
-func TestLookupIsCachedAndFallsThrough(t *testing.T) {
+func TestLookupIsCachedAndSkipsFailedEntryAddress(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
@@ -175,10 +175,10 @@
 		is.True(o.Answered)
 	}
 	is.Equal(e.lookups, 1)
-	is.Equal(e.seen(), []string{"token-1-0", "token-1-1"})
+	is.Equal(e.seenTokens(), []string{"token-1-0", "token-1-1"})
 }
 
-func TestNoEntryVMIsNotRun(t *testing.T) {
+func TestRequestWithoutEntryVMIsNotRun(t *testing.T) {
 	is := is.New(t)
 	c := caller.New(caller.Options{})
 	o := c.Do(context.Background(), caller.Request{ID: "a", Service: "s", Deadline: time.Second})
@@ -207,34 +207,34 @@
 	is.NoErr(err)
 	r := run.Wait()
 	is.Equal(r.Requests+r.Dropped, uint64(count))
-	is.Equal(r.Answered+r.NotRun, r.Requests) // a shed is the only refusal
+	is.Equal(r.Answered+r.NotRun, r.Requests) // a full target is the only reason for not answering
 	is.Equal(r.WrongAnswers, uint64(0))
 	is.Equal(r.Services["table"].Requests+r.Services["permit"].Requests, r.Requests)
 	is.True(r.Quantile(50) > 0)
 	is.Equal(caller.Prove(r.Outcomes, s.Executions()), caller.Proof{})
 }
 
-func TestLoadNeedsABound(t *testing.T) {
+func TestLoadRequiresDurationOrCount(t *testing.T) {
 	is := is.New(t)
 	l := caller.Load{Callers: []*caller.Caller{caller.New(caller.Options{})}, Kinds: []caller.Kind{{Weight: 1}}, Rate: 1}
 	_, err := l.Start(context.Background())
 	is.True(err != nil)
 }
 
-func TestProve(t *testing.T) {
+func TestProveFindsDifferences(t *testing.T) {
 	is := is.New(t)
 	outcomes := []caller.Outcome{
-		{ID: "fine", Verdict: verdict.Ran, Answered: true},
+		{ID: "ran once", Verdict: verdict.Ran, Answered: true},
 		{ID: "twice", Verdict: verdict.Ran, Answered: true},
 		{ID: "twice, idempotent", Verdict: verdict.Ran, Answered: true, Idempotent: true},
 		{ID: "false not-run", Verdict: verdict.NotRun},
 		{ID: "true not-run", Verdict: verdict.NotRun},
-		{ID: "made up", Verdict: verdict.Ran, Answered: true},
+		{ID: "answered, never ran", Verdict: verdict.Ran, Answered: true},
 		{ID: "cut", Verdict: verdict.MayHaveRun, Lost: 1},
 		{ID: "lost before it ran", Verdict: verdict.MayHaveRun, Lost: 1},
 	}
 	executions := map[string]int{
-		"fine": 1, "twice": 2, "twice, idempotent": 2, "false not-run": 1, "cut": 1, "stranger": 1,
+		"ran once": 1, "twice": 2, "twice, idempotent": 2, "false not-run": 1, "cut": 1, "never sent": 1,
 	}
 	is.Equal(caller.Prove(outcomes, executions), caller.Proof{
 		Repeated: 1, FalseNotRun: 1, NeverRan: 1, CutRan: 1, Unknown: 1,
--- a/standin/caller/send.go
+++ b/standin/caller/send.go
@@ -135,14 +135,14 @@
 	if err != nil && !errors.Is(err, payload.ErrWrongContent) {
 		return transportFailure(err, true)
 	}
-	own := resp.Header.Get(payload.IDHeader) == r.ID &&
+	matches := resp.Header.Get(payload.IDHeader) == r.ID &&
 		resp.Header.Get(payload.HashHeader) == payload.HashOf(r.Body) &&
 		resp.StatusCode == http.StatusOK
 	stated := resp.Header.Get(verdict.Header)
 	return result{
 		verdict:        verdict.Ran,
 		answered:       true,
-		wrong:          err != nil || !own,
+		wrong:          err != nil || !matches,
 		missingVerdict: stated != "" && stated != verdict.Ran.String(),
 		status:         resp.StatusCode,
 		target:         fleet.TargetID(resp.Header.Get(payload.TargetHeader)),
--- a/standin/deployment/deployment_test.go
+++ b/standin/deployment/deployment_test.go
@@ -13,15 +13,16 @@
 	"github.com/azurethread/azurethread/standin/deployment"
 )
 
-// spread counts by failure domain.
-func spread(is *is.I, counts map[fleet.Domain]int, domains int) {
+// checkSpread checks that counts covers all failure domains and that the counts
+// differ by at most one.
+func checkSpread(is *is.I, counts map[fleet.Domain]int, domains int) {
 	is.Helper()
 	is.Equal(len(counts), domains)
 	lowest, highest := 1<<30, 0
 	for _, n := range counts {
 		lowest, highest = min(lowest, n), max(highest, n)
 	}
-	is.True(highest-lowest <= 1) // even, within one
+	is.True(highest-lowest <= 1)
 }
 
 func TestSizesAndSpread(t *testing.T) {
@@ -67,7 +68,7 @@
 			for _, vm := range l.VMs {
 				vms[vm.Domain]++
 			}
-			spread(is, vms, 6)
+			checkSpread(is, vms, 6)
 			targets := map[fleet.ServiceName]int{}
 			domains := map[fleet.ServiceName]map[fleet.Domain]int{}
 			ids := map[fleet.TargetID]bool{}
@@ -84,13 +85,13 @@
 			is.Equal(targets, tc.targets)
 			is.Equal(len(ids), len(l.Targets))
 			for _, counts := range domains {
-				spread(is, counts, 6)
+				checkSpread(is, counts, 6)
 			}
 		})
 	}
 }
 
-func TestLeaveShowsAtTheTargetAndInTheList(t *testing.T) {
+func TestLeaveChangesTargetAndMachineList(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	r, err := deployment.Start(ctx, deployment.Statikos(), deployment.Options{})
@@ -106,7 +107,7 @@
 	is.Equal(l.Targets[0].State, fleet.Leaving)
 }
 
-func TestDirectLoadOnADeployment(t *testing.T) {
+func TestDirectLoadOnDeployment(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	d := deployment.Inzira()
--- a/standin/deployment/running.go
+++ b/standin/deployment/running.go
@@ -129,8 +129,8 @@
 		addrs = append(addrs, l.Addr().String())
 	}
 	for i := range vms {
-		own := addrs[i*addrsPerVM:]
-		vms[i].CallAddr, vms[i].PeerAddr, vms[i].AdminAddr = own[0], own[1], own[2]
+		vmAddrs := addrs[i*addrsPerVM:]
+		vms[i].CallAddr, vms[i].PeerAddr, vms[i].AdminAddr = vmAddrs[0], vmAddrs[1], vmAddrs[2]
 	}
 	return vms, nil
 }
@@ -251,13 +251,13 @@
 	vms := r.Machines().VMs
 	var all []*caller.Caller
 	for i, region := range r.Description.Regions {
-		own := o
-		own.Seed = o.Seed + uint64(i*n)
-		own.EntryAddrs = nearestFirst(vms, region.Name)
+		regionOptions := o
+		regionOptions.Seed = o.Seed + uint64(i*n)
+		regionOptions.EntryAddrs = nearestFirst(vms, region.Name)
 		if latency {
-			own.Latency = r.latencyFrom(region.Name, vms)
+			regionOptions.Latency = r.latencyFrom(region.Name, vms)
 		}
-		all = append(all, caller.NewMany(own, region.ClientAddrs(n))...)
+		all = append(all, caller.NewMany(regionOptions, region.ClientAddrs(n))...)
 	}
 	return all
 }
--- a/standin/link/link_test.go
+++ b/standin/link/link_test.go
@@ -12,7 +12,7 @@
 	"github.com/azurethread/azurethread/standin/link"
 )
 
-func TestDelayedConnectionKeepsOrderAndEnd(t *testing.T) {
+func TestDelayedConnectionKeepsOrderAndCloses(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
@@ -22,7 +22,7 @@
 		if err != nil {
 			return
 		}
-		io.Copy(c, c) // echo until the other end closes
+		io.Copy(c, c) // echo until the peer closes
 		c.Close()
 	}()
 	const latency = 5 * time.Millisecond
@@ -40,7 +40,7 @@
 	_, err = io.ReadFull(c, got)
 	is.NoErr(err)
 	is.True(string(got) == string(want))
-	is.True(time.Since(start) >= 4*latency) // one round trip to dial, one for the echo
+	is.True(time.Since(start) >= 4*latency) // one round trip for the dial and one for the echo
 	is.NoErr(c.Close())
 	_, err = c.Read(got)
 	is.True(err != nil)
--- a/standin/payload/payload_test.go
+++ b/standin/payload/payload_test.go
@@ -19,7 +19,7 @@
 	return b.Bytes()
 }
 
-func TestCheckTakesOnlyTheWholeOwnContent(t *testing.T) {
+func TestCheckAcceptsOnlyCompleteContentOfRequest(t *testing.T) {
 	for _, n := range []int{0, 1, 64, 32 << 10, 100_001} {
 		is := is.New(t)
 		own := content(is, "a", n)
@@ -35,9 +35,10 @@
 	}
 }
 
-// Symptom: a cut answer is counted as wrong, or the reverse.
-// Cause: the transport's own end-of-answer error must not pass for a whole body.
-func TestCheckReturnsTheReadersError(t *testing.T) {
+// A cut answer must not count as wrong content, nor wrong content as a cut
+// answer. Check therefore must not treat the error by which the transport
+// reports a cut answer as the end of the body.
+func TestCheckReturnsReaderError(t *testing.T) {
 	is := is.New(t)
 	broken := errors.New("connection reset")
 	r := io.MultiReader(bytes.NewReader(content(is, "a", 10)), iotest.ErrReader(broken))
--- a/standin/platform/platform_test.go
+++ b/standin/platform/platform_test.go
@@ -16,7 +16,7 @@
 	"github.com/azurethread/azurethread/standin/platform"
 )
 
-// testClock is advanced by hand.
+// testClock is a clock that tests advance explicitly.
 type testClock struct {
 	mu  sync.Mutex
 	now time.Time
@@ -36,7 +36,7 @@
 
 const longWait = time.Minute
 
-// fixture is one server with a client of one kind.
+// fixture is a server with an HTTP or in-process client.
 type fixture struct {
 	server   *platform.Server
 	clock    *testClock
@@ -44,7 +44,7 @@
 	machines api.Machines
 }
 
-// eachClient runs a test over HTTP and in process: both must behave alike.
+// eachClient runs a test over HTTP and in process; both must behave the same.
 func eachClient(t *testing.T, run func(is *is.I, ctx context.Context, f fixture)) {
 	t.Helper()
 	for _, name := range []string{"http", "process"} {
@@ -74,7 +74,7 @@
 func verdictOf(is *is.I, err error) verdict.Verdict {
 	is.Helper()
 	var e *verdict.Error
-	is.True(errors.As(err, &e)) // a *verdict.Error
+	is.True(errors.As(err, &e)) // err is a *verdict.Error
 	return e.Verdict
 }
 
@@ -103,7 +103,7 @@
 	})
 }
 
-func TestListIsByKey(t *testing.T) {
+func TestListReturnsPrefixSortedByKey(t *testing.T) {
 	eachClient(t, func(is *is.I, ctx context.Context, f fixture) {
 		for _, k := range []string{"p/2", "q/1", "p/1"} {
 			_, err := f.store.CompareAndSwap(ctx, k, []byte(k), 0)
@@ -120,7 +120,7 @@
 	})
 }
 
-func TestValueLimit(t *testing.T) {
+func TestValueSizeLimit(t *testing.T) {
 	eachClient(t, func(is *is.I, ctx context.Context, f fixture) {
 		largest := bytes.Repeat([]byte{0xff}, api.MaxValueSize)
 		_, err := f.store.CompareAndSwap(ctx, "k", largest, 0)
@@ -133,7 +133,7 @@
 	})
 }
 
-func TestWatchReturnsTheChange(t *testing.T) {
+func TestWatchReturnsChange(t *testing.T) {
 	eachClient(t, func(is *is.I, ctx context.Context, f fixture) {
 		first, err := f.store.CompareAndSwap(ctx, "k", []byte("one"), 0)
 		is.NoErr(err)
@@ -157,7 +157,7 @@
 	})
 }
 
-func TestWatchOfAbsentKeySeesItsCreation(t *testing.T) {
+func TestWatchOfAbsentKeyReturnsCreation(t *testing.T) {
 	eachClient(t, func(is *is.I, ctx context.Context, f fixture) {
 		absent, err := f.store.Watch(ctx, "k", 0, longWait)
 		is.True(errors.Is(err, api.ErrNotFound))
@@ -169,11 +169,11 @@
 	})
 }
 
-// Symptom: two holders of one duty, both at work.
-// Sequence: the first holder is paused, its lease lapses, a second one takes
-// the key, the first wakes and writes.
-// Cause: a lease says nothing about the present; only the compared index does.
-func TestLapsedLeaseLosesTheKey(t *testing.T) {
+// Guards against two active holders of one duty: the first holder is paused, its
+// lease expires, a second one acquires the key, and the first one resumes and
+// writes. A holder can't rely on its lease being valid at the time of a write;
+// only the comparison of the index prevents the write.
+func TestExpiredLeaseLosesKey(t *testing.T) {
 	eachClient(t, func(is *is.I, ctx context.Context, f fixture) {
 		first, err := f.store.GrantLease(ctx, api.MinLeaseTTL)
 		is.NoErr(err)
@@ -207,9 +207,9 @@
 	})
 }
 
-// Symptom: a catalogue change reported as failed is in force.
-// Sequence: a write takes effect, its connection is cut before the answer.
-// Cause: the loss of an answer says nothing about the write.
+// Guards against a catalogue change that is reported as failed but is in force:
+// a write takes effect, and its connection is cut before the answer. A lost
+// answer doesn't show whether the write took effect.
 func TestLostAnswerMayHaveRun(t *testing.T) {
 	eachClient(t, func(is *is.I, ctx context.Context, f fixture) {
 		f.server.LoseAnswers(1)
@@ -218,7 +218,7 @@
 		e, err := f.store.Get(ctx, "k")
 		is.NoErr(err)
 		is.Equal(string(e.Value), "one")
-		is.Equal(f.server.Counts().Writes, uint64(1)) // not sent again by itself
+		is.Equal(f.server.Counts().Writes, uint64(1)) // the client must not retry the write
 	})
 }
 
@@ -261,10 +261,10 @@
 	})
 }
 
-// Symptom: a catalogue goes back to an older revision.
-// Sequence: two writes, then the service comes back with the first one's data.
-// Cause: the service was restored from an older copy; its indexes fall.
-func TestRestoreOfOlderData(t *testing.T) {
+// Guards against a catalogue that returns to an older revision: after two
+// writes the service is restored from a copy made after the first one, and its
+// indexes decrease.
+func TestRestoreReusesIndexes(t *testing.T) {
 	eachClient(t, func(is *is.I, ctx context.Context, f fixture) {
 		first, err := f.store.CompareAndSwap(ctx, "k", []byte("one"), 0)
 		is.NoErr(err)
@@ -279,11 +279,11 @@
 		is.Equal(string(e.Value), "one")
 		again, err := f.store.CompareAndSwap(ctx, "k", []byte("other"), first)
 		is.NoErr(err)
-		is.Equal(again, second) // an index given out twice
+		is.Equal(again, second) // the index is reused
 	})
 }
 
-func TestMachineListLags(t *testing.T) {
+func TestMachineListLag(t *testing.T) {
 	eachClient(t, func(is *is.I, ctx context.Context, f fixture) {
 		before, err := f.machines.Machines(ctx, 0, 0)
 		is.NoErr(err)
@@ -298,7 +298,7 @@
 	})
 }
 
-func TestOneEndpointCutOff(t *testing.T) {
+func TestOutageOfOneEndpoint(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	s := platform.New(platform.Options{})
@@ -306,17 +306,17 @@
 	defer s.Close()
 	other, err := s.Endpoint("127.0.0.1:0")
 	is.NoErr(err)
-	near, err := api.NewClient(api.Options{Addr: s.Addr()})
+	reachable, err := api.NewClient(api.Options{Addr: s.Addr()})
 	is.NoErr(err)
-	far, err := api.NewClient(api.Options{Addr: other.Addr()})
+	cutOff, err := api.NewClient(api.Options{Addr: other.Addr()})
 	is.NoErr(err)
 
 	is.NoErr(other.SetOutage(platform.Refusing))
-	_, err = near.CompareAndSwap(ctx, "k", []byte("one"), 0)
+	_, err = reachable.CompareAndSwap(ctx, "k", []byte("one"), 0)
 	is.NoErr(err)
-	_, err = far.Get(ctx, "k")
+	_, err = cutOff.Get(ctx, "k")
 	is.Equal(verdictOf(is, err), verdict.NotRun)
 	is.NoErr(other.SetOutage(platform.Up))
-	_, err = far.Get(ctx, "k")
+	_, err = cutOff.Get(ctx, "k")
 	is.NoErr(err)
 }
--- a/standin/platform/view.go
+++ b/standin/platform/view.go
@@ -45,10 +45,10 @@
 // outageState implements outageSource.
 func (v *View) outageState() (Outage, <-chan struct{}) {
 	v.mu.Lock()
-	own, ownChanged := v.outage, v.changed
+	outage, changed := v.outage, v.changed
 	v.mu.Unlock()
-	if own != Up {
-		return own, ownChanged
+	if outage != Up {
+		return outage, changed
 	}
 	v.server.mu.Lock()
 	defer v.server.mu.Unlock()
--- a/standin/target/target_test.go
+++ b/standin/target/target_test.go
@@ -17,8 +17,8 @@
 	"github.com/azurethread/azurethread/standin/target"
 )
 
-// forever outlasts every test; a request of this service time ends only by
-// its context or by a crash.
+// forever is longer than any test: a request with this service time ends only
+// through its context or a crash.
 const forever = time.Hour
 
 func start(is *is.I, o target.Options) *target.Server {
@@ -28,7 +28,8 @@
 	return s
 }
 
-// client has connections of its own, so that tests don't share idle ones.
+// client returns a client with its own connection pool, so that no idle
+// connection is reused between calls.
 func client() *http.Client { return &http.Client{Transport: &http.Transport{}} }
 
 func send(ctx context.Context, c *http.Client, s *target.Server, id string, header http.Header) (*http.Response, error) {
@@ -43,7 +44,7 @@
 	return c.Do(r)
 }
 
-// waitFor polls the target's records, which change on its own goroutines.
+// waitFor polls the target's counts, which change asynchronously.
 func waitFor(s *target.Server, ready func(target.Stats) bool) {
 	for !ready(s.Stats()) {
 		time.Sleep(time.Millisecond)
@@ -54,7 +55,7 @@
 	return func(st target.Stats) bool { return st.Started == n }
 }
 
-func TestAnswerIsWholeAndOwn(t *testing.T) {
+func TestAnswerIsCompleteAndMatchesRequest(t *testing.T) {
 	is := is.New(t)
 	s := start(is, target.Options{Slots: 2})
 	defer s.Close()
@@ -73,7 +74,7 @@
 	is.Equal(s.Executions()["a"], 2)
 }
 
-func TestShedsBeyondSlotsAndQueue(t *testing.T) {
+func TestRefusesRequestsBeyondSlotsAndQueue(t *testing.T) {
 	is := is.New(t)
 	s := start(is, target.Options{Slots: 1, Queue: 1, Work: target.Work{Base: forever}})
 	defer s.Close()
@@ -95,7 +96,7 @@
 	is.Equal(resp.Header.Get(payload.LoadHeader), "2/1")
 	is.Equal(s.Executions()["third"], 0)
 
-	for i := range cancels { // the queued one first, or it gets the slot
+	for i := range cancels { // cancel the queued one first, or it would get the slot
 		cancels[len(cancels)-1-i]()
 		is.True(<-ended != nil)
 		waitFor(s, func(st target.Stats) bool { return st.Cancelled == uint64(i+1) })
@@ -104,10 +105,10 @@
 	is.Equal(st.PeakInFlight, 2)
 	is.Equal(st.Shed, uint64(1))
 	is.Equal(st.ArrivedAtCapacity, uint64(2))
-	is.Equal(len(s.Executions()), 1) // the queued one never ran
+	is.Equal(len(s.Executions()), 1) // the queued request never ran
 }
 
-func TestDeadlineEndsWork(t *testing.T) {
+func TestDeadlineEndsExecution(t *testing.T) {
 	is := is.New(t)
 	s := start(is, target.Options{Slots: 1, Work: target.Work{Base: forever}})
 	defer s.Close()
@@ -122,7 +123,7 @@
 	is.Equal(s.Executions()["late"], 0)
 }
 
-func TestLeaveRefusesNewAndFinishesTheRest(t *testing.T) {
+func TestLeaveRefusesNewAndFinishesAcceptedRequests(t *testing.T) {
 	is := is.New(t)
 	s := start(is, target.Options{Slots: 1, Work: target.Work{Base: 50 * time.Millisecond}})
 	defer s.Close()
@@ -149,7 +150,7 @@
 	is.Equal(s.Stats().RefusedLeaving, uint64(1))
 }
 
-func TestCrashCutsAndRestartServes(t *testing.T) {
+func TestCrashCutsRequestsAndRestartServesAgain(t *testing.T) {
 	is := is.New(t)
 	s := start(is, target.Options{Slots: 1, Work: target.Work{Base: forever}})
 	defer s.Close()
@@ -170,11 +171,10 @@
 	is.NoErr(err)
 }
 
-// Symptom: requests on some connections never end, while the target answers
-// others at once.
-// Sequence: a connection in use goes silent; a new one is opened.
-// Cause: a firewall on the path has dropped the old connection's state.
-func TestSilentConnection(t *testing.T) {
+// Requests on an existing connection get no answer, while new connections work.
+// This happens when a firewall on the path drops the state of the old
+// connection.
+func TestSilentConnectionDropsData(t *testing.T) {
 	is := is.New(t)
 	s := start(is, target.Options{Slots: 4})
 	defer s.Close()
@@ -195,7 +195,7 @@
 	is.NoErr(err)
 }
 
-func TestCutAnswerEndsHalfWay(t *testing.T) {
+func TestCutAnswersEndHalfWay(t *testing.T) {
 	is := is.New(t)
 	s := start(is, target.Options{Slots: 1})
 	defer s.Close()
@@ -231,7 +231,7 @@
 	return l
 }
 
-func TestLoadEndpointLagsAndLies(t *testing.T) {
+func TestLoadEndpointReportsLaggedAndFalseLoad(t *testing.T) {
 	is := is.New(t)
 	s := start(is, target.Options{Slots: 1, Queue: 1, Work: target.Work{Base: forever}})
 	defer s.Close()
--- a/standin/target/timing_test.go
+++ b/standin/target/timing_test.go
@@ -16,7 +16,7 @@
 	w.startedSince = 2
 	is.Equal(w.next(half), 2*time.Millisecond)
 	end := at.Add(10 * time.Second)
-	is.Equal(w.next(end), 1500*time.Microsecond) // warm by time, a quarter cold by requests
+	is.Equal(w.next(end), 1500*time.Microsecond) // by Duration warm, by Requests a quarter of the cold start left
 	is.Equal(w.next(end), time.Millisecond)
 	w.makeCold(end)
 	is.Equal(w.next(end), 3*time.Millisecond)
@@ -24,7 +24,7 @@
 	is.Equal(w.next(end), time.Millisecond)
 }
 
-func TestServiceTimesFollowTheSeed(t *testing.T) {
+func TestServiceTimesDependOnSeed(t *testing.T) {
 	is := is.New(t)
 	draw := func(seed uint64) (ds []time.Duration) {
 		w := newWorkTimer(Work{Base: time.Millisecond, Tail: time.Millisecond}, Cold{}, seed, time.Unix(0, 0))
