--- a/standin/link/link.go
+++ b/standin/link/link.go
@@ -1,9 +1,9 @@
-// Package link gives connections of the stand-ins the one-way latency that a
-// wide-area link would have.
+// Package link adds the one-way latency of a wide-area link to connections of
+// the stand-ins.
 //
-// Bytes are delayed in both directions, in order and without holding up the
-// bytes behind them, so throughput is that of the connection below. Only the
-// dialling end is wrapped; the other end needs nothing.
+// Bytes are delayed in both directions and stay in order. A delayed byte doesn't
+// block the bytes after it, so the throughput is that of the underlying
+// connection. Only the dialling side is wrapped.
 package link
 
 import (
@@ -14,11 +14,11 @@
 )
 
 const (
-	// queueLength bounds the pieces on their way in one direction.
+	// queueLength is the largest number of delayed segments per direction.
 	queueLength = 1024
-	// pieceSize is the largest piece read at once, in bytes.
-	pieceSize = 32 << 10
-	// flushTimeout bounds the sending of what was queued at Close.
+	// maxSegmentSize is the largest segment read at once, in bytes.
+	maxSegmentSize = 32 << 10
+	// flushTimeout limits the sending of queued segments after Close.
 	flushTimeout = time.Second
 )
 
@@ -26,11 +26,11 @@
 type Dialer struct {
 	// Latency returns the one-way latency to host:port. Nil means none.
 	Latency func(addr string) time.Duration
-	// Timeout bounds a dial. Zero means none.
+	// Timeout limits a dial. Zero means no limit.
 	Timeout time.Duration
 }
 
-// DialContext connects to addr; the connection takes one round trip more.
+// DialContext connects to addr. Dialling takes one additional round trip.
 func (d *Dialer) DialContext(ctx context.Context, network, addr string) (net.Conn, error) {
 	plain := net.Dialer{Timeout: d.Timeout}
 	c, err := plain.DialContext(ctx, network, addr)
@@ -52,63 +52,64 @@
 	}
 }
 
-// piece is some bytes, or the end of a stream, on the way.
-type piece struct {
-	due  time.Time
-	data []byte
-	err  error
+// segment is a delayed piece of a stream, or the error that ends the stream.
+type segment struct {
+	deliverAt time.Time
+	data      []byte
+	err       error
 }
 
-// conn delays one connection. Its read deadlines take effect at the
-// connection below, that is, earlier by the latency than at the reader; a
-// net/http client sets none.
+// conn is a connection with latency. A read deadline applies to the underlying
+// connection, so the reader sees it take effect later by the latency; a net/http
+// client sets none.
 type conn struct {
 	net.Conn
-	latency time.Duration
-	out, in chan piece
-	closing chan struct{}
-	once    sync.Once
+	latency            time.Duration
+	outgoing, incoming chan segment
+	closing            chan struct{}
+	closeOnce          sync.Once
 
-	reading sync.Mutex
-	rest    piece // what Read has not handed on yet
+	readMu sync.Mutex
+	unread segment // part of a received segment that Read has not returned yet
 }
 
-// Delay wraps c with a one-way latency in each direction.
+// Delay returns c with a one-way latency in each direction.
 func Delay(c net.Conn, latency time.Duration) net.Conn {
 	d := &conn{
-		Conn:    c,
-		latency: latency,
-		out:     make(chan piece, queueLength),
-		in:      make(chan piece, queueLength),
-		closing: make(chan struct{}),
+		Conn:     c,
+		latency:  latency,
+		outgoing: make(chan segment, queueLength),
+		incoming: make(chan segment, queueLength),
+		closing:  make(chan struct{}),
 	}
 	go d.send()
 	go d.receive()
 	return d
 }
 
-// send writes what Write has queued. After Close it writes what had been
-// queued before, as the bytes on a real link still arrive.
+// send writes the queued segments to the underlying connection. After Close it
+// still writes the segments queued before, because bytes that are already on a
+// real link arrive too.
 func (c *conn) send() {
 	defer c.Conn.Close()
 	for {
 		select {
-		case p := <-c.out:
-			if !c.forward(p) {
+		case p := <-c.outgoing:
+			if !c.deliver(p) {
 				return
 			}
 		case <-c.closing:
-			c.drain()
+			c.flush()
 			return
 		}
 	}
 }
 
-func (c *conn) drain() {
+func (c *conn) flush() {
 	for {
 		select {
-		case p := <-c.out:
-			if !c.forward(p) {
+		case p := <-c.outgoing:
+			if !c.deliver(p) {
 				return
 			}
 		default:
@@ -117,20 +118,20 @@
 	}
 }
 
-func (c *conn) forward(p piece) bool {
-	time.Sleep(time.Until(p.due))
+func (c *conn) deliver(p segment) bool {
+	time.Sleep(time.Until(p.deliverAt))
 	_, err := c.Conn.Write(p.data)
 	return err == nil
 }
 
-// receive queues what arrives for Read.
+// receive queues received data for Read.
 func (c *conn) receive() {
 	for {
-		b := make([]byte, pieceSize)
+		b := make([]byte, maxSegmentSize)
 		n, err := c.Conn.Read(b)
-		p := piece{due: time.Now().Add(c.latency), data: b[:n], err: err}
+		p := segment{deliverAt: time.Now().Add(c.latency), data: b[:n], err: err}
 		select {
-		case c.in <- p:
+		case c.incoming <- p:
 		case <-c.closing:
 			return
 		}
@@ -140,17 +141,17 @@
 	}
 }
 
-// Write implements net.Conn. An error of the connection below shows at a
-// later Read, as it would on a real link.
+// Write implements net.Conn. An error of the underlying connection appears at a
+// later Read, as on a real link.
 func (c *conn) Write(b []byte) (int, error) {
 	select {
 	case <-c.closing:
 		return 0, net.ErrClosed
 	default:
 	}
-	p := piece{due: time.Now().Add(c.latency), data: append([]byte(nil), b...)}
+	p := segment{deliverAt: time.Now().Add(c.latency), data: append([]byte(nil), b...)}
 	select {
-	case c.out <- p:
+	case c.outgoing <- p:
 		return len(b), nil
 	case <-c.closing:
 		return 0, net.ErrClosed
@@ -159,22 +160,22 @@
 
 // Read implements net.Conn.
 func (c *conn) Read(b []byte) (int, error) {
-	c.reading.Lock()
-	defer c.reading.Unlock()
-	if len(c.rest.data) == 0 && c.rest.err == nil {
+	c.readMu.Lock()
+	defer c.readMu.Unlock()
+	if len(c.unread.data) == 0 && c.unread.err == nil {
 		select {
-		case c.rest = <-c.in:
+		case c.unread = <-c.incoming:
 		case <-c.closing:
 			return 0, net.ErrClosed
 		}
-		if err := c.waitUntil(c.rest.due); err != nil {
+		if err := c.waitUntil(c.unread.deliverAt); err != nil {
 			return 0, err
 		}
 	}
-	n := copy(b, c.rest.data)
-	c.rest.data = c.rest.data[n:]
-	if n == 0 && c.rest.err != nil {
-		return 0, c.rest.err
+	n := copy(b, c.unread.data)
+	c.unread.data = c.unread.data[n:]
+	if n == 0 && c.unread.err != nil {
+		return 0, c.unread.err
 	}
 	return n, nil
 }
@@ -192,9 +193,9 @@
 
 // Close implements net.Conn.
 func (c *conn) Close() error {
-	c.once.Do(func() {
-		// A peer that reads nothing would hold send, and with it the
-		// connection below, for good.
+	c.closeOnce.Do(func() {
+		// Without a deadline, a peer that doesn't read would block send
+		// forever and keep the underlying connection open.
 		c.Conn.SetWriteDeadline(time.Now().Add(c.latency + flushTimeout))
 		close(c.closing)
 	})
--- a/standin/platform/view.go
+++ b/standin/platform/view.go
@@ -11,15 +11,16 @@
 	api "github.com/azurethread/azurethread/serve/platform"
 )
 
-// View is the service as one client sees it, in process. It obeys the
-// server's switches, and has an outage of its own for a client that is cut
-// off alone. It implements the Store and Machines interfaces.
+// View is an in-process client of the service. The faults set at the server
+// apply to it. SetOutage also sets an outage for this view only, to simulate a
+// single client that can't reach the service. View implements api.Store and
+// api.Machines.
 type View struct {
 	server *Server
 
 	mu      sync.Mutex
 	outage  Outage
-	changed chan struct{}
+	changed chan struct{} // closed and replaced when outage changes
 }
 
 var (
@@ -32,7 +33,7 @@
 	return &View{server: s, changed: make(chan struct{})}
 }
 
-// SetOutage sets the outage of this view alone.
+// SetOutage sets the outage of this view only.
 func (v *View) SetOutage(o Outage) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -41,48 +42,50 @@
 	v.changed = make(chan struct{})
 }
 
-// state implements gate.
-func (v *View) state() (Outage, <-chan struct{}) {
+// outageState implements outageSource.
+func (v *View) outageState() (Outage, <-chan struct{}) {
 	v.mu.Lock()
-	own, ownChanged := v.outage, v.changed
+	outage, changed := v.outage, v.changed
 	v.mu.Unlock()
-	if own != Up {
-		return own, ownChanged
+	if outage != Up {
+		return outage, changed
 	}
 	v.server.mu.Lock()
 	defer v.server.mu.Unlock()
 	return v.server.outage, v.server.changed
 }
 
-// reach fails like a refused connection.
-func (v *View) reach() error {
-	if o, _ := v.state(); o == Refusing {
-		return failure(verdict.NotRun, verdict.ReasonConnect, errCut)
+// checkReachable returns the error of a refused connection during a Refusing
+// outage.
+func (v *View) checkReachable() error {
+	if o, _ := v.outageState(); o == Refusing {
+		return verdictError(verdict.NotRun, verdict.ReasonConnect, errConnectionCut)
 	}
 	return nil
 }
 
-// call runs f as a client's call: errors of the transport become verdicts,
-// and an outage that begins ends the call.
+// call runs f as a client's call over a connection: it converts errors to
+// errors with a verdict, and cuts the call when a Refusing outage begins.
 func (v *View) call(ctx context.Context, f func(ctx context.Context) error) error {
 	if err := ctx.Err(); err != nil {
-		return failure(verdict.NotRun, endReason(err), err)
+		return verdictError(verdict.NotRun, contextReason(err), err)
 	}
-	if err := v.reach(); err != nil {
+	if err := v.checkReachable(); err != nil {
 		return err
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	go v.cutWhenRefusing(ctx, cancel)
-	return v.verdictOf(ctx, f(ctx))
+	return v.withVerdict(ctx, f(ctx))
 }
 
-// cutWhenRefusing ends a call as the closing of its connection would.
+// cutWhenRefusing cancels a call, as a closed connection would, when a Refusing
+// outage begins.
 func (v *View) cutWhenRefusing(ctx context.Context, cancel context.CancelCauseFunc) {
 	for {
-		o, changed := v.state()
+		o, changed := v.outageState()
 		if o == Refusing {
-			cancel(errCut)
+			cancel(errConnectionCut)
 			return
 		}
 		select {
@@ -93,25 +96,25 @@
 	}
 }
 
-func (v *View) verdictOf(ctx context.Context, err error) error {
+func (v *View) withVerdict(ctx context.Context, err error) error {
 	switch {
 	case err == nil, errors.Is(err, api.ErrTooLarge), errors.Is(err, api.ErrLeaseLost):
 		return err
-	case errors.Is(err, errCut), errors.Is(context.Cause(ctx), errCut):
-		return failure(verdict.MayHaveRun, verdict.ReasonConnectionLost, errCut)
+	case errors.Is(err, errConnectionCut), errors.Is(context.Cause(ctx), errConnectionCut):
+		return verdictError(verdict.MayHaveRun, verdict.ReasonConnectionLost, errConnectionCut)
 	default:
-		return failure(verdict.MayHaveRun, endReason(err), err)
+		return verdictError(verdict.MayHaveRun, contextReason(err), err)
 	}
 }
 
-func endReason(err error) verdict.Reason {
+func contextReason(err error) verdict.Reason {
 	if errors.Is(err, context.DeadlineExceeded) {
 		return verdict.ReasonDeadline
 	}
 	return verdict.ReasonCallerGone
 }
 
-func failure(v verdict.Verdict, r verdict.Reason, err error) error {
+func verdictError(v verdict.Verdict, r verdict.Reason, err error) error {
 	return &verdict.Error{Verdict: v, Reason: r, Err: err}
 }
 
--- a/standin/target/handler.go
+++ b/standin/target/handler.go
@@ -13,20 +13,20 @@
 	"github.com/azurethread/azurethread/standin/payload"
 )
 
-// maxAnswer bounds the answer that a request may ask for, in bytes.
-const maxAnswer = 64 << 20
+// maxAnswerSize is the largest answer that a request may ask for, in bytes.
+const maxAnswerSize = 64 << 20
 
 func (s *Server) handler() http.Handler {
 	m := http.NewServeMux()
 	m.HandleFunc("GET /healthz", s.healthz)
 	m.HandleFunc("GET /loadz", s.loadz)
-	m.HandleFunc("/", s.work)
+	m.HandleFunc("/", s.handleRequest)
 	return m
 }
 
 func (s *Server) healthz(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
-	_, healthy := s.reports.show(time.Now())
+	_, healthy := s.reporter.current(time.Now())
 	s.mu.Unlock()
 	if !healthy {
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -35,31 +35,31 @@
 
 func (s *Server) loadz(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
-	load, _ := s.reports.show(time.Now())
+	load, _ := s.reporter.current(time.Now())
 	s.mu.Unlock()
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(load) // an error means that the client has gone
+	_ = json.NewEncoder(w).Encode(load) // fails only if the client has disconnected
 }
 
-// refuse says that the request has not run and will not.
+// refuse answers that the request was not run.
 func (s *Server) refuse(w http.ResponseWriter) {
-	s.stateLoad(w.Header())
+	s.setLoadHeader(w.Header())
 	w.Header().Set(payload.RefusedHeader, payload.RefusedNotRun)
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// stateLoad reports the load with an answer, as the load endpoint would: it
-// lags and lies alike.
-func (s *Server) stateLoad(h http.Header) {
+// setLoadHeader sets the load header to the load that /loadz reports, including
+// its lag and overrides.
+func (s *Server) setLoadHeader(h http.Header) {
 	s.mu.Lock()
-	load, _ := s.reports.show(time.Now())
+	load, _ := s.reporter.current(time.Now())
 	s.mu.Unlock()
 	h.Set(payload.LoadHeader, fmt.Sprintf("%d/%d", load.InFlight, load.Slots))
 }
 
-// work runs one request.
-func (s *Server) work(w http.ResponseWriter, r *http.Request) {
-	if !s.accept() {
+// handleRequest executes and answers one request.
+func (s *Server) handleRequest(w http.ResponseWriter, r *http.Request) {
+	if !s.admit() {
 		s.refuse(w)
 		return
 	}
@@ -67,24 +67,24 @@
 	defer cancel()
 	hash := payload.NewHash()
 	if _, err := io.Copy(hash, r.Body); err != nil {
-		s.release(false, func(st *Stats) { st.BrokenBodies++ })
-		http.Error(w, "body ends early", http.StatusBadRequest)
+		s.releaseRequest(false, func(st *Stats) { st.BrokenBodies++ })
+		http.Error(w, "request body ends early", http.StatusBadRequest)
 		return
 	}
 	if !s.takeSlot(ctx) {
-		s.release(false, s.endedBy(ctx))
+		s.releaseRequest(false, s.countEnd(ctx))
 		s.refuse(w)
 		return
 	}
 	if !s.execute(ctx, r.Header.Get(payload.IDHeader)) {
-		s.release(true, s.endedBy(ctx))
+		s.releaseRequest(true, s.countEnd(ctx))
 		w.WriteHeader(http.StatusGatewayTimeout)
 		return
 	}
 	s.answer(w, r, hash.String())
 }
 
-// withDeadline bounds the request by its deadline header, if it has one.
+// withDeadline applies the request's deadline header, if there is one.
 func withDeadline(r *http.Request) (context.Context, context.CancelFunc) {
 	ms, err := strconv.ParseInt(r.Header.Get(payload.DeadlineHeader), 10, 64)
 	if err != nil {
@@ -93,8 +93,9 @@
 	return context.WithTimeout(r.Context(), time.Duration(ms)*time.Millisecond)
 }
 
-// endedBy counts why ctx ended. The end by a crash is counted there.
-func (s *Server) endedBy(ctx context.Context) func(*Stats) {
+// countEnd returns a function that counts the cause of ctx's end. Crash counts
+// the requests that it cuts itself.
+func (s *Server) countEnd(ctx context.Context) func(*Stats) {
 	expired := errors.Is(ctx.Err(), context.DeadlineExceeded)
 	return func(st *Stats) {
 		switch {
@@ -106,30 +107,30 @@
 	}
 }
 
-// accept takes a request in, or refuses it.
-func (s *Server) accept() bool {
+// admit counts a request and reports whether the target accepts it.
+func (s *Server) admit() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.stats.Arrived++
-	if s.idle != nil {
+	if s.drained != nil {
 		s.stats.RefusedLeaving++
-		s.stats.LastArrival = time.Since(s.leftAt)
+		s.stats.LastArrival = time.Since(s.leaveStarted)
 		return false
 	}
 	if s.inFlight >= s.options.Slots {
-		s.stats.Overfull++
+		s.stats.ArrivedAtCapacity++
 	}
 	if s.inFlight >= s.options.Slots+s.options.Queue {
 		s.stats.Shed++
 		return false
 	}
 	s.inFlight++
-	s.stats.HighWater = max(s.stats.HighWater, s.inFlight)
-	s.report(time.Now())
+	s.stats.PeakInFlight = max(s.stats.PeakInFlight, s.inFlight)
+	s.recordReport(time.Now())
 	return true
 }
 
-// takeSlot waits for a slot; it reports false when ctx ended first.
+// takeSlot waits for a slot. It reports false if ctx ends first.
 func (s *Server) takeSlot(ctx context.Context) bool {
 	if ctx.Err() != nil {
 		return false
@@ -139,19 +140,19 @@
 	case <-ctx.Done():
 		return false
 	}
-	if ctx.Err() != nil { // both were ready
+	if ctx.Err() != nil { // select may choose the slot when both cases are ready
 		<-s.slots
 		return false
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.working++
-	s.report(time.Now())
+	s.executing++
+	s.recordReport(time.Now())
 	return true
 }
 
-// execute runs the request for its service time; it reports false when ctx
-// ended it.
+// execute runs the request for its service time. It reports false if ctx ends
+// first.
 func (s *Server) execute(ctx context.Context, id string) bool {
 	s.mu.Lock()
 	s.stats.Started++
@@ -170,8 +171,8 @@
 	}
 }
 
-// release gives a request up, with its slot if it has one.
-func (s *Server) release(slot bool, count func(*Stats)) {
+// releaseRequest ends an accepted request and frees its slot if it has one.
+func (s *Server) releaseRequest(slot bool, count func(*Stats)) {
 	if slot {
 		<-s.slots
 	}
@@ -179,26 +180,26 @@
 	defer s.mu.Unlock()
 	s.inFlight--
 	if slot {
-		s.working--
+		s.executing--
 	}
 	count(&s.stats)
-	s.report(time.Now())
-	s.settle()
+	s.recordReport(time.Now())
+	s.signalIfDrained()
 }
 
-// answer releases the slot and then answers. In this order, because the
-// sender may send its next request as soon as it has the answer; a slot
-// released later would let that one find the target full when it is not.
+// answer frees the slot and then answers. The sender may send its next request
+// as soon as it has the answer; if the slot were freed later, that request
+// could be refused although the target has capacity.
 func (s *Server) answer(w http.ResponseWriter, r *http.Request, hash string) {
 	s.beginAnswer()
 	defer s.endAnswer()
 	id := r.Header.Get(payload.IDHeader)
 	n, err := strconv.Atoi(r.Header.Get(payload.SizeHeader))
-	if err != nil || n < 0 || n > maxAnswer {
+	if err != nil || n < 0 || n > maxAnswerSize {
 		n = payload.DefaultSize
 	}
 	h := w.Header()
-	s.stateLoad(h)
+	s.setLoadHeader(h)
 	h.Set(payload.IDHeader, id)
 	h.Set(payload.HashHeader, hash)
 	h.Set(payload.TargetHeader, string(s.options.ID))
@@ -206,36 +207,36 @@
 	if r.Header.Get(payload.ChunkedHeader) == "" {
 		h.Set("Content-Length", strconv.Itoa(n))
 	}
-	if s.takeCut() {
+	if s.takeAnswerCut() {
 		_ = payload.Write(w, id, n/2)
 		_ = http.NewResponseController(w).Flush()
 		panic(http.ErrAbortHandler) // closes the connection
 	}
-	// An error means that the client has gone; there is nobody to tell.
+	// Fails only if the client has disconnected.
 	_ = payload.Write(w, id, n)
 }
 
 func (s *Server) beginAnswer() {
 	s.mu.Lock()
-	s.answering++ // before the release, so that a leaving target is not empty yet
+	s.answering++ // before the release, or a leaving target would count as drained
 	s.mu.Unlock()
-	s.release(true, func(st *Stats) { st.Completed++ })
+	s.releaseRequest(true, func(st *Stats) { st.Completed++ })
 }
 
 func (s *Server) endAnswer() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.answering--
-	s.settle()
+	s.signalIfDrained()
 }
 
-func (s *Server) takeCut() bool {
+func (s *Server) takeAnswerCut() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.cutLeft <= 0 {
+	if s.answersToCut <= 0 {
 		return false
 	}
-	s.cutLeft--
+	s.answersToCut--
 	s.stats.CutAnswers++
 	return true
 }
