--- a/cmd/script_test.go
+++ b/cmd/script_test.go
@@ -30,8 +30,8 @@
 	"github.com/azurethread/azurethread/standin/target"
 )
 
-// programs is the directory of the two programs, built once for all tests.
-var programs string
+// programsDir is the directory of the two programs, built once for all tests.
+var programsDir string
 
 func TestMain(m *testing.M) { os.Exit(run(m)) }
 
@@ -42,7 +42,7 @@
 		return 1
 	}
 	defer os.RemoveAll(dir)
-	programs = dir
+	programsDir = dir
 	build := exec.Command("go", "build", "-o", dir, "./azurethread", "./azurethreadd")
 	if out, err := build.CombinedOutput(); err != nil {
 		fmt.Fprintf(os.Stderr, "%v\n%s", err, out)
@@ -59,8 +59,8 @@
 	nonIdempotent = "fee-posting"
 )
 
-// stage is what a script's processes work with, in the test's own process.
-type stage struct {
+// fixture is what a script's processes work with, in the test's own process.
+type fixture struct {
 	platform *platform.Server
 	target   *target.Server
 	calls    map[string]chan outcome // begun by the script
@@ -74,7 +74,7 @@
 	err    error
 }
 
-type stageKey struct{}
+type fixtureKey struct{}
 
 func TestScripts(t *testing.T) {
 	testscript.Run(t, testscript.Params{
@@ -83,16 +83,16 @@
 		RequireUniqueNames:  true,
 		Setup:               setup,
 		Cmds: map[string]func(*testscript.TestScript, bool, []string){
-			"ready":     ready,
-			"listening": listening,
-			"http":      httpGet,
-			"begin":     begin,
-			"code":      code,
-			"signal":    signal,
-			"end":       end,
-			"jsonlines": jsonLines,
-			"stopping":  stopping,
-			"accepting": accepting,
+			"ready":     waitReady,
+			"listening": assertListening,
+			"http":      assertHTTPGet,
+			"begin":     beginRequests,
+			"code":      assertExitCode,
+			"signal":    sendSignal,
+			"end":       endRequests,
+			"jsonlines": assertJSONLines,
+			"stopping":  waitStopping,
+			"accepting": waitAccepting,
 		},
 	})
 }
@@ -100,7 +100,7 @@
 // setup starts a platform and one target, and gives the script's processes
 // their settings by environment variables.
 func setup(env *testscript.Env) error {
-	s := &stage{
+	s := &fixture{
 		platform: platform.New(platform.Options{}),
 		target: target.New(target.Options{
 			Service: idempotent, ID: "t1", Slots: 64, Warm: true, Work: target.Work{Base: 2 * time.Second},
@@ -108,7 +108,7 @@
 		calls:  make(map[string]chan outcome),
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}, Timeout: time.Minute},
 	}
-	env.Values[stageKey{}] = s
+	env.Values[fixtureKey{}] = s
 	env.Defer(s.close)
 	if err := s.start(); err != nil {
 		return err
@@ -118,7 +118,7 @@
 		return err
 	}
 	operators := fmt.Sprintf("ana=%s,ben=%s", admin.HashToken("ana"), admin.HashToken("ben"))
-	env.Setenv("PATH", programs+string(os.PathListSeparator)+env.Getenv("PATH"))
+	env.Setenv("PATH", programsDir+string(os.PathListSeparator)+env.Getenv("PATH"))
 	for k, v := range map[string]string{
 		"ID": "entry-1", "REGION": "attiki", "DOMAIN": "attiki-1",
 		"CALL_ADDR": addrs[0], "PEER_ADDR": addrs[1], "ADMIN_ADDR": addrs[2],
@@ -130,7 +130,7 @@
 	return nil
 }
 
-func (s *stage) start() error {
+func (s *fixture) start() error {
 	if err := s.platform.Start("127.0.0.1:0"); err != nil {
 		return err
 	}
@@ -149,13 +149,13 @@
 	})
 }
 
-func (s *stage) close() {
+func (s *fixture) close() {
 	s.client.CloseIdleConnections()
 	s.target.Close()
 	s.platform.Close()
 }
 
-func stageOf(ts *testscript.TestScript) *stage { return ts.Value(stageKey{}).(*stage) }
+func fixtureOf(ts *testscript.TestScript) *fixture { return ts.Value(fixtureKey{}).(*fixture) }
 
 // freeAddrs returns addresses that are free now.
 func freeAddrs(n int) ([]string, error) {
@@ -182,25 +182,25 @@
 	ts.Fatalf("not reached: %s", what)
 }
 
-func need(ts *testscript.TestScript, args []string, n int, usage string) {
+func requireArgs(ts *testscript.TestScript, args []string, n int, usage string) {
 	if len(args) != n {
 		ts.Fatalf("usage: %s", usage)
 	}
 }
 
-// ready waits until an entry VM has its configuration and its targets.
-func ready(ts *testscript.TestScript, neg bool, args []string) {
-	need(ts, args, 1, "ready CALL-ADDR")
+// waitReady waits until an entry VM has its configuration and its targets.
+func waitReady(ts *testscript.TestScript, neg bool, args []string) {
+	requireArgs(ts, args, 1, "ready CALL-ADDR")
 	poll(ts, "entry VM ready", func() bool {
-		status, _, err := stageOf(ts).get("http://" + args[0] + "/v1/ready")
+		status, _, err := fixtureOf(ts).get("http://" + args[0] + "/v1/ready")
 		return err == nil && status == http.StatusOK
 	})
 }
 
-// listening asserts that something accepts connections at an address, or with
+// assertListening asserts that something accepts connections at an address, or with
 // "!" that nothing does.
-func listening(ts *testscript.TestScript, neg bool, args []string) {
-	need(ts, args, 1, "[!] listening ADDR")
+func assertListening(ts *testscript.TestScript, neg bool, args []string) {
+	requireArgs(ts, args, 1, "[!] listening ADDR")
 	c, err := net.Dial("tcp", args[0])
 	if err == nil {
 		c.Close()
@@ -210,7 +210,7 @@
 	}
 }
 
-func (s *stage) get(url string) (int, string, error) {
+func (s *fixture) get(url string) (int, string, error) {
 	res, err := s.client.Get(url)
 	if err != nil {
 		return 0, "", err
@@ -220,21 +220,21 @@
 	return res.StatusCode, string(b), err
 }
 
-// httpGet asserts the status and a part of the body of an answer.
-func httpGet(ts *testscript.TestScript, neg bool, args []string) {
-	need(ts, args, 3, "http STATUS PART URL")
-	status, body, err := stageOf(ts).get(args[2])
+// assertHTTPGet asserts the status and a part of the body of an answer.
+func assertHTTPGet(ts *testscript.TestScript, neg bool, args []string) {
+	requireArgs(ts, args, 3, "http STATUS PART URL")
+	status, body, err := fixtureOf(ts).get(args[2])
 	ts.Check(err)
 	if strconv.Itoa(status) != args[0] || !strings.Contains(body, args[1]) {
 		ts.Fatalf("%s: %d %s", args[2], status, body)
 	}
 }
 
-// begin sends a number of requests and returns when all of them are at work at
+// beginRequests sends a number of requests and returns when all of them are at work at
 // the target.
-func begin(ts *testscript.TestScript, neg bool, args []string) {
-	need(ts, args, 2, "begin COUNT URL")
-	s := stageOf(ts)
+func beginRequests(ts *testscript.TestScript, neg bool, args []string) {
+	requireArgs(ts, args, 2, "begin COUNT URL")
+	s := fixtureOf(ts)
 	n, err := strconv.Atoi(args[0])
 	ts.Check(err)
 	before := s.target.Stats().Started
@@ -249,11 +249,11 @@
 	poll(ts, "requests at work", func() bool { return s.target.Stats().Started >= before+uint64(n) })
 }
 
-// end asserts that the requests of begin have whole answers; with "!" that
+// endRequests asserts that the requests of begin have whole answers; with "!" that
 // they were cut.
-func end(ts *testscript.TestScript, neg bool, args []string) {
-	need(ts, args, 0, "[!] end")
-	for i, ch := range stageOf(ts).calls {
+func endRequests(ts *testscript.TestScript, neg bool, args []string) {
+	requireArgs(ts, args, 0, "[!] end")
+	for i, ch := range fixtureOf(ts).calls {
 		o := <-ch
 		if whole := o.err == nil && o.status == http.StatusOK; whole == neg {
 			ts.Fatalf("request %s: %d %s %v", i, o.status, o.body, o.err)
@@ -261,10 +261,10 @@
 	}
 }
 
-// jsonLines asserts that every line of a stream is a JSON object with time,
+// assertJSONLines asserts that every line of a stream is a JSON object with time,
 // level and message.
-func jsonLines(ts *testscript.TestScript, neg bool, args []string) {
-	need(ts, args, 1, "jsonlines FILE")
+func assertJSONLines(ts *testscript.TestScript, neg bool, args []string) {
+	requireArgs(ts, args, 1, "jsonlines FILE")
 	lines := bufio.NewScanner(strings.NewReader(ts.ReadFile(args[0])))
 	n := 0
 	for lines.Scan() {
@@ -279,8 +279,8 @@
 	}
 }
 
-// code runs a program to its end and asserts its exit code.
-func code(ts *testscript.TestScript, neg bool, args []string) {
+// assertExitCode runs a program to its end and asserts its exit code.
+func assertExitCode(ts *testscript.TestScript, neg bool, args []string) {
 	if len(args) < 2 {
 		ts.Fatalf("usage: code N PROGRAM ARG...")
 	}
@@ -297,9 +297,9 @@
 	}
 }
 
-// signal sends a signal to the background process begun last.
-func signal(ts *testscript.TestScript, neg bool, args []string) {
-	need(ts, args, 2, "signal TERM|INT PROGRAM")
+// sendSignal sends a signal to the background process begun last.
+func sendSignal(ts *testscript.TestScript, neg bool, args []string) {
+	requireArgs(ts, args, 2, "signal TERM|INT PROGRAM")
 	all := ts.BackgroundCmds()
 	if len(all) == 0 {
 		ts.Fatalf("no background process")
@@ -312,18 +312,18 @@
 	ts.Check(c.Process.Signal(sig))
 }
 
-// stopping waits until an entry VM refuses new work because it is leaving.
-func stopping(ts *testscript.TestScript, neg bool, args []string) {
-	need(ts, args, 1, "stopping CALL-ADDR")
+// waitStopping waits until an entry VM refuses new work because it is leaving.
+func waitStopping(ts *testscript.TestScript, neg bool, args []string) {
+	requireArgs(ts, args, 1, "stopping CALL-ADDR")
 	poll(ts, "entry VM stopping", func() bool {
-		_, body, err := stageOf(ts).get("http://" + args[0] + "/v1/ready")
+		_, body, err := fixtureOf(ts).get("http://" + args[0] + "/v1/ready")
 		return err == nil && strings.Contains(body, `"leaving":true`)
 	})
 }
 
-// accepting waits until connections are accepted at an address.
-func accepting(ts *testscript.TestScript, neg bool, args []string) {
-	need(ts, args, 1, "accepting ADDR")
+// waitAccepting waits until connections are accepted at an address.
+func waitAccepting(ts *testscript.TestScript, neg bool, args []string) {
+	requireArgs(ts, args, 1, "accepting ADDR")
 	poll(ts, "accepting", func() bool {
 		c, err := net.Dial("tcp", args[0])
 		if err != nil {
@@ -337,12 +337,12 @@
 // programTimeout is far above the time of a program that ends by itself.
 const programTimeout = 20 * time.Second
 
-// program runs a program to its end with no environment but the given one.
-func program(t *testing.T, env []string, name string, args ...string) (code int, stdout, stderr string) {
+// runProgram runs a program to its end with no environment but the given one.
+func runProgram(t *testing.T, env []string, name string, args ...string) (code int, stdout, stderr string) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), programTimeout)
 	defer cancel()
-	c := exec.CommandContext(ctx, filepath.Join(programs, name), args...)
+	c := exec.CommandContext(ctx, filepath.Join(programsDir, name), args...)
 	c.Env = env
 	var out, errs bytes.Buffer
 	c.Stdout, c.Stderr = &out, &errs
--- a/cmd/settings_test.go
+++ b/cmd/settings_test.go
@@ -84,7 +84,7 @@
 func checkRefused(t *testing.T, flag string, env []string, args ...string) {
 	t.Helper()
 	is := is.New(t)
-	code, out, errs := program(t, env, "azurethreadd", args...)
+	code, out, errs := runProgram(t, env, "azurethreadd", args...)
 	t.Logf("%s", errs)
 	is.Equal(code, 2)
 	is.Equal(out, "")
@@ -96,7 +96,7 @@
 func TestUnknownFlagsAndArguments(t *testing.T) {
 	is := is.New(t)
 	for _, arg := range []string{"--no-such", "argument"} {
-		code, out, errs := program(t, goodSettings(t), "azurethreadd", arg)
+		code, out, errs := runProgram(t, goodSettings(t), "azurethreadd", arg)
 		is.Equal(code, 2)
 		is.Equal(out, "")
 		is.Equal(strings.Count(errs, "\n"), 1)
@@ -107,7 +107,7 @@
 // All that is wrong is said at once, each on its own line.
 func TestSeveralBadSettings(t *testing.T) {
 	is := is.New(t)
-	code, _, errs := program(t, nil, "azurethreadd")
+	code, _, errs := runProgram(t, nil, "azurethreadd")
 	is.Equal(code, 2)
 	lines := strings.Split(strings.TrimSpace(errs), "\n")
 	is.Equal(len(lines), 5) // the required ones
@@ -125,7 +125,7 @@
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		is.NoErr(err)
 		defer l.Close()
-		code, out, errs := program(t, goodSettings(t), "azurethreadd", "--"+flag+"="+l.Addr().String())
+		code, out, errs := runProgram(t, goodSettings(t), "azurethreadd", "--"+flag+"="+l.Addr().String())
 		is.True(code != 0)
 		is.Equal(out, "")
 		is.True(strings.Contains(errs, "--"+flag))
@@ -134,7 +134,7 @@
 
 func TestHelpNamesEverySetting(t *testing.T) {
 	is := is.New(t)
-	code, out, errs := program(t, nil, "azurethreadd", "--help")
+	code, out, errs := runProgram(t, nil, "azurethreadd", "--help")
 	is.Equal(code, 0)
 	is.Equal(errs, "")
 	settings.Flags().VisitAll(func(f *pflag.Flag) {
--- a/operate/capacity/bench.go
+++ b/operate/capacity/bench.go
@@ -19,7 +19,7 @@
 	name, title, unit string
 }
 
-var metrics = map[string]metric{
+var metricsByUnit = map[string]metric{
 	"rest-msg/s/daemon":     {"config-rest-msgs", "configuration messages sent at rest by a daemon", "/s"},
 	"rest-B/s/daemon":       {"config-rest-bytes", "configuration sent at rest by a daemon, as JSON", "bytes/s"},
 	"rest-B/s/max":          {"config-rest-max-bytes", "the same, the daemon that sends most", "bytes/s"},
@@ -53,8 +53,8 @@
 	spreadGroup   = "BenchmarkSpread"             // real daemons in six domains
 )
 
-// benchSeries reads the output of benchmarks.
-func benchSeries(text []byte) ([]slope.Series, error) {
+// parseBenchmarks reads the output of benchmarks.
+func parseBenchmarks(text []byte) ([]slope.Series, error) {
 	var all []slope.Series
 	date, command := "", ""
 	lines := bufio.NewScanner(bytes.NewReader(text))
@@ -67,7 +67,7 @@
 			command = c
 			continue
 		}
-		found, err := benchLine(strings.Fields(lines.Text()))
+		found, err := parseBenchmarkLine(strings.Fields(lines.Text()))
 		if err != nil {
 			return nil, err
 		}
@@ -79,16 +79,16 @@
 	return all, lines.Err()
 }
 
-// benchLine reads one line of results: a name, the number of runs, and pairs
+// parseBenchmarkLine reads one line of results: a name, the number of runs, and pairs
 // of value and unit. Other lines give nothing.
-func benchLine(fields []string) ([]slope.Series, error) {
+func parseBenchmarkLine(fields []string) ([]slope.Series, error) {
 	if len(fields) < 4 || !strings.HasPrefix(fields[0], "Benchmark") {
 		return nil, nil
 	}
 	name, cores := cutCores(fields[0])
 	group, arg, _ := strings.Cut(name, "/")
 	arg = strings.TrimPrefix(arg, "daemons=")
-	varied, x, label := variedBy(group, arg)
+	varied, x, label := variedSize(group, arg)
 	if varied == "" {
 		return nil, nil
 	}
@@ -136,19 +136,19 @@
 	case unit == duration && group == planGroup:
 		return metric{"plan", "all running shifts evaluated once, on new evidence", "ns"}, true
 	default:
-		m, ok := metrics[unit]
+		m, ok := metricsByUnit[unit]
 		return m, ok
 	}
 }
 
-// variedBy returns what a benchmark varies and its value there; it returns ""
+// variedSize returns what a benchmark varies and its value there; it returns ""
 // for those that the page has no use for.
-func variedBy(group, arg string) (varied string, x float64, label string) {
+func variedSize(group, arg string) (varied string, x float64, label string) {
 	if group == stepGroup {
 		return "once", 1, "event"
 	}
-	if arg == fmt.Sprintf("%dx%d", letterDomains, letterMembers) {
-		return "letter", letterMembers, fmt.Sprintf("members in each of %d domains", letterDomains)
+	if arg == fmt.Sprintf("%dx%d", measuredDomains, measuredMembers) {
+		return "letter", measuredMembers, fmt.Sprintf("members in each of %d domains", measuredDomains)
 	}
 	n, err := strconv.ParseFloat(arg, 64)
 	if err != nil {
--- a/operate/capacity/capacity_test.go
+++ b/operate/capacity/capacity_test.go
@@ -59,12 +59,12 @@
 	return "one is longer"
 }
 
-func TestEmbeddedSeriesAreThePublishedOnes(t *testing.T) {
+func TestEmbeddedSeriesMatchPublishedOnes(t *testing.T) {
 	is := is.New(t)
 	is.Equal(filesOf(is, "data", ".json"), filesOf(is, filepath.Join(docs, "capacity"), ".json"))
 }
 
-func TestPlotsAreOfTheSeries(t *testing.T) {
+func TestPublishedPlotsMatchSeries(t *testing.T) {
 	is := is.New(t)
 	folder := t.TempDir()
 	_, err := run(t, "--plots", folder)
@@ -117,7 +117,7 @@
 
 // Pattern: fleets of three sizes. What is zero at one of them has no power; it is
 // shown as measured there, and nowhere else.
-func TestPowersOfFleets(t *testing.T) {
+func TestFitOfPowerSeries(t *testing.T) {
 	is := is.New(t)
 	grows := line("sweep-bytes/vms", func(x float64) float64 { return 3 * math.Pow(x, 1.2) }, 30, 99, 301)
 	f, ok := newFit(grows)
@@ -129,7 +129,7 @@
 	zero := line("sweep-after-loss/vms", func(x float64) float64 { return math.Max(0, x-30) }, 30, 99, 301)
 	_, ok = newFit(zero)
 	is.True(!ok)
-	m := newModel(Letter, []slope.Series{grows, zero})
+	m := newModel(PlannedSizes, []slope.Series{grows, zero})
 	is.Equal(m.at("sweep-after-loss/vms", 301), figure{271, measured})
 	is.Equal(m.at("sweep-after-loss/vms", 3325).basis, notMeasured)
 	is.Equal(m.at("sweep-bytes/vms", 3325).basis, extrapolated)
@@ -137,7 +137,7 @@
 
 func TestBasis(t *testing.T) {
 	is := is.New(t)
-	m := newModel(Letter, []slope.Series{
+	m := newModel(PlannedSizes, []slope.Series{
 		line("table/blocks", func(x float64) float64 { return 8 * x }, 1, 2, 4, 8),
 		line("resident/once", func(x float64) float64 { return 9 * x }, 8),
 	})
@@ -145,8 +145,8 @@
 	is.Equal(m.at("table/blocks", 5).basis, fitted)
 	is.Equal(m.at("table/blocks", 9).basis, extrapolated)
 	is.Equal(m.at("absent", 1).basis, notMeasured)
-	is.Equal(m.once("resident/once", 8), figure{72, measured})
-	is.Equal(m.once("resident/once", 16), figure{144, extrapolated})
+	is.Equal(m.atSinglePoint("resident/once", 8), figure{72, measured})
+	is.Equal(m.atSinglePoint("resident/once", 16), figure{144, extrapolated})
 	is.Equal(arithmetic(2).times(m.at("table/blocks", 9)).basis, extrapolated)
 	is.Equal(m.at("table/blocks", 5).plus(m.at("absent", 5)).basis, notMeasured)
 }
@@ -155,14 +155,14 @@
 // Sequence: a series is missing. Cause: its figure must not pass for zero.
 func TestMissingSeriesHasNoFigure(t *testing.T) {
 	is := is.New(t)
-	r := row{quantity: "x", figure: newModel(Letter, nil).at("absent", 1), unit: unitBytes, bound: 5}
+	r := row{quantity: "x", figure: newModel(PlannedSizes, nil).at("absent", 1), unit: unitBytes, bound: 5}
 	is.Equal(r.figureText(), "-")
 	is.Equal(marginText(r), "-")
 	over := row{figure: arithmetic(10), unit: unitBytes, bound: 5}
 	is.True(strings.Contains(marginText(over), "over"))
 }
 
-func TestControlMovesAlongTheSlopes(t *testing.T) {
+func TestControlCostFollowsSlopes(t *testing.T) {
 	is := is.New(t)
 	series := []slope.Series{
 		line("control-bytes/letter", func(float64) float64 { return 1000 }, 43),
@@ -170,11 +170,11 @@
 		line("control-bytes/domains", func(x float64) float64 { return 500 + x }, 6, 12, 40, 77),
 		line("control-bytes/regions", func(x float64) float64 { return 500 + x }, 2, 5, 11, 22),
 	}
-	f := newModel(Letter, series).control("control-bytes")
+	f := newModel(PlannedSizes, series).controlCost("control-bytes")
 	is.Equal(f, figure{1000, measured})
-	twice := Letter
+	twice := PlannedSizes
 	twice.Daemons *= 2
-	f = newModel(twice, series).control("control-bytes")
+	f = newModel(twice, series).controlCost("control-bytes")
 	is.Equal(f.basis, extrapolated)
 	is.True(math.Abs(f.value-(1000+10*(6600.0/77-43))) < 1e-6)
 }
--- a/operate/capacity/command.go
+++ b/operate/capacity/command.go
@@ -10,7 +10,7 @@
 
 // Command returns `azurethread capacity`.
 func Command() *cobra.Command {
-	sizes := Letter
+	sizes := PlannedSizes
 	var files []string
 	var plots string
 	c := &cobra.Command{
@@ -22,10 +22,10 @@
 are the sizes of docs/CAPACITY.md, whose tables are this command's output.`,
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			if err := sizes.check(); err != nil {
+			if err := sizes.validate(); err != nil {
 				return fmt.Errorf("capacity: %w", err)
 			}
-			series, err := load(files)
+			series, err := loadSeries(files)
 			if err != nil {
 				return err
 			}
@@ -38,15 +38,15 @@
 			return m.report(c.OutOrStdout())
 		},
 	}
-	sizes.register(c.Flags())
+	sizes.registerFlags(c.Flags())
 	c.Flags().StringSliceVar(&files, "slopes", nil, "files of measured series to use instead of those that came with the program")
 	c.Flags().StringVar(&plots, "plots", "", "folder to write plots of the slopes to, as SVG")
 	return c
 }
 
-func load(files []string) ([]slope.Series, error) {
+func loadSeries(files []string) ([]slope.Series, error) {
 	if len(files) == 0 {
-		return committed()
+		return embeddedSeries()
 	}
-	return fromFiles(files)
+	return readSeries(files)
 }
--- a/operate/capacity/control.go
+++ b/operate/capacity/control.go
@@ -29,10 +29,10 @@
 	Date  string `json:"date"`
 }
 
-const controlCommand = "AZURETHREAD_CAPACITY_MEMBER=$PWD/docs/capacity/member.json go test -cpu 1 -run TestCapacityPoints -timeout 30m ./serve/peer"
+const fleetPointsCommand = "AZURETHREAD_CAPACITY_MEMBER=$PWD/docs/capacity/member.json go test -cpu 1 -run TestCapacityPoints -timeout 30m ./serve/peer"
 
-// controlSeries splits such points into series named "<cost>/<varied size>".
-func controlSeries(text []byte) ([]slope.Series, error) {
+// parseFleetPoints splits such points into series named "<cost>/<varied size>".
+func parseFleetPoints(text []byte) ([]slope.Series, error) {
 	var points []fleetPoint
 	if err := json.Unmarshal(text, &points); err != nil {
 		return nil, fmt.Errorf("points of a fleet: %w", err)
@@ -64,7 +64,7 @@
 		out = append(out, slope.Series{
 			Name: c.name + "/" + p.Name, Title: c.title, Unit: c.unit, X: label,
 			Points:  []slope.Point{{X: x, Y: c.y}},
-			Command: controlCommand, Cores: p.Cores, Date: p.Date,
+			Command: fleetPointsCommand, Cores: p.Cores, Date: p.Date,
 		})
 	}
 	return out
--- a/operate/capacity/data.go
+++ b/operate/capacity/data.go
@@ -13,20 +13,20 @@
 	"github.com/azurethread/azurethread/decide/steer/slope"
 )
 
-// embedded holds copies of the series in docs/capacity; a test keeps them equal.
+// embeddedFiles holds copies of the series in docs/capacity; a test keeps them equal.
 //
 //go:embed data
-var embedded embed.FS
+var embeddedFiles embed.FS
 
-// committed returns the series that came with the program.
-func committed() ([]slope.Series, error) {
-	names, err := fs.Glob(embedded, "data/*")
+// embeddedSeries returns the series that came with the program.
+func embeddedSeries() ([]slope.Series, error) {
+	names, err := fs.Glob(embeddedFiles, "data/*")
 	if err != nil {
 		return nil, fmt.Errorf("capacity: %w", err)
 	}
 	var all []slope.Series
 	for _, name := range names {
-		text, err := embedded.ReadFile(name)
+		text, err := embeddedFiles.ReadFile(name)
 		if err != nil {
 			return nil, fmt.Errorf("capacity: %w", err)
 		}
@@ -37,8 +37,8 @@
 	return all, nil
 }
 
-// fromFiles returns the series of the named files.
-func fromFiles(names []string) ([]slope.Series, error) {
+// readSeries returns the series of the named files.
+func readSeries(names []string) ([]slope.Series, error) {
 	var all []slope.Series
 	for _, name := range names {
 		text, err := os.ReadFile(name)
@@ -55,7 +55,7 @@
 // appendSeries decodes a file and refuses series that are empty or stand in
 // two files, of which one would silently win.
 func appendSeries(all []slope.Series, name string, text []byte) ([]slope.Series, error) {
-	series, err := decode(name, text)
+	series, err := decodeSeries(name, text)
 	if err != nil {
 		return nil, fmt.Errorf("capacity: %s: %w", name, err)
 	}
@@ -72,13 +72,13 @@
 	return all, nil
 }
 
-// decode reads a slope.File, a list of fleet points, or output of benchmarks.
-func decode(name string, text []byte) ([]slope.Series, error) {
+// decodeSeries reads a slope.File, a list of fleet points, or output of benchmarks.
+func decodeSeries(name string, text []byte) ([]slope.Series, error) {
 	if strings.HasSuffix(name, ".txt") {
-		return benchSeries(text)
+		return parseBenchmarks(text)
 	}
 	if bytes.HasPrefix(bytes.TrimSpace(text), []byte("[")) {
-		return controlSeries(text)
+		return parseFleetPoints(text)
 	}
 	var f slope.File
 	if err := json.Unmarshal(text, &f); err != nil {
--- a/operate/capacity/fit.go
+++ b/operate/capacity/fit.go
@@ -39,7 +39,7 @@
 	power       scale = "power"  // fleets of sizes that differ by multiples
 )
 
-func (s scale) of(x float64) float64 {
+func (s scale) apply(x float64) float64 {
 	switch s {
 	case logarithmic:
 		return math.Log2(x)
@@ -96,7 +96,7 @@
 	}
 	var xs, ys, weights []float64
 	for _, p := range f.series.Points {
-		xs = append(xs, f.scale.of(p.X))
+		xs = append(xs, f.scale.apply(p.X))
 		ys = append(ys, p.Y)
 		weights = append(weights, 1/math.Max(p.Y*p.Y, math.SmallestNonzeroFloat32))
 	}
@@ -127,7 +127,7 @@
 	if f.scale == power {
 		return f.offset * math.Pow(x, f.slope)
 	}
-	return math.Max(0, f.offset+f.slope*f.scale.of(x))
+	return math.Max(0, f.offset+f.slope*f.scale.apply(x))
 }
 
 // String is the fit as a formula.
@@ -138,15 +138,15 @@
 	return fmt.Sprintf("%.3g + %.3g * %s %s", f.offset, f.slope, f.scale, f.series.Unit)
 }
 
-// near is how close, as a share, a size must be to a measured one to count as
+// sizeTolerance is how close, as a share, a size must be to a measured one to count as
 // the same: far less than the residuals, and sizes such as members of a domain
 // are not whole numbers.
-const near = 0.01
+const sizeTolerance = 0.01
 
 // pointAt returns the measurement of a series at x, if there is one.
 func pointAt(s slope.Series, x float64) (float64, bool) {
 	for _, p := range s.Points {
-		if math.Abs(p.X-x) <= near*p.X {
+		if math.Abs(p.X-x) <= sizeTolerance*p.X {
 			return p.Y, true
 		}
 	}
@@ -155,11 +155,11 @@
 
 // covers reports whether x lies within the measured sizes.
 func (f fit) covers(x float64) bool {
-	least, most := f.span()
+	least, most := f.sizeRange()
 	return x >= least && x <= most
 }
 
-func (f fit) span() (least, most float64) {
+func (f fit) sizeRange() (least, most float64) {
 	byX := func(a, b slope.Point) int { return int(math.Copysign(1, a.X-b.X)) }
 	return slices.MinFunc(f.series.Points, byX).X, slices.MaxFunc(f.series.Points, byX).X
 }
--- a/operate/capacity/fleet.go
+++ b/operate/capacity/fleet.go
@@ -3,8 +3,8 @@
 // What entry VMs on the users' platform have. Readers of the store and
 // coordinators are among the strong ones.
 const (
-	strongLink  = 200e6 / 8 // bytes a second, of the strong ones
-	smallMemory = 184e6     // bytes, of the small ones
+	strongVMLink  = 200e6 / 8 // bytes a second, of the strong ones
+	smallVMMemory = 184e6     // bytes, of the small ones
 )
 
 // fleet is what a whole fleet on the users' platform needs: plays of one day at
@@ -16,8 +16,8 @@
 		note: "`azurethreadd platform`: the busiest or slowest of the fleet on a day on which a failure domain and all entry VMs are lost, with ten targets for each entry VM.",
 		rows: []row{
 			{"processor, of its share", at("processor").scaled(1e-2), unitShare, 0, "decisions cost the same at any size (decide/ingress)"},
-			{"memory", at("memory").scaled(1e6), unitBytes, smallMemory, "one copy of the store's keys"},
-			{"traffic, callers' requests included", at("bytes").scaled(1e3), unitBytesPS, strongLink,
+			{"memory", at("memory").scaled(1e6), unitBytes, smallVMMemory, "one copy of the store's keys"},
+			{"traffic, callers' requests included", at("bytes").scaled(1e3), unitBytesPS, strongVMLink,
 				"readers pass on copies, compressed, to their failure domain (serve/ingress)"},
 			{"connections", at("connections"), unitCount, 0, "callers, targets and other entry VMs"},
 			{"calls to the store, all entry VMs, in the day", at("store-calls"), unitCount, 0, "three readers in a region; renewals"},
--- a/operate/capacity/http_test.go
+++ b/operate/capacity/http_test.go
@@ -41,18 +41,18 @@
 // callers'.
 const fleetEnv = "AZURETHREAD_CAPACITY_FLEET"
 
-// readyWord begins the line with the address to ask.
-const readyWord = "ready"
+// readyPrefix begins the line with the address to ask.
+const readyPrefix = "ready"
 
 // The fleet and the load of the measurement: the entry VMs of today, one of
 // which is asked.
 const (
-	httpVMs     = 8
-	httpRegions = 4
-	httpCallers = 16
-	httpFor     = 5 * time.Second
-	httpRuns    = 5
-	httpBlocks  = 2_300_000
+	httpVMs      = 8
+	httpRegions  = 4
+	httpCallers  = 16
+	httpDuration = 5 * time.Second
+	httpRuns     = 5
+	httpBlocks   = 2_300_000
 	// startTimeout bounds the wait for entry VMs to know each other.
 	startTimeout = time.Minute
 	// clockTick is the unit of processor time in /proc, USER_HZ of Linux.
@@ -106,7 +106,7 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	fmt.Println(readyWord, all[0].CallAddr())
+	fmt.Println(readyPrefix, all[0].CallAddr())
 	_, err = io.Copy(io.Discard, os.Stdin)
 	return err
 }
@@ -167,18 +167,18 @@
 	for _, a := range clients {
 		urls = append(urls, "http://"+addr+"/v1/lookup?service=calc&client="+a.String())
 	}
-	rest := cpuOf(t, pid)
-	time.Sleep(httpFor)
-	idle := cpuOf(t, pid) - rest
+	rest := processCPU(t, pid)
+	time.Sleep(httpDuration)
+	idle := processCPU(t, pid) - rest
 
 	var all []float64
 	for range httpRuns {
-		before := cpuOf(t, pid)
-		n := ask(t, urls)
-		used := cpuOf(t, pid) - before - idle
+		before := processCPU(t, pid)
+		n := measureLookups(t, urls)
+		used := processCPU(t, pid) - before - idle
 		all = append(all, float64(n)/used.Seconds())
 	}
-	t.Logf("idle %v of %v; look-ups per core second %v", idle, httpFor, all)
+	t.Logf("idle %v of %v; look-ups per core second %v", idle, httpDuration, all)
 	if t.Failed() {
 		return
 	}
@@ -232,7 +232,7 @@
 	lines := bufio.NewScanner(out)
 	for lines.Scan() {
 		// nbio logs to stdout as well.
-		if addr, ok := strings.CutPrefix(lines.Text(), readyWord+" "); ok {
+		if addr, ok := strings.CutPrefix(lines.Text(), readyPrefix+" "); ok {
 			return c.Process.Pid, addr
 		}
 	}
@@ -240,19 +240,19 @@
 	return 0, ""
 }
 
-// ask sends look-ups from all callers for a while and returns how many were
+// measureLookups sends look-ups from all callers for a while and returns how many were
 // answered. Any other answer fails the test.
-func ask(t *testing.T, urls []string) int64 {
+func measureLookups(t *testing.T, urls []string) int64 {
 	tr := &http.Transport{MaxIdleConnsPerHost: httpCallers}
 	defer tr.CloseIdleConnections()
 	client := &http.Client{Transport: tr}
 	var n atomic.Int64
 	var wg sync.WaitGroup
-	end := time.Now().Add(httpFor)
+	end := time.Now().Add(httpDuration)
 	for c := range httpCallers {
 		wg.Go(func() {
 			for i := c; time.Now().Before(end); i += httpCallers {
-				if err := askOnce(client, urls[i%len(urls)]); err != nil {
+				if err := lookUpOnce(client, urls[i%len(urls)]); err != nil {
 					t.Error(err)
 					return
 				}
@@ -264,7 +264,7 @@
 	return n.Load()
 }
 
-func askOnce(client *http.Client, url string) error {
+func lookUpOnce(client *http.Client, url string) error {
 	res, err := client.Get(url)
 	if err != nil {
 		return err
@@ -282,8 +282,8 @@
 	return nil
 }
 
-// cpuOf returns the processor time that a process has used.
-func cpuOf(t *testing.T, pid int) time.Duration {
+// processCPU returns the processor time that a process has used.
+func processCPU(t *testing.T, pid int) time.Duration {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		t.Fatal(err)
--- a/operate/capacity/model.go
+++ b/operate/capacity/model.go
@@ -17,8 +17,8 @@
 	notMeasured  basis = "not measured" // its series is missing
 )
 
-// weaker returns the basis of a figure made of two others.
-func weaker(a, b basis) basis {
+// weakerBasis returns the basis of a figure made of two others.
+func weakerBasis(a, b basis) basis {
 	order := []basis{measured, fitted, derived, extrapolated, notMeasured}
 	for i := len(order) - 1; i >= 0; i-- {
 		if a == order[i] || b == order[i] {
@@ -37,14 +37,18 @@
 // arithmetic returns a figure that follows from sizes and settings.
 func arithmetic(v float64) figure { return figure{v, derived} }
 
-func (f figure) times(g figure) figure { return figure{f.value * g.value, weaker(f.basis, g.basis)} }
-func (f figure) plus(g figure) figure  { return figure{f.value + g.value, weaker(f.basis, g.basis)} }
+func (f figure) times(g figure) figure {
+	return figure{f.value * g.value, weakerBasis(f.basis, g.basis)}
+}
+func (f figure) plus(g figure) figure {
+	return figure{f.value + g.value, weakerBasis(f.basis, g.basis)}
+}
 
 // scaled changes the unit of f.
 func (f figure) scaled(by float64) figure { return figure{f.value * by, f.basis} }
 
-// per returns f times a rate or number that follows from sizes.
-func (f figure) per(n float64) figure { return f.times(arithmetic(n)) }
+// timesValue returns f times a rate or number that follows from sizes.
+func (f figure) timesValue(n float64) figure { return f.times(arithmetic(n)) }
 
 // inverse returns 1/f; what is not measured stays so.
 func (f figure) inverse() figure {
@@ -126,9 +130,9 @@
 	return figure{f.at(x), extrapolated}
 }
 
-// once returns the figure of a series of a single point; it counts as
+// atSinglePoint returns the figure of a series of a single point; it counts as
 // measured only at the size of that point.
-func (m *model) once(name string, x float64) figure {
+func (m *model) atSinglePoint(name string, x float64) figure {
 	s, ok := m.series[name]
 	if !ok {
 		return figure{basis: notMeasured}
@@ -144,7 +148,7 @@
 func (r row) format(v float64) string {
 	switch r.unit {
 	case unitBytes, unitBytesPS:
-		return bytesText(v) + suffix(r.unit)
+		return bytesText(v) + rateSuffix(r.unit)
 	case unitCore:
 		return fmt.Sprintf("%.2g%% of a core", v*100)
 	case unitSeconds:
@@ -154,11 +158,11 @@
 	case unitRatio:
 		return fmt.Sprintf("%.3g", v)
 	default:
-		return countText(v) + suffix(r.unit)
+		return countText(v) + rateSuffix(r.unit)
 	}
 }
 
-func suffix(u unit) string {
+func rateSuffix(u unit) string {
 	switch u {
 	case unitPerSec, unitBytesPS:
 		return "/s"
--- a/operate/capacity/plot.go
+++ b/operate/capacity/plot.go
@@ -11,19 +11,19 @@
 	"github.com/azurethread/azurethread/operate/render"
 )
 
-// legendRoom is how far the vertical axis goes beyond the values, so that the
+// legendMargin is how far the vertical axis goes beyond the values, so that the
 // legend hides none.
-const legendRoom = 1.3
+const legendMargin = 1.3
 
-// figureOf is one plot: measured points and fitted lines of some series that
+// plotSpec is one plot: measured points and fitted lines of some series that
 // share their axes.
-type figureOf struct {
+type plotSpec struct {
 	file   string
 	title  string
 	series []string
 }
 
-var figures = []figureOf{
+var plotSpecs = []plotSpec{
 	{"lookup-blocks.svg", "Look-up decision by blocks", []string{"lookup/blocks", "find/blocks"}},
 	{"lookup-sites.svg", "Look-up decision by sites", []string{"lookup/sites", "lookup-free/sites"}},
 	{"table-blocks.svg", "Memory of the table of blocks", []string{"table/blocks"}},
@@ -34,7 +34,7 @@
 
 // plot writes the figures whose series are there.
 func (m *model) plot(folder string) error {
-	for _, f := range figures {
+	for _, f := range plotSpecs {
 		p := plot.New()
 		p.Title.Text = f.title
 		p.Legend.Top, p.Legend.Left = true, true
@@ -50,7 +50,7 @@
 		if drawn == 0 {
 			continue
 		}
-		p.Y.Max *= legendRoom
+		p.Y.Max *= legendMargin
 		if err := render.SVG(p, filepath.Join(folder, f.file)); err != nil {
 			return err
 		}
@@ -72,7 +72,7 @@
 	}
 	scatter.Shape, scatter.Color = plotutil.Shape(i), plotutil.Color(i)
 	line := plotter.NewFunction(f.at)
-	line.XMin, line.XMax = f.span()
+	line.XMin, line.XMax = f.sizeRange()
 	line.Color = plotutil.Color(i)
 	p.Add(scatter, line)
 	p.Legend.Add(f.series.Title, scatter, line)
--- a/operate/capacity/render.go
+++ b/operate/capacity/render.go
@@ -18,11 +18,11 @@
 	m.sizesTable(&b)
 	for _, r := range roles {
 		fmt.Fprintf(&b, "\n### %s\n\n%s\n\n", r.name, r.note)
-		rolesTable(&b, r.rows)
+		rowsTable(&b, r.rows)
 	}
-	tightest(&b, roles)
+	smallestMarginsTable(&b, roles)
 	m.fitsTable(&b)
-	m.onceTable(&b)
+	m.singlePointTable(&b)
 	_, err := io.WriteString(w, b.String())
 	if err != nil {
 		return fmt.Errorf("capacity: write report: %w", err)
@@ -62,7 +62,7 @@
 	renderTable(b, t)
 }
 
-func rolesTable(b *strings.Builder, rows []row) {
+func rowsTable(b *strings.Builder, rows []row) {
 	t := newTable("quantity", "figure", "bound", "margin", "basis", "carried by")
 	for _, r := range rows {
 		t.AppendRow(table.Row{r.quantity, r.figureText(), r.boundText(), marginText(r), string(r.figure.basis), r.mechanism})
@@ -97,11 +97,11 @@
 	}
 }
 
-// tightestRows is how many rows the table of the smallest margins shows.
-const tightestRows = 5
+// smallestMarginRows is how many rows the table of the smallest margins shows.
+const smallestMarginRows = 5
 
-// tightest lists what breaks first: the rows with the smallest margins.
-func tightest(b *strings.Builder, roles []role) {
+// smallestMarginsTable lists what breaks first: the rows with the smallest margins.
+func smallestMarginsTable(b *strings.Builder, roles []role) {
 	type named struct {
 		role string
 		row  row
@@ -126,7 +126,7 @@
 	})
 	b.WriteString("\n### Smallest margins\n\nWhat breaks first if everything grows alike.\n\n")
 	t := newTable("role", "quantity", "figure", "bound", "margin", "basis")
-	for _, n := range all[:min(tightestRows, len(all))] {
+	for _, n := range all[:min(smallestMarginRows, len(all))] {
 		t.AppendRow(table.Row{n.role, n.row.quantity, n.row.figureText(), n.row.boundText(), marginText(n.row), string(n.row.figure.basis)})
 	}
 	renderTable(b, t)
@@ -141,7 +141,7 @@
 		if !ok {
 			continue
 		}
-		least, most := f.span()
+		least, most := f.sizeRange()
 		t.AppendRow(table.Row{
 			name, f.series.Title, fmt.Sprintf("%s to %s %s", countText(least), countText(most), f.series.X), len(f.series.Points),
 			f.String(), fmt.Sprintf("%.0f%%", f.residual*100),
@@ -151,8 +151,8 @@
 	renderTable(b, t)
 }
 
-// onceTable lists what was measured at one size only.
-func (m *model) onceTable(b *strings.Builder) {
+// singlePointTable lists what was measured at one size only.
+func (m *model) singlePointTable(b *strings.Builder) {
 	b.WriteString("\n### Measured at one size\n\n")
 	t := newTable("series", "measures", "at", "value", "cores", "date")
 	for _, name := range m.names() {
--- a/operate/capacity/sizes.go
+++ b/operate/capacity/sizes.go
@@ -24,15 +24,15 @@
 	Step     time.Duration // between two steps of a shift
 }
 
-// Letter is the size that the users plan for.
-var Letter = Sizes{
+// PlannedSizes is the size that the users plan for.
+var PlannedSizes = Sizes{
 	Daemons: 3300, Blocks: 2_300_000, Sites: 940, Lookups: 2_200_000,
 	Regions: 22, Domains: 77, Changes: 19_000, Burst: 20, VMEvents: 819,
 	Readers: 2, Shifts: 22, Step: 30 * time.Second,
 }
 
-// register adds a flag for every size.
-func (s *Sizes) register(f *pflag.FlagSet) {
+// registerFlags adds a flag for every size.
+func (s *Sizes) registerFlags(f *pflag.FlagSet) {
 	f.IntVar(&s.Daemons, "daemons", s.Daemons, "entry VMs")
 	f.IntVar(&s.Blocks, "blocks", s.Blocks, "blocks of clients")
 	f.IntVar(&s.Sites, "sites", s.Sites, "sites")
@@ -47,8 +47,8 @@
 	f.DurationVar(&s.Step, "step", s.Step, "interval between two steps of a shift")
 }
 
-// check refuses sizes that no deployment has.
-func (s *Sizes) check() error {
+// validate refuses sizes that no deployment has.
+func (s *Sizes) validate() error {
 	for _, c := range []struct {
 		name  string
 		value int
@@ -76,8 +76,8 @@
 
 const day = 24 * time.Hour
 
-// perDomain is the number of entry VMs in a failure domain.
-func (s *Sizes) perDomain() float64 { return float64(s.Daemons) / float64(s.Domains) }
+// vmsPerDomain is the number of entry VMs in a failure domain.
+func (s *Sizes) vmsPerDomain() float64 { return float64(s.Daemons) / float64(s.Domains) }
 
 // changeRate is the mean number of changes a second.
 func (s *Sizes) changeRate() float64 { return float64(s.Changes) / day.Seconds() }
--- a/operate/client/client.go
+++ b/operate/client/client.go
@@ -22,12 +22,12 @@
 	"github.com/azurethread/azurethread/serve/admin"
 )
 
-// maxAnswer bounds the bytes of an answer that are read.
-const maxAnswer = 64 << 20
+// maxResponseSize bounds the bytes of an answer that are read.
+const maxResponseSize = 64 << 20
 
 // Client speaks to one entry VM. It is safe for concurrent use.
 type Client struct {
-	base    string // scheme://host:port
+	baseURL string // scheme://host:port
 	token   string
 	timeout time.Duration
 	http    *http.Client
@@ -36,16 +36,16 @@
 // New returns a client of the entry VM at addr, host:port or an http or https
 // URL without a path. The timeout bounds each request but watches.
 func New(addr, token string, timeout time.Duration) (*Client, error) {
-	base, err := baseOf(addr)
+	base, err := parseBaseURL(addr)
 	if err != nil {
 		return nil, err
 	}
 	// Entry VMs are reached by IP number; no proxy stands between.
 	transport := &http.Transport{DialContext: (&net.Dialer{Timeout: timeout}).DialContext}
-	return &Client{base: base, token: token, timeout: timeout, http: &http.Client{Transport: transport}}, nil
+	return &Client{baseURL: base, token: token, timeout: timeout, http: &http.Client{Transport: transport}}, nil
 }
 
-func baseOf(addr string) (string, error) {
+func parseBaseURL(addr string) (string, error) {
 	if !strings.Contains(addr, "://") {
 		addr = "http://" + addr
 	}
@@ -59,20 +59,20 @@
 	return u.Scheme + "://" + u.Host, nil
 }
 
-// call is one request on its way.
-type call struct {
+// apiRequest is one request on its way.
+type apiRequest struct {
 	method string
 	path   string // with query
 	id     string // operation id; empty for reads
 	body   any
 }
 
-// read asks a question.
-func read[T any](ctx context.Context, c *Client, path string) (T, error) {
+// get asks a question.
+func get[T any](ctx context.Context, c *Client, path string) (T, error) {
 	var out T
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
-	err := c.do(ctx, call{method: http.MethodGet, path: path}, &out)
+	err := c.do(ctx, apiRequest{method: http.MethodGet, path: path}, &out)
 	return out, err
 }
 
@@ -81,108 +81,108 @@
 	var out admin.Accepted
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
-	k := call{method: method, path: admin.Prefix + path, id: uuid.NewString(), body: body}
-	if err := c.do(ctx, k, &out); err != nil {
+	r := apiRequest{method: method, path: admin.Prefix + path, id: uuid.NewString(), body: body}
+	if err := c.do(ctx, r, &out); err != nil {
 		return admin.Accepted{}, err
 	}
 	if !out.Settled {
-		return out, &UnknownOutcome{Operation: k.id}
+		return out, &UnknownOutcome{Operation: r.id}
 	}
 	return out, nil
 }
 
-func (c *Client) do(ctx context.Context, k call, out any) error {
-	req, err := c.request(ctx, k)
+func (c *Client) do(ctx context.Context, r apiRequest, out any) error {
+	req, err := c.httpRequest(ctx, r)
 	if err != nil {
 		return err
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return c.lost(k, err)
+		return c.classifyFailure(r, err)
 	}
 	defer resp.Body.Close()
-	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseSize))
 	if err != nil {
-		return c.lost(k, err)
+		return c.classifyFailure(r, err)
 	}
 	if resp.StatusCode >= http.StatusBadRequest {
-		return failed(k, resp.StatusCode, raw)
+		return decodeError(r, resp.StatusCode, raw)
 	}
 	if err := json.Unmarshal(raw, out); err != nil {
-		return c.lost(k, fmt.Errorf("the answer is not the JSON expected: %w", err))
+		return c.classifyFailure(r, fmt.Errorf("the answer is not the JSON expected: %w", err))
 	}
 	return nil
 }
 
-func (c *Client) request(ctx context.Context, k call) (*http.Request, error) {
+func (c *Client) httpRequest(ctx context.Context, r apiRequest) (*http.Request, error) {
 	var body io.Reader
-	if k.body != nil {
-		raw, err := json.Marshal(k.body)
+	if r.body != nil {
+		raw, err := json.Marshal(r.body)
 		if err != nil {
 			return nil, fmt.Errorf("encoding the request: %w", err)
 		}
 		body = bytes.NewReader(raw)
 	}
-	req, err := http.NewRequestWithContext(ctx, k.method, c.base+k.path, body)
+	req, err := http.NewRequestWithContext(ctx, r.method, c.baseURL+r.path, body)
 	if err != nil {
 		return nil, fmt.Errorf("making the request: %w", err)
 	}
 	if c.token != "" {
 		req.Header.Set("Authorization", "Bearer "+c.token)
 	}
-	if k.id != "" {
-		req.Header.Set(admin.OperationHeader, k.id)
+	if r.id != "" {
+		req.Header.Set(admin.OperationHeader, r.id)
 	}
 	return req, nil
 }
 
-// lost classifies a request without a usable answer. Only a failed dial proves
+// classifyFailure classifies a request without a usable answer. Only a failed dial proves
 // that no byte of a change was sent; after that the entry VM may have made it.
-func (c *Client) lost(k call, err error) error {
+func (c *Client) classifyFailure(r apiRequest, err error) error {
 	var op *net.OpError
-	dialed := errors.As(err, &op) && op.Op == "dial"
-	if k.id == "" || dialed {
-		return &Unreachable{Addr: c.base, Err: err}
+	dialFailed := errors.As(err, &op) && op.Op == "dial"
+	if r.id == "" || dialFailed {
+		return &Unreachable{Addr: c.baseURL, Err: err}
 	}
-	return &UnknownOutcome{Operation: k.id, Err: err}
+	return &UnknownOutcome{Operation: r.id, Err: err}
 }
 
-// failed reads an error answer. A body of another form, say of a machine in
+// decodeError reads an error answer. A body of another form, say of a machine in
 // between, decodes to the verdict may-have-run.
-func failed(k call, status int, raw []byte) error {
+func decodeError(r apiRequest, status int, raw []byte) error {
 	e := &APIError{Status: status}
 	if json.Unmarshal(raw, &e.Body) != nil || e.Body.Message == "" {
 		e.Body = admin.Error{Code: admin.CodeInternal, Message: "unexpected answer with status " + strconv.Itoa(status)}
 	}
-	if k.id != "" && e.Body.Verdict != verdict.NotRun {
-		return &UnknownOutcome{Operation: k.id, Err: e}
+	if r.id != "" && e.Body.Verdict != verdict.NotRun {
+		return &UnknownOutcome{Operation: r.id, Err: e}
 	}
 	return e
 }
 
 // Catalogue returns the catalogue in force at the entry VM.
 func (c *Client) Catalogue(ctx context.Context) (catalogue.Catalogue, error) {
-	return read[catalogue.Catalogue](ctx, c, admin.Prefix+"catalogue")
+	return get[catalogue.Catalogue](ctx, c, admin.Prefix+"catalogue")
 }
 
 // Shift returns one traffic shift.
 func (c *Client) Shift(ctx context.Context, id string) (catalogue.Shift, error) {
-	return read[catalogue.Shift](ctx, c, admin.Prefix+"shifts/"+url.PathEscape(id))
+	return get[catalogue.Shift](ctx, c, admin.Prefix+"shifts/"+url.PathEscape(id))
 }
 
 // Status returns what the entry VM knows of the system.
 func (c *Client) Status(ctx context.Context) (admin.Status, error) {
-	return read[admin.Status](ctx, c, admin.Prefix+"status")
+	return get[admin.Status](ctx, c, admin.Prefix+"status")
 }
 
 // InForce says how far a revision has spread.
 func (c *Client) InForce(ctx context.Context, revision uint64) (admin.InForce, error) {
-	return read[admin.InForce](ctx, c, admin.Prefix+"inforce?revision="+strconv.FormatUint(revision, 10))
+	return get[admin.InForce](ctx, c, admin.Prefix+"inforce?revision="+strconv.FormatUint(revision, 10))
 }
 
-// Settle says what became of an operation.
-func (c *Client) Settle(ctx context.Context, operation string) (admin.Outcome, error) {
-	return read[admin.Outcome](ctx, c, admin.Prefix+"operations/"+url.PathEscape(operation))
+// FindOutcome says what became of an operation.
+func (c *Client) FindOutcome(ctx context.Context, operation string) (admin.Outcome, error) {
+	return get[admin.Outcome](ctx, c, admin.Prefix+"operations/"+url.PathEscape(operation))
 }
 
 // Watch returns once the revision at the entry VM is above after, or when wait
@@ -192,7 +192,7 @@
 	defer cancel()
 	var out admin.Watch
 	path := fmt.Sprintf("%swatch?after=%d&wait=%s", admin.Prefix, after, wait)
-	err := c.do(ctx, call{method: http.MethodGet, path: path}, &out)
+	err := c.do(ctx, apiRequest{method: http.MethodGet, path: path}, &out)
 	return out, err
 }
 
@@ -235,10 +235,10 @@
 	RollBack Action = "rollback"
 )
 
-// AnyVersion reports whether the action may go without an expected revision.
-func (a Action) AnyVersion() bool { return a == Pause || a == RollBack }
+// RevisionOptional reports whether the action may go without an expected revision.
+func (a Action) RevisionOptional() bool { return a == Pause || a == RollBack }
 
-// Act takes a life-cycle step of a traffic shift.
-func (c *Client) Act(ctx context.Context, a Action, id string, body admin.ShiftAction) (admin.Accepted, error) {
+// PerformAction takes a life-cycle step of a traffic shift.
+func (c *Client) PerformAction(ctx context.Context, a Action, id string, body admin.ShiftAction) (admin.Accepted, error) {
 	return c.change(ctx, http.MethodPost, "shifts/"+url.PathEscape(id)+"/"+string(a), body)
 }
--- a/operate/client/lookup.go
+++ b/operate/client/lookup.go
@@ -34,5 +34,5 @@
 // one-time tokens are asked for.
 func (c *Client) Lookup(ctx context.Context, service, client string) (Lookup, error) {
 	q := url.Values{"service": {service}, "client": {client}, "tokens": {"0"}}
-	return read[Lookup](ctx, c, lookupPath+"?"+q.Encode())
+	return get[Lookup](ctx, c, lookupPath+"?"+q.Encode())
 }
--- a/operate/command/catalogue.go
+++ b/operate/command/catalogue.go
@@ -21,11 +21,11 @@
 		s.showShift(),
 		s.addShifts(),
 		s.changeShifts(),
-		s.actCommand(client.Approve, "Approve a draft; rehearsals and maintenance need another operator than the author"),
-		s.actCommand(client.Start, "Start an approved shift"),
-		s.actCommand(client.Pause, "Pause a running shift; it keeps its share"),
-		s.actCommand(client.Resume, "Resume a paused shift"),
-		s.actCommand(client.RollBack, "Return all traffic that a shift has moved"),
+		s.actionCommand(client.Approve, "Approve a draft; rehearsals and maintenance need another operator than the author"),
+		s.actionCommand(client.Start, "Start an approved shift"),
+		s.actionCommand(client.Pause, "Pause a running shift; it keeps its share"),
+		s.actionCommand(client.Resume, "Resume a paused shift"),
+		s.actionCommand(client.RollBack, "Return all traffic that a shift has moved"),
 		s.removeShift(),
 	)
 	return cmd
@@ -35,7 +35,7 @@
 	return &cobra.Command{
 		Use:   "list",
 		Short: "List the traffic shifts",
-		Args:  exactly(0),
+		Args:  exactArgs(0),
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			c, err := s.client()
 			if err != nil {
@@ -55,7 +55,7 @@
 	return &cobra.Command{
 		Use:   "show ID",
 		Short: "Show one traffic shift with its limits",
-		Args:  exactly(1),
+		Args:  exactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			c, err := s.client()
 			if err != nil {
@@ -82,8 +82,8 @@
 
 // withShifts is withFile for files that must hold shifts. It first puts the
 // services of the file that the catalogue lacks.
-func (s *settings) withShifts(cmd *cobra.Command, file string, changes func(context.Context, *edit, []change.Entry) error) error {
-	return s.withFile(cmd, file, func(ctx context.Context, e *edit, cat catalogue.Catalogue, f entryfile.File) error {
+func (s *settings) withShifts(cmd *cobra.Command, file string, changes func(context.Context, *changeSession, []change.Entry) error) error {
+	return s.withFile(cmd, file, func(ctx context.Context, e *changeSession, cat catalogue.Catalogue, f entryfile.File) error {
 		if len(f.Shifts) == 0 {
 			return usagef("%s holds no shifts", file)
 		}
@@ -99,7 +99,7 @@
 	cmd := &cobra.Command{
 		Use:   "add -f FILE",
 		Short: "Add the traffic shifts of a file as drafts, and the services of the file that are missing",
-		Args:  exactly(0),
+		Args:  exactArgs(0),
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			return s.withShifts(cmd, file, addAll)
 		},
@@ -108,10 +108,10 @@
 	return cmd
 }
 
-func addAll(ctx context.Context, e *edit, list []change.Entry) error {
+func addAll(ctx context.Context, e *changeSession, list []change.Entry) error {
 	for _, x := range list {
 		add := func() (admin.Accepted, error) { return e.c.AddShift(ctx, x) }
-		if err := e.made(ctx, "add", x.ID, add); err != nil {
+		if err := e.submit(ctx, "add", x.ID, add); err != nil {
 			return err
 		}
 	}
@@ -124,9 +124,9 @@
 	cmd := &cobra.Command{
 		Use:   "change -f FILE",
 		Short: "Replace the traffic shifts of a file; each becomes a draft again",
-		Args:  exactly(0),
+		Args:  exactArgs(0),
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return s.withShifts(cmd, file, func(ctx context.Context, e *edit, list []change.Entry) error {
+			return s.withShifts(cmd, file, func(ctx context.Context, e *changeSession, list []change.Entry) error {
 				return changeAll(ctx, e, list, expect)
 			})
 		},
@@ -136,7 +136,7 @@
 	return cmd
 }
 
-func changeAll(ctx context.Context, e *edit, list []change.Entry, stated uint64) error {
+func changeAll(ctx context.Context, e *changeSession, list []change.Entry, stated uint64) error {
 	if stated != 0 && len(list) != 1 {
 		return usagef("expect: needs a file with one shift, and this one has %d", len(list))
 	}
@@ -146,43 +146,43 @@
 			return err
 		}
 		put := func() (admin.Accepted, error) { return e.c.ChangeShift(ctx, x, expect) }
-		if err := e.made(ctx, "change", x.ID, put); err != nil {
+		if err := e.submit(ctx, "change", x.ID, put); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (s *settings) actCommand(a client.Action, short string) *cobra.Command {
+func (s *settings) actionCommand(a client.Action, short string) *cobra.Command {
 	var body admin.ShiftAction
 	cmd := &cobra.Command{
 		Use:   string(a) + " ID",
 		Short: short,
-		Args:  exactly(1),
+		Args:  exactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return s.edit(cmd, func(ctx context.Context, e *edit) error {
-				return act(ctx, e, a, args[0], body)
+			return s.runChanges(cmd, func(ctx context.Context, e *changeSession) error {
+				return runAction(ctx, e, a, args[0], body)
 			})
 		},
 	}
 	expectFlag(cmd, &body.Expect)
-	if a.AnyVersion() {
+	if a.RevisionOptional() {
 		cmd.Flags().Lookup("expect").Usage = "entry revision that must be found; default: any"
 		cmd.Flags().StringVar(&body.Reason, "reason", "", "why, shown with the shift")
 	}
 	return cmd
 }
 
-func act(ctx context.Context, e *edit, a client.Action, id string, body admin.ShiftAction) error {
-	if !a.AnyVersion() {
+func runAction(ctx context.Context, e *changeSession, a client.Action, id string, body admin.ShiftAction) error {
+	if !a.RevisionOptional() {
 		expect, err := e.revision(ctx, id, body.Expect)
 		if err != nil {
 			return err
 		}
 		body.Expect = expect
 	}
-	send := func() (admin.Accepted, error) { return e.c.Act(ctx, a, id, body) }
-	return e.made(ctx, string(a), id, send)
+	send := func() (admin.Accepted, error) { return e.c.PerformAction(ctx, a, id, body) }
+	return e.submit(ctx, string(a), id, send)
 }
 
 func (s *settings) removeShift() *cobra.Command {
@@ -190,9 +190,9 @@
 	cmd := &cobra.Command{
 		Use:   "remove ID",
 		Short: "Remove a traffic shift that is neither running nor paused; a done one returns its traffic",
-		Args:  exactly(1),
+		Args:  exactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return s.edit(cmd, func(ctx context.Context, e *edit) error {
+			return s.runChanges(cmd, func(ctx context.Context, e *changeSession) error {
 				return remove(ctx, e, args[0], expect)
 			})
 		},
@@ -201,11 +201,11 @@
 	return cmd
 }
 
-func remove(ctx context.Context, e *edit, id string, stated uint64) error {
+func remove(ctx context.Context, e *changeSession, id string, stated uint64) error {
 	expect, err := e.revision(ctx, id, stated)
 	if err != nil {
 		return err
 	}
 	send := func() (admin.Accepted, error) { return e.c.RemoveShift(ctx, id, expect) }
-	return e.made(ctx, "remove", id, send)
+	return e.submit(ctx, "remove", id, send)
 }
--- a/operate/command/command.go
+++ b/operate/command/command.go
@@ -46,9 +46,9 @@
 	root.SilenceErrors = true
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return &UsageError{err} })
 	root.PersistentPreRunE = func(cmd *cobra.Command, _ []string) error {
-		return s.provision(root.PersistentFlags())
+		return s.loadEnvironment(root.PersistentFlags())
 	}
-	s.declare(root.PersistentFlags())
+	s.registerFlags(root.PersistentFlags())
 	root.AddCommand(
 		s.catalogueCommand(),
 		s.serviceCommand(),
@@ -63,7 +63,7 @@
 	return root
 }
 
-func (s *settings) declare(f *pflag.FlagSet) {
+func (s *settings) registerFlags(f *pflag.FlagSet) {
 	f.StringVar(&s.addr, "addr", "127.0.0.1:7102", "administration address of an entry VM, host:port or URL ["+EnvPrefix+"ADDR]")
 	f.StringVar(&s.callAddr, "call-addr", "127.0.0.1:7100", "callers' address of an entry VM, for lookup ["+EnvPrefix+"CALL_ADDR]")
 	f.StringVar(&s.token, "token", "", "operator's bearer token; better given as ["+EnvPrefix+"TOKEN], as others can see arguments")
@@ -72,24 +72,24 @@
 	f.DurationVar(&s.wait, "wait", 5*time.Second, "longest wait, after a change, for its outcome and for it to be in force ["+EnvPrefix+"WAIT]")
 }
 
-// provision takes unset flags from the environment and checks all.
-func (s *settings) provision(f *pflag.FlagSet) error {
-	var bad error
+// loadEnvironment takes unset flags from the environment and checks all.
+func (s *settings) loadEnvironment(f *pflag.FlagSet) error {
+	var firstErr error
 	f.VisitAll(func(x *pflag.Flag) {
 		name := EnvPrefix + strings.ToUpper(strings.ReplaceAll(x.Name, "-", "_"))
 		text, set := os.LookupEnv(name)
-		if x.Changed || !set || bad != nil {
+		if x.Changed || !set || firstErr != nil {
 			return
 		}
 		if err := f.Set(x.Name, text); err != nil {
-			bad = fmt.Errorf("%s: %w", name, err)
+			firstErr = fmt.Errorf("%s: %w", name, err)
 		}
 	})
-	if bad == nil {
-		bad = s.validate()
+	if firstErr == nil {
+		firstErr = s.validate()
 	}
-	if bad != nil {
-		return &UsageError{bad}
+	if firstErr != nil {
+		return &UsageError{firstErr}
 	}
 	return nil
 }
@@ -143,8 +143,8 @@
 	}
 }
 
-// exactly takes n arguments and calls wrong numbers a usage error.
-func exactly(n int) cobra.PositionalArgs {
+// exactArgs takes n arguments and calls wrong numbers a usage error.
+func exactArgs(n int) cobra.PositionalArgs {
 	return func(cmd *cobra.Command, args []string) error {
 		if err := cobra.ExactArgs(n)(cmd, args); err != nil {
 			return &UsageError{fmt.Errorf("%s: %w", cmd.CommandPath(), err)}
@@ -163,8 +163,8 @@
 	return ExitCode(err)
 }
 
-// failure is the JSON form of an error.
-type failure struct {
+// errorReport is the JSON form of an error.
+type errorReport struct {
 	Error     string           `json:"error"`
 	Exit      int              `json:"exit"`
 	Operation string           `json:"operation,omitempty"`
@@ -174,16 +174,16 @@
 
 func report(cmd *cobra.Command, err error) {
 	w := cmd.ErrOrStderr()
-	var answered *client.APIError
-	errors.As(err, &answered)
+	var apiErr *client.APIError
+	errors.As(err, &apiErr)
 	if out, _ := cmd.Flags().GetString("output"); out == outputJSON {
 		// A failed write of an error has nowhere to be told.
-		_ = render.JSON(w, failureOf(err, answered))
+		_ = render.JSON(w, newErrorReport(err, apiErr))
 		return
 	}
 	fmt.Fprintf(w, "azurethread: %v\n", err)
-	if answered != nil && answered.Body.Conflict != nil {
-		render.Conflict(w, *answered.Body.Conflict)
+	if apiErr != nil && apiErr.Body.Conflict != nil {
+		render.Conflict(w, *apiErr.Body.Conflict)
 	}
 	var unknown *client.UnknownOutcome
 	if errors.As(err, &unknown) {
@@ -191,10 +191,10 @@
 	}
 }
 
-func failureOf(err error, answered *client.APIError) failure {
-	f := failure{Error: err.Error(), Exit: ExitCode(err)}
-	if answered != nil {
-		f.Answer = answered.Body
+func newErrorReport(err error, apiErr *client.APIError) errorReport {
+	f := errorReport{Error: err.Error(), Exit: ExitCode(err)}
+	if apiErr != nil {
+		f.Answer = apiErr.Body
 	}
 	var unknown *client.UnknownOutcome
 	if errors.As(err, &unknown) {
--- a/operate/command/command_test.go
+++ b/operate/command/command_test.go
@@ -33,9 +33,9 @@
 	dir string
 }
 
-type noAudit struct{}
+type discardAuditor struct{}
 
-func (noAudit) Audit(admin.Record) {}
+func (discardAuditor) Audit(admin.Record) {}
 
 func newSession(t *testing.T) *session {
 	s := &session{t: t, mem: admintest.New(), dir: t.TempDir()}
@@ -45,7 +45,7 @@
 	}
 	mux := http.NewServeMux()
 	mux.Handle(admin.Prefix, admin.New(admin.Config{
-		Changer: s.mem, Settler: s.mem, Viewer: s.mem, Operators: ops, Auditor: noAudit{},
+		Changer: s.mem, Settler: s.mem, Viewer: s.mem, Operators: ops, Auditor: discardAuditor{},
 		NewOperationID: func() string { return "none" },
 	}))
 	mux.HandleFunc("/v1/lookup", func(w http.ResponseWriter, r *http.Request) {
@@ -102,12 +102,12 @@
 	datadriven.Walk(t, "testdata/sessions", func(t *testing.T, path string) {
 		s := newSession(t)
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
-			return s.step(t, d)
+			return s.runStep(t, d)
 		})
 	})
 }
 
-func (s *session) step(t *testing.T, d *datadriven.TestData) string {
+func (s *session) runStep(t *testing.T, d *datadriven.TestData) string {
 	switch d.Cmd {
 	case "file":
 		name := d.CmdArgs[0].Key
--- a/operate/command/edit.go
+++ b/operate/command/edit.go
@@ -22,12 +22,12 @@
 // pollInterval is the time between two questions after a change.
 const pollInterval = 100 * time.Millisecond
 
-// edit is a command that changes the catalogue, by one change or several.
-type edit struct {
-	s    *settings
-	c    *client.Client
-	out  io.Writer
-	last uint64 // revision of the last accepted change
+// changeSession is a command that changes the catalogue, by one change or several.
+type changeSession struct {
+	s            *settings
+	c            *client.Client
+	out          io.Writer
+	lastRevision uint64 // revision of the last accepted change
 }
 
 // accepted is the JSON line of one accepted change.
@@ -48,34 +48,34 @@
 	InForce *admin.InForce `json:"in_force"`
 }
 
-// spreadUnknown is the JSON line where the spread could not be asked for.
-type spreadUnknown struct {
+// inForceError is the JSON line where the spread could not be asked for.
+type inForceError struct {
 	Error string `json:"in_force_error"`
 }
 
 func usagef(format string, args ...any) error { return &UsageError{fmt.Errorf(format, args...)} }
 
-// edit runs the changes of one command and then waits until the last of them
+// runChanges runs the changes of one command and then waits until the last of them
 // is in force.
-func (s *settings) edit(cmd *cobra.Command, changes func(context.Context, *edit) error) error {
+func (s *settings) runChanges(cmd *cobra.Command, changes func(context.Context, *changeSession) error) error {
 	c, err := s.client()
 	if err != nil {
 		return err
 	}
-	e := &edit{s: s, c: c, out: cmd.OutOrStdout()}
+	e := &changeSession{s: s, c: c, out: cmd.OutOrStdout()}
 	if err := changes(cmd.Context(), e); err != nil {
 		return err
 	}
-	if e.last == 0 {
+	if e.lastRevision == 0 {
 		return e.s.print(e.out, noChange{}, func(w io.Writer) { fmt.Fprintln(w, "nothing to change") })
 	}
-	return e.spread(cmd.Context())
+	return e.awaitInForce(cmd.Context())
 }
 
 // withFile reads and checks an entry file against the services that the
 // catalogue has, and runs the changes it asks for.
-func (s *settings) withFile(cmd *cobra.Command, file string, changes func(context.Context, *edit, catalogue.Catalogue, entryfile.File) error) error {
-	return s.edit(cmd, func(ctx context.Context, e *edit) error {
+func (s *settings) withFile(cmd *cobra.Command, file string, changes func(context.Context, *changeSession, catalogue.Catalogue, entryfile.File) error) error {
+	return s.runChanges(cmd, func(ctx context.Context, e *changeSession) error {
 		raw, err := readFile(cmd, file)
 		if err != nil {
 			return err
@@ -117,7 +117,7 @@
 
 // revision returns the entry revision to base a change on: the one stated, or
 // the one found now.
-func (e *edit) revision(ctx context.Context, id string, stated uint64) (uint64, error) {
+func (e *changeSession) revision(ctx context.Context, id string, stated uint64) (uint64, error) {
 	if stated != 0 {
 		return stated, nil
 	}
@@ -125,73 +125,73 @@
 	return s.Revision, err
 }
 
-// made sends one change, settles it where its answer was lost, and prints it.
-func (e *edit) made(ctx context.Context, what, entry string, send func() (admin.Accepted, error)) error {
+// submit sends one change, settles it where its answer was lost, and prints it.
+func (e *changeSession) submit(ctx context.Context, what, entry string, send func() (admin.Accepted, error)) error {
 	a, err := send()
 	var unknown *client.UnknownOutcome
 	if errors.As(err, &unknown) {
-		a, err = e.settle(ctx, unknown)
+		a, err = e.awaitOutcome(ctx, unknown)
 	}
 	if err != nil {
 		return fmt.Errorf("%s %s: %w", what, entry, err)
 	}
-	e.last = a.Revision
+	e.lastRevision = a.Revision
 	line := accepted{Change: what, Entry: entry, Operation: a.Operation, Revision: a.Revision}
 	return e.s.print(e.out, line, func(w io.Writer) {
 		fmt.Fprintf(w, "%s %s: accepted at revision %d\n", what, entry, a.Revision)
 	})
 }
 
-// settle asks what became of a change until that is known or the wait ends.
-func (e *edit) settle(ctx context.Context, unknown *client.UnknownOutcome) (admin.Accepted, error) {
+// awaitOutcome asks what became of a change until that is known or the wait ends.
+func (e *changeSession) awaitOutcome(ctx context.Context, unknown *client.UnknownOutcome) (admin.Accepted, error) {
 	end := time.Now().Add(e.s.wait)
 	for {
-		o, err := e.c.Settle(ctx, unknown.Operation)
+		o, err := e.c.FindOutcome(ctx, unknown.Operation)
 		switch {
 		case err == nil && o.Verdict == verdict.Ran:
 			return admin.Accepted{Operation: unknown.Operation, Revision: o.Revision, Settled: true}, nil
 		case err == nil && o.Verdict == verdict.NotRun:
 			return admin.Accepted{}, fmt.Errorf("operation %s was not made", unknown.Operation)
 		}
-		if !pause(ctx, end) {
+		if !waitInterval(ctx, end) {
 			return admin.Accepted{}, unknown
 		}
 	}
 }
 
-// spread waits until the last change is in force everywhere, and says so. A
+// awaitInForce waits until the last change is in force everywhere, and says so. A
 // change that is not in force everywhere yet is still accepted, so this never
 // fails the command.
-func (e *edit) spread(ctx context.Context) error {
+func (e *changeSession) awaitInForce(ctx context.Context) error {
 	end := time.Now().Add(e.s.wait)
 	for {
-		f, err := e.c.InForce(ctx, e.last)
+		f, err := e.c.InForce(ctx, e.lastRevision)
 		if err == nil && len(f.Missing) == 0 {
-			return e.printSpread(f)
+			return e.printInForce(f)
 		}
-		if pause(ctx, end) {
+		if waitInterval(ctx, end) {
 			continue
 		}
 		if err != nil {
-			return e.s.print(e.out, spreadUnknown{err.Error()}, func(w io.Writer) {
+			return e.s.print(e.out, inForceError{err.Error()}, func(w io.Writer) {
 				fmt.Fprintf(w, "in force: not known: %v\n", err)
 			})
 		}
-		return e.printSpread(f)
+		return e.printInForce(f)
 	}
 }
 
-func (e *edit) printSpread(f admin.InForce) error {
+func (e *changeSession) printInForce(f admin.InForce) error {
 	return e.s.print(e.out, inForce{f}, func(w io.Writer) {
 		fmt.Fprintf(w, "in force on %d of %d entry VMs", f.Applied, f.Total)
 		if len(f.Missing) > 0 {
-			fmt.Fprintf(w, ", missing: %s", join(f.Missing))
+			fmt.Fprintf(w, ", missing: %s", joinIDs(f.Missing))
 		}
 		fmt.Fprintln(w)
 	})
 }
 
-func join(ids []fleet.VMID) string {
+func joinIDs(ids []fleet.VMID) string {
 	parts := make([]string, len(ids))
 	for i, id := range ids {
 		parts[i] = string(id)
@@ -199,8 +199,8 @@
 	return strings.Join(parts, ", ")
 }
 
-// pause waits one interval, and reports false once end has passed or ctx ended.
-func pause(ctx context.Context, end time.Time) bool {
+// waitInterval waits one interval, and reports false once end has passed or ctx ended.
+func waitInterval(ctx context.Context, end time.Time) bool {
 	if !time.Now().Before(end) {
 		return false
 	}
--- a/operate/command/exit.go
+++ b/operate/command/exit.go
@@ -36,7 +36,7 @@
 		usage       *UsageError
 		unknown     *client.UnknownOutcome
 		unreachable *client.Unreachable
-		answered    *client.APIError
+		apiErr      *client.APIError
 	)
 	switch {
 	case err == nil:
@@ -47,13 +47,13 @@
 		return ExitUnknown
 	case errors.As(err, &unreachable):
 		return ExitUnreachable
-	case errors.As(err, &answered):
-		return exitOfAnswer(answered)
+	case errors.As(err, &apiErr):
+		return apiExitCode(apiErr)
 	}
 	return ExitFailed
 }
 
-func exitOfAnswer(e *client.APIError) int {
+func apiExitCode(e *client.APIError) int {
 	switch e.Body.Code {
 	case admin.CodeConflict:
 		return ExitConflict
--- a/operate/command/explain.go
+++ b/operate/command/explain.go
@@ -17,11 +17,11 @@
 		RunE: func(cmd *cobra.Command, args []string) error {
 			logs := cmd.InOrStdin()
 			if len(args) > 1 {
-				files, err := open(args[1:])
+				files, err := openFiles(args[1:])
 				if err != nil {
 					return err
 				}
-				defer closeAll(files)
+				defer closeFiles(files)
 				logs = io.MultiReader(readers(files)...)
 			}
 			r, err := explain.Read(args[0], logs)
@@ -33,12 +33,12 @@
 	}
 }
 
-func open(names []string) ([]*os.File, error) {
+func openFiles(names []string) ([]*os.File, error) {
 	var files []*os.File
 	for _, name := range names {
 		f, err := os.Open(name)
 		if err != nil {
-			closeAll(files)
+			closeFiles(files)
 			return nil, err
 		}
 		files = append(files, f)
@@ -46,7 +46,7 @@
 	return files, nil
 }
 
-func closeAll(files []*os.File) {
+func closeFiles(files []*os.File) {
 	for _, f := range files {
 		_ = f.Close() // read only: nothing is lost
 	}
--- a/operate/command/observe.go
+++ b/operate/command/observe.go
@@ -19,7 +19,7 @@
 	return &cobra.Command{
 		Use:   "status",
 		Short: "Show what an entry VM knows: revision, members, load of each region, shifts",
-		Args:  exactly(0),
+		Args:  exactArgs(0),
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			c, err := s.client()
 			if err != nil {
@@ -39,7 +39,7 @@
 	cmd := &cobra.Command{
 		Use:   "watch",
 		Short: "Show the status again at every change of the catalogue, and at least at every interval, until interrupted",
-		Args:  exactly(0),
+		Args:  exactArgs(0),
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if every <= 0 || every > admin.MaxWatchWait {
 				return usagef("interval: must be above zero and at most %s", admin.MaxWatchWait)
@@ -61,14 +61,14 @@
 	var after uint64
 	for ctx.Err() == nil {
 		x, err := c.Watch(ctx, after, every)
-		var answered *client.APIError
+		var apiErr *client.APIError
 		switch {
 		case ctx.Err() != nil:
-		case errors.As(err, &answered) && exitOfAnswer(answered) != ExitUnreachable:
+		case errors.As(err, &apiErr) && apiExitCode(apiErr) != ExitUnreachable:
 			return err
 		case err != nil:
 			fmt.Fprintf(errs, "azurethread: %v\n", err)
-			pause(ctx, time.Now().Add(every))
+			waitInterval(ctx, time.Now().Add(every))
 		default:
 			after = x.Revision
 			err = s.print(out, x, func(w io.Writer) { printWatch(w, x) })
@@ -89,7 +89,7 @@
 	return &cobra.Command{
 		Use:   "lookup SERVICE CLIENT",
 		Short: "Ask which entry VMs a client, an address or a block, is steered to",
-		Args:  exactly(2),
+		Args:  exactArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			c, err := client.New(s.callAddr, "", s.timeout)
 			if err != nil {
@@ -108,13 +108,13 @@
 	return &cobra.Command{
 		Use:   "operation ID",
 		Short: "Ask what became of a change whose outcome was unknown",
-		Args:  exactly(1),
+		Args:  exactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			c, err := s.client()
 			if err != nil {
 				return err
 			}
-			o, err := c.Settle(cmd.Context(), args[0])
+			o, err := c.FindOutcome(cmd.Context(), args[0])
 			if err != nil {
 				return err
 			}
@@ -137,7 +137,7 @@
 		Short: "Check an entry file without an entry VM, reporting every error",
 		Long: "Check an entry file without an entry VM, reporting every error with its line and field.\n" +
 			"Services that the file does not hold are taken to exist in the catalogue.",
-		Args: exactly(1),
+		Args: exactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			raw, err := readFile(cmd, args[0])
 			if err != nil {
@@ -147,7 +147,7 @@
 			if err != nil {
 				return &UsageError{fmt.Errorf("%s is not valid:\n%w", args[0], err)}
 			}
-			sum := checked{File: args[0], Services: len(f.Services), Shifts: len(f.Shifts)}
+			sum := checkResult{File: args[0], Services: len(f.Services), Shifts: len(f.Shifts)}
 			return s.print(cmd.OutOrStdout(), sum, func(w io.Writer) {
 				fmt.Fprintf(w, "%s: valid, %d services, %d shifts\n", sum.File, sum.Services, sum.Shifts)
 			})
@@ -155,8 +155,8 @@
 	}
 }
 
-// checked is the JSON line of a valid file.
-type checked struct {
+// checkResult is the JSON line of a valid file.
+type checkResult struct {
 	File     string `json:"file"`
 	Services int    `json:"services"`
 	Shifts   int    `json:"shifts"`
--- a/operate/command/service.go
+++ b/operate/command/service.go
@@ -24,7 +24,7 @@
 	return &cobra.Command{
 		Use:   "list",
 		Short: "List the services",
-		Args:  exactly(0),
+		Args:  exactArgs(0),
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			c, err := s.client()
 			if err != nil {
@@ -45,9 +45,9 @@
 	cmd := &cobra.Command{
 		Use:   "put -f FILE",
 		Short: "Add or replace the services of a file",
-		Args:  exactly(0),
+		Args:  exactArgs(0),
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return s.withFile(cmd, file, func(ctx context.Context, e *edit, cat catalogue.Catalogue, f entryfile.File) error {
+			return s.withFile(cmd, file, func(ctx context.Context, e *changeSession, cat catalogue.Catalogue, f entryfile.File) error {
 				if len(f.Services) == 0 {
 					return usagef("%s holds no services", file)
 				}
@@ -60,7 +60,7 @@
 }
 
 // putAll puts the services that differ from what the catalogue has.
-func putAll(ctx context.Context, e *edit, cat catalogue.Catalogue, list []catalogue.Service) error {
+func putAll(ctx context.Context, e *changeSession, cat catalogue.Catalogue, list []catalogue.Service) error {
 	for _, x := range list {
 		old, _ := cat.Service(x.Name)
 		x.Revision = old.Revision
@@ -68,7 +68,7 @@
 			continue
 		}
 		put := func() (admin.Accepted, error) { return e.c.PutService(ctx, x, old.Revision) }
-		if err := e.made(ctx, "put", string(x.Name), put); err != nil {
+		if err := e.submit(ctx, "put", string(x.Name), put); err != nil {
 			return err
 		}
 	}
@@ -77,7 +77,7 @@
 
 // putMissing puts the services that the catalogue lacks, and leaves the others
 // as they are: a file of shifts must not change how a service is treated.
-func putMissing(ctx context.Context, e *edit, cat catalogue.Catalogue, list []catalogue.Service) error {
+func putMissing(ctx context.Context, e *changeSession, cat catalogue.Catalogue, list []catalogue.Service) error {
 	missing := slices.DeleteFunc(slices.Clone(list), func(x catalogue.Service) bool {
 		_, known := cat.Service(x.Name)
 		return known
@@ -89,16 +89,16 @@
 	return &cobra.Command{
 		Use:   "remove NAME",
 		Short: "Remove a service that no traffic shift names",
-		Args:  exactly(1),
+		Args:  exactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return s.edit(cmd, func(ctx context.Context, e *edit) error {
+			return s.runChanges(cmd, func(ctx context.Context, e *changeSession) error {
 				cat, err := e.c.Catalogue(ctx)
 				if err != nil {
 					return err
 				}
 				name := args[0]
 				expect := revisionOf(cat, name)
-				return e.made(ctx, "remove", name, func() (admin.Accepted, error) { return e.c.RemoveService(ctx, name, expect) })
+				return e.submit(ctx, "remove", name, func() (admin.Accepted, error) { return e.c.RemoveService(ctx, name, expect) })
 			})
 		},
 	}
--- a/operate/demo/command.go
+++ b/operate/demo/command.go
@@ -12,10 +12,10 @@
 	"github.com/spf13/cobra"
 )
 
-// ErrBroken means that the run has broken a promise; it has been named.
-var ErrBroken = errors.New("a promise was broken")
+// ErrGuaranteeBroken means that the run has broken a promise; it has been named.
+var ErrGuaranteeBroken = errors.New("a promise was broken")
 
-const long = `demo runs a whole deployment in this process on loopback: stand-ins for the
+const longHelp = `demo runs a whole deployment in this process on loopback: stand-ins for the
 platform and the targets, an entry VM daemon for each entry VM, and callers.
 
 The last line on standard output is one JSON object with what the stand-ins and
@@ -33,12 +33,12 @@
 	c := &cobra.Command{
 		Use:   "demo",
 		Short: "Run a whole deployment on loopback with stand-ins",
-		Long:  long,
+		Long:  longHelp,
 		Args:  cobra.NoArgs,
 	}
 	f := c.Flags()
 	f.StringVar(&o.Deployment, "deployment", "statikos", "deployment: statikos or inzira")
-	f.DurationVar(&o.For, "for", 15*time.Second, "length of the load")
+	f.DurationVar(&o.Duration, "for", 15*time.Second, "length of the load")
 	f.StringVar(&fault, "fault", string(None), "fault after a third of the run")
 	f.Float64Var(&o.Load, "load", 0.5, "offered load, as a part of the targets' capacity")
 	f.Uint64Var(&o.Seed, "seed", 1, "seed of the load and of the targets")
@@ -49,7 +49,7 @@
 		if o.Fault, err = ParseFault(fault); err != nil {
 			return err
 		}
-		if o.For < time.Second || o.Load <= 0 {
+		if o.Duration < time.Second || o.Load <= 0 {
 			return errors.New("--for must be at least 1s and --load more than 0")
 		}
 		o.Progress = progress(c.ErrOrStderr())
@@ -81,7 +81,7 @@
 	if err != nil {
 		return err
 	}
-	broken := res.Broken()
+	broken := res.BrokenGuarantees()
 	if len(broken) > 0 {
 		fmt.Fprintln(c.ErrOrStderr(), "broken:", strings.Join(broken, "; "))
 	}
@@ -91,7 +91,7 @@
 	}
 	fmt.Fprintln(c.OutOrStdout(), string(b))
 	if len(broken) > 0 {
-		return ErrBroken
+		return ErrGuaranteeBroken
 	}
 	return nil
 }
--- a/operate/demo/demo.go
+++ b/operate/demo/demo.go
@@ -24,7 +24,7 @@
 // Options of a run.
 type Options struct {
 	Deployment string // "statikos" or "inzira"
-	For        time.Duration
+	Duration   time.Duration
 	Fault      Fault
 	Load       float64 // offered load as a part of the targets' capacity
 	Seed       uint64
@@ -48,7 +48,7 @@
 
 // run is one run under way.
 type run struct {
-	opts    Options
+	options Options
 	dep     *deployment.Running
 	daemons []*daemon.Daemon
 	stopped *daemon.Daemon // by a fault
@@ -57,32 +57,32 @@
 	load    *caller.Run
 	watch   *watcher
 
-	mu    sync.Mutex
-	drain time.Duration
-	wg    sync.WaitGroup
+	mu           sync.Mutex
+	longestDrain time.Duration
+	wg           sync.WaitGroup
 }
 
 // Run runs the demo to its end.
 func Run(ctx context.Context, o Options) (*Result, error) {
-	r := &run{opts: o, log: logs.New(logLevel, o.Log)}
+	r := &run{options: o, log: logs.New(logLevel, o.Log)}
 	logs.TakeNetwork(r.log)
 	defer r.close()
 	if err := r.start(ctx); err != nil {
 		return nil, err
 	}
-	if err := r.drive(ctx); err != nil {
+	if err := r.runLoad(ctx); err != nil {
 		return nil, err
 	}
 	return r.result(), nil
 }
 
-func (r *run) say(format string, args ...any) {
-	if r.opts.Progress != nil {
-		fmt.Fprintf(r.opts.Progress, format+"\n", args...)
+func (r *run) progressf(format string, args ...any) {
+	if r.options.Progress != nil {
+		fmt.Fprintf(r.options.Progress, format+"\n", args...)
 	}
 }
 
-func (r *run) background(f func()) {
+func (r *run) goTracked(f func()) {
 	r.wg.Add(1)
 	go func() {
 		defer r.wg.Done()
@@ -90,19 +90,19 @@
 	}()
 }
 
-func (r *run) setDrain(d time.Duration) {
+func (r *run) recordDrain(d time.Duration) {
 	r.mu.Lock()
-	r.drain = max(r.drain, d)
+	r.longestDrain = max(r.longestDrain, d)
 	r.mu.Unlock()
 }
 
 // start brings up the stand-ins and the entry VMs.
 func (r *run) start(ctx context.Context) error {
-	desc, err := deployment.ByName(r.opts.Deployment)
+	desc, err := deployment.ByName(r.options.Deployment)
 	if err != nil {
 		return err
 	}
-	r.dep, err = deployment.Start(ctx, desc, deployment.Options{Seed: r.opts.Seed, PutCatalogue: daemon.PutCatalogue})
+	r.dep, err = deployment.Start(ctx, desc, deployment.Options{Seed: r.options.Seed, PutCatalogue: daemon.PutCatalogue})
 	if err != nil {
 		return err
 	}
@@ -177,13 +177,13 @@
 	return nil
 }
 
-// readyLimit bounds the start of all entry VMs.
-const readyLimit = 20 * time.Second
+// readyTimeout bounds the start of all entry VMs.
+const readyTimeout = 20 * time.Second
 
 // waitReady waits until every entry VM has its configuration and knows the
 // others.
 func (r *run) waitReady(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, readyLimit)
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	began := time.Now()
 	t := time.NewTicker(10 * time.Millisecond)
@@ -191,11 +191,11 @@
 	for !r.ready() {
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("demo: entry VMs are not ready after %s", readyLimit)
+			return fmt.Errorf("demo: entry VMs are not ready after %s", readyTimeout)
 		case <-t.C:
 		}
 	}
-	r.say("%d entry VMs and %d targets ready after %s", len(r.daemons), len(r.dep.Targets), time.Since(began).Round(time.Millisecond))
+	r.progressf("%d entry VMs and %d targets ready after %s", len(r.daemons), len(r.dep.Targets), time.Since(began).Round(time.Millisecond))
 	return nil
 }
 
@@ -215,22 +215,22 @@
 // a second time with the same token, as a user who presses a button twice.
 const duplicateShare = 0.02
 
-// drive runs the load and brings about the fault after a third of it.
-func (r *run) drive(ctx context.Context) error {
+// runLoad runs the load and brings about the fault after a third of it.
+func (r *run) runLoad(ctx context.Context) error {
 	desc := r.dep.Description
 	cs := r.dep.Callers(caller.Options{
-		Seed:           r.opts.Seed,
+		Seed:           r.options.Seed,
 		ResendLost:     true,
 		DuplicateShare: duplicateShare,
-	}, callersPerRegion, r.opts.Latency)
+	}, callersPerRegion, r.options.Latency)
 	load := caller.Load{
 		Callers: cs,
 		Kinds:   desc.Kinds(),
-		Rate:    desc.Rate(r.opts.Load),
-		For:     r.opts.For,
-		Seed:    r.opts.Seed,
+		Rate:    desc.Rate(r.options.Load),
+		For:     r.options.Duration,
+		Seed:    r.options.Seed,
 	}
-	r.say("load of %.0f requests a second for %s, fault %s", load.Rate, r.opts.For, r.opts.Fault)
+	r.progressf("load of %.0f requests a second for %s, fault %s", load.Rate, r.options.Duration, r.options.Fault)
 	r.watch = newWatcher(r)
 	var err error
 	if r.load, err = load.Start(ctx); err != nil {
@@ -238,17 +238,17 @@
 	}
 	watchCtx, stop := context.WithCancel(ctx)
 	defer stop()
-	r.background(func() { r.watch.run(watchCtx) })
+	r.goTracked(func() { r.watch.run(watchCtx) })
 	select {
-	case <-time.After(r.opts.For / 3):
+	case <-time.After(r.options.Duration / 3):
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	if r.opts.Fault != None {
-		r.say("fault: %s", r.opts.Fault)
+	if r.options.Fault != None {
+		r.progressf("fault: %s", r.options.Fault)
 	}
 	if err := r.inject(ctx); err != nil {
-		return fmt.Errorf("demo: fault %s: %w", r.opts.Fault, err)
+		return fmt.Errorf("demo: fault %s: %w", r.options.Fault, err)
 	}
 	r.load.Wait()
 	stop()
--- a/operate/demo/drain.go
+++ b/operate/demo/drain.go
@@ -26,25 +26,25 @@
 		ID:    drainID,
 		Owner: "demo",
 		Class: catalogue.Rehearsal,
-		From:  r.drained(),
+		From:  r.drainedRegion(),
 		Limits: catalogue.Limits{
 			MaxShare: drainCap,
 			Step:     drainStep,
 			Interval: catalogue.Duration(2 * time.Second),
 		},
 	}
-	if err := r.change(ctx, entry); err != nil {
+	if err := r.startShift(ctx, entry); err != nil {
 		return err
 	}
-	r.say("traffic shift %s: %s may move %d/10,000 of its traffic", drainID, r.drained(), drainCap)
+	r.progressf("traffic shift %s: %s may move %d/10,000 of its traffic", drainID, r.drainedRegion(), drainCap)
 	return nil
 }
 
 // clientTimeout bounds one administration request.
 const clientTimeout = 10 * time.Second
 
-// change adds, approves and starts a traffic shift.
-func (r *run) change(ctx context.Context, e change.Entry) error {
+// startShift adds, approves and starts a traffic shift.
+func (r *run) startShift(ctx context.Context, e change.Entry) error {
 	addr := r.daemons[0].AdminAddr()
 	author, err := client.New(addr, authorToken, clientTimeout)
 	if err != nil {
@@ -58,17 +58,17 @@
 	if err != nil {
 		return err
 	}
-	a, err = approver.Act(ctx, client.Approve, e.ID, admin.ShiftAction{Expect: a.Revision})
+	a, err = approver.PerformAction(ctx, client.Approve, e.ID, admin.ShiftAction{Expect: a.Revision})
 	if err != nil {
 		return err
 	}
-	_, err = author.Act(ctx, client.Start, e.ID, admin.ShiftAction{Expect: a.Revision})
+	_, err = author.PerformAction(ctx, client.Start, e.ID, admin.ShiftAction{Expect: a.Revision})
 	return err
 }
 
-// countMoved compares where the drained region's requests ran with the cap.
-func (r *run) countMoved(outcomes []caller.Outcome, res *Result) {
-	if r.opts.Fault != RegionDrain {
+// recordMovedShare compares where the drained region's requests ran with the cap.
+func (r *run) recordMovedShare(outcomes []caller.Outcome, res *Result) {
+	if r.options.Fault != RegionDrain {
 		return
 	}
 	home := r.dep.Description.Regions[0]
--- a/operate/demo/fault.go
+++ b/operate/demo/fault.go
@@ -45,17 +45,17 @@
 
 // inject brings the fault about.
 func (r *run) inject(ctx context.Context) error {
-	switch r.opts.Fault {
+	switch r.options.Fault {
 	case TargetCrash:
-		for _, t := range r.firstTargets() {
+		for _, t := range r.firstTargetPerService() {
 			t.Crash()
 		}
 	case TargetLeave:
 		r.leaveTargets()
 	case Silent:
-		for _, t := range r.firstTargets() {
+		for _, t := range r.firstTargetPerService() {
 			n := t.SilenceConnections(-1)
-			r.say("%d connections of %s have gone silent", n, t.Machine.ID)
+			r.progressf("%d connections of %s have gone silent", n, t.Machine.ID)
 		}
 	case PlatformDown:
 		return r.dep.Platform.SetOutage(platform.Hanging)
@@ -69,8 +69,8 @@
 	return nil
 }
 
-// firstTargets returns one target of each service.
-func (r *run) firstTargets() []*deployment.Target {
+// firstTargetPerService returns one target of each service.
+func (r *run) firstTargetPerService() []*deployment.Target {
 	seen := make(map[fleet.ServiceName]bool)
 	var out []*deployment.Target
 	for _, t := range r.dep.Targets {
@@ -86,20 +86,20 @@
 // empty.
 func (r *run) leaveTargets() {
 	began := time.Now()
-	for _, t := range r.firstTargets() {
+	for _, t := range r.firstTargetPerService() {
 		r.dep.Leave(t)
-		r.background(func() {
-			ctx, cancel := context.WithTimeout(context.Background(), drainLimit)
+		r.goTracked(func() {
+			ctx, cancel := context.WithTimeout(context.Background(), drainTimeout)
 			defer cancel()
 			if _, err := t.Drained(ctx); err == nil {
-				r.setDrain(time.Since(began))
+				r.recordDrain(time.Since(began))
 			}
 		})
 	}
 }
 
-// drainLimit bounds the wait for a drain.
-const drainLimit = 30 * time.Second
+// drainTimeout bounds the wait for a drain.
+const drainTimeout = 30 * time.Second
 
 // stopEntry stops one entry VM gracefully.
 func (r *run) stopEntry() {
@@ -107,13 +107,13 @@
 	r.daemons = r.daemons[1:]
 	r.stopped = d
 	began := time.Now()
-	r.background(func() {
-		ctx, cancel := context.WithTimeout(context.Background(), drainLimit)
+	r.goTracked(func() {
+		ctx, cancel := context.WithTimeout(context.Background(), drainTimeout)
 		defer cancel()
 		if err := d.Stop(ctx); err != nil {
-			r.say("entry VM stopped with requests in flight: %v", err)
+			r.progressf("entry VM stopped with requests in flight: %v", err)
 		}
-		r.setDrain(time.Since(began))
+		r.recordDrain(time.Since(began))
 	})
 }
 
@@ -125,5 +125,5 @@
 	d.Kill()
 }
 
-// drained is the region that RegionDrain empties.
-func (r *run) drained() fleet.Region { return r.dep.Description.Regions[0].Name }
+// drainedRegion is the region that RegionDrain empties.
+func (r *run) drainedRegion() fleet.Region { return r.dep.Description.Regions[0].Name }
--- a/operate/demo/result.go
+++ b/operate/demo/result.go
@@ -50,8 +50,8 @@
 	Violations int64  `json:"invariant_violations"` // as the daemons count them
 }
 
-// Broken lists the promises that the run has broken.
-func (r *Result) Broken() []string {
+// BrokenGuarantees lists the promises that the run has broken.
+func (r *Result) BrokenGuarantees() []string {
 	var out []string
 	broken := func(n uint64, what string) {
 		if n > 0 {
--- a/operate/demo/watch.go
+++ b/operate/demo/watch.go
@@ -30,20 +30,20 @@
 // region was overloaded.
 type watcher struct {
 	r          *run
-	last       map[fleet.Region]sample
+	last       map[fleet.Region]targetCounts
 	overloaded uint64
 }
 
-// sample is what the targets of one region have counted so far.
-type sample struct{ arrived, shed uint64 }
+// targetCounts is what the targets of one region have counted so far.
+type targetCounts struct{ arrived, shed uint64 }
 
 // overloadShare is the part of a second's requests, refused for want of room,
 // from which on the region counts as overloaded.
 const overloadShare = 0.05
 
-// overloadLeast is the least number of refusals for it, so that one refusal
+// minOverloadRefusals is the least number of refusals for it, so that one refusal
 // of a few requests does not count.
-const overloadLeast = 5
+const minOverloadRefusals = 5
 
 func newWatcher(r *run) *watcher {
 	w := &watcher{r: r}
@@ -51,8 +51,8 @@
 	return w
 }
 
-func (w *watcher) sample() map[fleet.Region]sample {
-	out := make(map[fleet.Region]sample)
+func (w *watcher) sample() map[fleet.Region]targetCounts {
+	out := make(map[fleet.Region]targetCounts)
 	for _, t := range w.r.dep.Targets {
 		s := out[t.Machine.Region]
 		st := t.Stats()
@@ -74,7 +74,7 @@
 		}
 		w.observe()
 		c := w.r.load.Counts()
-		w.r.say("%3d s  %d requests, %d answered, %d not run, %d may have run", second, c.Requests, c.Answered, c.NotRun, c.MayHaveRun)
+		w.r.progressf("%3d s  %d requests, %d answered, %d not run, %d may have run", second, c.Requests, c.Answered, c.NotRun, c.MayHaveRun)
 	}
 }
 
@@ -83,7 +83,7 @@
 	for region, s := range now {
 		before := w.last[region]
 		arrived, shed := s.arrived-before.arrived, s.shed-before.shed
-		if shed >= overloadLeast && float64(shed) > overloadShare*float64(arrived) {
+		if shed >= minOverloadRefusals && float64(shed) > overloadShare*float64(arrived) {
 			w.overloaded++
 		}
 	}
@@ -95,10 +95,10 @@
 	rep := r.load.Wait()
 	proof := caller.Prove(rep.Outcomes, r.dep.Executions())
 	res := &Result{
-		Deployment:   r.opts.Deployment,
-		Fault:        r.opts.Fault,
-		Seconds:      r.opts.For.Seconds(),
-		Load:         r.opts.Load,
+		Deployment:   r.options.Deployment,
+		Fault:        r.options.Fault,
+		Seconds:      r.options.Duration.Seconds(),
+		Load:         r.options.Load,
 		Requests:     rep.Requests,
 		Answered:     rep.Answered,
 		WrongAnswers: rep.WrongAnswers + proof.NeverRan,
@@ -111,9 +111,9 @@
 		Unmarked:     rep.Unmarked,
 		P50:          milliseconds(rep.Quantile(50)),
 		P99:          milliseconds(rep.Quantile(99)),
-		DrainSeconds: r.drain.Seconds(),
+		DrainSeconds: r.longestDrain.Seconds(),
 	}
-	if r.opts.Fault == EntryStop || r.opts.Fault == TargetLeave || r.opts.Fault == RegionDrain {
+	if r.options.Fault == EntryStop || r.options.Fault == TargetLeave || r.options.Fault == RegionDrain {
 		res.Cut = proof.CutRan
 	}
 	for _, t := range r.dep.Targets {
@@ -126,7 +126,7 @@
 			res.Reasons[o.Reason]++
 		}
 	}
-	r.countMoved(rep.Outcomes, res)
+	r.recordMovedShare(rep.Outcomes, res)
 	for _, d := range r.daemons {
 		res.Violations += d.Violations()
 	}
--- a/operate/e2e/admin_test.go
+++ b/operate/e2e/admin_test.go
@@ -19,9 +19,9 @@
 // address, then a good one.
 // Cause: a defective or hostile client.
 func TestBadAdministrationMessages(t *testing.T) {
-	w := newWorld(t, testServices())
-	w.handler("attiki-1", calc, func(http.ResponseWriter, *http.Request) {})
-	e := w.entry("a", "attiki-1", "--operators=ana="+admin.HashToken("ana"))
+	sys := newTestSystem(t, testServices())
+	sys.startHandlerTarget("attiki-1", calc, func(http.ResponseWriter, *http.Request) {})
+	e := sys.startEntryVM("a", "attiki-1", "--operators=ana="+admin.HashToken("ana"))
 	auth := "Host: a\r\nAuthorization: Bearer ana\r\n"
 	large := strings.Repeat("a", admin.MaxBody+1)
 	for name, c := range map[string]struct {
@@ -70,8 +70,8 @@
 // Cause: a server that closes before the kernel has taken the answer.
 func TestAdministrationAnswersArrive(t *testing.T) {
 	const requests = 5000
-	w := newWorld(t, testServices())
-	e := w.entry("a", "attiki-1")
+	sys := newTestSystem(t, testServices())
+	e := sys.startEntryVM("a", "attiki-1")
 	lost := 0
 	for range requests {
 		if _, err := send("GET", "http://"+e.AdminAddr()+"/debug/vars", nil, nil); err != nil {
--- a/operate/e2e/answer_test.go
+++ b/operate/e2e/answer_test.go
@@ -21,8 +21,8 @@
 	"github.com/azurethread/azurethread/standin/target"
 )
 
-// feeCall sends a non-idempotent request with a fresh token.
-func feeCall(tb testing.TB, e *entry, id string) answer {
+// callFee sends a non-idempotent request with a fresh token.
+func callFee(tb testing.TB, e *entryVM, id string) answer {
 	tb.Helper()
 	tok := tokenOf(tb, lookup(tb, e, fee, 1), e.vm.ID)
 	h := http.Header{"Azurethread-Token": {tok}, payload.IDHeader: {id}}
@@ -54,14 +54,14 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
-			w := newWorld(t, testServices())
+			sys := newTestSystem(t, testServices())
 			var sent atomic.Int64
-			w.raw("attiki-1", fee, func(*http.Request) string {
+			sys.startRawTarget("attiki-1", fee, func(*http.Request) string {
 				sent.Add(1)
 				return c.raw
 			})
-			e := w.entry("a", "attiki-1", "--max-answer-bytes=1048576")
-			a := feeCall(t, e, "r1")
+			e := sys.startEntryVM("a", "attiki-1", "--max-answer-bytes=1048576")
+			a := callFee(t, e, "r1")
 			is.Equal(a.status, http.StatusBadGateway)
 			is.Equal(a.verdict(), c.verdict)
 			is.Equal(a.reason(), c.reason)
@@ -77,10 +77,10 @@
 // Cause: a target that dies while it answers.
 func TestCutAnswerIsRetried(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, testServices())
-	s := w.target("attiki-1", target.Options{Service: calc, ID: "t1", Slots: 3})
-	w.target("attiki-1", target.Options{Service: calc, ID: "t2", Slots: 3})
-	e := w.entry("a", "attiki-1")
+	sys := newTestSystem(t, testServices())
+	s := sys.startTarget("attiki-1", target.Options{Service: calc, ID: "t1", Slots: 3})
+	sys.startTarget("attiki-1", target.Options{Service: calc, ID: "t2", Slots: 3})
+	e := sys.startEntryVM("a", "attiki-1")
 	s.CutAnswers(3)
 	for i := range 20 {
 		id := "r" + strconv.Itoa(i)
@@ -98,13 +98,13 @@
 // Cause: a refusal taken for an answer, or for an unknown outcome.
 func TestTargetRefuses(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, testServices())
-	leaving := w.target("attiki-1", target.Options{Service: fee, ID: "t1", Slots: 3})
-	other := w.target("attiki-1", target.Options{Service: fee, ID: "t2", Slots: 3})
-	e := w.entry("a", "attiki-1")
+	sys := newTestSystem(t, testServices())
+	leaving := sys.startTarget("attiki-1", target.Options{Service: fee, ID: "t1", Slots: 3})
+	other := sys.startTarget("attiki-1", target.Options{Service: fee, ID: "t2", Slots: 3})
+	e := sys.startEntryVM("a", "attiki-1")
 	leaving.Leave()
 	for i := range 12 {
-		a := feeCall(t, e, "r"+strconv.Itoa(i))
+		a := callFee(t, e, "r"+strconv.Itoa(i))
 		is.Equal(a.status, http.StatusOK)
 		is.Equal(a.verdict(), "ran")
 	}
@@ -122,11 +122,11 @@
 // with a verdict that is not true.
 // Sequence: all targets are leaving, or there is none; the deadline is short.
 // Cause: a service without capacity.
-func TestRefusalsSayWhenToComeBack(t *testing.T) {
+func TestRefusalsHaveRetryAfter(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, append(testServices(), catalogue.Service{Name: "empty", Idempotent: true, Priority: catalogue.Interactive}))
-	s := w.target("attiki-1", target.Options{Service: calc, ID: "t1", Slots: 1})
-	e := w.entry("a", "attiki-1")
+	sys := newTestSystem(t, append(testServices(), catalogue.Service{Name: "empty", Idempotent: true, Priority: catalogue.Interactive}))
+	s := sys.startTarget("attiki-1", target.Options{Service: calc, ID: "t1", Slots: 1})
+	e := sys.startEntryVM("a", "attiki-1")
 	s.Leave()
 	for _, service := range []string{calc, "empty"} {
 		a := call(t, e, "GET", service, "/x", http.Header{"Azurethread-Deadline-Ms": {"300"}}, nil)
@@ -150,14 +150,14 @@
 // Cause: a middlebox has dropped its state for the connections.
 func TestSilentConnections(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, []catalogue.Service{
+	sys := newTestSystem(t, []catalogue.Service{
 		{Name: calc, Idempotent: true, Priority: catalogue.Interactive},
 		{Name: fee, Timeout: catalogue.Duration(3 * time.Second)},
 	})
-	lookups := w.target("attiki-1", target.Options{Service: calc, ID: "c1", Slots: 8})
-	w.target("attiki-1", target.Options{Service: calc, ID: "c2", Slots: 8})
-	fees := w.target("attiki-1", target.Options{Service: fee, ID: "f1", Slots: 8})
-	e := w.entry("a", "attiki-1")
+	lookups := sys.startTarget("attiki-1", target.Options{Service: calc, ID: "c1", Slots: 8})
+	sys.startTarget("attiki-1", target.Options{Service: calc, ID: "c2", Slots: 8})
+	fees := sys.startTarget("attiki-1", target.Options{Service: fee, ID: "f1", Slots: 8})
+	e := sys.startEntryVM("a", "attiki-1")
 
 	var wg sync.WaitGroup
 	var silenced atomic.Bool
@@ -177,12 +177,12 @@
 	}
 	wg.Wait()
 
-	is.Equal(feeCall(t, e, "before").status, http.StatusOK)
+	is.Equal(callFee(t, e, "before").status, http.StatusOK)
 	is.True(fees.SilenceConnections(-1) > 0)
-	a := feeCall(t, e, "silent")
+	a := callFee(t, e, "silent")
 	is.Equal(a.verdict(), "may-have-run")
 	is.True(a.reason() == "connection-silent" || a.reason() == "deadline")
-	waitFor(t, func() bool { return feeCall(t, e, "after").status == http.StatusOK })
+	waitFor(t, func() bool { return callFee(t, e, "after").status == http.StatusOK })
 	is.True(fees.Executions()["silent"] <= 1) // and never repeated
 }
 
@@ -191,11 +191,11 @@
 // Cause: the end of a connection that nobody passes on.
 func TestCallerGoneCancels(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, testServices())
-	s := w.target("attiki-1", target.Options{Service: calc, ID: "t1", Slots: 3, Work: target.Work{Base: time.Minute}})
-	e := w.entry("a", "attiki-1")
+	sys := newTestSystem(t, testServices())
+	s := sys.startTarget("attiki-1", target.Options{Service: calc, ID: "t1", Slots: 3, Work: target.Work{Base: time.Minute}})
+	e := sys.startEntryVM("a", "attiki-1")
 	conn := dialRaw(t, e)
-	conn.say(t, "GET /v1/call/"+calc+"/x HTTP/1.1\r\nHost: a\r\nAzurethread-Deadline-Ms: 60000\r\n\r\n")
+	conn.send(t, "GET /v1/call/"+calc+"/x HTTP/1.1\r\nHost: a\r\nAzurethread-Deadline-Ms: 60000\r\n\r\n")
 	waitFor(t, func() bool { return s.Stats().Started == 1 })
 	is.NoErr(conn.Close())
 	waitFor(t, func() bool { return s.Stats().Cancelled == 1 })
@@ -208,15 +208,15 @@
 // Cause: a deadline that is not passed on.
 func TestDeadlines(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, testServices())
+	sys := newTestSystem(t, testServices())
 	seen := make(chan string, 10)
-	w.handler("attiki-1", calc, func(w http.ResponseWriter, r *http.Request) {
+	sys.startHandlerTarget("attiki-1", calc, func(w http.ResponseWriter, r *http.Request) {
 		seen <- r.Header.Get("Azurethread-Deadline-Ms")
 		if r.URL.Path == "/slow" {
 			<-r.Context().Done()
 		}
 	})
-	e := w.entry("a", "attiki-1")
+	e := sys.startEntryVM("a", "attiki-1")
 	left := func(h http.Header) int {
 		is.Equal(call(t, e, "GET", calc, "/x", h, nil).status, http.StatusOK)
 		ms, err := strconv.Atoi(<-seen)
@@ -248,8 +248,8 @@
 
 func checkStatuses(t *testing.T, statuses []int) {
 	is := is.New(t)
-	w := newWorld(t, testServices())
-	w.handler("attiki-1", calc, func(w http.ResponseWriter, r *http.Request) {
+	sys := newTestSystem(t, testServices())
+	sys.startHandlerTarget("attiki-1", calc, func(w http.ResponseWriter, r *http.Request) {
 		status, _ := strconv.Atoi(r.URL.Query().Get("s"))
 		w.Header().Set("ETag", `"v1"`)
 		w.WriteHeader(status)
@@ -257,7 +257,7 @@
 			_, _ = io.WriteString(w, "body")
 		}
 	})
-	e := w.entry("a", "attiki-1")
+	e := sys.startEntryVM("a", "attiki-1")
 	conn := dialRaw(t, e)
 	methods := []string{"GET", "HEAD", "POST"}
 	if len(statuses) == 1 {
@@ -265,8 +265,8 @@
 	}
 	for _, status := range statuses {
 		for _, method := range methods {
-			conn.say(t, fmt.Sprintf("%s /v1/call/%s/x?s=%d HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n", method, calc, status))
-			a := conn.hear(t, method)
+			conn.send(t, fmt.Sprintf("%s /v1/call/%s/x?s=%d HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n", method, calc, status))
+			a := conn.receive(t, method)
 			is.Equal(a.status, status)
 			is.Equal(a.verdict(), "ran")
 			is.Equal(a.header.Get("ETag"), `"v1"`)
@@ -285,9 +285,9 @@
 // Cause: fields copied without regard to their meaning.
 func TestHeaders(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, testServices())
+	sys := newTestSystem(t, testServices())
 	got := make(chan http.Header, 1)
-	w.handler("attiki-1", calc, func(w http.ResponseWriter, r *http.Request) {
+	sys.startHandlerTarget("attiki-1", calc, func(w http.ResponseWriter, r *http.Request) {
 		got <- r.Header.Clone()
 		h := w.Header()
 		h["Set-Cookie"] = []string{"a=1", "b=2"}
@@ -297,14 +297,14 @@
 		h.Set("Azurethread-Verdict", "not-run") // a target has no say in it
 		_, _ = io.WriteString(w, "ok")
 	})
-	e := w.entry("a", "attiki-1")
+	e := sys.startEntryVM("a", "attiki-1")
 	conn := dialRaw(t, e)
-	conn.say(t, "GET /v1/call/"+calc+"/x HTTP/1.1\r\nHost: a\r\nX-Two: 1\r\nx-two: 2\r\n"+
+	conn.send(t, "GET /v1/call/"+calc+"/x HTTP/1.1\r\nHost: a\r\nX-Two: 1\r\nx-two: 2\r\n"+
 		"Connection: keep-alive, X-Hop\r\nX-Hop: 1\r\nKeep-Alive: 5\r\nTE: trailers\r\nUpgrade: h2c\r\n"+
 		"Proxy-Authorization: secret\r\n"+
 		"traceparent: 00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01\r\n"+
 		"Azurethread-Token: t\r\nAzurethread-Hops: 0\r\nAzurethread-Client: attiki/1\r\n\r\n")
-	a := conn.hear(t, "GET")
+	a := conn.receive(t, "GET")
 	is.Equal(a.status, http.StatusOK)
 	is.Equal(a.verdict(), "ran")
 	is.Equal(a.header["Set-Cookie"], []string{"a=1", "b=2"})
@@ -339,10 +339,10 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
-			w := newWorld(t, testServices())
-			w.raw("attiki-1", fee, func(*http.Request) string { return raw })
-			e := w.entry("a", "attiki-1")
-			a := feeCall(t, e, "r1")
+			sys := newTestSystem(t, testServices())
+			sys.startRawTarget("attiki-1", fee, func(*http.Request) string { return raw })
+			e := sys.startEntryVM("a", "attiki-1")
+			a := callFee(t, e, "r1")
 			is.Equal(a.status, http.StatusOK)
 			is.Equal(a.verdict(), "ran")
 			is.Equal(string(a.body), "body")
@@ -357,9 +357,9 @@
 // Cause: buffers shared between connections, or writes that are given up.
 func TestLargeAnswersAreWhole(t *testing.T) {
 	const callers = 64
-	w := newWorld(t, testServices())
-	w.target("attiki-1", target.Options{Service: calc, ID: "t1", Slots: 2 * callers})
-	e := w.entry("a", "attiki-1")
+	sys := newTestSystem(t, testServices())
+	sys.startTarget("attiki-1", target.Options{Service: calc, ID: "t1", Slots: 2 * callers})
+	e := sys.startEntryVM("a", "attiki-1")
 	for _, c := range []struct{ size, each int }{{64 << 10, 8}, {8 << 20, 1}} {
 		var wg sync.WaitGroup
 		for n := range callers {
@@ -381,7 +381,7 @@
 }
 
 // fetchWhole checks an answer while it is read.
-func fetchWhole(e *entry, h http.Header, id string, size int) error {
+func fetchWhole(e *entryVM, h http.Header, id string, size int) error {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+e.CallAddr()+"/v1/call/"+calc+"/x", nil)
@@ -415,9 +415,9 @@
 	for _, service := range []string{calc, fee} {
 		t.Run(service, func(t *testing.T) {
 			t.Parallel()
-			w := newWorld(t, testServices())
-			s := w.target("attiki-1", target.Options{Service: fleet.ServiceName(service), ID: "t1", Slots: 64, Work: target.Work{Base: workTime}})
-			e := w.entry("a", "attiki-1")
+			sys := newTestSystem(t, testServices())
+			s := sys.startTarget("attiki-1", target.Options{Service: fleet.ServiceName(service), ID: "t1", Slots: 64, Work: target.Work{Base: workTime}})
+			e := sys.startEntryVM("a", "attiki-1")
 			page := lookup(t, e, service, requests)
 			var wg sync.WaitGroup
 			for i := range requests {
@@ -450,9 +450,9 @@
 // Cause: a detector that only believes in silence once others have answers.
 func TestSilenceWithoutOtherTraffic(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, testServices())
-	s := w.target("attiki-1", target.Options{Service: calc, ID: "t1", Slots: 3})
-	e := w.entry("a", "attiki-1")
+	sys := newTestSystem(t, testServices())
+	s := sys.startTarget("attiki-1", target.Options{Service: calc, ID: "t1", Slots: 3})
+	e := sys.startEntryVM("a", "attiki-1")
 	for range 50 {
 		is.Equal(call(t, e, "GET", calc, "/x", nil, nil).status, http.StatusOK)
 	}
--- a/operate/e2e/doc_test.go
+++ b/operate/e2e/doc_test.go
@@ -43,10 +43,10 @@
 		delete(names, constant)
 	}
 	is.Equal(len(names), 0) // every reason has a status
-	is.Equal(pageReasons(t), want)
+	is.Equal(documentedReasons(t), want)
 }
 
-func parse(t *testing.T, path string) *ast.File {
+func parseFile(t *testing.T, path string) *ast.File {
 	t.Helper()
 	f, err := parser.ParseFile(token.NewFileSet(), path, nil, 0)
 	if err != nil {
@@ -58,7 +58,7 @@
 // reasonNames returns the wire names of the reasons by their constants.
 func reasonNames(t *testing.T) map[string]string {
 	names := make(map[string]string)
-	ast.Inspect(parse(t, "../../decide/verdict/verdict.go"), func(n ast.Node) bool {
+	ast.Inspect(parseFile(t, "../../decide/verdict/verdict.go"), func(n ast.Node) bool {
 		v, ok := n.(*ast.ValueSpec)
 		if !ok || len(v.Values) != 1 || !strings.HasPrefix(v.Names[0].Name, "Reason") {
 			return true
@@ -74,7 +74,7 @@
 // reasonStatuses returns the status of each reason that callers get.
 func reasonStatuses(t *testing.T) map[string]int {
 	statuses := make(map[string]int)
-	ast.Inspect(parse(t, "../../serve/daemon/answer.go"), func(n ast.Node) bool {
+	ast.Inspect(parseFile(t, "../../serve/daemon/answer.go"), func(n ast.Node) bool {
 		kv, ok := n.(*ast.KeyValueExpr)
 		if !ok {
 			return true
@@ -96,8 +96,8 @@
 
 var reasonRow = regexp.MustCompile("(?m)^\\| `([a-z-]+)` \\| (\\d+) \\| ([a-z, -]+) \\|")
 
-// pageReasons reads the table of docs/API.md.
-func pageReasons(t *testing.T) map[string]int {
+// documentedReasons reads the table of docs/API.md.
+func documentedReasons(t *testing.T) map[string]int {
 	b, err := os.ReadFile("../../docs/API.md")
 	if err != nil {
 		t.Fatal(err)
@@ -120,10 +120,10 @@
 // what one means.
 // Cause: a page kept by hand.
 func TestMetricsArePublished(t *testing.T) {
-	w := newWorld(t, testServices())
-	e := w.entry("a", "attiki-1")
+	sys := newTestSystem(t, testServices())
+	e := sys.startEntryVM("a", "attiki-1")
 	var vars map[string]any
-	readVars(t, e, &vars)
+	readMetrics(t, e, &vars)
 	b, err := os.ReadFile("../../docs/operators/running.md")
 	if err != nil {
 		t.Fatal(err)
--- a/operate/e2e/entry_test.go
+++ b/operate/e2e/entry_test.go
@@ -43,21 +43,21 @@
 // stopTimeout bounds the graceful stop of a daemon whose test did not stop it.
 const stopTimeout = 20 * time.Second
 
-// world is a platform with entry VMs and targets, all in this process and on
+// testSystem is a platform with entry VMs and targets, all in this process and on
 // loopback. Everything ends with the test.
-type world struct {
+type testSystem struct {
 	tb       testing.TB
 	platform *platform.Server
 	store    daemon.Platform // what entry VMs that start get
 
 	mu       sync.Mutex
 	machines fleet.List
-	daemons  map[fleet.VMID]*entry
+	daemons  map[fleet.VMID]*entryVM
 	closers  []func() // end the targets, once no entry VM uses them
 }
 
-// entry is one entry VM of a world.
-type entry struct {
+// entryVM is one entry VM of a world.
+type entryVM struct {
 	*daemon.Daemon
 	vm    fleet.VM
 	flags []string
@@ -83,54 +83,54 @@
 	return l.b.String()
 }
 
-// newWorld starts a platform that holds a catalogue of services.
-func newWorld(tb testing.TB, services []catalogue.Service) *world {
+// newTestSystem starts a platform that holds a catalogue of services.
+func newTestSystem(tb testing.TB, services []catalogue.Service) *testSystem {
 	tb.Helper()
-	w := &world{tb: tb, platform: platform.New(platform.Options{}), daemons: make(map[fleet.VMID]*entry)}
-	w.machines.Version = 1
-	w.store = w.platform.Store()
-	if err := w.platform.Start("127.0.0.1:0"); err != nil {
+	sys := &testSystem{tb: tb, platform: platform.New(platform.Options{}), daemons: make(map[fleet.VMID]*entryVM)}
+	sys.machines.Version = 1
+	sys.store = sys.platform.Store()
+	if err := sys.platform.Start("127.0.0.1:0"); err != nil {
 		tb.Fatal(err)
 	}
-	tb.Cleanup(func() { w.platform.Close() })
-	tb.Cleanup(w.stopAll)
+	tb.Cleanup(func() { sys.platform.Close() })
+	tb.Cleanup(sys.stopAll)
 	c := catalogue.Catalogue{Revision: 1, Services: services}
-	if err := daemon.PutCatalogue(context.Background(), w.platform.Store(), c); err != nil {
+	if err := daemon.PutCatalogue(context.Background(), sys.platform.Store(), c); err != nil {
 		tb.Fatal(err)
 	}
-	return w
+	return sys
 }
 
-func (w *world) stopAll() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, e := range w.daemons {
+func (sys *testSystem) stopAll() {
+	sys.mu.Lock()
+	defer sys.mu.Unlock()
+	for _, e := range sys.daemons {
 		if e.ended {
 			continue
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 		if err := e.Stop(ctx); err != nil {
-			w.tb.Error(err)
+			sys.tb.Error(err)
 		}
 		cancel()
 		if n := e.Violations(); n != 0 {
-			w.tb.Errorf("entry VM %s: %d broken invariants\n%s", e.vm.ID, n, e.log)
+			sys.tb.Errorf("entry VM %s: %d broken invariants\n%s", e.vm.ID, n, e.log)
 		}
 	}
-	for _, f := range w.closers {
+	for _, f := range sys.closers {
 		f()
 	}
 }
 
 // publish changes the machine list.
-func (w *world) publish(change func(*fleet.List)) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	change(&w.machines)
-	w.machines.Version++
-	l := w.machines
+func (sys *testSystem) publish(change func(*fleet.List)) {
+	sys.mu.Lock()
+	defer sys.mu.Unlock()
+	change(&sys.machines)
+	sys.machines.Version++
+	l := sys.machines
 	l.VMs, l.Targets = slices.Clone(l.VMs), slices.Clone(l.Targets)
-	w.platform.SetMachines(l)
+	sys.platform.SetMachines(l)
 }
 
 // regionOf is the region of a failure domain such as "attiki-1".
@@ -139,75 +139,75 @@
 	return fleet.Region(r)
 }
 
-// target starts a stand-in target in a failure domain.
-func (w *world) target(domain fleet.Domain, o target.Options) *target.Server {
-	w.tb.Helper()
+// startTarget starts a stand-in target in a failure domain.
+func (sys *testSystem) startTarget(domain fleet.Domain, o target.Options) *target.Server {
+	sys.tb.Helper()
 	o.Warm = true
 	s := target.New(o)
 	if err := s.Start("127.0.0.1:0"); err != nil {
-		w.tb.Fatal(err)
+		sys.tb.Fatal(err)
 	}
-	w.closers = append(w.closers, s.Close)
-	w.list(domain, s.Target())
+	sys.closers = append(sys.closers, s.Close)
+	sys.registerTarget(domain, s.Target())
 	return s
 }
 
-// handler starts a target whose answers h gives.
-func (w *world) handler(domain fleet.Domain, service fleet.ServiceName, h http.HandlerFunc) {
-	w.tb.Helper()
+// startHandlerTarget starts a target whose answers h gives.
+func (sys *testSystem) startHandlerTarget(domain fleet.Domain, service fleet.ServiceName, h http.HandlerFunc) {
+	sys.tb.Helper()
 	s := httptest.NewServer(h)
-	w.closers = append(w.closers, s.CloseClientConnections, s.Close)
-	w.list(domain, fleet.Target{
+	sys.closers = append(sys.closers, s.CloseClientConnections, s.Close)
+	sys.registerTarget(domain, fleet.Target{
 		ID:      fleet.TargetID(fmt.Sprintf("%s-%s-%s", domain, service, s.Listener.Addr())),
 		Service: service, Addr: s.Listener.Addr().String(), Slots: 1024, Connections: 4096,
 	})
 }
 
-// raw starts a target that answers the request it reads from a connection
+// startRawTarget starts a target that answers the request it reads from a connection
 // with the bytes that answer gives, and closes the connection behind them.
-func (w *world) raw(domain fleet.Domain, service fleet.ServiceName, answer func(*http.Request) string) {
-	w.tb.Helper()
-	w.list(domain, fleet.Target{
+func (sys *testSystem) startRawTarget(domain fleet.Domain, service fleet.ServiceName, answer func(*http.Request) string) {
+	sys.tb.Helper()
+	sys.registerTarget(domain, fleet.Target{
 		ID: "raw-" + fleet.TargetID(service), Service: service,
-		Addr: rawTarget(w.tb, answer), Slots: 64, Connections: 256,
+		Addr: rawTarget(sys.tb, answer), Slots: 64, Connections: 256,
 	})
 }
 
-// list adds a target to the machine list.
-func (w *world) list(domain fleet.Domain, t fleet.Target) {
+// registerTarget adds a target to the machine list.
+func (sys *testSystem) registerTarget(domain fleet.Domain, t fleet.Target) {
 	t.Region, t.Domain, t.Site = regionOf(domain), domain, fleet.Site(domain)
-	w.publish(func(l *fleet.List) { l.Targets = append(l.Targets, t) })
+	sys.publish(func(l *fleet.List) { l.Targets = append(l.Targets, t) })
 }
 
-// entry starts an entry VM and waits until a configuration is in force there
+// startEntryVM starts an entry VM and waits until a configuration is in force there
 // and the targets of its failure domain are known.
-func (w *world) entry(id fleet.VMID, domain fleet.Domain, flags ...string) *entry {
-	w.tb.Helper()
-	e := w.boot(id, domain, flags...)
-	waitFor(w.tb, e.Ready)
-	w.awaitTargets(e)
+func (sys *testSystem) startEntryVM(id fleet.VMID, domain fleet.Domain, flags ...string) *entryVM {
+	sys.tb.Helper()
+	e := sys.startEntryVMNoWait(id, domain, flags...)
+	waitFor(sys.tb, e.Ready)
+	sys.awaitTargets(e)
 	return e
 }
 
 // awaitTargets waits until an entry VM knows the targets of its failure domain.
-func (w *world) awaitTargets(e *entry) {
-	w.tb.Helper()
-	w.mu.Lock()
+func (sys *testSystem) awaitTargets(e *entryVM) {
+	sys.tb.Helper()
+	sys.mu.Lock()
 	services := make(map[fleet.ServiceName]bool)
-	for _, t := range w.machines.Targets {
+	for _, t := range sys.machines.Targets {
 		if t.Domain == e.vm.Domain {
 			services[t.Service] = true
 		}
 	}
-	w.mu.Unlock()
-	waitFor(w.tb, func() bool {
+	sys.mu.Unlock()
+	waitFor(sys.tb, func() bool {
 		var vars struct {
 			Loads []struct {
 				Service  fleet.ServiceName
 				Capacity int
 			} `json:"loads"`
 		}
-		readVars(w.tb, e, &vars)
+		readMetrics(sys.tb, e, &vars)
 		known := 0
 		for _, l := range vars.Loads {
 			if services[l.Service] && l.Capacity > 0 {
@@ -218,40 +218,40 @@
 	})
 }
 
-// boot starts an entry VM without waiting for its configuration.
-func (w *world) boot(id fleet.VMID, domain fleet.Domain, flags ...string) *entry {
-	w.tb.Helper()
-	a := freeAddrs(w.tb, 3)
+// startEntryVMNoWait starts an entry VM without waiting for its configuration.
+func (sys *testSystem) startEntryVMNoWait(id fleet.VMID, domain fleet.Domain, flags ...string) *entryVM {
+	sys.tb.Helper()
+	a := freeAddrs(sys.tb, 3)
 	vm := fleet.VM{
 		ID: id, Region: regionOf(domain), Domain: domain, Site: fleet.Site(domain), Incarnation: 1,
 		CallAddr: a[0], PeerAddr: a[1], AdminAddr: a[2],
 	}
-	w.publish(func(l *fleet.List) { l.VMs = append(l.VMs, vm) })
-	e := &entry{vm: vm, flags: flags}
-	w.start(e)
+	sys.publish(func(l *fleet.List) { l.VMs = append(l.VMs, vm) })
+	e := &entryVM{vm: vm, flags: flags}
+	sys.runDaemon(e)
 	return e
 }
 
-// start runs the daemon of an entry VM, again after its death or the first
+// runDaemon runs the daemon of an entry VM, again after its death or the first
 // time.
-func (w *world) start(e *entry) {
-	w.tb.Helper()
+func (sys *testSystem) runDaemon(e *entryVM) {
+	sys.tb.Helper()
 	e.log = &lockedBuffer{}
-	e.Daemon = startDaemon(w.tb, w.store, e.log, append([]string{
+	e.Daemon = startDaemon(sys.tb, sys.store, e.log, append([]string{
 		"--id=" + string(e.vm.ID), "--region=" + string(e.vm.Region), "--domain=" + string(e.vm.Domain),
 		"--call-addr=" + e.vm.CallAddr, "--peer-addr=" + e.vm.PeerAddr, "--admin-addr=" + e.vm.AdminAddr,
 	}, e.flags...))
-	w.mu.Lock()
+	sys.mu.Lock()
 	e.ended = false
-	w.daemons[e.vm.ID] = e
-	w.mu.Unlock()
+	sys.daemons[e.vm.ID] = e
+	sys.mu.Unlock()
 }
 
-// end marks an entry VM as ended by the test.
-func (w *world) end(e *entry) {
-	w.mu.Lock()
+// markEnded marks an entry VM as ended by the test.
+func (sys *testSystem) markEnded(e *entryVM) {
+	sys.mu.Lock()
 	e.ended = true
-	w.mu.Unlock()
+	sys.mu.Unlock()
 }
 
 // freeAddrs returns addresses that are free now. All are held until the last
@@ -281,11 +281,11 @@
 // when the entry VM has its configuration.
 func startEntry(tb testing.TB, o entryOptions) *daemon.Daemon {
 	tb.Helper()
-	w := newWorld(tb, o.services)
+	sys := newTestSystem(tb, o.services)
 	for _, t := range o.targets {
-		w.list("attiki-1", t)
+		sys.registerTarget("attiki-1", t)
 	}
-	return w.entry("a", "attiki-1", o.flags...).Daemon
+	return sys.startEntryVM("a", "attiki-1", o.flags...).Daemon
 }
 
 func startDaemon(tb testing.TB, p daemon.Platform, out io.Writer, flags []string) *daemon.Daemon {
@@ -323,8 +323,8 @@
 	tb.Fatal("condition not reached")
 }
 
-// lookupPage is what the tests read of a look-up's answer.
-type lookupPage struct {
+// lookupBody is what the tests read of a look-up's answer.
+type lookupBody struct {
 	Revision uint64 `json:"revision"`
 	TTLMs    int64  `json:"ttl_ms"`
 	Client   string `json:"client"`
@@ -337,9 +337,9 @@
 }
 
 // lookup asks an entry VM for a service and n tokens for each entry VM.
-func lookup(tb testing.TB, e *entry, service string, n int) lookupPage {
+func lookup(tb testing.TB, e *entryVM, service string, n int) lookupBody {
 	tb.Helper()
-	var p lookupPage
+	var p lookupBody
 	a := get(tb, fmt.Sprintf("http://%s/v1/lookup?service=%s&tokens=%d", e.CallAddr(), service, n))
 	if a.status != http.StatusOK {
 		tb.Fatalf("look-up: status %d, %s", a.status, a.body)
@@ -349,7 +349,7 @@
 }
 
 // tokenOf takes a token for an entry VM out of a look-up's answer.
-func tokenOf(tb testing.TB, p lookupPage, id fleet.VMID) string {
+func tokenOf(tb testing.TB, p lookupBody, id fleet.VMID) string {
 	tb.Helper()
 	for _, vm := range p.EntryVMs {
 		if vm.ID == id && len(vm.Tokens) > 0 {
@@ -406,7 +406,7 @@
 
 // call makes a request of a service through an entry VM and fails the test
 // when there is no whole answer.
-func call(tb testing.TB, e *entry, method, service, path string, h http.Header, body []byte) answer {
+func call(tb testing.TB, e *entryVM, method, service, path string, h http.Header, body []byte) answer {
 	tb.Helper()
 	a, err := send(method, "http://"+e.CallAddr()+"/v1/call/"+service+path, h, body)
 	if err != nil {
@@ -424,10 +424,10 @@
 	return a
 }
 
-// readVars reads an entry VM's metrics. It keeps its connection: of those that
+// readMetrics reads an entry VM's metrics. It keeps its connection: of those that
 // are closed behind each answer, a few answers are lost
 // (TestAdministrationAnswersArrive).
-func readVars(tb testing.TB, e *entry, v any) {
+func readMetrics(tb testing.TB, e *entryVM, v any) {
 	tb.Helper()
 	res, err := http.Get("http://" + e.AdminAddr() + "/debug/vars")
 	if err != nil {
@@ -440,10 +440,10 @@
 }
 
 // metric reads a number of an entry VM's metrics.
-func metric(tb testing.TB, e *entry, name string) int64 {
+func metric(tb testing.TB, e *entryVM, name string) int64 {
 	tb.Helper()
 	var vars map[string]json.RawMessage
-	readVars(tb, e, &vars)
+	readMetrics(tb, e, &vars)
 	var n int64
 	if err := json.Unmarshal(vars[name], &n); err != nil {
 		tb.Fatalf("metric %s: %v", name, err)
--- a/operate/e2e/hop_bench_test.go
+++ b/operate/e2e/hop_bench_test.go
@@ -17,9 +17,9 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// hopTarget answers every request with n bytes and never limits anything, so
+// startHopTarget answers every request with n bytes and never limits anything, so
 // that the benchmarks see the hop alone.
-func hopTarget(b *testing.B, n int) string {
+func startHopTarget(b *testing.B, n int) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
@@ -38,7 +38,7 @@
 // BenchmarkHop compares a call straight to the target with one through an
 // entry VM, at the same number of connections and in the same run.
 func BenchmarkHop(b *testing.B) {
-	addr := hopTarget(b, 128)
+	addr := startHopTarget(b, 128)
 	e := startEntry(b, entryOptions{
 		targets:  []fleet.Target{{ID: "t1", Service: "calc", Addr: addr, Slots: 1024, Connections: 4096}},
 		services: []catalogue.Service{{Name: "calc", Idempotent: true, Priority: catalogue.Interactive}},
@@ -121,7 +121,7 @@
 	const connections = 4000
 	e := startEntry(b, entryOptions{})
 	for range b.N {
-		before := heap()
+		before := heapInUse()
 		conns := make([]net.Conn, 0, connections)
 		for range connections {
 			c, err := net.Dial("tcp", e.CallAddr())
@@ -131,7 +131,7 @@
 			conns = append(conns, c)
 		}
 		waitFor(b, func() bool { return e.Connections() == connections })
-		b.ReportMetric(float64(heap()-before)/connections, "heap-bytes/conn")
+		b.ReportMetric(float64(heapInUse()-before)/connections, "heap-bytes/conn")
 		b.ReportMetric(float64(runtime.NumGoroutine()), "goroutines")
 		for _, c := range conns {
 			c.Close()
@@ -140,7 +140,7 @@
 	}
 }
 
-func heap() int64 {
+func heapInUse() int64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
@@ -152,7 +152,7 @@
 func BenchmarkLargeAnswers(b *testing.B) {
 	const callers = 64
 	for _, size := range []int{64 << 10, 8 << 20} {
-		addr := hopTarget(b, size)
+		addr := startHopTarget(b, size)
 		e := startEntry(b, entryOptions{
 			targets:  []fleet.Target{{ID: "t1", Service: "calc", Addr: addr, Slots: 1024, Connections: 4096}},
 			services: []catalogue.Service{{Name: "calc", Idempotent: true, Priority: catalogue.Interactive}},
--- a/operate/e2e/join_bench_test.go
+++ b/operate/e2e/join_bench_test.go
@@ -17,9 +17,9 @@
 	"github.com/azurethread/azurethread/standin/platform"
 )
 
-// joinFleet runs two entry VMs in one failure domain, and returns their
+// startJoinFleet runs two entry VMs in one failure domain, and returns their
 // platform and how the first of them is written as a seed.
-func joinFleet(tb testing.TB) (*platform.Server, string) {
+func startJoinFleet(tb testing.TB) (*platform.Server, string) {
 	tb.Helper()
 	p := platform.New(platform.Options{})
 	if err := p.Start("127.0.0.1:0"); err != nil {
@@ -35,7 +35,7 @@
 	p.SetMachines(fleet.List{Targets: []fleet.Target{{ID: "t1", Service: "calc", Region: "attiki", Domain: "attiki-1", Addr: "127.0.0.1:9", Slots: 3}}})
 	var seed string
 	for i := range 2 {
-		d := join(tb, p, fmt.Sprintf("first-%d", i), "")
+		d := startJoiner(tb, p, fmt.Sprintf("first-%d", i), "")
 		tb.Cleanup(d.Kill)
 		waitFor(tb, d.Ready)
 		vm := d.Self()
@@ -44,8 +44,8 @@
 	return p, seed
 }
 
-// join starts a daemon that has nothing yet.
-func join(tb testing.TB, p *platform.Server, id, seed string) *daemon.Daemon {
+// startJoiner starts a daemon that has nothing yet.
+func startJoiner(tb testing.TB, p *platform.Server, id, seed string) *daemon.Daemon {
 	tb.Helper()
 	f := settings.Flags()
 	err := f.Parse([]string{
@@ -76,9 +76,9 @@
 // Cause: catalogue and machine list were looked for at the platform only.
 func TestJoinWithoutPlatform(t *testing.T) {
 	is := is.New(t)
-	p, seed := joinFleet(t)
+	p, seed := startJoinFleet(t)
 	is.NoErr(p.SetOutage(platform.Hanging))
-	d := join(t, p, "late", seed)
+	d := startJoiner(t, p, "late", seed)
 	defer d.Kill()
 	waitFor(t, d.Ready)
 	is.Equal(d.Revision(), uint64(1))
@@ -89,7 +89,7 @@
 func BenchmarkJoin(b *testing.B) {
 	for name, outage := range map[string]platform.Outage{"platform=up": platform.Up, "platform=down": platform.Hanging} {
 		b.Run(name, func(b *testing.B) {
-			p, seed := joinFleet(b)
+			p, seed := startJoinFleet(b)
 			if err := p.SetOutage(outage); err != nil {
 				b.Fatal(err)
 			}
@@ -97,7 +97,7 @@
 			var bytes uint64
 			for i := range b.N {
 				began := time.Now()
-				d := join(b, p, fmt.Sprintf("late-%d", i), seed)
+				d := startJoiner(b, p, fmt.Sprintf("late-%d", i), seed)
 				waitFor(b, d.Ready)
 				total += time.Since(began)
 				bytes += d.PeerStats().BytesReceived
--- a/operate/e2e/raw_test.go
+++ b/operate/e2e/raw_test.go
@@ -50,7 +50,7 @@
 	r *bufio.Reader
 }
 
-func dialRaw(tb testing.TB, e *entry) *rawCaller {
+func dialRaw(tb testing.TB, e *entryVM) *rawCaller {
 	tb.Helper()
 	c, err := net.Dial("tcp", e.CallAddr())
 	if err != nil {
@@ -61,16 +61,16 @@
 	return &rawCaller{c, bufio.NewReader(c)}
 }
 
-// say writes text.
-func (c *rawCaller) say(tb testing.TB, text string) {
+// send writes text.
+func (c *rawCaller) send(tb testing.TB, text string) {
 	tb.Helper()
 	if _, err := io.WriteString(c, text); err != nil {
 		tb.Fatal(err)
 	}
 }
 
-// hear reads the next answer to a request of the method.
-func (c *rawCaller) hear(tb testing.TB, method string) answer {
+// receive reads the next answer to a request of the method.
+func (c *rawCaller) receive(tb testing.TB, method string) answer {
 	tb.Helper()
 	res, err := http.ReadResponse(c.r, &http.Request{Method: method})
 	if err != nil {
--- a/operate/e2e/region_test.go
+++ b/operate/e2e/region_test.go
@@ -25,10 +25,10 @@
 // Cause: an outage of the configuration store.
 func TestPlatformDownAtStart(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, testServices())
-	w.target("attiki-1", target.Options{Service: calc, ID: "t1", Slots: 3})
-	is.NoErr(w.platform.SetOutage(platform.Refusing))
-	e := w.boot("a", "attiki-1")
+	sys := newTestSystem(t, testServices())
+	sys.startTarget("attiki-1", target.Options{Service: calc, ID: "t1", Slots: 3})
+	is.NoErr(sys.platform.SetOutage(platform.Refusing))
+	e := sys.startEntryVMNoWait("a", "attiki-1")
 	ready := get(t, "http://"+e.CallAddr()+"/v1/ready")
 	is.Equal(ready.status, http.StatusServiceUnavailable)
 	for _, path := range []string{"/v1/call/" + calc + "/x", "/v1/lookup?service=" + calc} {
@@ -37,17 +37,17 @@
 		is.Equal(a.verdict(), "not-run")
 		is.Equal(a.reason(), "not-ready")
 	}
-	is.NoErr(w.platform.SetOutage(platform.Up))
+	is.NoErr(sys.platform.SetOutage(platform.Up))
 	waitFor(t, e.Ready)
 	waitFor(t, func() bool { return call(t, e, "GET", calc, "/x", nil, nil).status == http.StatusOK })
 
 	// Once it has a configuration, an outage changes nothing for callers.
-	is.NoErr(w.platform.SetOutage(platform.Hanging))
+	is.NoErr(sys.platform.SetOutage(platform.Hanging))
 	for range 20 {
 		is.Equal(call(t, e, "GET", calc, "/x", nil, nil).status, http.StatusOK)
 	}
 	is.Equal(lookup(t, e, calc, 0).Revision, uint64(1))
-	is.NoErr(w.platform.SetOutage(platform.Up))
+	is.NoErr(sys.platform.SetOutage(platform.Up))
 }
 
 // listOnly is a platform whose machine list works and whose key-value service
@@ -70,13 +70,13 @@
 // Sequence: one entry VM runs; the key-value service goes out; a second entry
 // VM starts.
 // Cause: an outage of the configuration store during a replacement.
-func TestJoinerLearnsFromNeighbour(t *testing.T) {
+func TestJoinerFetchesConfigurationFromNeighbour(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, testServices())
-	w.target("attiki-1", target.Options{Service: calc, ID: "t1", Slots: 3})
-	a := w.entry("a", "attiki-1")
-	w.store = listOnly{w.platform.Store()}
-	b := w.entry("b", "attiki-1") // ready: it has a configuration
+	sys := newTestSystem(t, testServices())
+	sys.startTarget("attiki-1", target.Options{Service: calc, ID: "t1", Slots: 3})
+	a := sys.startEntryVM("a", "attiki-1")
+	sys.store = listOnly{sys.platform.Store()}
+	b := sys.startEntryVM("b", "attiki-1") // ready: it has a configuration
 	waitFor(t, func() bool { return a.KnownVMs() == 2 && b.KnownVMs() == 2 })
 	is.Equal(lookup(t, b, calc, 0).Revision, uint64(1))
 	waitFor(t, func() bool { return call(t, b, "GET", calc, "/x", nil, nil).status == http.StatusOK })
@@ -89,14 +89,14 @@
 // Cause: a drained region.
 func TestRegionsForward(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, []catalogue.Service{
+	sys := newTestSystem(t, []catalogue.Service{
 		{Name: calc, Idempotent: true, Priority: catalogue.Interactive},
 		{Name: fee, Priority: catalogue.Interactive},
 	})
-	kriti := w.target("kriti-1", target.Options{Service: calc, ID: "k1", Slots: 16})
-	fees := w.target("kriti-1", target.Options{Service: fee, ID: "k2", Slots: 16})
-	a := w.entry("a", "attiki-1")
-	k := w.entry("k", "kriti-1")
+	kriti := sys.startTarget("kriti-1", target.Options{Service: calc, ID: "k1", Slots: 16})
+	fees := sys.startTarget("kriti-1", target.Options{Service: fee, ID: "k2", Slots: 16})
+	a := sys.startEntryVM("a", "attiki-1")
+	k := sys.startEntryVM("k", "kriti-1")
 	waitFor(t, func() bool { return a.KnownVMs() == 2 && k.KnownVMs() == 2 })
 	waitFor(t, func() bool { return call(t, a, "GET", calc, "/x", nil, nil).status == http.StatusOK })
 	var wg sync.WaitGroup
@@ -105,7 +105,7 @@
 		wg.Go(func() {
 			for i := range 10 {
 				id := fmt.Sprintf("f%d-%d", c, i)
-				if got := feeCall(t, a, id); got.status == http.StatusOK {
+				if got := callFee(t, a, id); got.status == http.StatusOK {
 					answered.Add(1)
 				} else if got.verdict() != "not-run" {
 					t.Errorf("request %s: %d %s", id, got.status, got.body)
--- a/operate/e2e/request_test.go
+++ b/operate/e2e/request_test.go
@@ -19,10 +19,10 @@
 // Sequence: messages that are malformed, too long, or of an unknown service.
 // Cause: a defective or hostile caller.
 func TestBadRequests(t *testing.T) {
-	w := newWorld(t, testServices())
+	sys := newTestSystem(t, testServices())
 	var arrived atomic.Int64
-	w.handler("attiki-1", calc, func(http.ResponseWriter, *http.Request) { arrived.Add(1) })
-	e := w.entry("a", "attiki-1", "--max-head-bytes=4096", "--max-body-bytes=1024", "--read-timeout=2s")
+	sys.startHandlerTarget("attiki-1", calc, func(http.ResponseWriter, *http.Request) { arrived.Add(1) })
+	e := sys.startEntryVM("a", "attiki-1", "--max-head-bytes=4096", "--max-body-bytes=1024", "--read-timeout=2s")
 	const call = "/v1/call/" + calc + "/x"
 	for name, c := range map[string]struct {
 		send   string
@@ -67,8 +67,8 @@
 			t.Parallel()
 			is := is.New(t)
 			conn := dialRaw(t, e)
-			conn.say(t, c.send)
-			a := conn.hear(t, http.MethodGet)
+			conn.send(t, c.send)
+			a := conn.receive(t, http.MethodGet)
 			is.Equal(a.status, c.status)
 			is.Equal(a.verdict(), "not-run")
 			is.Equal(a.reason(), c.reason)
@@ -81,8 +81,8 @@
 				is.True(conn.closed())
 				return
 			}
-			conn.say(t, "GET /v1/ready HTTP/1.1\r\nHost: a\r\n\r\n")
-			is.Equal(conn.hear(t, http.MethodGet).status, http.StatusOK)
+			conn.send(t, "GET /v1/ready HTTP/1.1\r\nHost: a\r\n\r\n")
+			is.Equal(conn.receive(t, http.MethodGet).status, http.StatusOK)
 		})
 	}
 	t.Cleanup(func() { // after all of them
@@ -97,9 +97,9 @@
 // Sequence: a caller sends its head slowly, or stops inside head or body.
 // Cause: a lost caller, or one that means harm.
 func TestSlowAndCutRequests(t *testing.T) {
-	w := newWorld(t, testServices())
-	s := w.target("attiki-1", target.Options{Service: calc, ID: "t1", Slots: 3})
-	e := w.entry("a", "attiki-1", "--read-timeout=300ms")
+	sys := newTestSystem(t, testServices())
+	s := sys.startTarget("attiki-1", target.Options{Service: calc, ID: "t1", Slots: 3})
+	e := sys.startEntryVM("a", "attiki-1", "--read-timeout=300ms")
 	post := "POST /v1/call/" + calc + "/x HTTP/1.1\r\nHost: a\r\nContent-Length: 10\r\n\r\nabc"
 	for name, c := range map[string]struct {
 		first string
@@ -116,7 +116,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			conn := dialRaw(t, e)
-			conn.say(t, c.first)
+			conn.send(t, c.first)
 			ended := make(chan bool, 1)
 			go func() { ended <- conn.closed() }()
 			for i := range len(c.then) {
@@ -151,19 +151,19 @@
 // Cause: two framings of the same bytes, one on each side of the entry VM.
 func TestBodiesArriveWhole(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, testServices())
-	w.handler("attiki-1", calc, func(w http.ResponseWriter, r *http.Request) {
+	sys := newTestSystem(t, testServices())
+	sys.startHandlerTarget("attiki-1", calc, func(w http.ResponseWriter, r *http.Request) {
 		b, _ := io.ReadAll(r.Body)
 		w.Header().Set("X-Method", r.Method)
 		_, _ = w.Write(b)
 	})
-	e := w.entry("a", "attiki-1", "--max-body-bytes=1048576")
+	e := sys.startEntryVM("a", "attiki-1", "--max-body-bytes=1048576")
 	conn := dialRaw(t, e)
 	for _, n := range []int{0, 1, 5, 4096, 70_000, 1 << 20} {
 		body := strings.Repeat("abcdefg\n", n/8+1)[:n]
 		for _, method := range []string{"POST", "PUT", "PATCH", "DELETE"} {
-			conn.say(t, method+" /v1/call/"+calc+"/x HTTP/1.1\r\nHost: a\r\nContent-Length: "+strconv.Itoa(n)+"\r\n\r\n"+body)
-			a := conn.hear(t, method)
+			conn.send(t, method+" /v1/call/"+calc+"/x HTTP/1.1\r\nHost: a\r\nContent-Length: "+strconv.Itoa(n)+"\r\n\r\n"+body)
+			a := conn.receive(t, method)
 			is.Equal(a.status, http.StatusOK)
 			is.Equal(a.header.Get("X-Method"), method)
 			is.True(string(a.body) == body) // whole
@@ -172,8 +172,8 @@
 		if n > 0 {
 			chunked = strconv.FormatInt(int64(n), 16) + ";ext=1\r\n" + body + "\r\n0\r\n\r\n"
 		}
-		conn.say(t, "POST /v1/call/"+calc+"/x HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n"+chunked)
-		a := conn.hear(t, "POST")
+		conn.send(t, "POST /v1/call/"+calc+"/x HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n"+chunked)
+		a := conn.receive(t, "POST")
 		is.Equal(a.status, http.StatusOK)
 		is.True(string(a.body) == body) // whole
 	}
@@ -185,24 +185,24 @@
 // Cause: answers written in the order in which targets give them.
 func TestPipelinedRequests(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, testServices())
+	sys := newTestSystem(t, testServices())
 	release := make(chan struct{})
-	w.handler("attiki-1", calc, func(w http.ResponseWriter, r *http.Request) {
+	sys.startHandlerTarget("attiki-1", calc, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/0" {
 			<-release
 		}
 		_, _ = io.WriteString(w, r.URL.Path)
 	})
-	e := w.entry("a", "attiki-1")
+	e := sys.startEntryVM("a", "attiki-1")
 	conn := dialRaw(t, e)
 	var all strings.Builder
 	for i := range 8 {
 		all.WriteString("GET /v1/call/" + calc + "/" + strconv.Itoa(i) + " HTTP/1.1\r\nHost: a\r\n\r\n")
 	}
-	conn.say(t, all.String())
+	conn.send(t, all.String())
 	close(release)
 	for i := range 8 {
-		is.Equal(string(conn.hear(t, http.MethodGet).body), "/"+strconv.Itoa(i))
+		is.Equal(string(conn.receive(t, http.MethodGet).body), "/"+strconv.Itoa(i))
 	}
 }
 
@@ -211,9 +211,9 @@
 // Sequence: such a request, then a read until the end.
 // Cause: connections kept open against the caller's word.
 func TestConnectionCloses(t *testing.T) {
-	w := newWorld(t, testServices())
-	w.handler("attiki-1", calc, func(http.ResponseWriter, *http.Request) {})
-	e := w.entry("a", "attiki-1")
+	sys := newTestSystem(t, testServices())
+	sys.startHandlerTarget("attiki-1", calc, func(http.ResponseWriter, *http.Request) {})
+	e := sys.startEntryVM("a", "attiki-1")
 	for _, head := range []string{
 		"HTTP/1.0\r\n\r\n",
 		"HTTP/1.1\r\nHost: a\r\nConnection: Close\r\n\r\n",
@@ -221,8 +221,8 @@
 	} {
 		is := is.New(t)
 		conn := dialRaw(t, e)
-		conn.say(t, "GET /v1/call/"+calc+"/x "+head)
-		a := conn.hear(t, http.MethodGet)
+		conn.send(t, "GET /v1/call/"+calc+"/x "+head)
+		a := conn.receive(t, http.MethodGet)
 		is.Equal(a.status, http.StatusOK)
 		is.True(conn.closed())
 	}
--- a/operate/e2e/spread_bench_test.go
+++ b/operate/e2e/spread_bench_test.go
@@ -110,13 +110,13 @@
 	}
 	ds := startFleet(b, p, n)
 	defer killAll(ds)
-	waitFor(b, func() bool { return settled(ds) })
+	waitFor(b, func() bool { return fleetReady(ds) })
 	time.Sleep(5 * time.Second) // joining and its repairs are over
 	measureRest(b, p, ds)
 	before := p.Counts()
 	var times []time.Duration
 	for i := range spreadChanges {
-		times = append(times, spreadOne(ctx, b, p, ds, i))
+		times = append(times, timeChange(ctx, b, p, ds, i))
 		time.Sleep(500 * time.Millisecond)
 	}
 	slices.Sort(times)
@@ -141,8 +141,8 @@
 	}
 }
 
-// settled reports whether all have a configuration and know their domain.
-func settled(ds []*daemon.Daemon) bool {
+// fleetReady reports whether all have a configuration and know their domain.
+func fleetReady(ds []*daemon.Daemon) bool {
 	for _, d := range ds {
 		if !d.Ready() || d.KnownVMs() < min(len(ds)/6, 6) {
 			return false
@@ -151,8 +151,8 @@
 	return true
 }
 
-// spreadOne makes one change as an operator would and times its spread.
-func spreadOne(ctx context.Context, b *testing.B, p *platform.Server, ds []*daemon.Daemon, i int) time.Duration {
+// timeChange makes one change as an operator would and times its spread.
+func timeChange(ctx context.Context, b *testing.B, p *platform.Server, ds []*daemon.Daemon, i int) time.Duration {
 	w := store.NewWriter(store.WriterOptions{
 		Store: p.Store(),
 		Base:  func() (config.Base, bool) { return config.Base{}, true },
--- a/operate/e2e/stop_test.go
+++ b/operate/e2e/stop_test.go
@@ -24,26 +24,26 @@
 func TestStopCutsNothing(t *testing.T) {
 	const callers = 50
 	is := is.New(t)
-	w := newWorld(t, testServices())
+	sys := newTestSystem(t, testServices())
 	release := make(chan struct{})
 	var began atomic.Int64
-	w.handler("attiki-1", calc, func(w http.ResponseWriter, r *http.Request) {
+	sys.startHandlerTarget("attiki-1", calc, func(w http.ResponseWriter, r *http.Request) {
 		began.Add(1)
 		<-release
 		_, _ = io.WriteString(w, r.URL.Path)
 	})
-	a := w.entry("a", "attiki-1", "--leave-delay=200ms", "--log-level=error")
-	b := w.entry("b", "attiki-1")
+	a := sys.startEntryVM("a", "attiki-1", "--leave-delay=200ms", "--log-level=error")
+	b := sys.startEntryVM("b", "attiki-1")
 	waitFor(t, func() bool { return a.KnownVMs() == 2 && b.KnownVMs() == 2 })
 
 	conns := make([]*rawCaller, callers)
 	for i := range conns {
 		conns[i] = dialRaw(t, a)
-		conns[i].say(t, fmt.Sprintf("GET /v1/call/%s/%d HTTP/1.1\r\nHost: a\r\n\r\n", calc, i))
+		conns[i].send(t, fmt.Sprintf("GET /v1/call/%s/%d HTTP/1.1\r\nHost: a\r\n\r\n", calc, i))
 	}
 	waitFor(t, func() bool { return began.Load() >= callers })
 
-	w.end(a)
+	sys.markEnded(a)
 	stopped := make(chan error, 1)
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
@@ -55,13 +55,13 @@
 	is.Equal(refused.status, http.StatusServiceUnavailable)
 	is.Equal(refused.verdict(), "not-run")
 	is.Equal(refused.reason(), "stopping")
-	var page refusalPage
+	var page refusalBody
 	refused.decode(t, &page)
 	is.True(slices.Contains(page.Alternatives, b.CallAddr()))
 
 	close(release)
 	for i, c := range conns {
-		got := c.hear(t, "GET")
+		got := c.receive(t, "GET")
 		is.Equal(got.status, http.StatusOK)
 		is.Equal(string(got.body), fmt.Sprintf("/%d", i))
 	}
@@ -75,14 +75,14 @@
 func TestStopWaitsForSlowReaders(t *testing.T) {
 	const size = 8 << 20
 	is := is.New(t)
-	w := newWorld(t, testServices())
-	w.target("attiki-1", target.Options{Service: calc, ID: "t1", Slots: 3})
-	e := w.entry("a", "attiki-1")
+	sys := newTestSystem(t, testServices())
+	sys.startTarget("attiki-1", target.Options{Service: calc, ID: "t1", Slots: 3})
+	e := sys.startEntryVM("a", "attiki-1")
 	conn := dialRaw(t, e)
-	conn.say(t, fmt.Sprintf("GET /v1/call/%s/x HTTP/1.1\r\nHost: a\r\n%s: r1\r\n%s: %d\r\n\r\n", calc, payload.IDHeader, payload.SizeHeader, size))
+	conn.send(t, fmt.Sprintf("GET /v1/call/%s/x HTTP/1.1\r\nHost: a\r\n%s: r1\r\n%s: %d\r\n\r\n", calc, payload.IDHeader, payload.SizeHeader, size))
 	res, err := http.ReadResponse(conn.r, nil)
 	is.NoErr(err)
-	w.end(e)
+	sys.markEnded(e)
 	stopped := make(chan error, 1)
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
@@ -103,13 +103,13 @@
 // Cause: a target that never answers.
 func TestStopIsBounded(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, testServices())
-	s := w.target("attiki-1", target.Options{Service: calc, ID: "t1", Slots: 3, Work: target.Work{Base: time.Hour}})
-	e := w.entry("a", "attiki-1")
+	sys := newTestSystem(t, testServices())
+	s := sys.startTarget("attiki-1", target.Options{Service: calc, ID: "t1", Slots: 3, Work: target.Work{Base: time.Hour}})
+	e := sys.startEntryVM("a", "attiki-1")
 	conn := dialRaw(t, e)
-	conn.say(t, "GET /v1/call/"+calc+"/x HTTP/1.1\r\nHost: a\r\nAzurethread-Deadline-Ms: 3600000\r\n\r\n")
+	conn.send(t, "GET /v1/call/"+calc+"/x HTTP/1.1\r\nHost: a\r\nAzurethread-Deadline-Ms: 3600000\r\n\r\n")
 	waitFor(t, func() bool { return s.Stats().Started == 1 })
-	w.end(e)
+	sys.markEnded(e)
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer cancel()
 	is.True(e.Stop(ctx) != nil) // says that it cut something
--- a/operate/e2e/token_test.go
+++ b/operate/e2e/token_test.go
@@ -11,8 +11,8 @@
 	"github.com/azurethread/azurethread/standin/target"
 )
 
-// outcomePage is the answer about a token.
-type outcomePage struct {
+// outcomeBody is the answer about a token.
+type outcomeBody struct {
 	Status   string `json:"status"`
 	Verdict  string `json:"verdict"`
 	Pending  bool   `json:"pending"`
@@ -22,22 +22,22 @@
 	Lost     bool   `json:"lost"`
 }
 
-func outcome(tb testing.TB, e *entry, tok string) outcomePage {
+func outcome(tb testing.TB, e *entryVM, tok string) outcomeBody {
 	tb.Helper()
-	var p outcomePage
+	var p outcomeBody
 	get(tb, "http://"+e.CallAddr()+"/v1/outcome?token="+tok).decode(tb, &p)
 	return p
 }
 
-// refusalPage is what the tests read of an error answer.
-type refusalPage struct {
+// refusalBody is what the tests read of an error answer.
+type refusalBody struct {
 	Answered     int      `json:"answered"`
 	Ask          string   `json:"ask"`
 	AskAddr      string   `json:"ask_addr"`
 	Alternatives []string `json:"alternatives"`
 }
 
-func post(tb testing.TB, e *entry, tok, id string) answer {
+func postFee(tb testing.TB, e *entryVM, tok, id string) answer {
 	tb.Helper()
 	h := http.Header{payload.IDHeader: {id}}
 	if tok != "" {
@@ -49,9 +49,9 @@
 // Tokens are handed out for services that need them, and only for those.
 func TestLookup(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, testServices())
-	a := w.entry("a", "attiki-1")
-	b := w.entry("b", "attiki-2")
+	sys := newTestSystem(t, testServices())
+	a := sys.startEntryVM("a", "attiki-1")
+	b := sys.startEntryVM("b", "attiki-2")
 	waitFor(t, func() bool { return a.KnownVMs() == 2 && b.KnownVMs() == 2 })
 	p := lookup(t, a, calc, 3)
 	is.True(p.TTLMs > 0)
@@ -83,34 +83,34 @@
 // Cause: the caller sees silence and cannot know that its request runs.
 func TestTokens(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, testServices())
-	s := w.target("attiki-1", target.Options{Service: fee, ID: "t1", Slots: 3})
-	w.target("attiki-2", target.Options{Service: fee, ID: "t2", Slots: 3})
-	a := w.entry("a", "attiki-1")
-	b := w.entry("b", "attiki-2")
+	sys := newTestSystem(t, testServices())
+	s := sys.startTarget("attiki-1", target.Options{Service: fee, ID: "t1", Slots: 3})
+	sys.startTarget("attiki-2", target.Options{Service: fee, ID: "t2", Slots: 3})
+	a := sys.startEntryVM("a", "attiki-1")
+	b := sys.startEntryVM("b", "attiki-2")
 	waitFor(t, func() bool { return a.KnownVMs() == 2 && b.KnownVMs() == 2 })
 
-	none := post(t, a, "", "none")
+	none := postFee(t, a, "", "none")
 	is.Equal(none.status, http.StatusPreconditionRequired)
 	is.Equal(none.verdict(), "not-run")
-	forged := post(t, a, "AAAA", "forged")
+	forged := postFee(t, a, "AAAA", "forged")
 	is.Equal(forged.status, http.StatusUnauthorized)
 	is.Equal(forged.verdict(), "not-run")
 
 	tok := tokenOf(t, lookup(t, a, fee, 1), "a")
-	is.Equal(post(t, a, tok, "r1").status, http.StatusOK)
-	again := post(t, a, tok, "r1")
+	is.Equal(postFee(t, a, tok, "r1").status, http.StatusOK)
+	again := postFee(t, a, tok, "r1")
 	is.Equal(again.status, http.StatusConflict)
 	is.Equal(again.reason(), "token-used")
 	is.Equal(again.verdict(), "ran") // what became of the first send
-	var page refusalPage
+	var page refusalBody
 	again.decode(t, &page)
 	is.Equal(page.Answered, http.StatusOK)
 	o := outcome(t, a, tok)
 	is.Equal(o.Verdict, "ran")
 	is.Equal(o.Answered, http.StatusOK)
 
-	elsewhere := post(t, b, tok, "r1")
+	elsewhere := postFee(t, b, tok, "r1")
 	is.Equal(elsewhere.status, http.StatusConflict)
 	is.Equal(elsewhere.reason(), "token-of-another-entry-vm")
 	is.Equal(elsewhere.verdict(), "may-have-run")
@@ -132,14 +132,14 @@
 // Cause: a caller's timeout shorter than the work.
 func TestTokenOfRequestAtWork(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, testServices())
+	sys := newTestSystem(t, testServices())
 	release := make(chan struct{})
 	began := make(chan struct{}, 4)
-	w.handler("attiki-1", fee, func(http.ResponseWriter, *http.Request) {
+	sys.startHandlerTarget("attiki-1", fee, func(http.ResponseWriter, *http.Request) {
 		began <- struct{}{}
 		<-release
 	})
-	e := w.entry("a", "attiki-1")
+	e := sys.startEntryVM("a", "attiki-1")
 	tok := tokenOf(t, lookup(t, e, fee, 1), "a")
 	first := make(chan answer, 1)
 	go func() {
@@ -147,7 +147,7 @@
 		first <- a
 	}()
 	<-began
-	again := post(t, e, tok, "r1")
+	again := postFee(t, e, tok, "r1")
 	is.Equal(again.status, http.StatusConflict)
 	is.Equal(again.verdict(), "may-have-run")
 	is.True(again.header.Get("Retry-After") != "") // when to ask
@@ -164,16 +164,16 @@
 // Cause: records of tokens die with their process.
 func TestTokenAfterRestart(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, testServices())
-	s := w.target("attiki-1", target.Options{Service: fee, ID: "t1", Slots: 3})
-	e := w.entry("a", "attiki-1")
+	sys := newTestSystem(t, testServices())
+	s := sys.startTarget("attiki-1", target.Options{Service: fee, ID: "t1", Slots: 3})
+	e := sys.startEntryVM("a", "attiki-1")
 	tok := tokenOf(t, lookup(t, e, fee, 1), "a")
-	is.Equal(post(t, e, tok, "r1").status, http.StatusOK)
+	is.Equal(postFee(t, e, tok, "r1").status, http.StatusOK)
 	e.Kill()
 	time.Sleep(time.Millisecond) // a later incarnation needs a later clock
-	w.start(e)
+	sys.runDaemon(e)
 	waitFor(t, e.Ready)
-	again := post(t, e, tok, "r1")
+	again := postFee(t, e, tok, "r1")
 	is.Equal(again.status, http.StatusConflict)
 	is.Equal(again.verdict(), "may-have-run")
 	o := outcome(t, e, tok)
@@ -181,5 +181,5 @@
 	is.True(o.Lost)
 	is.Equal(s.Executions()["r1"], 1)
 	fresh := tokenOf(t, lookup(t, e, fee, 1), "a")
-	is.Equal(post(t, e, fresh, "r2").status, http.StatusOK) // new work goes on
+	is.Equal(postFee(t, e, fresh, "r2").status, http.StatusOK) // new work goes on
 }
--- a/operate/entryfile/decode.go
+++ b/operate/entryfile/decode.go
@@ -26,18 +26,18 @@
 	unreadable bool           // the text is no YAML; nothing was read
 }
 
-func (d *decoder) add(line int, path, format string, args ...any) {
+func (d *decoder) addError(line int, path, format string, args ...any) {
 	d.errs = append(d.errs, Error{Line: line, Path: path, Message: fmt.Sprintf(format, args...)})
 }
 
-// addAt adds an error at a path; a field that is absent has the line of the
+// addErrorAt adds an error at a path; a field that is absent has the line of the
 // nearest mapping that should hold it.
-func (d *decoder) addAt(path, format string, args ...any) {
+func (d *decoder) addErrorAt(path, format string, args ...any) {
 	line := 0
 	for p := path; p != "" && line == 0; p = parent(p) {
 		line = d.lines[p]
 	}
-	d.add(line, path, format, args...)
+	d.addError(line, path, format, args...)
 }
 
 func parent(path string) string {
@@ -48,22 +48,22 @@
 	return path[:i]
 }
 
-// failed reports whether path, or a mapping that holds it, could not be read.
-func (d *decoder) failed(path string) bool {
+// hasError reports whether path, or a mapping that holds it, could not be read.
+func (d *decoder) hasError(path string) bool {
 	return slices.ContainsFunc(d.errs, func(e Error) bool {
 		return e.Path == path || (e.Path != "" && strings.HasPrefix(path, e.Path+"."))
 	})
 }
 
-func (d *decoder) sorted() Errors {
+func (d *decoder) sortedErrors() Errors {
 	slices.SortStableFunc(d.errs, func(a, b Error) int {
 		return cmp.Or(cmp.Compare(a.Line, b.Line), cmp.Compare(a.Path, b.Path))
 	})
 	return d.errs
 }
 
-// file reads the whole text.
-func (d *decoder) file(data []byte) File {
+// decodeFile reads the whole text.
+func (d *decoder) decodeFile(data []byte) File {
 	d.lines = make(map[string]int)
 	var f File
 	root := d.parse(data)
@@ -71,7 +71,7 @@
 		d.unreadable = true
 		return f
 	}
-	d.mapping(root, "", map[string]reader{
+	d.decodeMapping(root, "", map[string]valueReader{
 		"services": func(n ast.Node, path string) { f.Services = list(d, n, path, d.service) },
 		"shifts":   func(n ast.Node, path string) { f.Shifts = list(d, n, path, d.shift) },
 	})
@@ -81,17 +81,17 @@
 // parse returns the content of the only document, or nil after an error.
 func (d *decoder) parse(data []byte) ast.Node {
 	if len(data) > MaxSize {
-		d.add(0, "", "the file is larger than %d bytes", MaxSize)
+		d.addError(0, "", "the file is larger than %d bytes", MaxSize)
 		return nil
 	}
-	if line := tooDeep(data); line > 0 {
-		d.add(line, "", "nested too deeply")
+	if line := excessiveNestingLine(data); line > 0 {
+		d.addError(line, "", "nested too deeply")
 		return nil
 	}
 	// Repeated keys are found here, together with all other errors.
 	f, err := parser.ParseBytes(data, 0, parser.AllowDuplicateMapKey())
 	if err != nil {
-		d.add(lineOf(err), "", "%s", syntaxMessage(err))
+		d.addError(errorLine(err), "", "%s", syntaxMessage(err))
 		return nil
 	}
 	var root ast.Node
@@ -100,21 +100,21 @@
 			continue
 		}
 		if root != nil {
-			d.add(line(doc.Body), "", "a file holds one document only")
+			d.addError(nodeLine(doc.Body), "", "a file holds one document only")
 			return nil
 		}
 		root = doc.Body
 	}
 	if root == nil {
-		d.add(0, "", "the file is empty")
+		d.addError(0, "", "the file is empty")
 	}
 	return root
 }
 
-// tooDeep returns the line at which brackets or indentation nest beyond
+// excessiveNestingLine returns the line at which brackets or indentation nest beyond
 // maxDepth, or 0. Brackets within text count too; no sensible file has that
 // many.
-func tooDeep(data []byte) int {
+func excessiveNestingLine(data []byte) int {
 	brackets, lineNo := 0, 1
 	indent, atStart := 0, true
 	for _, c := range data {
@@ -140,7 +140,7 @@
 	return 0
 }
 
-func lineOf(err error) int {
+func errorLine(err error) int {
 	var e yaml.Error
 	if errors.As(err, &e) && e.GetToken() != nil {
 		return e.GetToken().Position.Line
@@ -156,56 +156,56 @@
 	return "not valid YAML or JSON: " + err.Error()
 }
 
-func line(n ast.Node) int {
+func nodeLine(n ast.Node) int {
 	if t := n.GetToken(); t != nil && t.Position != nil {
 		return t.Position.Line
 	}
 	return 0
 }
 
-// reader takes the value of one key.
-type reader func(n ast.Node, path string)
+// valueReader takes the value of one key.
+type valueReader func(n ast.Node, path string)
 
-// mapping hands the value of each key to its reader.
-func (d *decoder) mapping(n ast.Node, path string, readers map[string]reader) {
+// decodeMapping hands the value of each key to its reader.
+func (d *decoder) decodeMapping(n ast.Node, path string, readers map[string]valueReader) {
 	pairs, ok := pairsOf(n)
 	if !ok {
-		d.add(line(n), path, "must be a mapping, not %s", nameOf(n))
+		d.addError(nodeLine(n), path, "must be a mapping, not %s", kindName(n))
 		return
 	}
 	seen := make(map[string]bool, len(pairs))
 	for _, p := range pairs {
-		d.pair(p, path, readers, seen)
+		d.decodePair(p, path, readers, seen)
 	}
 }
 
-func (d *decoder) pair(p *ast.MappingValueNode, path string, readers map[string]reader, seen map[string]bool) {
+func (d *decoder) decodePair(p *ast.MappingValueNode, path string, readers map[string]valueReader, seen map[string]bool) {
 	key, ok := keyOf(p)
 	if !ok {
-		d.add(line(p.Key), path, "keys must be plain text")
+		d.addError(nodeLine(p.Key), path, "keys must be plain text")
 		return
 	}
 	at := join(path, key)
 	read, known := readers[key]
 	switch {
 	case !known:
-		d.add(line(p.Key), at, "unknown key; known are %s", strings.Join(sortedKeys(readers), ", "))
+		d.addError(nodeLine(p.Key), at, "unknown key; known are %s", strings.Join(sortedKeys(readers), ", "))
 	case seen[key]:
-		d.add(line(p.Key), at, "stands twice")
+		d.addError(nodeLine(p.Key), at, "stands twice")
 	default:
 		seen[key] = true
-		d.lines[at] = line(p.Key)
-		d.value(p.Value, at, read)
+		d.lines[at] = nodeLine(p.Key)
+		d.decodeValue(p.Value, at, read)
 	}
 }
 
-// value refuses what the format does not have and passes on the rest. A key
+// decodeValue refuses what the format does not have and passes on the rest. A key
 // without a value counts as absent.
-func (d *decoder) value(n ast.Node, path string, read reader) {
+func (d *decoder) decodeValue(n ast.Node, path string, read valueReader) {
 	switch n.(type) {
 	case nil, *ast.NullNode:
 	case *ast.AnchorNode, *ast.AliasNode, *ast.TagNode, *ast.MergeKeyNode:
-		d.add(line(n), path, "anchors, aliases, merge keys and tags are not supported")
+		d.addError(nodeLine(n), path, "anchors, aliases, merge keys and tags are not supported")
 	default:
 		read(n, path)
 	}
@@ -236,7 +236,7 @@
 	return path + "." + key
 }
 
-func sortedKeys(m map[string]reader) []string {
+func sortedKeys(m map[string]valueReader) []string {
 	keys := make([]string, 0, len(m))
 	for k := range m {
 		keys = append(keys, k)
@@ -249,7 +249,7 @@
 func list[T any](d *decoder, n ast.Node, path string, read func(ast.Node, string) T) []T {
 	seq, ok := n.(*ast.SequenceNode)
 	if !ok {
-		d.add(line(n), path, "must be a list, not %s", nameOf(n))
+		d.addError(nodeLine(n), path, "must be a list, not %s", kindName(n))
 		return nil
 	}
 	out := make([]T, 0, len(seq.Values))
@@ -257,19 +257,19 @@
 		at := fmt.Sprintf("%s[%d]", path, i)
 		var item T
 		if v == nil {
-			d.addAt(at, "must be a mapping, not empty")
+			d.addErrorAt(at, "must be a mapping, not empty")
 		} else {
-			d.lines[at] = line(first(v))
-			d.value(v, at, func(n ast.Node, at string) { item = read(n, at) })
+			d.lines[at] = nodeLine(firstNode(v))
+			d.decodeValue(v, at, func(n ast.Node, at string) { item = read(n, at) })
 		}
 		out = append(out, item)
 	}
 	return out
 }
 
-// first returns the node at which v begins in the text: a block mapping's own
+// firstNode returns the node at which v begins in the text: a block mapping's own
 // token is the colon of its first pair.
-func first(v ast.Node) ast.Node {
+func firstNode(v ast.Node) ast.Node {
 	if pairs, ok := pairsOf(v); ok && len(pairs) > 0 {
 		return pairs[0].Key
 	}
@@ -278,7 +278,7 @@
 
 func (d *decoder) service(n ast.Node, path string) catalogue.Service {
 	var s catalogue.Service
-	d.mapping(n, path, map[string]reader{
+	d.decodeMapping(n, path, map[string]valueReader{
 		"name":           text(d, &s.Name),
 		"idempotent":     d.boolean(&s.Idempotent),
 		"priority":       text(d, &s.Priority),
@@ -290,7 +290,7 @@
 
 func (d *decoder) shift(n ast.Node, path string) change.Entry {
 	var e change.Entry
-	d.mapping(n, path, map[string]reader{
+	d.decodeMapping(n, path, map[string]valueReader{
 		"id":      text(d, &e.ID),
 		"owner":   text(d, &e.Owner),
 		"class":   text(d, &e.Class),
@@ -303,7 +303,7 @@
 }
 
 func (d *decoder) limits(n ast.Node, path string, l *catalogue.Limits) {
-	d.mapping(n, path, map[string]reader{
+	d.decodeMapping(n, path, map[string]valueReader{
 		"max_share":       d.share(&l.MaxShare),
 		"step":            d.share(&l.Step),
 		"interval":        d.duration(&l.Interval),
@@ -315,21 +315,21 @@
 }
 
 func (d *decoder) window(n ast.Node, path string, w *catalogue.Window) {
-	d.mapping(n, path, map[string]reader{
-		"start": d.instant(&w.Start),
-		"end":   d.instant(&w.End),
+	d.decodeMapping(n, path, map[string]valueReader{
+		"start": d.timestamp(&w.Start),
+		"end":   d.timestamp(&w.End),
 	})
 }
 
 // text reads plain or quoted text. Numbers and truth values are refused rather
 // than turned into text: an id of 007 would silently lose its zeros.
-func text[T ~string](d *decoder, to *T) reader {
+func text[T ~string](d *decoder, to *T) valueReader {
 	return func(n ast.Node, path string) {
 		if s, ok := stringOf(n); ok {
 			*to = T(s)
 			return
 		}
-		d.add(line(n), path, "must be text, not %s; put it in quotes if it is meant as text", nameOf(n))
+		d.addError(nodeLine(n), path, "must be text, not %s; put it in quotes if it is meant as text", kindName(n))
 	}
 }
 
@@ -343,56 +343,56 @@
 	return "", false
 }
 
-func (d *decoder) boolean(to *bool) reader {
+func (d *decoder) boolean(to *bool) valueReader {
 	return func(n ast.Node, path string) {
 		b, ok := n.(*ast.BoolNode)
 		if !ok {
-			d.add(line(n), path, "must be true or false, not %s", nameOf(n))
+			d.addError(nodeLine(n), path, "must be true or false, not %s", kindName(n))
 			return
 		}
 		*to = b.Value
 	}
 }
 
-func (d *decoder) share(to *catalogue.Share) reader {
+func (d *decoder) share(to *catalogue.Share) valueReader {
 	return func(n ast.Node, path string) {
 		i, ok := n.(*ast.IntegerNode)
 		if !ok {
-			d.add(line(n), path, "must be a whole number of 1/%d, not %s", catalogue.ShareUnit, nameOf(n))
+			d.addError(nodeLine(n), path, "must be a whole number of 1/%d, not %s", catalogue.ShareUnit, kindName(n))
 			return
 		}
 		v, err := strconv.ParseUint(i.Token.Value, 10, 16)
 		if err != nil {
-			d.add(line(n), path, "must be a decimal whole number from 0 to %d", catalogue.ShareUnit)
+			d.addError(nodeLine(n), path, "must be a decimal whole number from 0 to %d", catalogue.ShareUnit)
 			return
 		}
 		*to = catalogue.Share(v)
 	}
 }
 
-func (d *decoder) duration(to *catalogue.Duration) reader {
+func (d *decoder) duration(to *catalogue.Duration) valueReader {
 	return func(n ast.Node, path string) {
 		s, ok := stringOf(n)
 		if !ok || to.UnmarshalText([]byte(s)) != nil {
-			d.add(line(n), path, "must be a duration of zero or more, such as 30s or 1m30s")
+			d.addError(nodeLine(n), path, "must be a duration of zero or more, such as 30s or 1m30s")
 		}
 	}
 }
 
-func (d *decoder) instant(to *time.Time) reader {
+func (d *decoder) timestamp(to *time.Time) valueReader {
 	return func(n ast.Node, path string) {
 		s, ok := stringOf(n)
 		t, err := time.Parse(time.RFC3339, s)
 		if !ok || err != nil {
-			d.add(line(n), path, "must be an instant such as 2026-03-01T22:00:00Z")
+			d.addError(nodeLine(n), path, "must be an instant such as 2026-03-01T22:00:00Z")
 			return
 		}
 		*to = t.UTC()
 	}
 }
 
-// nameOf describes a node to an operator.
-func nameOf(n ast.Node) string {
+// kindName describes a node to an operator.
+func kindName(n ast.Node) string {
 	switch n.(type) {
 	case *ast.StringNode, *ast.LiteralNode:
 		return "text"
--- a/operate/entryfile/file.go
+++ b/operate/entryfile/file.go
@@ -59,12 +59,12 @@
 // is an Errors.
 func Parse(data []byte, known change.ServiceExists) (File, error) {
 	var d decoder
-	f := d.file(data)
+	f := d.decodeFile(data)
 	if !d.unreadable {
 		d.check(f, known)
 	}
 	if len(d.errs) > 0 {
-		return File{}, d.sorted()
+		return File{}, d.sortedErrors()
 	}
 	return f, nil
 }
@@ -74,32 +74,32 @@
 	services := make(map[fleet.ServiceName]bool, len(f.Services))
 	for i, s := range f.Services {
 		path := fmt.Sprintf("services[%d]", i)
-		d.addAll(path, change.CheckService(s))
+		d.addFieldErrors(path, change.CheckService(s))
 		if s.Name != "" && services[s.Name] {
-			d.addAt(path+".name", "service %q stands twice in this file", s.Name)
+			d.addErrorAt(path+".name", "service %q stands twice in this file", s.Name)
 		}
 		services[s.Name] = true
 	}
 	ids := make(map[string]bool, len(f.Shifts))
 	for i, e := range f.Shifts {
 		path := fmt.Sprintf("shifts[%d]", i)
-		d.addAll(path, change.CheckEntry(e, func(n fleet.ServiceName) bool {
+		d.addFieldErrors(path, change.CheckEntry(e, func(n fleet.ServiceName) bool {
 			return services[n] || known == nil || known(n)
 		}))
 		if e.ID != "" && ids[e.ID] {
-			d.addAt(path+".id", "shift %q stands twice in this file", e.ID)
+			d.addErrorAt(path+".id", "shift %q stands twice in this file", e.ID)
 		}
 		ids[e.ID] = true
 	}
 }
 
-// addAll takes the errors of a check, but for fields that could not be read:
+// addFieldErrors takes the errors of a check, but for fields that could not be read:
 // their zero values say nothing.
-func (d *decoder) addAll(path string, errs []change.FieldError) {
+func (d *decoder) addFieldErrors(path string, errs []change.FieldError) {
 	for _, e := range errs {
 		at := path + "." + e.Path
-		if !d.failed(at) {
-			d.addAt(at, "%s", e.Message)
+		if !d.hasError(at) {
+			d.addErrorAt(at, "%s", e.Message)
 		}
 	}
 }
--- a/operate/entryfile/file_test.go
+++ b/operate/entryfile/file_test.go
@@ -16,7 +16,7 @@
 )
 
 // whole names every field, once as YAML and once as JSON.
-const wholeYAML = `# rehearsal of March
+const completeYAML = `# rehearsal of March
 services:
   - name: calc-lookup
     idempotent: true
@@ -42,7 +42,7 @@
         end: "2026-03-02T02:00:00+02:00"
 `
 
-const wholeJSON = `{
+const completeJSON = `{
 	"services": [{"name": "calc-lookup", "idempotent": true, "priority": "interactive",
 		"timeout": "2s", "token_optional": false}],
 	"shifts": [{"id": "march", "owner": "platform-team", "class": "rehearsal",
@@ -71,7 +71,7 @@
 			},
 		}},
 	}
-	for name, text := range map[string]string{"yaml": wholeYAML, "json": wholeJSON} {
+	for name, text := range map[string]string{"yaml": completeYAML, "json": completeJSON} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			f, err := Parse([]byte(text), nil)
@@ -148,7 +148,7 @@
 line 19: shifts[1].limits.max_share: must be stated`))
 }
 
-func TestParseRefusesWhatIsNoEntryFile(t *testing.T) {
+func TestParseRejectsInvalidFiles(t *testing.T) {
 	for name, text := range map[string]string{
 		"empty":     "",
 		"comment":   "# nothing\n",
@@ -175,8 +175,8 @@
 // FuzzParse holds Parse to three things: it returns, an error is never empty,
 // and a file that passes holds nothing that the catalogue's rules refuse.
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(wholeYAML))
-	f.Add([]byte(wholeJSON))
+	f.Add([]byte(completeYAML))
+	f.Add([]byte(completeJSON))
 	seeds, err := filepath.Glob("testdata/seeds/*")
 	if err != nil {
 		f.Fatal(err)
--- a/operate/experiment/command.go
+++ b/operate/experiment/command.go
@@ -47,7 +47,7 @@
 			if err != nil {
 				return &command.UsageError{Err: err}
 			}
-			return s.play(c, p)
+			return s.run(c, p)
 		},
 	}
 	f := c.Flags()
@@ -59,12 +59,12 @@
 	return c
 }
 
-func (s *settings) play(c *cobra.Command, p *plan) error {
+func (s *settings) run(c *cobra.Command, p *plan) error {
 	outcomes := p.run(s.jobs, func(done, all int) {
 		fmt.Fprintf(c.ErrOrStderr(), "\r%d of %d plays", done, all)
 	})
 	fmt.Fprintln(c.ErrOrStderr())
-	table(c.OutOrStdout(), outcomes)
+	printTable(c.OutOrStdout(), outcomes)
 	if s.json != "" {
 		if err := writeJSON(s.json, outcomes); err != nil {
 			return err
@@ -76,16 +76,16 @@
 	return nil
 }
 
-func table(w io.Writer, outcomes []*outcome) {
+func printTable(w io.Writer, outcomes []*outcome) {
 	header := []any{"PATTERN", "VARIANT", "SPREAD"}
-	for _, f := range figures {
+	for _, f := range columns {
 		header = append(header, strings.ToUpper(f.title))
 	}
 	t := render.NewTable(w, header...)
 	for _, o := range outcomes {
-		_, spread := o.meanAndSpread(figures[0])
+		_, spread := o.meanAndSpread(columns[0])
 		row := []any{o.Pattern, o.Variant, fmt.Sprintf("%.4f", spread)}
-		for _, f := range figures {
+		for _, f := range columns {
 			mean, _ := o.meanAndSpread(f)
 			row = append(row, fmt.Sprintf("%.4f", mean))
 		}
--- a/operate/experiment/experiment.go
+++ b/operate/experiment/experiment.go
@@ -26,8 +26,8 @@
 // complete names the variant with everything on, which comes first.
 const complete = "complete"
 
-// each stands for all mechanisms, one variant apiece.
-const each = "each"
+// allMechanisms stands for all mechanisms, one variant apiece.
+const allMechanisms = "each"
 
 var errSeeds = errors.New("experiment: --seeds must be at least 1")
 
@@ -39,7 +39,7 @@
 	p := &plan{seeds: seeds, variants: []variant{{name: complete}}}
 	for _, name := range without {
 		names := []string{name}
-		if name == each {
+		if name == allMechanisms {
 			names = ingress.MechanismNames()
 		}
 		for _, n := range names {
@@ -80,13 +80,13 @@
 	Plays   []*emulate.Result `json:"plays"`
 }
 
-// run plays everything, a few plays at a time, and reports each that has ended.
-func (p *plan) run(jobs int, ended func(done, all int)) []*outcome {
+// run plays everything, a few plays at a time, and reports each that has report.
+func (p *plan) run(jobs int, report func(done, all int)) []*outcome {
 	var outcomes []*outcome
 	type play struct {
 		pattern *emulate.Pattern
 		variant emulate.Variant
-		into    **emulate.Result
+		result  **emulate.Result
 	}
 	var plays []play
 	for _, pattern := range p.patterns {
@@ -95,7 +95,7 @@
 			outcomes = append(outcomes, o)
 			for seed := range p.seeds {
 				plays = append(plays, play{
-					pattern: pattern, into: &o.Plays[seed],
+					pattern: pattern, result: &o.Plays[seed],
 					variant: emulate.Variant{Seed: uint64(seed) + 1, Without: v.without},
 				})
 			}
@@ -108,10 +108,10 @@
 	for range max(jobs, 1) {
 		workers.Go(func() {
 			for x := range queue {
-				*x.into = emulate.Run(x.pattern, x.variant)
+				*x.result = emulate.Run(x.pattern, x.variant)
 				mu.Lock()
 				done++
-				ended(done, len(plays))
+				report(done, len(plays))
 				mu.Unlock()
 			}
 		})
@@ -124,30 +124,30 @@
 	return outcomes
 }
 
-// figure is one column of the table.
-type figure struct {
+// column is one column of the table.
+type column struct {
 	title string
-	of    func(*emulate.Result) float64
+	value func(*emulate.Result) float64
 }
 
-var figures = []figure{
+var columns = []column{
 	{"worth", func(r *emulate.Result) float64 { return r.All.Worth() }},
 	{"worst windows", (*emulate.Result).WorstWindows},
 	{"worst domain", (*emulate.Result).WorstDomain},
 	{"worst kind", (*emulate.Result).WorstKind},
-	{"refused", func(r *emulate.Result) float64 { return part(r.All.Refused, r.All.Asked) }},
-	{"failed", func(r *emulate.Result) float64 { return part(r.All.Failed, r.All.Asked) }},
-	{"came back", func(r *emulate.Result) float64 { return part(r.Returned, r.All.Asked) }},
+	{"refused", func(r *emulate.Result) float64 { return ratio(r.All.Refused, r.All.Asked) }},
+	{"failed", func(r *emulate.Result) float64 { return ratio(r.All.Failed, r.All.Asked) }},
+	{"came back", func(r *emulate.Result) float64 { return ratio(r.Returned, r.All.Asked) }},
 }
 
-func part(n, of int) float64 { return float64(n) / float64(max(of, 1)) }
+func ratio(n, of int) float64 { return float64(n) / float64(max(of, 1)) }
 
 // meanAndSpread returns the mean of a figure, and the distance between its
 // largest and smallest value.
-func (o *outcome) meanAndSpread(f figure) (mean, spread float64) {
-	least, most := f.of(o.Plays[0]), f.of(o.Plays[0])
+func (o *outcome) meanAndSpread(f column) (mean, spread float64) {
+	least, most := f.value(o.Plays[0]), f.value(o.Plays[0])
 	for _, r := range o.Plays {
-		v := f.of(r)
+		v := f.value(r)
 		mean += v / float64(len(o.Plays))
 		least, most = min(least, v), max(most, v)
 	}
--- a/operate/experiment/experiment_test.go
+++ b/operate/experiment/experiment_test.go
@@ -32,7 +32,7 @@
 	return b.String(), err
 }
 
-func write(t *testing.T, text string) string {
+func writePattern(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "pattern.json")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -45,7 +45,7 @@
 	is := is.New(t)
 	dir := t.TempDir()
 	out, err := execute(
-		write(t, testPattern), "--seeds", "2", "--without", "recall,headroom",
+		writePattern(t, testPattern), "--seeds", "2", "--without", "recall,headroom",
 		"--json", filepath.Join(dir, "r.json"), "--svg", filepath.Join(dir, "r.svg"))
 	is.NoErr(err)
 	lines := strings.Split(strings.TrimSpace(out), "\n")
@@ -65,21 +65,21 @@
 // Symptom: a long experiment is played with a setting that was not meant.
 // Sequence: a misspelt mechanism, no seed, a pattern with an unknown field.
 // Cause: what was not understood was left out.
-func TestBadSettingsAreNamed(t *testing.T) {
+func TestInvalidSettingsAreNamed(t *testing.T) {
 	for name, c := range map[string]struct {
 		args []string
-		say  string
+		want string
 	}{
-		"mechanism": {[]string{write(t, testPattern), "--without", "recal"}, "recal"},
-		"seeds":     {[]string{write(t, testPattern), "--seeds", "0"}, "--seeds"},
-		"field":     {[]string{write(t, strings.Replace(testPattern, `"seconds"`, `"secs"`, 1))}, "secs"},
+		"mechanism": {[]string{writePattern(t, testPattern), "--without", "recal"}, "recal"},
+		"seeds":     {[]string{writePattern(t, testPattern), "--seeds", "0"}, "--seeds"},
+		"field":     {[]string{writePattern(t, strings.Replace(testPattern, `"seconds"`, `"secs"`, 1))}, "secs"},
 		"file":      {[]string{filepath.Join(t.TempDir(), "none.json")}, "none.json"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			_, err := execute(c.args...)
 			is.Equal(command.ExitCode(err), command.ExitUsage)
-			is.True(strings.Contains(err.Error(), c.say))
+			is.True(strings.Contains(err.Error(), c.want))
 		})
 	}
 }
--- a/operate/explain/explain.go
+++ b/operate/explain/explain.go
@@ -31,11 +31,11 @@
 	Lines   []Line `json:"lines"`
 }
 
-// before is how long before a request's end other lines count.
-const before = 10 * time.Second
+// lookback is how long before a request's end other lines count.
+const lookback = 10 * time.Second
 
-// maxLine bounds one log line.
-const maxLine = 1 << 20
+// maxLineSize bounds one log line.
+const maxLineSize = 1 << 20
 
 // ErrNotFound means that no line speaks of the request. Of answered requests
 // only one in many has a line.
@@ -63,7 +63,7 @@
 	}
 	last := own[len(own)-1]
 	for _, l := range all {
-		if l.Fields["request"] == request || (near(l, last) && bears(l, last, targets)) || keepsAway(l, last) {
+		if l.Fields["request"] == request || (shortlyBefore(l, last) && isRelevant(l, last, targets)) || isQuarantineOf(l, last) {
 			r.Lines = append(r.Lines, l)
 		}
 	}
@@ -75,7 +75,7 @@
 func parse(logs io.Reader) ([]Line, error) {
 	var all []Line
 	s := bufio.NewScanner(logs)
-	s.Buffer(nil, maxLine)
+	s.Buffer(nil, maxLineSize)
 	for s.Scan() {
 		i := bytes.IndexByte(s.Bytes(), '{')
 		if i < 0 {
@@ -85,11 +85,11 @@
 		if json.Unmarshal(s.Bytes()[i:], &f) != nil {
 			continue
 		}
-		l := Line{Fields: f, VM: text(f["vm"]), Event: text(f["event"]), Text: text(f["msg"])}
+		l := Line{Fields: f, VM: stringOf(f["vm"]), Event: stringOf(f["event"]), Text: stringOf(f["msg"])}
 		if l.VM == "" {
 			l.VM = lastWord(string(s.Bytes()[:i])) // as collectors of logs prefix it
 		}
-		at, err := time.Parse(time.RFC3339Nano, text(f["time"]))
+		at, err := time.Parse(time.RFC3339Nano, stringOf(f["time"]))
 		if err != nil || l.Event == "" {
 			continue
 		}
@@ -102,7 +102,7 @@
 	return all, nil
 }
 
-func text(v any) string {
+func stringOf(v any) string {
 	s, _ := v.(string)
 	return s
 }
@@ -129,24 +129,24 @@
 
 func addTargets(to map[string]bool, l Line) {
 	for _, s := range sends(l) {
-		to[text(s["target"])] = true
+		to[stringOf(s["target"])] = true
 	}
 }
 
-// keepsAway reports whether l tells of a quarantine of requests like own, which
+// isQuarantineOf reports whether l tells of a quarantine of requests like own, which
 // may have begun long before.
-func keepsAway(l, own Line) bool {
-	f := text(own.Fields["fingerprint"])
-	return l.Event == "quarantine" && f != "" && text(l.Fields["fingerprint"]) == f && !l.Time.After(own.Time)
+func isQuarantineOf(l, own Line) bool {
+	f := stringOf(own.Fields["fingerprint"])
+	return l.Event == "quarantine" && f != "" && stringOf(l.Fields["fingerprint"]) == f && !l.Time.After(own.Time)
 }
 
-// near reports whether l was written shortly before the request's line.
-func near(l, own Line) bool {
-	return !l.Time.After(own.Time) && own.Time.Sub(l.Time) <= before
+// shortlyBefore reports whether l was written shortly before the request's line.
+func shortlyBefore(l, own Line) bool {
+	return !l.Time.After(own.Time) && own.Time.Sub(l.Time) <= lookback
 }
 
-// bears reports whether l speaks of something that decided the request.
-func bears(l, own Line, targets map[string]bool) bool {
+// isRelevant reports whether l speaks of something that decided the request.
+func isRelevant(l, own Line, targets map[string]bool) bool {
 	switch l.Event {
 	case "target":
 		return namesAny(l, targets)
@@ -159,12 +159,12 @@
 // namesAny reports whether a line about one target, or about many, names one of
 // targets.
 func namesAny(l Line, targets map[string]bool) bool {
-	if targets[text(l.Fields["target"])] {
+	if targets[stringOf(l.Fields["target"])] {
 		return true
 	}
 	for _, field := range []string{"draining_targets", "gone_targets"} {
 		list, _ := l.Fields[field].([]any)
-		if slices.ContainsFunc(list, func(id any) bool { return targets[text(id)] }) {
+		if slices.ContainsFunc(list, func(id any) bool { return targets[stringOf(id)] }) {
 			return true
 		}
 	}
@@ -173,7 +173,7 @@
 
 // cause says in a sentence why a request ended as it did.
 func cause(l Line) string {
-	why, v := text(l.Fields["reason"]), text(l.Fields["verdict"])
+	why, v := stringOf(l.Fields["reason"]), stringOf(l.Fields["verdict"])
 	n := len(sends(l))
 	switch {
 	case why == "" && v == "ran":
@@ -202,13 +202,13 @@
 		fmt.Fprintf(w, "%s  %-24s %-9s %s%s\n", l.Time.Format("15:04:05.000"), l.VM, l.Event, l.Text, details(l))
 		for _, s := range sends(l) {
 			fmt.Fprintf(w, "%12s  after %v ms to %v: %v in %v ms %v (%v)\n", "",
-				s["after_ms"], s["target"], s["outcome"], s["took_ms"], text(s["reason"]), s["verdict"])
+				s["after_ms"], s["target"], s["outcome"], s["took_ms"], stringOf(s["reason"]), s["verdict"])
 		}
 	}
 }
 
-// shown are the fields that details shows, in this order.
-var shown = []string{
+// detailFields are the fields that details shows, in this order.
+var detailFields = []string{
 	"status", "verdict", "reason", "took_ms", "patience_ms", "retry_after_ms", "config", "store_age_ms",
 	"store_reached", "target", "registered", "draining", "gone", "cold_ms", "version", "revision", "domain", "begin",
 	"count", "changed", "settings", "error", "fingerprint", "route", "ends", "trials",
@@ -216,7 +216,7 @@
 
 func details(l Line) string {
 	var b strings.Builder
-	for _, name := range shown {
+	for _, name := range detailFields {
 		if v, ok := l.Fields[name]; ok && v != "" {
 			fmt.Fprintf(&b, " %s=%v", name, v)
 		}
--- a/operate/explain/explain_test.go
+++ b/operate/explain/explain_test.go
@@ -21,7 +21,7 @@
 {"event":"request", cut short
 `
 
-func TestJoinsWhatBearsOnTheRequest(t *testing.T) {
+func TestReadSelectsRelevantLines(t *testing.T) {
 	is := is.New(t)
 	r, err := Read("r1", strings.NewReader(testLogs))
 	is.NoErr(err)
@@ -37,7 +37,7 @@
 	is.True(strings.Contains(b.String(), "after 3 ms to t1"))
 }
 
-func TestRefusedWithoutASend(t *testing.T) {
+func TestReadRefusedRequest(t *testing.T) {
 	is := is.New(t)
 	r, err := Read("r2", strings.NewReader(testLogs))
 	is.NoErr(err)
@@ -50,7 +50,7 @@
 // had left.
 // Sequence: many targets leave at once, in one line for all of them.
 // Cause: lines were matched by the one target that they name.
-func TestJoinsALineAboutManyTargets(t *testing.T) {
+func TestReadIncludesLineAboutManyTargets(t *testing.T) {
 	is := is.New(t)
 	logs := strings.Replace(testLogs, `{"event":"target","level":"info","msg":"ejected","target":"t9"`,
 		`{"event":"target","level":"info","msg":"registrations changed","gone":2,"gone_targets":["t8","t1"],"draining_targets":null`, 1)
@@ -61,7 +61,7 @@
 
 // The caller of a request that is kept away complains, and the lines that say
 // why are hours old.
-func TestJoinsTheQuarantineOfARefusedRequest(t *testing.T) {
+func TestReadIncludesQuarantineOfRefusedRequest(t *testing.T) {
 	is := is.New(t)
 	logs := `vm-a {"event":"quarantine","level":"warning","msg":"request is kept away from targets, as it ends them","fingerprint":"f1","route":"r","time":"2026-01-01T00:00:01Z"}
 vm-a {"event":"quarantine","level":"warning","msg":"request is kept away from targets, as it ends them","fingerprint":"f2","route":"r","time":"2026-01-01T00:00:01Z"}
--- a/operate/render/conflict.go
+++ b/operate/render/conflict.go
@@ -17,8 +17,8 @@
 func Conflict(w io.Writer, c admin.Conflict) {
 	yours, current := flatten(c.Yours), flatten(c.Current)
 	t := NewTable(w, "field", "yours", "current")
-	t.AppendRow(table.Row{"revision", fmt.Sprintf("based on %d", c.Expect), found(c.Found)})
-	for _, k := range keys(yours, current) {
+	t.AppendRow(table.Row{"revision", fmt.Sprintf("based on %d", c.Expect), foundText(c.Found)})
+	for _, k := range unionKeys(yours, current) {
 		if y, n := yours[k], current[k]; y != n || c.Yours == nil {
 			t.AppendRow(table.Row{k, orDash(y), orDash(n)})
 		}
@@ -26,14 +26,14 @@
 	t.Render()
 }
 
-func found(revision uint64) string {
+func foundText(revision uint64) string {
 	if revision == 0 {
 		return "no such entry"
 	}
 	return fmt.Sprintf("at %d", revision)
 }
 
-func keys(a, b map[string]string) []string {
+func unionKeys(a, b map[string]string) []string {
 	var out []string
 	for k := range a {
 		out = append(out, k)
@@ -53,21 +53,21 @@
 	switch {
 	case v == nil:
 	case v.Entry != nil:
-		into(out, "", v.Entry)
+		flattenInto(out, "", v.Entry)
 	case v.Shift != nil:
-		into(out, "", change.EntryOf(*v.Shift))
+		flattenInto(out, "", change.EntryOf(*v.Shift))
 		out["author"] = v.Shift.Author
 		out["state"] = string(v.Shift.State)
 	case v.Service != nil:
-		into(out, "", v.Service)
+		flattenInto(out, "", v.Service)
 		delete(out, "revision")
 	}
 	return out
 }
 
-// into takes the JSON form apart; it is the form that operators know from
+// flattenInto takes the JSON form apart; it is the form that operators know from
 // their files. These types always encode to an object.
-func into(out map[string]string, prefix string, v any) {
+func flattenInto(out map[string]string, prefix string, v any) {
 	raw, err := json.Marshal(v)
 	if err != nil {
 		return
@@ -78,15 +78,15 @@
 	}
 	for k, x := range m {
 		if x[0] == '{' {
-			into(out, prefix+k+".", x)
+			flattenInto(out, prefix+k+".", x)
 			continue
 		}
-		out[prefix+k] = plain(x)
+		out[prefix+k] = unquote(x)
 	}
 }
 
-// plain returns text without its quotes, and anything else as it is.
-func plain(x json.RawMessage) string {
+// unquote returns text without its quotes, and anything else as it is.
+func unquote(x json.RawMessage) string {
 	var s string
 	if json.Unmarshal(x, &s) == nil {
 		return s
--- a/operate/render/render.go
+++ b/operate/render/render.go
@@ -54,7 +54,7 @@
 	return string(s)
 }
 
-func instant(t time.Time) string {
+func windowTime(t time.Time) string {
 	if t.IsZero() {
 		return "open"
 	}
@@ -116,7 +116,7 @@
 		{"min_headroom", Percent(l.MinHeadroom)},
 		{"max_error_share", Percent(l.MaxErrorShare)},
 		{"max_p99", time.Duration(l.MaxP99)},
-		{"window", instant(l.Window.Start) + " to " + instant(l.Window.End)},
+		{"window", windowTime(l.Window.Start) + " to " + windowTime(l.Window.End)},
 		{"revision", s.Revision},
 	})
 	t.Render()
@@ -128,25 +128,25 @@
 	t.AppendRows([]table.Row{
 		{"entry VM", fmt.Sprintf("%s (%s, %s)", s.VM, s.Region, s.Domain)},
 		{"revision", fmt.Sprintf("%d, confirmed %s ago", s.Revision, time.Duration(s.RevisionAge).Round(time.Millisecond))},
-		{"platform", word(s.PlatformReachable, "reachable", "NOT REACHABLE")},
-		{"cut off", word(s.CutOff, "YES: no newer revision can arrive, shifts stand still", "no")},
-		{"stopping", word(s.Stopping, "YES", "no")},
-		{"entry VMs", members(s.Members)},
+		{"platform", choose(s.PlatformReachable, "reachable", "NOT REACHABLE")},
+		{"cut off", choose(s.CutOff, "YES: no newer revision can arrive, shifts stand still", "no")},
+		{"stopping", choose(s.Stopping, "YES", "no")},
+		{"entry VMs", memberCounts(s.Members)},
 		{"invariant violations", s.InvariantViolations},
 	})
 	t.Render()
-	loads(w, s.Loads)
-	moves(w, s.Shifts)
+	printLoads(w, s.Loads)
+	printShiftStatus(w, s.Shifts)
 }
 
-func word(b bool, yes, no string) string {
+func choose(b bool, yes, no string) string {
 	if b {
 		return yes
 	}
 	return no
 }
 
-func members(list []admin.Member) string {
+func memberCounts(list []admin.Member) string {
 	counts := map[string]int{}
 	for _, m := range list {
 		counts[m.State]++
@@ -158,7 +158,7 @@
 	return strings.Join(parts, ", ")
 }
 
-func loads(w io.Writer, list []admin.Load) {
+func printLoads(w io.Writer, list []admin.Load) {
 	if len(list) == 0 {
 		return
 	}
@@ -173,7 +173,7 @@
 	t.Render()
 }
 
-func moves(w io.Writer, list []admin.ShiftStatus) {
+func printShiftStatus(w io.Writer, list []admin.ShiftStatus) {
 	if len(list) == 0 {
 		return
 	}
