--- a/operate/client/client.go
+++ b/operate/client/client.go
@@ -22,10 +22,10 @@
 	"github.com/azurethread/azurethread/serve/admin"
 )
 
-// maxResponseSize bounds the bytes of an answer that are read.
+// maxResponseSize is the largest number of bytes read of a response.
 const maxResponseSize = 64 << 20
 
-// Client speaks to one entry VM. It is safe for concurrent use.
+// Client sends requests to one entry VM. It is safe for concurrent use.
 type Client struct {
 	baseURL string // scheme://host:port
 	token   string
@@ -34,13 +34,14 @@
 }
 
 // New returns a client of the entry VM at addr, host:port or an http or https
-// URL without a path. The timeout bounds each request but watches.
+// URL without a path. The timeout applies to each request; a watch may take
+// its wait in addition.
 func New(addr, token string, timeout time.Duration) (*Client, error) {
 	base, err := parseBaseURL(addr)
 	if err != nil {
 		return nil, err
 	}
-	// Entry VMs are reached by IP number; no proxy stands between.
+	// Entry VMs are reached by IP address, without a proxy.
 	transport := &http.Transport{DialContext: (&net.Dialer{Timeout: timeout}).DialContext}
 	return &Client{baseURL: base, token: token, timeout: timeout, http: &http.Client{Transport: transport}}, nil
 }
@@ -59,7 +60,7 @@
 	return u.Scheme + "://" + u.Host, nil
 }
 
-// apiRequest is one request on its way.
+// apiRequest is a request to the entry VM.
 type apiRequest struct {
 	method string
 	path   string // with query
@@ -67,7 +68,7 @@
 	body   any
 }
 
-// get asks a question.
+// get sends a read request and decodes its response.
 func get[T any](ctx context.Context, c *Client, path string) (T, error) {
 	var out T
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
@@ -136,8 +137,9 @@
 	return req, nil
 }
 
-// classifyFailure classifies a request without a usable answer. Only a failed dial proves
-// that no byte of a change was sent; after that the entry VM may have made it.
+// classifyFailure returns the error for a request without a usable response.
+// Only a failed dial proves that no byte of a change was sent; otherwise the
+// entry VM may have made the change.
 func (c *Client) classifyFailure(r apiRequest, err error) error {
 	var op *net.OpError
 	dialFailed := errors.As(err, &op) && op.Op == "dial"
@@ -147,8 +149,8 @@
 	return &UnknownOutcome{Operation: r.id, Err: err}
 }
 
-// decodeError reads an error answer. A body of another form, say of a machine in
-// between, decodes to the verdict may-have-run.
+// decodeError decodes an error response. A body of another format, for example
+// from an intermediary, has the verdict may-have-run.
 func decodeError(r apiRequest, status int, raw []byte) error {
 	e := &APIError{Status: status}
 	if json.Unmarshal(raw, &e.Body) != nil || e.Body.Message == "" {
@@ -170,23 +172,23 @@
 	return get[catalogue.Shift](ctx, c, admin.Prefix+"shifts/"+url.PathEscape(id))
 }
 
-// Status returns what the entry VM knows of the system.
+// Status returns the state of the system as the entry VM knows it.
 func (c *Client) Status(ctx context.Context) (admin.Status, error) {
 	return get[admin.Status](ctx, c, admin.Prefix+"status")
 }
 
-// InForce says how far a revision has spread.
+// InForce returns which entry VMs have applied a revision.
 func (c *Client) InForce(ctx context.Context, revision uint64) (admin.InForce, error) {
 	return get[admin.InForce](ctx, c, admin.Prefix+"inforce?revision="+strconv.FormatUint(revision, 10))
 }
 
-// FindOutcome says what became of an operation.
+// FindOutcome returns the outcome of an operation.
 func (c *Client) FindOutcome(ctx context.Context, operation string) (admin.Outcome, error) {
 	return get[admin.Outcome](ctx, c, admin.Prefix+"operations/"+url.PathEscape(operation))
 }
 
-// Watch returns once the revision at the entry VM is above after, or when wait
-// has passed.
+// Watch returns once the revision at the entry VM is greater than after, or
+// when wait has passed.
 func (c *Client) Watch(ctx context.Context, after uint64, wait time.Duration) (admin.Watch, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+c.timeout)
 	defer cancel()
@@ -223,7 +225,8 @@
 	return c.change(ctx, http.MethodDelete, fmt.Sprintf("shifts/%s?expect=%d", url.PathEscape(id), expect), nil)
 }
 
-// Action is a life-cycle step of a traffic shift, as the API's path names it.
+// Action is a life-cycle step of a traffic shift, under its name in the API's
+// path.
 type Action string
 
 // The actions.
@@ -235,10 +238,10 @@
 	RollBack Action = "rollback"
 )
 
-// RevisionOptional reports whether the action may go without an expected revision.
+// RevisionOptional reports whether the action may omit the expected revision.
 func (a Action) RevisionOptional() bool { return a == Pause || a == RollBack }
 
-// PerformAction takes a life-cycle step of a traffic shift.
+// PerformAction performs a life-cycle step of a traffic shift.
 func (c *Client) PerformAction(ctx context.Context, a Action, id string, body admin.ShiftAction) (admin.Accepted, error) {
 	return c.change(ctx, http.MethodPost, "shifts/"+url.PathEscape(id)+"/"+string(a), body)
 }
--- a/operate/client/doc.go
+++ b/operate/client/doc.go
@@ -1,7 +1,7 @@
-// Package client speaks the administration API, and the look-up that callers
-// use, to one entry VM.
+// Package client is a client of one entry VM's administration API and of the
+// look-up that callers use.
 //
-// Every change is sent once, under an operation id made here. The package
-// never sends a change again by itself; where the answer is lost the error is
-// an *UnknownOutcome, and Settle asks what became of the operation.
+// Every change is sent once, with an operation id that the package generates.
+// The package never sends a change again; if the answer is lost, the error is
+// an *UnknownOutcome, and FindOutcome returns the outcome of the operation.
 package client
--- a/operate/client/errors.go
+++ b/operate/client/errors.go
@@ -6,8 +6,8 @@
 	"github.com/azurethread/azurethread/serve/admin"
 )
 
-// APIError is an answer of the API that is not a success. A change that ended
-// so was certainly not made.
+// APIError is an error response of the API. A change that returned it was
+// certainly not made.
 type APIError struct {
 	Status int // HTTP status
 	Body   admin.Error
@@ -16,8 +16,8 @@
 // Error implements error.
 func (e *APIError) Error() string { return e.Body.Message }
 
-// Unreachable says that the entry VM gave no answer. A change that ended so
-// was not sent.
+// Unreachable means that the entry VM gave no answer. A change that returned
+// it was not sent.
 type Unreachable struct {
 	Addr string
 	Err  error
@@ -29,10 +29,10 @@
 // Unwrap returns the cause.
 func (e *Unreachable) Unwrap() error { return e.Err }
 
-// UnknownOutcome says that a change was sent and may have been made.
+// UnknownOutcome means that a change was sent and may have been made.
 type UnknownOutcome struct {
 	Operation string
-	Err       error // what went wrong; nil where the platform has yet to say
+	Err       error // the failure; nil if the platform has not settled the change yet
 }
 
 // Error implements error.
--- a/operate/client/lookup.go
+++ b/operate/client/lookup.go
@@ -7,7 +7,7 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// lookupPath is the look-up of the callers' interface.
+// lookupPath is the path of the look-up in the callers' interface.
 const lookupPath = "/v1/lookup"
 
 // Lookup is the answer of a look-up.
@@ -29,9 +29,9 @@
 	Domain fleet.Domain `json:"domain"`
 }
 
-// Lookup asks which entry VMs a client, an address or a block, should use for
-// a service. The Client must be one of an entry VM's caller address. No
-// one-time tokens are asked for.
+// Lookup returns the entry VMs that a client, given as an address or a block,
+// should use for a service. The Client must have been made with an entry VM's
+// address for callers. The look-up requests no one-time tokens.
 func (c *Client) Lookup(ctx context.Context, service, client string) (Lookup, error) {
 	q := url.Values{"service": {service}, "client": {client}, "tokens": {"0"}}
 	return get[Lookup](ctx, c, lookupPath+"?"+q.Encode())
--- a/operate/command/catalogue.go
+++ b/operate/command/catalogue.go
@@ -80,8 +80,8 @@
 	cmd.Flags().Uint64Var(expect, "expect", 0, "entry revision that the change is based on, as shown by show; default: the one found now")
 }
 
-// withShifts is withFile for files that must hold shifts. It first puts the
-// services of the file that the catalogue lacks.
+// withShifts is like withFile for files that must contain shifts. It first
+// adds the services of the file that the catalogue lacks.
 func (s *settings) withShifts(cmd *cobra.Command, file string, changes func(context.Context, *changeSession, []change.Entry) error) error {
 	return s.withFile(cmd, file, func(ctx context.Context, e *changeSession, cat catalogue.Catalogue, f entryfile.File) error {
 		if len(f.Shifts) == 0 {
--- a/operate/command/command.go
+++ b/operate/command/command.go
@@ -17,17 +17,18 @@
 	"github.com/azurethread/azurethread/operate/render"
 )
 
-// EnvPrefix begins the environment variable of every flag of the root command:
-// --call-addr is AZURETHREAD_CALL_ADDR. A flag goes before its variable.
+// EnvPrefix is the prefix of the environment variables for the flags of the
+// root command: --call-addr is AZURETHREAD_CALL_ADDR. A flag takes precedence
+// over its variable.
 const EnvPrefix = "AZURETHREAD_"
 
-// The output forms.
+// The output formats.
 const (
 	outputTable = "table"
 	outputJSON  = "json"
 )
 
-// settings are the flags that all commands share.
+// settings holds the flags that all commands share.
 type settings struct {
 	addr     string
 	callAddr string
@@ -37,7 +38,7 @@
 	wait     time.Duration
 }
 
-// New returns the root command, with extra ones beside its own.
+// New returns the root command with its built-in commands and the extra ones.
 func New(version string, extra ...*cobra.Command) *cobra.Command {
 	s := &settings{}
 	root := group("azurethread", "Operate the azurethread traffic steering system")
@@ -72,7 +73,8 @@
 	f.DurationVar(&s.wait, "wait", 5*time.Second, "longest wait, after a change, for its outcome and for it to be in force ["+EnvPrefix+"WAIT]")
 }
 
-// loadEnvironment takes unset flags from the environment and checks all.
+// loadEnvironment sets flags that were not given from the environment and
+// validates all of them.
 func (s *settings) loadEnvironment(f *pflag.FlagSet) error {
 	var firstErr error
 	f.VisitAll(func(x *pflag.Flag) {
@@ -127,8 +129,9 @@
 	return nil
 }
 
-// group returns a command that only holds others. Cobra prints the help and
-// succeeds where a sub-command is misspelt; a script would take that as done.
+// group returns a command that only has sub-commands. Without its RunE, cobra
+// would print the help and exit with 0 for a misspelt sub-command, which a
+// script would take for success.
 func group(use, short string) *cobra.Command {
 	return &cobra.Command{
 		Use:   use,
@@ -143,7 +146,7 @@
 	}
 }
 
-// exactArgs takes n arguments and calls wrong numbers a usage error.
+// exactArgs accepts n arguments; any other number is a usage error.
 func exactArgs(n int) cobra.PositionalArgs {
 	return func(cmd *cobra.Command, args []string) error {
 		if err := cobra.ExactArgs(n)(cmd, args); err != nil {
@@ -163,7 +166,7 @@
 	return ExitCode(err)
 }
 
-// errorReport is the JSON form of an error.
+// errorReport is an error as JSON.
 type errorReport struct {
 	Error     string           `json:"error"`
 	Exit      int              `json:"exit"`
@@ -177,7 +180,7 @@
 	var apiErr *client.APIError
 	errors.As(err, &apiErr)
 	if out, _ := cmd.Flags().GetString("output"); out == outputJSON {
-		// A failed write of an error has nowhere to be told.
+		// Standard error has failed, so there is no place to report that.
 		_ = render.JSON(w, newErrorReport(err, apiErr))
 		return
 	}
--- a/operate/command/command_test.go
+++ b/operate/command/command_test.go
@@ -24,8 +24,8 @@
 	"github.com/azurethread/azurethread/serve/admin/admintest"
 )
 
-// session runs command lines against one entry VM's API, in a directory of its
-// own.
+// session runs command lines against the API of one entry VM, in a temporary
+// directory.
 type session struct {
 	t   *testing.T
 	mem *admintest.Memory
@@ -89,7 +89,7 @@
 	padding  = regexp.MustCompile(` +\n`)
 )
 
-// mask removes what differs from run to run.
+// mask replaces the parts of an output that differ between runs.
 func (s *session) mask(text string) string {
 	text = strings.ReplaceAll(text, s.dir+"/", "")
 	text = strings.ReplaceAll(text, s.url, "ENTRY-VM")
@@ -129,9 +129,9 @@
 	return fmt.Sprintf("%s%sexit %d", out, errs, code)
 }
 
-// Symptom: a script goes on after a command that did nothing. Sequence: a
-// misspelt command, a missing argument, a bad setting. Cause: cobra takes some
-// of these for a request for help, and exits 0.
+// A misspelt command, a missing argument or a bad setting must end with a usage
+// error. Cobra treats some of these as a request for help and exits with 0, so
+// that a script would continue after a command that did nothing.
 func TestUsageErrors(t *testing.T) {
 	s := newSession(t)
 	t.Setenv("AZURETHREAD_WAIT", "soon")
@@ -192,7 +192,8 @@
 	is.True(strings.Contains(out, "azurethread"))
 }
 
-// A watch prints what it finds, and ends well when it is interrupted.
+// TestWatch checks that watch prints the status and exits with 0 when it is
+// interrupted.
 func TestWatch(t *testing.T) {
 	is := is.New(t)
 	s := newSession(t)
@@ -215,9 +216,9 @@
 
 func (f writerFunc) Write(b []byte) (int, error) { return f(b) }
 
-// Symptom: an operator is told that a change was not made, and it was.
-// Sequence: the entry VM takes the request and the connection ends without an
-// answer. Cause: only a failed dial proves that nothing was sent.
+// When the entry VM reads a request and the connection ends without an answer,
+// the change may have been made, so the command must not report that it was
+// not. Only a failed dial proves that nothing was sent.
 func TestCutAnswerIsUnknown(t *testing.T) {
 	is := is.New(t)
 	s := newSession(t)
--- a/operate/command/doc.go
+++ b/operate/command/doc.go
@@ -1,11 +1,12 @@
-// Package command is the operators' command line.
+// Package command implements the operators' command line.
 //
 // New builds the root command; Execute runs it and returns the exit code. The
-// commands of the catalogue speak to one entry VM through operate/client.
-// After a change the command says at which revision it was accepted, and then
-// waits a little until it is in force on all entry VMs, naming those that are
-// missing. A change whose outcome is unknown is asked for by operation id
-// until it is known or the wait ends; it is never sent again.
+// catalogue commands use the administration API of one entry VM through
+// operate/client. After a change, the command prints the revision at which it
+// was accepted, waits for a limited time until the change is in force on all
+// entry VMs, and lists those that lack it. If the outcome of a change is
+// unknown, the command queries it by operation id until it is known or the
+// wait ends; the change is never sent again.
 //
-// Further commands, such as a demo, are given to New.
+// Further commands, such as the demo, are passed to New.
 package command
--- a/operate/command/edit.go
+++ b/operate/command/edit.go
@@ -19,10 +19,11 @@
 	"github.com/azurethread/azurethread/serve/admin"
 )
 
-// pollInterval is the time between two questions after a change.
+// pollInterval is the time between two status queries after a change.
 const pollInterval = 100 * time.Millisecond
 
-// changeSession is a command that changes the catalogue, by one change or several.
+// changeSession is the execution of a command that makes one or more changes
+// to the catalogue.
 type changeSession struct {
 	s            *settings
 	c            *client.Client
@@ -30,7 +31,7 @@
 	lastRevision uint64 // revision of the last accepted change
 }
 
-// accepted is the JSON line of one accepted change.
+// accepted is the JSON line printed for an accepted change.
 type accepted struct {
 	Change    string `json:"change"`
 	Entry     string `json:"entry"`
@@ -38,25 +39,27 @@
 	Revision  uint64 `json:"revision"`
 }
 
-// inForce is the JSON line that follows the last change.
+// inForce is the JSON line printed after the last change.
 type inForce struct {
 	InForce admin.InForce `json:"in_force"`
 }
 
-// noChange is the JSON line of a command that found everything as asked for.
+// noChange is the JSON line printed when the catalogue already has the
+// requested content.
 type noChange struct {
 	InForce *admin.InForce `json:"in_force"`
 }
 
-// inForceError is the JSON line where the spread could not be asked for.
+// inForceError is the JSON line printed when the query for the entry VMs that
+// have the change failed.
 type inForceError struct {
 	Error string `json:"in_force_error"`
 }
 
 func usagef(format string, args ...any) error { return &UsageError{fmt.Errorf(format, args...)} }
 
-// runChanges runs the changes of one command and then waits until the last of them
-// is in force.
+// runChanges makes the changes of one command and then waits until the last
+// one is in force.
 func (s *settings) runChanges(cmd *cobra.Command, changes func(context.Context, *changeSession) error) error {
 	c, err := s.client()
 	if err != nil {
@@ -72,8 +75,8 @@
 	return e.awaitInForce(cmd.Context())
 }
 
-// withFile reads and checks an entry file against the services that the
-// catalogue has, and runs the changes it asks for.
+// withFile reads an entry file, checks it against the services of the
+// catalogue, and makes the changes that it describes.
 func (s *settings) withFile(cmd *cobra.Command, file string, changes func(context.Context, *changeSession, catalogue.Catalogue, entryfile.File) error) error {
 	return s.runChanges(cmd, func(ctx context.Context, e *changeSession) error {
 		raw, err := readFile(cmd, file)
@@ -115,8 +118,8 @@
 	return raw, nil
 }
 
-// revision returns the entry revision to base a change on: the one stated, or
-// the one found now.
+// revision returns the entry revision that a change is based on: the stated
+// one, or the current one if none was stated.
 func (e *changeSession) revision(ctx context.Context, id string, stated uint64) (uint64, error) {
 	if stated != 0 {
 		return stated, nil
@@ -125,7 +128,8 @@
 	return s.Revision, err
 }
 
-// submit sends one change, settles it where its answer was lost, and prints it.
+// submit sends one change, queries its outcome if the answer was lost, and
+// prints the result.
 func (e *changeSession) submit(ctx context.Context, what, entry string, send func() (admin.Accepted, error)) error {
 	a, err := send()
 	var unknown *client.UnknownOutcome
@@ -142,7 +146,8 @@
 	})
 }
 
-// awaitOutcome asks what became of a change until that is known or the wait ends.
+// awaitOutcome queries the outcome of a change until it is known or the wait
+// ends.
 func (e *changeSession) awaitOutcome(ctx context.Context, unknown *client.UnknownOutcome) (admin.Accepted, error) {
 	end := time.Now().Add(e.s.wait)
 	for {
@@ -159,9 +164,9 @@
 	}
 }
 
-// awaitInForce waits until the last change is in force everywhere, and says so. A
-// change that is not in force everywhere yet is still accepted, so this never
-// fails the command.
+// awaitInForce waits until the last change is in force on all entry VMs and
+// prints the result. The end of the wait does not fail the command, because
+// the change has been accepted in any case.
 func (e *changeSession) awaitInForce(ctx context.Context) error {
 	end := time.Now().Add(e.s.wait)
 	for {
@@ -199,7 +204,8 @@
 	return strings.Join(parts, ", ")
 }
 
-// waitInterval waits one interval, and reports false once end has passed or ctx ended.
+// waitInterval waits for pollInterval. It returns false once end has passed or
+// ctx has ended.
 func waitInterval(ctx context.Context, end time.Time) bool {
 	if !time.Now().Before(end) {
 		return false
--- a/operate/command/exit.go
+++ b/operate/command/exit.go
@@ -13,13 +13,13 @@
 	ExitOK          = 0 // done; a change was accepted
 	ExitFailed      = 1 // anything else went wrong; a change was not made
 	ExitUsage       = 2 // wrong arguments or settings, or an invalid entry file; nothing was sent
-	ExitConflict    = 3 // the entry was changed meanwhile; the change was not made
+	ExitConflict    = 3 // the entry was changed in the meantime; the change was not made
 	ExitRefused     = 4 // the request was refused; the change was not made
-	ExitUnknown     = 5 // the change may have been made; ask by operation id
+	ExitUnknown     = 5 // the change may have been made; query it by operation id
 	ExitUnreachable = 6 // no answer from the entry VM, or none from the platform behind it; the change was not made
 )
 
-// UsageError is a fault in the arguments, the settings or an entry file.
+// UsageError is an error in the arguments, the settings or an entry file.
 type UsageError struct {
 	Err error
 }
@@ -30,7 +30,7 @@
 // Unwrap returns the cause.
 func (e *UsageError) Unwrap() error { return e.Err }
 
-// ExitCode returns the exit code that an error of a command stands for.
+// ExitCode returns the exit code for an error returned by a command.
 func ExitCode(err error) int {
 	var (
 		usage       *UsageError
--- a/operate/command/explain.go
+++ b/operate/command/explain.go
@@ -48,7 +48,7 @@
 
 func closeFiles(files []*os.File) {
 	for _, f := range files {
-		_ = f.Close() // read only: nothing is lost
+		_ = f.Close() // opened for reading only: no data can be lost
 	}
 }
 
--- a/operate/command/observe.go
+++ b/operate/command/observe.go
@@ -55,8 +55,9 @@
 	return cmd
 }
 
-// watch prints until ctx ends. An entry VM that does not answer is told about
-// and asked again: a watch has to survive the replacement of what it watches.
+// watch prints the status until ctx ends. When the entry VM does not answer,
+// watch prints the error and tries again, so that it survives the replacement
+// of that entry VM.
 func (s *settings) watch(ctx context.Context, out, errs io.Writer, c *client.Client, every time.Duration) error {
 	var after uint64
 	for ctx.Err() == nil {
@@ -155,7 +156,7 @@
 	}
 }
 
-// checkResult is the JSON line of a valid file.
+// checkResult is the JSON line printed for a valid file.
 type checkResult struct {
 	File     string `json:"file"`
 	Services int    `json:"services"`
--- a/operate/command/service.go
+++ b/operate/command/service.go
@@ -59,7 +59,7 @@
 	return cmd
 }
 
-// putAll puts the services that differ from what the catalogue has.
+// putAll adds or replaces the services that differ from the catalogue's.
 func putAll(ctx context.Context, e *changeSession, cat catalogue.Catalogue, list []catalogue.Service) error {
 	for _, x := range list {
 		old, _ := cat.Service(x.Name)
@@ -75,8 +75,8 @@
 	return nil
 }
 
-// putMissing puts the services that the catalogue lacks, and leaves the others
-// as they are: a file of shifts must not change how a service is treated.
+// putMissing adds the services that the catalogue lacks. It leaves the others
+// unchanged, because a file of shifts must not alter the settings of a service.
 func putMissing(ctx context.Context, e *changeSession, cat catalogue.Catalogue, list []catalogue.Service) error {
 	missing := slices.DeleteFunc(slices.Clone(list), func(x catalogue.Service) bool {
 		_, known := cat.Service(x.Name)
@@ -104,7 +104,7 @@
 	}
 }
 
-// revisionOf returns the revision of a service, 0 where there is none.
+// revisionOf returns the revision of a service, or 0 if it does not exist.
 func revisionOf(c catalogue.Catalogue, name string) uint64 {
 	s, _ := c.Service(fleet.ServiceName(name))
 	return s.Revision
--- a/operate/entryfile/decode.go
+++ b/operate/entryfile/decode.go
@@ -18,20 +18,20 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// decoder walks the syntax tree and collects errors instead of stopping at the
-// first, which the library's own decoder does.
+// decoder walks the syntax tree and collects all errors. The library's own
+// decoder stops at the first one.
 type decoder struct {
 	errs       Errors
 	lines      map[string]int // line of every path read
-	unreadable bool           // the text is no YAML; nothing was read
+	unreadable bool           // the text is not valid YAML; nothing was read
 }
 
 func (d *decoder) addError(line int, path, format string, args ...any) {
 	d.errs = append(d.errs, Error{Line: line, Path: path, Message: fmt.Sprintf(format, args...)})
 }
 
-// addErrorAt adds an error at a path; a field that is absent has the line of the
-// nearest mapping that should hold it.
+// addErrorAt adds an error at a path. The line of an absent field is that of
+// the nearest enclosing mapping.
 func (d *decoder) addErrorAt(path, format string, args ...any) {
 	line := 0
 	for p := path; p != "" && line == 0; p = parent(p) {
@@ -48,7 +48,7 @@
 	return path[:i]
 }
 
-// hasError reports whether path, or a mapping that holds it, could not be read.
+// hasError reports whether path or an enclosing mapping has an error.
 func (d *decoder) hasError(path string) bool {
 	return slices.ContainsFunc(d.errs, func(e Error) bool {
 		return e.Path == path || (e.Path != "" && strings.HasPrefix(path, e.Path+"."))
@@ -62,7 +62,7 @@
 	return d.errs
 }
 
-// decodeFile reads the whole text.
+// decodeFile decodes a complete file.
 func (d *decoder) decodeFile(data []byte) File {
 	d.lines = make(map[string]int)
 	var f File
@@ -78,7 +78,7 @@
 	return f
 }
 
-// parse returns the content of the only document, or nil after an error.
+// parse returns the body of the only document, or nil after an error.
 func (d *decoder) parse(data []byte) ast.Node {
 	if len(data) > MaxSize {
 		d.addError(0, "", "the file is larger than %d bytes", MaxSize)
@@ -88,7 +88,7 @@
 		d.addError(line, "", "nested too deeply")
 		return nil
 	}
-	// Repeated keys are found here, together with all other errors.
+	// Duplicate keys are reported by decodePair, together with all other errors.
 	f, err := parser.ParseBytes(data, 0, parser.AllowDuplicateMapKey())
 	if err != nil {
 		d.addError(errorLine(err), "", "%s", syntaxMessage(err))
@@ -100,7 +100,7 @@
 			continue
 		}
 		if root != nil {
-			d.addError(nodeLine(doc.Body), "", "a file holds one document only")
+			d.addError(nodeLine(doc.Body), "", "a file must contain only one document")
 			return nil
 		}
 		root = doc.Body
@@ -111,9 +111,9 @@
 	return root
 }
 
-// excessiveNestingLine returns the line at which brackets or indentation nest beyond
-// maxDepth, or 0. Brackets within text count too; no sensible file has that
-// many.
+// excessiveNestingLine returns the line at which brackets or indentation
+// exceed maxDepth, or 0. Brackets inside strings count too; real files do not
+// have that many.
 func excessiveNestingLine(data []byte) int {
 	brackets, lineNo := 0, 1
 	indent, atStart := 0, true
@@ -163,10 +163,10 @@
 	return 0
 }
 
-// valueReader takes the value of one key.
+// valueReader decodes the value of one key.
 type valueReader func(n ast.Node, path string)
 
-// decodeMapping hands the value of each key to its reader.
+// decodeMapping decodes the value of each key with its reader.
 func (d *decoder) decodeMapping(n ast.Node, path string, readers map[string]valueReader) {
 	pairs, ok := pairsOf(n)
 	if !ok {
@@ -182,7 +182,7 @@
 func (d *decoder) decodePair(p *ast.MappingValueNode, path string, readers map[string]valueReader, seen map[string]bool) {
 	key, ok := keyOf(p)
 	if !ok {
-		d.addError(nodeLine(p.Key), path, "keys must be plain text")
+		d.addError(nodeLine(p.Key), path, "keys must be strings")
 		return
 	}
 	at := join(path, key)
@@ -191,7 +191,7 @@
 	case !known:
 		d.addError(nodeLine(p.Key), at, "unknown key; known are %s", strings.Join(sortedKeys(readers), ", "))
 	case seen[key]:
-		d.addError(nodeLine(p.Key), at, "stands twice")
+		d.addError(nodeLine(p.Key), at, "duplicate key")
 	default:
 		seen[key] = true
 		d.lines[at] = nodeLine(p.Key)
@@ -199,8 +199,8 @@
 	}
 }
 
-// decodeValue refuses what the format does not have and passes on the rest. A key
-// without a value counts as absent.
+// decodeValue rejects YAML features that entry files do not support, and passes
+// any other node to read. A key without a value is treated as absent.
 func (d *decoder) decodeValue(n ast.Node, path string, read valueReader) {
 	switch n.(type) {
 	case nil, *ast.NullNode:
@@ -245,7 +245,7 @@
 	return keys
 }
 
-// list reads each element of a sequence.
+// list decodes each element of a sequence.
 func list[T any](d *decoder, n ast.Node, path string, read func(ast.Node, string) T) []T {
 	seq, ok := n.(*ast.SequenceNode)
 	if !ok {
@@ -267,8 +267,8 @@
 	return out
 }
 
-// firstNode returns the node at which v begins in the text: a block mapping's own
-// token is the colon of its first pair.
+// firstNode returns the node at which v begins in the text. The token of a
+// block mapping itself is the colon of its first pair.
 func firstNode(v ast.Node) ast.Node {
 	if pairs, ok := pairsOf(v); ok && len(pairs) > 0 {
 		return pairs[0].Key
@@ -321,8 +321,8 @@
 	})
 }
 
-// text reads plain or quoted text. Numbers and truth values are refused rather
-// than turned into text: an id of 007 would silently lose its zeros.
+// text decodes a plain or quoted string. Numbers and booleans are rejected
+// instead of converted: an id of 007 would silently lose its zeros.
 func text[T ~string](d *decoder, to *T) valueReader {
 	return func(n ast.Node, path string) {
 		if s, ok := stringOf(n); ok {
@@ -384,14 +384,14 @@
 		s, ok := stringOf(n)
 		t, err := time.Parse(time.RFC3339, s)
 		if !ok || err != nil {
-			d.addError(nodeLine(n), path, "must be an instant such as 2026-03-01T22:00:00Z")
+			d.addError(nodeLine(n), path, "must be a time such as 2026-03-01T22:00:00Z")
 			return
 		}
 		*to = t.UTC()
 	}
 }
 
-// kindName describes a node to an operator.
+// kindName returns the name of a node's kind for an error message.
 func kindName(n ast.Node) string {
 	switch n.(type) {
 	case *ast.StringNode, *ast.LiteralNode:
--- a/operate/entryfile/file.go
+++ b/operate/entryfile/file.go
@@ -9,21 +9,21 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// The bounds of a file. The parser recurses, so nesting is bounded before it
-// runs: a file of opening brackets alone would otherwise exhaust the stack,
-// which ends the process rather than returning an error.
+// The limits of a file. The YAML parser is recursive, so nesting is checked
+// before it runs: a file of opening brackets would otherwise exhaust the
+// stack, which ends the process instead of returning an error.
 const (
 	MaxSize  = 1 << 20 // bytes
 	maxDepth = 64      // bracket nesting and indentation steps
 )
 
-// File is the content of one file.
+// File is the content of an entry file.
 type File struct {
 	Services []catalogue.Service
 	Shifts   []change.Entry
 }
 
-// Error is one thing wrong with a file.
+// Error is one error in a file.
 type Error struct {
 	Line    int    `json:"line"` // 1-based; 0: the file as a whole
 	Path    string `json:"path"` // such as "shifts[0].limits.max_share"; "" for the file
@@ -42,10 +42,10 @@
 	return text
 }
 
-// Errors is everything wrong with a file, in the order of its lines.
+// Errors lists all errors in a file in the order of its lines.
 type Errors []Error
 
-// Error implements error, one line an error.
+// Error implements error, with one line for each error.
 func (e Errors) Error() string {
 	lines := make([]string, len(e))
 	for i, x := range e {
@@ -54,9 +54,9 @@
 	return strings.Join(lines, "\n")
 }
 
-// Parse reads a file and checks its content. Services of the file count as
-// known; known says which others exist, and nil trusts every name. The error
-// is an Errors.
+// Parse parses a file and validates its content. Shifts may refer to services
+// of the file and to those for which known returns true; if known is nil, every
+// service is taken to exist. The error is an Errors.
 func Parse(data []byte, known change.ServiceExists) (File, error) {
 	var d decoder
 	f := d.decodeFile(data)
@@ -69,14 +69,15 @@
 	return f, nil
 }
 
-// check applies the catalogue's rules, and those that hold within a file.
+// check applies the rules of the catalogue, and rejects names that occur twice
+// in the file.
 func (d *decoder) check(f File, known change.ServiceExists) {
 	services := make(map[fleet.ServiceName]bool, len(f.Services))
 	for i, s := range f.Services {
 		path := fmt.Sprintf("services[%d]", i)
 		d.addFieldErrors(path, change.CheckService(s))
 		if s.Name != "" && services[s.Name] {
-			d.addErrorAt(path+".name", "service %q stands twice in this file", s.Name)
+			d.addErrorAt(path+".name", "service %q is listed twice in this file", s.Name)
 		}
 		services[s.Name] = true
 	}
@@ -87,14 +88,14 @@
 			return services[n] || known == nil || known(n)
 		}))
 		if e.ID != "" && ids[e.ID] {
-			d.addErrorAt(path+".id", "shift %q stands twice in this file", e.ID)
+			d.addErrorAt(path+".id", "shift %q is listed twice in this file", e.ID)
 		}
 		ids[e.ID] = true
 	}
 }
 
-// addFieldErrors takes the errors of a check, but for fields that could not be read:
-// their zero values say nothing.
+// addFieldErrors adds the errors of a check, except those of fields that could
+// not be read and therefore have zero values.
 func (d *decoder) addFieldErrors(path string, errs []change.FieldError) {
 	for _, e := range errs {
 		at := path + "." + e.Path
--- a/operate/entryfile/file_test.go
+++ b/operate/entryfile/file_test.go
@@ -15,7 +15,7 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// whole names every field, once as YAML and once as JSON.
+// completeYAML and completeJSON have every field, with the same content.
 const completeYAML = `# rehearsal of March
 services:
   - name: calc-lookup
@@ -81,7 +81,7 @@
 	}
 }
 
-// The file shown on the operators' page passes as it stands there.
+// The example on the operators' page must be a valid file.
 func TestDocumentedFileIsValid(t *testing.T) {
 	is := is.New(t)
 	page, err := os.ReadFile("../../docs/operators/catalogue.md")
@@ -95,10 +95,9 @@
 	is.Equal(len(f.Services)+len(f.Shifts), 2)
 }
 
-// Symptom: an operator corrects one error after another, a run of the check
-// each. Sequence: a file has faults of every sort, in spelling, type and
-// content. Cause: decoders stop at the first error; here all come at once,
-// each with its line and path.
+// A file with errors in spelling, types and content must have all of them
+// reported at once, each with its line and path. A decoder that stops at the
+// first error makes an operator run the check once for each.
 func TestParseReportsEveryError(t *testing.T) {
 	is := is.New(t)
 	_, err := Parse([]byte(`services:
@@ -134,17 +133,17 @@
 line 2: services[0].name: must be text
 line 3: services[0].idempotent: must be true or false
 line 5: services[1].timeout: must be a duration of zero or more
-line 6: services[2].name: service "drawing-vault" stands twice in this file
+line 6: services[2].name: service "drawing-vault" is listed twice in this file
 line 8: shifts[0].owner: must be 1 to 64 characters
 line 9: shifts[0].ownr: unknown key; known are class
 line 10: shifts[0].class: must be "rehearsal"
 line 11: shifts[0].service: no service "nothing-known" in the catalogue
 line 13: shifts[0].to: must differ from "from"
-line 14: shifts[0].from: stands twice
+line 14: shifts[0].from: duplicate key
 line 16: shifts[0].limits.max_share: must be stated
 line 17: shifts[0].limits.step: must be a whole number of 1/10000
-line 18: shifts[0].limits.window.start: must be an instant such as 2026-03-01T22:00:00Z
-line 19: shifts[1].id: shift "march" stands twice in this file
+line 18: shifts[0].limits.window.start: must be a time such as 2026-03-01T22:00:00Z
+line 19: shifts[1].id: shift "march" is listed twice in this file
 line 19: shifts[1].limits.max_share: must be stated`))
 }
 
@@ -172,8 +171,8 @@
 	}
 }
 
-// FuzzParse holds Parse to three things: it returns, an error is never empty,
-// and a file that passes holds nothing that the catalogue's rules refuse.
+// FuzzParse checks three properties of Parse: it returns, an error is never
+// empty, and a file that passes meets the rules of the catalogue.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(completeYAML))
 	f.Add([]byte(completeJSON))
--- a/operate/experiment/command.go
+++ b/operate/experiment/command.go
@@ -105,8 +105,8 @@
 	return nil
 }
 
-// writeSVG draws the worth of each window, the mean of the seeds, a line for
-// each variant of the first pattern.
+// writeSVG plots the worth of each window, averaged over the seeds, with a line
+// for each variant of the first pattern.
 func writeSVG(path string, outcomes []*outcome) error {
 	p := plot.New()
 	p.Title.Text = outcomes[0].Pattern
@@ -127,7 +127,8 @@
 	return render.SVG(p, path)
 }
 
-// windows returns the worth by the second at which a window begins.
+// windows returns the mean worth of each window, by the second at which the
+// window begins.
 func (o *outcome) windows() plotter.XYs {
 	var points plotter.XYs
 	for i := range o.Plays[0].Windows {
--- a/operate/experiment/doc.go
+++ b/operate/experiment/doc.go
@@ -1,4 +1,5 @@
-// Package experiment is `azurethread experiment`: it plays patterns of load and
-// faults in the emulator, with several seeds and with mechanisms of the
-// decisions switched off, and compares what callers saw.
+// Package experiment implements `azurethread experiment`. It runs patterns of
+// load and faults in the emulator, with several seeds and with single
+// mechanisms of the decision code switched off, and compares the results that
+// callers saw.
 package experiment
--- a/operate/experiment/experiment.go
+++ b/operate/experiment/experiment.go
@@ -10,7 +10,7 @@
 	"github.com/azurethread/azurethread/decide/ingress"
 )
 
-// plan is a set of plays: each pattern by each variant and seed.
+// plan is a set of emulator runs: each pattern with each variant and seed.
 type plan struct {
 	patterns []*emulate.Pattern
 	variants []variant
@@ -23,10 +23,11 @@
 	without ingress.Mechanisms
 }
 
-// complete names the variant with everything on, which comes first.
+// complete is the name of the variant with all mechanisms on, which comes
+// first.
 const complete = "complete"
 
-// allMechanisms stands for all mechanisms, one variant apiece.
+// allMechanisms selects one variant for each mechanism.
 const allMechanisms = "each"
 
 var errSeeds = errors.New("experiment: --seeds must be at least 1")
@@ -73,14 +74,15 @@
 	return p, nil
 }
 
-// outcome is what the plays of one pattern and variant gave, by seed.
+// outcome holds the results of one pattern and variant, by seed.
 type outcome struct {
 	Pattern string            `json:"pattern"`
 	Variant string            `json:"variant"`
 	Plays   []*emulate.Result `json:"plays"`
 }
 
-// run plays everything, a few plays at a time, and reports each that has report.
+// run makes all emulator runs, up to jobs at a time, and calls report after
+// each.
 func (p *plan) run(jobs int, report func(done, all int)) []*outcome {
 	var outcomes []*outcome
 	type play struct {
@@ -142,8 +144,8 @@
 
 func ratio(n, of int) float64 { return float64(n) / float64(max(of, 1)) }
 
-// meanAndSpread returns the mean of a figure, and the distance between its
-// largest and smallest value.
+// meanAndSpread returns the mean of a column over the seeds, and the difference
+// between its largest and smallest value.
 func (o *outcome) meanAndSpread(f column) (mean, spread float64) {
 	least, most := f.value(o.Plays[0]), f.value(o.Plays[0])
 	for _, r := range o.Plays {
--- a/operate/experiment/experiment_test.go
+++ b/operate/experiment/experiment_test.go
@@ -21,7 +21,7 @@
  "kinds": [{"name": "k", "service": "s", "share": 1, "idempotent": true, "aim_ms": 300, "patience_ms": 1000,
   "work_ms": 100, "warm_gain": 0.7, "objects": 20, "retries": 1, "worth": 1, "late_worth": 0.2}]}`
 
-// execute runs the command and returns what it has printed.
+// execute runs the command and returns its output.
 func execute(args ...string) (string, error) {
 	var b bytes.Buffer
 	root := command.New("test", Command())
@@ -62,9 +62,9 @@
 	is.True(bytes.Contains(svg, []byte("<svg")))
 }
 
-// Symptom: a long experiment is played with a setting that was not meant.
-// Sequence: a misspelt mechanism, no seed, a pattern with an unknown field.
-// Cause: what was not understood was left out.
+// A misspelt mechanism, zero seeds, an unknown field of a pattern or a missing
+// file must be reported. If they were ignored, a long experiment would run with
+// settings that were not intended.
 func TestInvalidSettingsAreNamed(t *testing.T) {
 	for name, c := range map[string]struct {
 		args []string
--- a/operate/explain/explain.go
+++ b/operate/explain/explain.go
@@ -1,6 +1,7 @@
-// Package explain joins the log lines of several entry VMs into one time line
-// of a request: its own lines, and what the VMs came to believe, shortly
-// before, of the targets that it was sent to, of the store and of themselves.
+// Package explain merges the log lines of several entry VMs into the timeline
+// of one request. The timeline contains the request's own lines and earlier
+// lines about the state of its targets, of the store and of the entry VM that
+// answered it.
 package explain
 
 import (
@@ -15,7 +16,7 @@
 	"time"
 )
 
-// Line is one log line that bears on a request.
+// Line is a log line that is relevant to a request.
 type Line struct {
 	Time   time.Time      `json:"time"`
 	VM     string         `json:"vm,omitempty"`
@@ -24,26 +25,27 @@
 	Fields map[string]any `json:"fields"`
 }
 
-// Report is the time line of a request.
+// Report is the timeline of a request.
 type Report struct {
 	Request string `json:"request"`
-	Cause   string `json:"cause"` // in a sentence
+	Cause   string `json:"cause"` // why the request ended as it did, as a sentence
 	Lines   []Line `json:"lines"`
 }
 
-// lookback is how long before a request's end other lines count.
+// lookback is the time before the end of a request from which other lines are
+// included.
 const lookback = 10 * time.Second
 
-// maxLineSize bounds one log line.
+// maxLineSize is the largest size of a log line in bytes.
 const maxLineSize = 1 << 20
 
-// ErrNotFound means that no line speaks of the request. Of answered requests
-// only one in many has a line.
+// ErrNotFound means that no log line refers to the request. Only a sample of
+// the answered requests is logged.
 var ErrNotFound = errors.New("explain: no line on this request")
 
-// Read makes the report on a request from log lines. What stands before the
-// first brace of a line, such as a time or a host name, is skipped, and so are
-// lines that are not JSON.
+// Read builds the report on a request from log lines. It skips any text before
+// the first brace of a line, such as a time or a host name, and lines that are
+// not JSON. A line without a VM takes the last word of that text as its VM.
 func Read(request string, logs io.Reader) (*Report, error) {
 	all, err := parse(logs)
 	if err != nil {
@@ -87,7 +89,7 @@
 		}
 		l := Line{Fields: f, VM: stringOf(f["vm"]), Event: stringOf(f["event"]), Text: stringOf(f["msg"])}
 		if l.VM == "" {
-			l.VM = lastWord(string(s.Bytes()[:i])) // as collectors of logs prefix it
+			l.VM = lastWord(string(s.Bytes()[:i])) // the prefix that log collectors add
 		}
 		at, err := time.Parse(time.RFC3339Nano, stringOf(f["time"]))
 		if err != nil || l.Event == "" {
@@ -115,7 +117,7 @@
 	return words[len(words)-1]
 }
 
-// sends returns the sends of a request's line.
+// sends returns the attempts listed in the log line of a request.
 func sends(l Line) []map[string]any {
 	list, _ := l.Fields["sends"].([]any)
 	var out []map[string]any
@@ -133,19 +135,21 @@
 	}
 }
 
-// isQuarantineOf reports whether l tells of a quarantine of requests like own, which
-// may have begun long before.
+// isQuarantineOf reports whether l is about the quarantine of requests with the
+// fingerprint of own. The quarantine may have begun long before the request.
 func isQuarantineOf(l, own Line) bool {
 	f := stringOf(own.Fields["fingerprint"])
 	return l.Event == "quarantine" && f != "" && stringOf(l.Fields["fingerprint"]) == f && !l.Time.After(own.Time)
 }
 
-// shortlyBefore reports whether l was written shortly before the request's line.
+// shortlyBefore reports whether l was written at most lookback before the
+// request's line.
 func shortlyBefore(l, own Line) bool {
 	return !l.Time.After(own.Time) && own.Time.Sub(l.Time) <= lookback
 }
 
-// isRelevant reports whether l speaks of something that decided the request.
+// isRelevant reports whether l is about one of the request's targets, or about
+// the state of the entry VM that answered it.
 func isRelevant(l, own Line, targets map[string]bool) bool {
 	switch l.Event {
 	case "target":
@@ -156,7 +160,7 @@
 	return false
 }
 
-// namesAny reports whether a line about one target, or about many, names one of
+// namesAny reports whether a line about one or more targets names one of
 // targets.
 func namesAny(l Line, targets map[string]bool) bool {
 	if targets[stringOf(l.Fields["target"])] {
@@ -171,7 +175,7 @@
 	return false
 }
 
-// cause says in a sentence why a request ended as it did.
+// cause returns a sentence on why a request ended as it did.
 func cause(l Line) string {
 	why, v := stringOf(l.Fields["reason"]), stringOf(l.Fields["verdict"])
 	n := len(sends(l))
@@ -207,7 +211,7 @@
 	}
 }
 
-// detailFields are the fields that details shows, in this order.
+// detailFields lists the fields that details prints, in this order.
 var detailFields = []string{
 	"status", "verdict", "reason", "took_ms", "patience_ms", "retry_after_ms", "config", "store_age_ms",
 	"store_reached", "target", "registered", "draining", "gone", "cold_ms", "version", "revision", "domain", "begin",
--- a/operate/explain/explain_test.go
+++ b/operate/explain/explain_test.go
@@ -30,7 +30,7 @@
 	for _, l := range r.Lines {
 		got = append(got, l.VM+" "+l.Event)
 	}
-	// Not vm-a's store, not another target, and nothing from after the end.
+	// Excluded: the store of vm-a, other targets, and lines after the end.
 	is.Equal(got, []string{"vm-a target", "vm-b store", "vm-b request"})
 	var b bytes.Buffer
 	Print(&b, r)
@@ -46,10 +46,9 @@
 	is.True(errors.Is(err, ErrNotFound))
 }
 
-// Symptom: a request was lost with its target, and nothing says that the target
-// had left.
-// Sequence: many targets leave at once, in one line for all of them.
-// Cause: lines were matched by the one target that they name.
+// When many targets leave at once, one line names all of them. It must be part
+// of the report on a request that was lost with one of these targets; it was
+// missed when lines were matched by their single target field only.
 func TestReadIncludesLineAboutManyTargets(t *testing.T) {
 	is := is.New(t)
 	logs := strings.Replace(testLogs, `{"event":"target","level":"info","msg":"ejected","target":"t9"`,
@@ -59,8 +58,8 @@
 	is.Equal(r.Lines[2].Text, "registrations changed")
 }
 
-// The caller of a request that is kept away complains, and the lines that say
-// why are hours old.
+// A request may be refused because of a quarantine that began hours before; the
+// report must include the line about it.
 func TestReadIncludesQuarantineOfRefusedRequest(t *testing.T) {
 	is := is.New(t)
 	logs := `vm-a {"event":"quarantine","level":"warning","msg":"request is kept away from targets, as it ends them","fingerprint":"f1","route":"r","time":"2026-01-01T00:00:01Z"}
--- a/operate/render/conflict.go
+++ b/operate/render/conflict.go
@@ -12,7 +12,7 @@
 	"github.com/azurethread/azurethread/serve/admin"
 )
 
-// Conflict prints both versions of an entry side by side, a row for every
+// Conflict prints both versions of an entry side by side, with a row for every
 // field in which they differ.
 func Conflict(w io.Writer, c admin.Conflict) {
 	yours, current := flatten(c.Yours), flatten(c.Current)
@@ -47,7 +47,8 @@
 	return out
 }
 
-// flatten returns what operators write of a version, as text by dotted path.
+// flatten returns the fields of a version that operators write, as text by
+// dotted path.
 func flatten(v *admin.Version) map[string]string {
 	out := map[string]string{}
 	switch {
@@ -65,8 +66,8 @@
 	return out
 }
 
-// flattenInto takes the JSON form apart; it is the form that operators know from
-// their files. These types always encode to an object.
+// flattenInto adds the fields of v by their JSON names, which operators know
+// from their entry files. v must encode to a JSON object.
 func flattenInto(out map[string]string, prefix string, v any) {
 	raw, err := json.Marshal(v)
 	if err != nil {
@@ -85,7 +86,7 @@
 	}
 }
 
-// unquote returns text without its quotes, and anything else as it is.
+// unquote returns the value of a JSON string, and any other value as it is.
 func unquote(x json.RawMessage) string {
 	var s string
 	if json.Unmarshal(x, &s) == nil {
--- a/operate/render/doc.go
+++ b/operate/render/doc.go
@@ -1,3 +1,3 @@
-// Package render prints what the administration API answers, as tables for
-// people or as JSON for programs.
+// Package render prints responses of the administration API as tables or as
+// JSON.
 package render
--- a/operate/render/render.go
+++ b/operate/render/render.go
@@ -18,7 +18,8 @@
 // JSON prints v as one line of JSON.
 func JSON(w io.Writer, v any) error { return json.NewEncoder(w).Encode(v) }
 
-// NewTable returns a plain table, which also reads well in a pipe.
+// NewTable returns a table without borders, so that its output is also readable
+// in a pipe.
 func NewTable(w io.Writer, header ...any) table.Writer {
 	t := table.NewWriter()
 	t.SetOutputMirror(w)
@@ -33,13 +34,13 @@
 	return t
 }
 
-// Percent writes a share as a percentage.
+// Percent formats a share as a percentage.
 func Percent(s catalogue.Share) string {
 	return fmt.Sprintf("%.2f%%", float64(s)*100/catalogue.ShareUnit)
 }
 
-// orAll writes an empty name as "all", which is what it stands for in the
-// service and receiver of a shift.
+// orAll returns "all" for an empty name, which is its meaning in the service
+// and the receiving region of a shift.
 func orAll[T ~string](s T) string {
 	if s == "" {
 		return "all"
@@ -94,7 +95,8 @@
 	t.Render()
 }
 
-// Shift prints all of one traffic shift, its limits with their defaults.
+// Shift prints all fields of a traffic shift. Limits that are not set are shown
+// with their defaults.
 func Shift(w io.Writer, s catalogue.Shift) {
 	l := s.Limits.WithDefaults()
 	t := NewTable(w)
@@ -122,7 +124,7 @@
 	t.Render()
 }
 
-// Status prints what one entry VM knows of the system.
+// Status prints the state of the system as one entry VM knows it.
 func Status(w io.Writer, s admin.Status) {
 	t := NewTable(w)
 	t.AppendRows([]table.Row{
@@ -188,7 +190,7 @@
 	t.Render()
 }
 
-// Lookup prints the answer of a look-up.
+// Lookup prints the result of a look-up.
 func Lookup(w io.Writer, l client.Lookup) {
 	fmt.Fprintf(w, "home %s, steered to %s, shift %s, keep for %s\n",
 		orDash(l.Home), orDash(l.Region), orDash(l.Shift), time.Duration(l.TTLMs)*time.Millisecond)
--- a/operate/render/svg.go
+++ b/operate/render/svg.go
@@ -6,7 +6,7 @@
 
 	"gonum.org/v1/plot"
 	"gonum.org/v1/plot/vg"
-	_ "gonum.org/v1/plot/vg/vgsvg" // registers the format
+	_ "gonum.org/v1/plot/vg/vgsvg" // registers the SVG format
 )
 
 // The size of a plot.
@@ -26,7 +26,7 @@
 		return fmt.Errorf("plot: %w", err)
 	}
 	if _, err := w.WriteTo(f); err != nil {
-		_ = f.Close() // the write's error is the one to report
+		_ = f.Close() // the error of the write is reported
 		return fmt.Errorf("plot %s: %w", path, err)
 	}
 	if err := f.Close(); err != nil {
