--- a/operate/capacity/bench.go
+++ b/operate/capacity/bench.go
@@ -10,11 +10,11 @@
 	"github.com/azurethread/azurethread/decide/steer/slope"
 )
 
-// Files whose names end in .txt are the output of Go benchmarks, after the
+// Files whose names end in .txt contain the output of Go benchmarks after the
 // lines "date: YYYY-MM-DD" and "command: ...". Each metric of a benchmark
-// becomes a point of the series "<metric>/<what the benchmark varies>".
+// becomes a point of the series "<metric>/<size that the benchmark varies>".
 
-// metric is what a unit of a benchmark stands for.
+// metric describes the series for a unit of a benchmark.
 type metric struct {
 	name, title, unit string
 }
@@ -40,20 +40,20 @@
 	"burst-calls/s":         {"config-burst-calls", "calls to the platform in a burst, all daemons", "/s"},
 }
 
-// The benchmarks whose metric is their own duration.
+// The benchmarks whose metric is their duration.
 const (
 	stepGroup = "BenchmarkStep" // one event of the configuration's reducer
 	planGroup = "BenchmarkPlan" // one evaluation of all shifts
 )
 
-// The other benchmarks whose arguments are sizes.
+// The other benchmarks, whose arguments are sizes.
 const (
-	domainGroup   = "BenchmarkOneDomain"          // daemons of one domain, in fake time
-	baselineGroup = "BenchmarkEveryDaemonWatches" // daemons that are a domain each
+	domainGroup   = "BenchmarkOneDomain"          // daemons of one domain, in simulated time
+	baselineGroup = "BenchmarkEveryDaemonWatches" // daemons that are each a domain
 	spreadGroup   = "BenchmarkSpread"             // real daemons in six domains
 )
 
-// parseBenchmarks reads the output of benchmarks.
+// parseBenchmarks parses the output of benchmarks.
 func parseBenchmarks(text []byte) ([]slope.Series, error) {
 	var all []slope.Series
 	date, command := "", ""
@@ -79,8 +79,8 @@
 	return all, lines.Err()
 }
 
-// parseBenchmarkLine reads one line of results: a name, the number of runs, and pairs
-// of value and unit. Other lines give nothing.
+// parseBenchmarkLine parses a line of results: a name, the number of runs, and
+// pairs of value and unit. It returns nothing for other lines.
 func parseBenchmarkLine(fields []string) ([]slope.Series, error) {
 	if len(fields) < 4 || !strings.HasPrefix(fields[0], "Benchmark") {
 		return nil, nil
@@ -109,8 +109,8 @@
 	return out, nil
 }
 
-// cutCores splits a benchmark's name from the number of cores that follows it
-// where that isn't 1.
+// cutCores splits the number of cores from a benchmark's name. The name of a
+// run on one core has no such suffix.
 func cutCores(name string) (string, int) {
 	i := strings.LastIndexByte(name, '-')
 	if i < 0 {
@@ -123,11 +123,12 @@
 	return name[:i], n
 }
 
-// baseline is a fleet without readers; only its calls are of interest.
+// baseline is a fleet without readers, in which every daemon watches the
+// platform; only its calls are used.
 const baseline = "baseline"
 
-// metricOf returns the metric of a unit; durations count only where they are
-// what the benchmark is for.
+// metricOf returns the metric of a unit. A duration is a metric only of the
+// benchmarks that measure it.
 func metricOf(group, arg, unit string) (metric, bool) {
 	const duration = "ns/op"
 	switch {
@@ -141,8 +142,8 @@
 	}
 }
 
-// variedSize returns what a benchmark varies and its value there; it returns ""
-// for those that the page has no use for.
+// variedSize returns the size that a benchmark varies and its value. It returns
+// "" for benchmarks that the model does not use.
 func variedSize(group, arg string) (varied string, x float64, label string) {
 	if group == stepGroup {
 		return "once", 1, "event"
@@ -168,7 +169,7 @@
 	}
 }
 
-// appendPoints adds the points of s to the series of its name.
+// appendPoints adds the points of s to the series with its name.
 func appendPoints(all []slope.Series, s slope.Series) []slope.Series {
 	for i := range all {
 		if all[i].Name == s.Name {
--- a/operate/capacity/capacity_test.go
+++ b/operate/capacity/capacity_test.go
@@ -13,10 +13,10 @@
 	"github.com/azurethread/azurethread/decide/steer/slope"
 )
 
-// docs is the folder of the committed page and series.
+// docs is the directory of the published page and series.
 const docs = "../../docs"
 
-// The page's tables lie between these lines.
+// The page has the tables between these lines.
 const (
 	beginMark = "<!-- azurethread capacity: begin -->\n"
 	endMark   = "<!-- azurethread capacity: end -->\n"
@@ -33,7 +33,8 @@
 	return out.String(), err
 }
 
-// To make the page again, put the command's output between the marks.
+// To update the page, replace the text between the marks by the command's
+// output.
 func TestPageIsTheCommandsOutput(t *testing.T) {
 	is := is.New(t)
 	page, err := os.ReadFile(filepath.Join(docs, "CAPACITY.md"))
@@ -74,7 +75,7 @@
 	is.Equal(filesOf(is, filepath.Join(docs, "capacity"), ".svg"), want)
 }
 
-// filesOf returns the content of the files of a folder by name.
+// filesOf returns the content of the files in a folder by name.
 func filesOf(is *is.I, folder, suffix string) map[string]string {
 	names, err := filepath.Glob(filepath.Join(folder, "*"+suffix))
 	is.NoErr(err)
@@ -115,8 +116,8 @@
 	is.True(!ok)
 }
 
-// Pattern: fleets of three sizes. What is zero at one of them has no power; it is
-// shown as measured there, and nowhere else.
+// A series with a zero value has no power law. It has figures at its measured
+// sizes only.
 func TestFitOfPowerSeries(t *testing.T) {
 	is := is.New(t)
 	grows := line("sweep-bytes/vms", func(x float64) float64 { return 3 * math.Pow(x, 1.2) }, 30, 99, 301)
@@ -151,8 +152,8 @@
 	is.Equal(m.at("table/blocks", 5).plus(m.at("absent", 5)).basis, notMeasured)
 }
 
-// Symptom: the page shows a comfortable margin for something nobody measured.
-// Sequence: a series is missing. Cause: its figure must not pass for zero.
+// The figure of a missing series must not be taken for zero: the page would show
+// a large margin for something that was never measured.
 func TestMissingSeriesHasNoFigure(t *testing.T) {
 	is := is.New(t)
 	r := row{quantity: "x", figure: newModel(PlannedSizes, nil).at("absent", 1), unit: unitBytes, bound: 5}
@@ -192,7 +193,7 @@
 		"no file":       {[]string{"--slopes", file + "x"}, "", "no such file"},
 		"no JSON":       {[]string{"--slopes", file}, "{", "unexpected end"},
 		"no points":     {[]string{"--slopes", file}, `{"series":[{"name":"a"}]}`, "no points"},
-		"twice":         {[]string{"--slopes", file + "," + file}, `{"series":[{"name":"a","points":[{"x":1,"y":1}]}]}`, "there twice"},
+		"twice":         {[]string{"--slopes", file + "," + file}, `{"series":[{"name":"a","points":[{"x":1,"y":1}]}]}`, `duplicate series "a"`},
 		"word as point": {[]string{"--slopes", file}, `[{"name":1}]`, "points of a fleet"},
 	}
 	for name, c := range cases {
--- a/operate/capacity/control.go
+++ b/operate/capacity/control.go
@@ -7,9 +7,9 @@
 	"github.com/azurethread/azurethread/decide/steer/slope"
 )
 
-// fleetPoint is a measurement of control traffic at one size of the fleet, as
-// the benchmark of serve/peer writes them: several costs at one point, with
-// several sizes of which each group of points varies one.
+// fleetPoint is a measurement of control traffic in one fleet, as written by
+// the benchmark of serve/peer: several costs of a fleet that has several sizes.
+// Each group of points varies one of these sizes.
 type fleetPoint struct {
 	Name string `json:"name"` // the size that is varied, or the name of a single point
 	X    struct {
@@ -31,7 +31,8 @@
 
 const fleetPointsCommand = "AZURETHREAD_CAPACITY_MEMBER=$PWD/docs/capacity/member.json go test -cpu 1 -run TestCapacityPoints -timeout 30m ./serve/peer"
 
-// parseFleetPoints splits such points into series named "<cost>/<varied size>".
+// parseFleetPoints parses fleet points and returns them as series named
+// "<cost>/<varied size>".
 func parseFleetPoints(text []byte) ([]slope.Series, error) {
 	var points []fleetPoint
 	if err := json.Unmarshal(text, &points); err != nil {
--- a/operate/capacity/data.go
+++ b/operate/capacity/data.go
@@ -13,12 +13,13 @@
 	"github.com/azurethread/azurethread/decide/steer/slope"
 )
 
-// embeddedFiles holds copies of the series in docs/capacity; a test keeps them equal.
+// embeddedFiles holds copies of the series in docs/capacity; a test compares
+// them.
 //
 //go:embed data
 var embeddedFiles embed.FS
 
-// embeddedSeries returns the series that came with the program.
+// embeddedSeries returns the series that are built into the program.
 func embeddedSeries() ([]slope.Series, error) {
 	names, err := fs.Glob(embeddedFiles, "data/*")
 	if err != nil {
@@ -52,8 +53,9 @@
 	return all, nil
 }
 
-// appendSeries decodes a file and refuses series that are empty or stand in
-// two files, of which one would silently win.
+// appendSeries decodes a file and appends its series. It rejects empty series,
+// and series that are already present: one of the two would silently replace
+// the other.
 func appendSeries(all []slope.Series, name string, text []byte) ([]slope.Series, error) {
 	series, err := decodeSeries(name, text)
 	if err != nil {
@@ -64,7 +66,7 @@
 			return nil, fmt.Errorf("capacity: %s: series %q has no name or no points", name, s.Name)
 		}
 		if slices.ContainsFunc(all, func(o slope.Series) bool { return o.Name == s.Name }) {
-			return nil, fmt.Errorf("capacity: %s: series %q is there twice", name, s.Name)
+			return nil, fmt.Errorf("capacity: %s: duplicate series %q", name, s.Name)
 		}
 		all = append(all, s)
 	}
@@ -72,7 +74,8 @@
 	return all, nil
 }
 
-// decodeSeries reads a slope.File, a list of fleet points, or output of benchmarks.
+// decodeSeries decodes a slope.File, a list of fleet points, or the output of
+// benchmarks.
 func decodeSeries(name string, text []byte) ([]slope.Series, error) {
 	if strings.HasSuffix(name, ".txt") {
 		return parseBenchmarks(text)
--- a/operate/capacity/fit.go
+++ b/operate/capacity/fit.go
@@ -11,32 +11,32 @@
 	"github.com/azurethread/azurethread/decide/steer/slope"
 )
 
-// minPoints is the least number of points that a line is fitted to. A power is
-// fitted to minPowerPoints: a play at each size of a fleet takes minutes, and
-// between two sizes lies a factor of three.
+// minPoints is the least number of points for fitting a line. A power law needs
+// only minPowerPoints, because a simulated run at each size of a fleet takes
+// minutes, and successive sizes differ by a factor of three.
 const (
 	minPoints      = 4
 	minPowerPoints = 3
 )
 
-// fit is a straight line through a series: y = offset + slope * scale(x), or a
-// power: y = offset * x^slope.
+// fit is a line fitted to a series, y = offset + slope * scale(x), or a power
+// law, y = offset * x^slope.
 type fit struct {
 	series   slope.Series
 	scale    scale
 	offset   float64
 	slope    float64
-	residual float64 // largest deviation of a point, as a share of its value
+	residual float64 // largest relative deviation of the fit from a point
 }
 
-// scale is how a cost follows the size.
+// scale is the function of the size that a cost is proportional to.
 type scale string
 
 const (
 	linear      scale = "x"
-	logarithmic scale = "log2 x" // searches, which halve the rest at each step
-	quadratic   scale = "x^2"    // each shift looks through the figures of all
-	power       scale = "power"  // fleets of sizes that differ by multiples
+	logarithmic scale = "log2 x" // binary searches
+	quadratic   scale = "x^2"    // each shift searches the figures of all shifts
+	power       scale = "power"  // fleets whose sizes differ by a constant factor
 )
 
 func (s scale) apply(x float64) float64 {
@@ -57,7 +57,7 @@
 	"plan/shifts":   quadratic,
 }
 
-// sweepPrefix begins the names of series over whole fleets.
+// sweepPrefix is the prefix of the names of series over whole fleets.
 const sweepPrefix = "sweep-"
 
 func scaleOf(name string) scale {
@@ -70,7 +70,7 @@
 	return linear
 }
 
-// newFit fits a series. It reports false for one that can't be fitted.
+// newFit fits a series. It returns false if the series cannot be fitted.
 func newFit(s slope.Series) (fit, bool) {
 	f := fit{series: s, scale: scaleOf(s.Name)}
 	fitted := false
@@ -88,8 +88,8 @@
 	return f, true
 }
 
-// fitLine fits by least squares of the relative deviations, so that the points
-// at small sizes count as much as those at large ones.
+// fitLine minimizes the squares of the relative deviations, so that points at
+// small sizes have the same weight as points at large ones.
 func (f *fit) fitLine() bool {
 	if len(f.series.Points) < minPoints {
 		return false
@@ -104,7 +104,8 @@
 	return true
 }
 
-// fitPower fits a line through the logarithms; there is none of zero.
+// fitPower fits a line to the logarithms. It fails if a value is zero, which
+// has no logarithm.
 func (f *fit) fitPower() bool {
 	if len(f.series.Points) < minPowerPoints {
 		return false
@@ -130,7 +131,7 @@
 	return math.Max(0, f.offset+f.slope*f.scale.apply(x))
 }
 
-// String is the fit as a formula.
+// String returns the fit as a formula.
 func (f fit) String() string {
 	if f.scale == power {
 		return fmt.Sprintf("%.3g * x^%.2f %s", f.offset, f.slope, f.series.Unit)
@@ -138,12 +139,12 @@
 	return fmt.Sprintf("%.3g + %.3g * %s %s", f.offset, f.slope, f.scale, f.series.Unit)
 }
 
-// sizeTolerance is how close, as a share, a size must be to a measured one to count as
-// the same: far less than the residuals, and sizes such as members of a domain
-// are not whole numbers.
+// sizeTolerance is the relative difference up to which a size counts as equal
+// to a measured one. Sizes such as members of a domain are not whole numbers,
+// so a tolerance is needed; it is far below the residuals.
 const sizeTolerance = 0.01
 
-// pointAt returns the measurement of a series at x, if there is one.
+// pointAt returns the measurement of a series at x, if any.
 func pointAt(s slope.Series, x float64) (float64, bool) {
 	for _, p := range s.Points {
 		if math.Abs(p.X-x) <= sizeTolerance*p.X {
@@ -153,7 +154,7 @@
 	return 0, false
 }
 
-// covers reports whether x lies within the measured sizes.
+// covers reports whether x is within the range of the measured sizes.
 func (f fit) covers(x float64) bool {
 	least, most := f.sizeRange()
 	return x >= least && x <= most
--- a/operate/capacity/fleet.go
+++ b/operate/capacity/fleet.go
@@ -1,14 +1,15 @@
 package capacity
 
-// What entry VMs on the users' platform have. Readers of the store and
-// coordinators are among the strong ones.
+// The resources of entry VMs on the users' platform, which has large and small
+// VMs. Readers of the store and coordinators are large ones.
 const (
-	strongVMLink  = 200e6 / 8 // bytes a second, of the strong ones
-	smallVMMemory = 184e6     // bytes, of the small ones
+	largeVMLink   = 200e6 / 8 // bytes a second, of a large VM
+	smallVMMemory = 184e6     // bytes, of a small VM
 )
 
-// fleet is what a whole fleet on the users' platform needs: plays of one day at
-// several sizes, with ten targets for each entry VM and as many callers.
+// fleet returns the needs of a whole fleet on the users' platform. They were
+// measured in simulated runs of one day at several sizes, with ten targets for
+// each entry VM and as many callers.
 func (m *model) fleet() role {
 	at := func(kind string) figure { return m.at(sweepPrefix+kind+"/vms", float64(m.sizes.Daemons)) }
 	return role{
@@ -17,7 +18,7 @@
 		rows: []row{
 			{"processor, of its share", at("processor").scaled(1e-2), unitShare, 0, "decisions cost the same at any size (decide/ingress)"},
 			{"memory", at("memory").scaled(1e6), unitBytes, smallVMMemory, "one copy of the store's keys"},
-			{"traffic, callers' requests included", at("bytes").scaled(1e3), unitBytesPS, strongVMLink,
+			{"traffic, callers' requests included", at("bytes").scaled(1e3), unitBytesPS, largeVMLink,
 				"readers pass on copies, compressed, to their failure domain (serve/ingress)"},
 			{"connections", at("connections"), unitCount, 0, "callers, targets and other entry VMs"},
 			{"calls to the store, all entry VMs, in the day", at("store-calls"), unitCount, 0, "three readers in a region; renewals"},
--- a/operate/capacity/http_test.go
+++ b/operate/capacity/http_test.go
@@ -36,16 +36,16 @@
 
 const httpCommand = "go test -run TestWriteHTTPLookups ./operate/capacity -http-lookups docs/capacity/http.json"
 
-// fleetEnv makes the test binary run entry VMs with this file of blocks
-// instead of tests, so that their processor time is counted apart from the
-// callers'.
+// fleetEnv names a file of client blocks. If it is set, the test binary runs
+// entry VMs instead of tests, so that their processor time is measured
+// separately from that of the callers.
 const fleetEnv = "AZURETHREAD_CAPACITY_FLEET"
 
-// readyPrefix begins the line with the address to ask.
+// readyPrefix is the prefix of the line with the address for look-ups.
 const readyPrefix = "ready"
 
-// The fleet and the load of the measurement: the entry VMs of today, one of
-// which is asked.
+// The fleet and the load of the measurement. The fleet has as many entry VMs as
+// the users have now; callers send look-ups to one of them.
 const (
 	httpVMs      = 8
 	httpRegions  = 4
@@ -53,7 +53,7 @@
 	httpDuration = 5 * time.Second
 	httpRuns     = 5
 	httpBlocks   = 2_300_000
-	// startTimeout bounds the wait for entry VMs to know each other.
+	// startTimeout is the longest time for the entry VMs to discover each other.
 	startTimeout = time.Minute
 	// clockTick is the unit of processor time in /proc, USER_HZ of Linux.
 	clockTick = 10 * time.Millisecond
@@ -70,8 +70,8 @@
 	os.Exit(m.Run())
 }
 
-// runFleet runs entry VMs until stdin ends, and prints the address of the one
-// to ask once all know each other.
+// runFleet runs entry VMs until stdin ends. Once the first one is ready and has
+// discovered the others, runFleet prints its address for look-ups.
 func runFleet(blocks string) error {
 	p := platform.New(platform.Options{})
 	if err := p.Start("127.0.0.1:0"); err != nil {
@@ -111,7 +111,7 @@
 	return err
 }
 
-// httpFleet spreads the entry VMs over regions of two failure domains.
+// httpFleet returns entry VMs distributed over regions of two failure domains.
 func httpFleet() ([]fleet.VM, error) {
 	var vms []fleet.VM
 	for i := range httpVMs {
@@ -153,9 +153,9 @@
 	return daemon.Start(set, p.Store(), log)
 }
 
-// TestWriteHTTPLookups measures how many look-ups a core answers: the
-// processor time of a process of entry VMs on one core, while callers ask one
-// of them, less what it takes at rest.
+// TestWriteHTTPLookups measures how many look-ups a core answers. It divides
+// the number of look-ups by the processor time that a process of entry VMs on
+// one core uses for them, less the time that it uses at rest.
 func TestWriteHTTPLookups(t *testing.T) {
 	if *httpPath == "" {
 		t.Skip("measures only with -http-lookups FILE")
@@ -182,7 +182,7 @@
 	if t.Failed() {
 		return
 	}
-	slices.Sort(all) // the median counts
+	slices.Sort(all) // the result is the median
 	text, err := json.MarshalIndent(slope.File{Series: []slope.Series{{
 		Name: "http-lookups/once", Title: "HTTP look-ups per second of processor time, 8 entry VMs, 2.3 M blocks", Unit: "/s", X: "entry VM",
 		Points: []slope.Point{{X: 1, Y: all[len(all)/2]}}, Command: httpCommand, Cores: 1, Date: time.Now().UTC().Format(time.DateOnly),
@@ -192,7 +192,7 @@
 	}
 	path := *httpPath
 	if !filepath.IsAbs(path) {
-		path = filepath.Join("..", "..", path) // tests run in their own folder
+		path = filepath.Join("..", "..", path) // tests run in the folder of their package
 	}
 	if err := os.WriteFile(path, append(text, '\n'), 0o644); err != nil {
 		t.Fatal(err)
@@ -240,8 +240,8 @@
 	return 0, ""
 }
 
-// measureLookups sends look-ups from all callers for a while and returns how many were
-// answered. Any other answer fails the test.
+// measureLookups sends look-ups from all callers for httpDuration and returns
+// how many were answered. A failed look-up fails the test.
 func measureLookups(t *testing.T, urls []string) int64 {
 	tr := &http.Transport{MaxIdleConnsPerHost: httpCallers}
 	defer tr.CloseIdleConnections()
--- a/operate/capacity/model.go
+++ b/operate/capacity/model.go
@@ -6,18 +6,18 @@
 	"github.com/azurethread/azurethread/decide/steer/slope"
 )
 
-// basis says where a figure comes from.
+// basis is how a figure was obtained.
 type basis string
 
 const (
 	measured     basis = "measured"     // by a run at this size
-	fitted       basis = "fitted"       // by the line, within the measured sizes
-	extrapolated basis = "extrapolated" // the line is used beyond them
+	fitted       basis = "fitted"       // by the fit, within the measured sizes
+	extrapolated basis = "extrapolated" // by the fit, beyond the measured sizes
 	derived      basis = "derived"      // arithmetic on sizes, settings and measured figures
 	notMeasured  basis = "not measured" // its series is missing
 )
 
-// weakerBasis returns the basis of a figure made of two others.
+// weakerBasis returns the basis of a figure that is calculated from two others.
 func weakerBasis(a, b basis) basis {
 	order := []basis{measured, fitted, derived, extrapolated, notMeasured}
 	for i := len(order) - 1; i >= 0; i-- {
@@ -34,7 +34,7 @@
 	basis basis
 }
 
-// arithmetic returns a figure that follows from sizes and settings.
+// arithmetic returns a figure calculated from sizes and settings.
 func arithmetic(v float64) figure { return figure{v, derived} }
 
 func (f figure) times(g figure) figure {
@@ -47,10 +47,11 @@
 // scaled changes the unit of f.
 func (f figure) scaled(by float64) figure { return figure{f.value * by, f.basis} }
 
-// timesValue returns f times a rate or number that follows from sizes.
+// timesValue returns f times a rate or number calculated from sizes.
 func (f figure) timesValue(n float64) figure { return f.times(arithmetic(n)) }
 
-// inverse returns 1/f; what is not measured stays so.
+// inverse returns 1/f. If f is zero, as it is without a measurement, the
+// result counts as not measured.
 func (f figure) inverse() figure {
 	if f.value == 0 {
 		return figure{basis: notMeasured}
@@ -58,7 +59,7 @@
 	return figure{1 / f.value, f.basis}
 }
 
-// unit is how a figure is shown.
+// unit is the unit in which a figure is printed.
 type unit string
 
 const (
@@ -77,11 +78,11 @@
 	quantity  string
 	figure    figure
 	unit      unit
-	bound     float64 // 0: none is set
+	bound     float64 // 0 if there is none
 	mechanism string
 }
 
-// margin is the bound in multiples of the figure, or 0 where there is none.
+// margin returns the bound divided by the figure, or 0 if either is missing.
 func (r row) margin() float64 {
 	if r.bound == 0 || r.figure.value == 0 || r.figure.basis == notMeasured {
 		return 0
@@ -89,7 +90,7 @@
 	return r.bound / r.figure.value
 }
 
-// role is a part of the system and what it needs.
+// role is a part of the system with its needs.
 type role struct {
 	name string
 	note string
@@ -114,8 +115,8 @@
 	return m
 }
 
-// at returns the figure of a series at size x: the measured one where there is
-// one, and otherwise the line's, if the series has one.
+// at returns the figure of a series at size x: the measured value if there is
+// one, and otherwise the value of the fit, if the series has one.
 func (m *model) at(name string, x float64) figure {
 	if y, ok := pointAt(m.series[name], x); ok {
 		return figure{y, measured}
@@ -130,8 +131,8 @@
 	return figure{f.at(x), extrapolated}
 }
 
-// atSinglePoint returns the figure of a series of a single point; it counts as
-// measured only at the size of that point.
+// atSinglePoint returns the figure of a series with a single point. At any
+// other size than that of the point it is extrapolated in proportion.
 func (m *model) atSinglePoint(name string, x float64) figure {
 	s, ok := m.series[name]
 	if !ok {
@@ -144,7 +145,7 @@
 	return figure{p.Y * x / p.X, extrapolated}
 }
 
-// format writes a figure with its unit.
+// format formats a value with the row's unit.
 func (r row) format(v float64) string {
 	switch r.unit {
 	case unitBytes, unitBytesPS:
--- a/operate/capacity/plan_test.go
+++ b/operate/capacity/plan_test.go
@@ -15,9 +15,9 @@
 // planServices is the number of services that each shift moves.
 const planServices = 3
 
-// BenchmarkPlan measures one evaluation of running shifts on new evidence,
-// which a runner makes once a second; every shift moves all services of one
-// region to the next.
+// BenchmarkPlan measures one evaluation of the running shifts on new evidence,
+// which a runner makes once a second. Every shift moves all services of one
+// region to the next one.
 func BenchmarkPlan(b *testing.B) {
 	for _, n := range []int{2, 4, 8, 16, 32, 64} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/operate/capacity/plot.go
+++ b/operate/capacity/plot.go
@@ -11,12 +11,12 @@
 	"github.com/azurethread/azurethread/operate/render"
 )
 
-// legendMargin is how far the vertical axis goes beyond the values, so that the
-// legend hides none.
+// legendMargin is the factor by which the vertical axis is extended, so that
+// the legend covers no values.
 const legendMargin = 1.3
 
-// plotSpec is one plot: measured points and fitted lines of some series that
-// share their axes.
+// plotSpec describes a plot of the measured points and the fits of series that
+// have the same axes.
 type plotSpec struct {
 	file   string
 	title  string
@@ -32,7 +32,7 @@
 	{"sweep-memory.svg", "Memory of an entry VM on the users' platform", []string{"sweep-memory/vms"}},
 }
 
-// plot writes the figures whose series are there.
+// plot writes the plots for which a series was fitted.
 func (m *model) plot(folder string) error {
 	for _, f := range plotSpecs {
 		p := plot.New()
@@ -58,7 +58,7 @@
 	return nil
 }
 
-// draw adds the points and the line of a series to p.
+// draw adds the points and the fit of a series to p.
 func draw(p *plot.Plot, f fit, i int) error {
 	p.X.Label.Text, p.Y.Label.Text = f.series.X, f.series.Unit
 	p.Y.Min = 0
--- a/operate/capacity/render.go
+++ b/operate/capacity/render.go
@@ -100,7 +100,8 @@
 // smallestMarginRows is how many rows the table of the smallest margins shows.
 const smallestMarginRows = 5
 
-// smallestMarginsTable lists what breaks first: the rows with the smallest margins.
+// smallestMarginsTable lists the rows with the smallest margins, which limit
+// growth first.
 func smallestMarginsTable(b *strings.Builder, roles []role) {
 	type named struct {
 		role string
@@ -132,7 +133,7 @@
 	renderTable(b, t)
 }
 
-// fitsTable lists the fitted lines.
+// fitsTable lists the fits.
 func (m *model) fitsTable(b *strings.Builder) {
 	b.WriteString("\n### Measured slopes\n\nLeast squares of relative deviations, of logarithms for powers; the residual is the largest deviation of a point.\n\n")
 	t := newTable("series", "measures", "range", "points", "line", "residual", "cores", "date")
@@ -151,7 +152,8 @@
 	renderTable(b, t)
 }
 
-// singlePointTable lists what was measured at one size only.
+// singlePointTable lists the series without a fit, most of them measured at one
+// size only.
 func (m *model) singlePointTable(b *strings.Builder) {
 	b.WriteString("\n### Measured at one size\n\n")
 	t := newTable("series", "measures", "at", "value", "cores", "date")
@@ -171,7 +173,8 @@
 	}
 }
 
-// orDash shows what a file does not state as a dash.
+// orDash returns a dash for a zero value, which means that a file does not
+// state it.
 func orDash[T comparable](v T) any {
 	var unknown T
 	if v == unknown {
@@ -197,7 +200,7 @@
 	return names
 }
 
-// commands returns the commands that measure the series, each once.
+// commands returns the commands that measured the series, without duplicates.
 func (m *model) commands() []string {
 	var out []string
 	for _, s := range m.series {
--- a/operate/capacity/roles.go
+++ b/operate/capacity/roles.go
@@ -1,27 +1,27 @@
 package capacity
 
-// The bounds that the users have set.
+// The bounds set by the users, and the goals set by the project.
 const (
-	boundCore    = 0.048 // of a core, for a daemon's control
-	boundMemory  = 256e6 // bytes, for a daemon's control
-	boundTraffic = 3000  // bytes a second, for a daemon's control
-	boundInForce = 3.0   // seconds from accepted to in force everywhere
-	goalResident = 128e6 // bytes, the project's own goal for the table
-	goalLookup   = 1e-6  // seconds, the project's own goal for a decision
-	goalJoin     = 2.0   // seconds, the project's own goal for a cold start
+	boundCore    = 0.048 // of a core, for the control of a daemon
+	boundMemory  = 256e6 // bytes, for the control of a daemon
+	boundTraffic = 3000  // bytes a second, for the control of a daemon
+	boundInForce = 3.0   // seconds from accepted to in force on all entry VMs
+	goalResident = 128e6 // bytes, for the table of client blocks
+	goalLookup   = 1e-6  // seconds, for a look-up decision
+	goalJoin     = 2.0   // seconds, for a cold start
 )
 
-// What the platform's service takes: the users say "several hundred" writes
-// and "about two thousand" reads a second.
+// The rates that the platform's service can handle. The users state "several
+// hundred" writes and "about two thousand" reads a second.
 const (
 	platformReads  = 2000
 	platformWrites = 300
 )
 
-// What is assumed, since one machine can't show it.
+// Assumptions, which cannot be measured on one machine.
 const (
 	leaseInterval   = 5.0  // seconds between two renewals of a duty's lease
-	writesPerChange = 2.0  // of an operator: the catalogue, and a retry after a conflict
+	writesPerChange = 2.0  // for a change by an operator: the catalogue, and a retry after a conflict
 	weightInterval  = 25.0 // seconds between two steps of a weight (steer.Settle)
 )
 
@@ -29,15 +29,16 @@
 	return []role{m.entryVM(), m.reader(), m.shiftRunner(), m.platform(), m.callers(), m.churn(), m.fleet()}
 }
 
-// The fleet at which control was measured as a whole.
+// The sizes of the fleet in which all control was measured at once.
 const (
 	measuredMembers = 43
 	measuredDomains = 77
 	measuredRegions = 22
 )
 
-// controlCost returns a cost of a daemon's control: the one measured at the
-// letter's fleet, moved along those slopes that were measured to the asked one.
+// controlCost returns a cost of a daemon's control traffic: the cost measured
+// in the fleet of the planned sizes, adjusted to the requested sizes by the
+// slopes that were measured.
 func (m *model) controlCost(kind string) figure {
 	f := m.atSinglePoint(kind+"/letter", measuredMembers)
 	s := m.sizes
@@ -49,7 +50,7 @@
 		{"domains", float64(s.Domains), measuredDomains},
 		{"regions", float64(s.Regions), measuredRegions},
 	} {
-		// The letter has 42.86 members in a domain, the fleet measured has 43.
+		// The planned sizes have 42.86 members in a domain, the measured fleet 43.
 		if diff := d.asked - d.at; f.basis == notMeasured || diff > -1 && diff < 1 {
 			continue
 		}
@@ -61,18 +62,19 @@
 	return f
 }
 
-// realDomains is the number of failure domains of the fleets of real daemons
-// that were measured.
+// realDomains is the number of failure domains in the measured fleets of real
+// daemons.
 const realDomains = 6
 
-// realDaemonCost returns a cost of real daemons, at as many in each domain as asked.
+// realDaemonCost returns a cost of real daemons, with the requested number in
+// each domain.
 func (m *model) realDaemonCost(kind string) figure {
 	return m.at(kind+"/daemons", realDomains*m.sizes.vmsPerDomain())
 }
 
-// platformCalls returns calls of all daemons to the platform. They were measured
-// at the letter's fleet; they do not depend on the members of a domain, and
-// each domain adds as many.
+// platformCalls returns the calls of all daemons to the platform. They were
+// measured in the fleet of the planned sizes. They are proportional to the
+// number of domains and independent of the members of a domain.
 func (m *model) platformCalls(kind string) figure {
 	f := m.atSinglePoint(kind+"/letter", measuredMembers)
 	return m.scaleByDomains(f)
@@ -85,25 +87,28 @@
 	return figure{f.value * float64(m.sizes.Domains) / measuredDomains, extrapolated}
 }
 
-// eventCPU returns the processor time of one event of the configuration, in seconds.
+// eventCPU returns the processor time for one event of the configuration's
+// reducer, in seconds.
 func (m *model) eventCPU(kind string) figure {
 	return m.atSinglePoint("config-step-"+kind+"/once", 1).scaled(1e-9)
 }
 
-// configCPU returns the processor time for configuration, as a share of a core.
+// configCPU returns the processor time for configuration, as a fraction of a
+// core.
 func (m *model) configCPU() figure {
 	rest := m.controlCost("config-rest-msgs").times(m.eventCPU("digest"))
 	return rest.plus(m.eventCPU("push").timesValue(m.sizes.changeRate()))
 }
 
-// viewCPU returns the processor time for rebuilding views.
+// viewCPU returns the processor time for rebuilding views, as a fraction of a
+// core.
 func (m *model) viewCPU() figure {
 	rate := m.sizes.eventRate() + 1/weightInterval + m.sizes.changeRate()
 	return m.at("view/vms", float64(m.sizes.Daemons)).scaled(1e-6).timesValue(rate)
 }
 
-// controlTraffic returns the control bytes that a daemon sends a second at the mean rate
-// of changes.
+// controlTraffic returns the control bytes that a daemon sends per second at
+// the mean rate of changes.
 func (m *model) controlTraffic(prefix string) figure {
 	changes := m.controlCost("config-change-" + prefix + "bytes").timesValue(m.sizes.changeRate())
 	return m.controlCost("control-" + prefix + "bytes").plus(m.controlCost("config-rest-" + prefix + "bytes")).plus(changes)
@@ -157,8 +162,9 @@
 	}
 }
 
-// lookupDuration returns the duration of a decision: the one over blocks, moved along
-// the slope over sites where other sites are asked for.
+// lookupDuration returns the duration of a look-up decision: the value for the
+// number of blocks, adjusted by the slope over sites if the number of sites
+// differs from the planned one.
 func (m *model) lookupDuration() figure {
 	f := m.at("lookup/blocks", float64(m.sizes.Blocks))
 	if m.sizes.Sites != PlannedSizes.Sites {
@@ -190,7 +196,7 @@
 	}
 }
 
-// stepRate is the number of steps of shifts a second.
+// stepRate returns the number of steps of shifts per second.
 func (s *Sizes) stepRate() float64 { return float64(s.Shifts) / s.Step.Seconds() }
 
 func (m *model) shiftRunner() role {
--- a/operate/capacity/sizes.go
+++ b/operate/capacity/sizes.go
@@ -8,7 +8,7 @@
 	"github.com/spf13/pflag"
 )
 
-// Sizes is what capacity is worked out for.
+// Sizes describes the system whose needs are calculated.
 type Sizes struct {
 	Daemons  int // entry VMs
 	Blocks   int // blocks of clients
@@ -24,7 +24,7 @@
 	Step     time.Duration // between two steps of a shift
 }
 
-// PlannedSizes is the size that the users plan for.
+// PlannedSizes are the sizes that the users plan for.
 var PlannedSizes = Sizes{
 	Daemons: 3300, Blocks: 2_300_000, Sites: 940, Lookups: 2_200_000,
 	Regions: 22, Domains: 77, Changes: 19_000, Burst: 20, VMEvents: 819,
@@ -47,7 +47,7 @@
 	f.DurationVar(&s.Step, "step", s.Step, "interval between two steps of a shift")
 }
 
-// validate refuses sizes that no deployment has.
+// validate rejects sizes that no deployment can have.
 func (s *Sizes) validate() error {
 	for _, c := range []struct {
 		name  string
@@ -76,11 +76,11 @@
 
 const day = 24 * time.Hour
 
-// vmsPerDomain is the number of entry VMs in a failure domain.
+// vmsPerDomain returns the mean number of entry VMs in a failure domain.
 func (s *Sizes) vmsPerDomain() float64 { return float64(s.Daemons) / float64(s.Domains) }
 
-// changeRate is the mean number of changes a second.
+// changeRate returns the mean number of changes per second.
 func (s *Sizes) changeRate() float64 { return float64(s.Changes) / day.Seconds() }
 
-// eventRate is the mean number of VM events a second.
+// eventRate returns the mean number of VM events per second.
 func (s *Sizes) eventRate() float64 { return float64(s.VMEvents) / day.Seconds() }
--- a/operate/demo/command.go
+++ b/operate/demo/command.go
@@ -12,7 +12,8 @@
 	"github.com/spf13/cobra"
 )
 
-// ErrGuaranteeBroken means that the run has broken a promise; it has been named.
+// ErrGuaranteeBroken means that the run broke a guarantee, which has been
+// printed.
 var ErrGuaranteeBroken = errors.New("a promise was broken")
 
 const longHelp = `demo runs a whole deployment in this process on loopback: stand-ins for the
@@ -62,7 +63,8 @@
 	return c
 }
 
-// progress is shown on a terminal only.
+// progress returns w if it is a terminal, and nil otherwise, as progress is
+// only shown on a terminal.
 func progress(w io.Writer) io.Writer {
 	f, ok := w.(*os.File)
 	if !ok {
--- a/operate/demo/demo.go
+++ b/operate/demo/demo.go
@@ -26,7 +26,7 @@
 	Deployment string // "statikos" or "inzira"
 	Duration   time.Duration
 	Fault      Fault
-	Load       float64 // offered load as a part of the targets' capacity
+	Load       float64 // offered load as a fraction of the targets' capacity
 	Seed       uint64
 	Latency    bool // give callers' connections the deployment's latency
 	Progress   io.Writer
@@ -36,8 +36,8 @@
 // logLevel is the least level that the daemons log.
 const logLevel = "info"
 
-// The tokens of the demo's two operators. They guard stand-ins on loopback
-// that live as long as the run.
+// The names and tokens of the demo's two operators, and its fleet key. They
+// only protect stand-ins on loopback that exist for the time of the run.
 const (
 	authorName    = "author"
 	authorToken   = "token of the demo's author"
@@ -46,12 +46,12 @@
 	fleetKey      = "key of the demo's fleet, not a secret"
 )
 
-// run is one run under way.
+// run is the state of one run of the demo.
 type run struct {
 	options Options
 	dep     *deployment.Running
 	daemons []*daemon.Daemon
-	stopped *daemon.Daemon // by a fault
+	stopped *daemon.Daemon // the one that a fault stopped
 	log     *logrus.Logger
 	blocks  string // path of the table of client blocks
 	load    *caller.Run
@@ -62,7 +62,7 @@
 	wg           sync.WaitGroup
 }
 
-// Run runs the demo to its end.
+// Run runs the demo and returns its result.
 func Run(ctx context.Context, o Options) (*Result, error) {
 	r := &run{options: o, log: logs.New(logLevel, o.Log)}
 	logs.TakeNetwork(r.log)
@@ -96,7 +96,7 @@
 	r.mu.Unlock()
 }
 
-// start brings up the stand-ins and the entry VMs.
+// start starts the stand-ins and the entry VMs.
 func (r *run) start(ctx context.Context) error {
 	desc, err := deployment.ByName(r.options.Deployment)
 	if err != nil {
@@ -117,8 +117,8 @@
 	return r.waitReady(ctx)
 }
 
-// writeBlocks writes the table of client blocks: each region's clients are at
-// home in it and prefer its failure domains in order.
+// writeBlocks writes the table of client blocks: the clients of each region
+// have it as their home region and prefer its failure domains in order.
 func (r *run) writeBlocks() error {
 	b := block.NewBuilder(nil)
 	for _, region := range r.dep.Description.Regions {
@@ -177,7 +177,7 @@
 	return nil
 }
 
-// readyTimeout bounds the start of all entry VMs.
+// readyTimeout is the longest time for all entry VMs to start.
 const readyTimeout = 20 * time.Second
 
 // waitReady waits until every entry VM has its configuration and knows the
@@ -211,11 +211,12 @@
 // callersPerRegion is the number of client addresses in each region.
 const callersPerRegion = 60
 
-// duplicateShare is the part of the non-idempotent requests that callers send
-// a second time with the same token, as a user who presses a button twice.
+// duplicateShare is the fraction of the non-idempotent requests that callers
+// send a second time with the same token, like a user who presses a button
+// twice.
 const duplicateShare = 0.02
 
-// runLoad runs the load and brings about the fault after a third of it.
+// runLoad runs the load and injects the fault after a third of its duration.
 func (r *run) runLoad(ctx context.Context) error {
 	desc := r.dep.Description
 	cs := r.dep.Callers(caller.Options{
@@ -256,7 +257,7 @@
 	return ctx.Err()
 }
 
-// close ends everything and removes the table of client blocks.
+// close stops all daemons and stand-ins and removes the table of client blocks.
 func (r *run) close() {
 	var wg sync.WaitGroup
 	for _, d := range r.daemons {
--- a/operate/demo/drain.go
+++ b/operate/demo/drain.go
@@ -19,8 +19,8 @@
 	drainStep = catalogue.Share(2500)
 )
 
-// drainRegion enters a traffic shift as operators do: one writes it, another
-// approves it, and it is started.
+// drainRegion starts a traffic shift as operators do: one adds it, another
+// approves it, and the first starts it.
 func (r *run) drainRegion(ctx context.Context) error {
 	entry := change.Entry{
 		ID:    drainID,
@@ -40,7 +40,7 @@
 	return nil
 }
 
-// clientTimeout bounds one administration request.
+// clientTimeout is the longest time for one administration request.
 const clientTimeout = 10 * time.Second
 
 // startShift adds, approves and starts a traffic shift.
@@ -66,7 +66,9 @@
 	return err
 }
 
-// recordMovedShare compares where the drained region's requests ran with the cap.
+// recordMovedShare sets the share of the drained region's requests that ran in
+// other regions, and the excess over the cap. It counts the last third of the
+// requests.
 func (r *run) recordMovedShare(outcomes []caller.Outcome, res *Result) {
 	if r.options.Fault != RegionDrain {
 		return
--- a/operate/demo/fault.go
+++ b/operate/demo/fault.go
@@ -12,7 +12,7 @@
 	"github.com/azurethread/azurethread/standin/platform"
 )
 
-// Fault is what goes wrong in the middle of a run.
+// Fault is the fault that is injected in the middle of a run.
 type Fault string
 
 // The faults.
@@ -43,7 +43,7 @@
 	return f, nil
 }
 
-// inject brings the fault about.
+// inject injects the fault.
 func (r *run) inject(ctx context.Context) error {
 	switch r.options.Fault {
 	case TargetCrash:
@@ -82,8 +82,8 @@
 	return out
 }
 
-// leaveTargets makes a target of each service leave and waits until they are
-// empty.
+// leaveTargets makes one target of each service leave, and records how long
+// they take to finish their requests.
 func (r *run) leaveTargets() {
 	began := time.Now()
 	for _, t := range r.firstTargetPerService() {
@@ -98,7 +98,7 @@
 	}
 }
 
-// drainTimeout bounds the wait for a drain.
+// drainTimeout is the longest wait for a drain.
 const drainTimeout = 30 * time.Second
 
 // stopEntry stops one entry VM gracefully.
@@ -117,7 +117,7 @@
 	})
 }
 
-// crashEntry ends one entry VM without any warning to others.
+// crashEntry kills one entry VM without notice to the others.
 func (r *run) crashEntry() {
 	d := r.daemons[0]
 	r.daemons = r.daemons[1:]
@@ -125,5 +125,5 @@
 	d.Kill()
 }
 
-// drainedRegion is the region that RegionDrain empties.
+// drainedRegion returns the region that RegionDrain moves traffic out of.
 func (r *run) drainedRegion() fleet.Region { return r.dep.Description.Regions[0].Name }
--- a/operate/demo/result.go
+++ b/operate/demo/result.go
@@ -16,19 +16,20 @@
 
 	Requests uint64 `json:"requests"`
 	Answered uint64 `json:"answered"`
-	// WrongAnswers passed for whole, but were not, or were another's.
+	// WrongAnswers are answers that looked complete but were not, or that
+	// belonged to another request.
 	WrongAnswers uint64 `json:"wrong_answers"`
 	// Repeated are non-idempotent requests that ran more than once.
 	Repeated uint64 `json:"repeated"`
-	// FalseNotRun are requests told not-run that ran.
+	// FalseNotRun are requests that ran although their verdict was not-run.
 	FalseNotRun uint64 `json:"false_not_run"`
 	// Cut are requests that were cut in flight by a planned stop.
 	Cut uint64 `json:"cut"`
-	// OverCap is by how much the share that a traffic shift has moved passed
-	// its cap, in 1/10,000 of the requests; 0: never.
+	// OverCap is the amount by which the share moved by a traffic shift
+	// exceeded its cap, in 1/10,000 of the requests; 0 if it did not.
 	OverCap uint64 `json:"over_cap"`
 	// Overloaded are the seconds in which a region's targets refused more
-	// than one request in twenty for want of room.
+	// than one request in twenty for lack of capacity.
 	Overloaded uint64 `json:"overloaded"`
 	NotRun     uint64 `json:"not_run"`
 	MayHaveRun uint64 `json:"may_have_run"`
@@ -38,19 +39,19 @@
 	Unmarked uint64  `json:"unmarked"`
 	P50      float64 `json:"p50_ms"`
 	P99      float64 `json:"p99_ms"`
-	// DrainSeconds is from the drain's begin to the last request's end; 0
-	// where nothing drained.
+	// DrainSeconds is the time from the start of a drain to the end of the
+	// last request; 0 if nothing was drained.
 	DrainSeconds float64 `json:"drain_s"`
 	// LateArrivals are requests that reached a leaving target more than 2 s
 	// after it began to leave.
 	LateArrivals uint64 `json:"late_arrivals"`
-	// MovedShare is the part of the drained region's traffic that was served
-	// elsewhere at the end, in 1/10,000.
+	// MovedShare is the share of the drained region's traffic that other
+	// regions served at the end of the run, in 1/10,000.
 	MovedShare uint64 `json:"moved_share"`
-	Violations int64  `json:"invariant_violations"` // as the daemons count them
+	Violations int64  `json:"invariant_violations"` // as counted by the daemons
 }
 
-// BrokenGuarantees lists the promises that the run has broken.
+// BrokenGuarantees lists the guarantees that the run broke.
 func (r *Result) BrokenGuarantees() []string {
 	var out []string
 	broken := func(n uint64, what string) {
--- a/operate/demo/watch.go
+++ b/operate/demo/watch.go
@@ -12,8 +12,8 @@
 	"github.com/azurethread/azurethread/standin/deployment"
 )
 
-// addClients enters the region's clients as blocks of 256 addresses, so that
-// each caller of the load stands in a block of its own.
+// addClients adds the region's clients as blocks of 256 addresses, so that each
+// caller of the load is in a separate block.
 func addClients(b *block.Builder, r deployment.Region) error {
 	home := block.Home{Region: r.Name, Domains: r.Domains}
 	a := r.Clients.Addr().As4()
@@ -34,15 +34,15 @@
 	overloaded uint64
 }
 
-// targetCounts is what the targets of one region have counted so far.
+// targetCounts are the counters of one region's targets since the start.
 type targetCounts struct{ arrived, shed uint64 }
 
-// overloadShare is the part of a second's requests, refused for want of room,
-// from which on the region counts as overloaded.
+// overloadShare is the fraction of a second's requests, refused for lack of
+// capacity, above which the region counts as overloaded.
 const overloadShare = 0.05
 
-// minOverloadRefusals is the least number of refusals for it, so that one refusal
-// of a few requests does not count.
+// minOverloadRefusals is the least number of refusals in an overloaded second,
+// so that one refusal among a few requests does not count.
 const minOverloadRefusals = 5
 
 func newWatcher(r *run) *watcher {
@@ -90,7 +90,7 @@
 	w.last = now
 }
 
-// result adds up what the callers and the targets have recorded.
+// result combines the records of the callers and the targets.
 func (r *run) result() *Result {
 	rep := r.load.Wait()
 	proof := caller.Prove(rep.Outcomes, r.dep.Executions())
@@ -136,5 +136,5 @@
 	return res
 }
 
-// leaveGrace is how long a leaving target may still get new work.
+// leaveGrace is how long a leaving target may still receive new requests.
 const leaveGrace = 2 * time.Second
