--- a/cmd/script_test.go
+++ b/cmd/script_test.go
@@ -30,7 +30,8 @@
 	"github.com/azurethread/azurethread/standin/target"
 )
 
-// programsDir is the directory of the two programs, built once for all tests.
+// programsDir is the directory of the two programs, which are built once for all
+// tests.
 var programsDir string
 
 func TestMain(m *testing.M) { os.Exit(run(m)) }
@@ -59,15 +60,16 @@
 	nonIdempotent = "fee-posting"
 )
 
-// fixture is what a script's processes work with, in the test's own process.
+// fixture is the environment of a script's processes. It runs in the process of
+// the test.
 type fixture struct {
 	platform *platform.Server
 	target   *target.Server
-	calls    map[string]chan outcome // begun by the script
+	calls    map[string]chan outcome // requests that the script has begun
 	client   *http.Client
 }
 
-// outcome is the end of a request.
+// outcome is the result of a request.
 type outcome struct {
 	status int
 	body   string
@@ -97,8 +99,8 @@
 	})
 }
 
-// setup starts a platform and one target, and gives the script's processes
-// their settings by environment variables.
+// setup starts a platform and one target, and passes the settings to the
+// script's processes in environment variables.
 func setup(env *testscript.Env) error {
 	s := &fixture{
 		platform: platform.New(platform.Options{}),
@@ -157,7 +159,7 @@
 
 func fixtureOf(ts *testscript.TestScript) *fixture { return ts.Value(fixtureKey{}).(*fixture) }
 
-// freeAddrs returns addresses that are free now.
+// freeAddrs returns addresses that are currently free.
 func freeAddrs(n int) ([]string, error) {
 	var addrs []string
 	for range n {
@@ -171,7 +173,7 @@
 	return addrs, nil
 }
 
-// poll waits for ok with a generous limit.
+// poll waits until ok returns true, and fails the script after about 30 s.
 func poll(ts *testscript.TestScript, what string, ok func() bool) {
 	for range 3000 {
 		if ok() {
@@ -197,8 +199,8 @@
 	})
 }
 
-// assertListening asserts that something accepts connections at an address, or with
-// "!" that nothing does.
+// assertListening asserts that connections are accepted at an address, or with
+// "!" that they are not.
 func assertListening(ts *testscript.TestScript, neg bool, args []string) {
 	requireArgs(ts, args, 1, "[!] listening ADDR")
 	c, err := net.Dial("tcp", args[0])
@@ -230,8 +232,8 @@
 	}
 }
 
-// beginRequests sends a number of requests and returns when all of them are at work at
-// the target.
+// beginRequests sends a number of requests and returns when the target has
+// started to process all of them.
 func beginRequests(ts *testscript.TestScript, neg bool, args []string) {
 	requireArgs(ts, args, 2, "begin COUNT URL")
 	s := fixtureOf(ts)
@@ -246,11 +248,11 @@
 			ch <- outcome{status, body, err}
 		}()
 	}
-	poll(ts, "requests at work", func() bool { return s.target.Stats().Started >= before+uint64(n) })
+	poll(ts, "requests started at the target", func() bool { return s.target.Stats().Started >= before+uint64(n) })
 }
 
-// endRequests asserts that the requests of begin have whole answers; with "!" that
-// they were cut.
+// endRequests asserts that the requests of beginRequests have complete answers,
+// or with "!" that they were cut.
 func endRequests(ts *testscript.TestScript, neg bool, args []string) {
 	requireArgs(ts, args, 0, "[!] end")
 	for i, ch := range fixtureOf(ts).calls {
@@ -271,7 +273,7 @@
 		n++
 		var l struct{ Time, Level, Msg string }
 		if err := json.Unmarshal(lines.Bytes(), &l); err != nil || l.Time == "" || l.Level == "" || l.Msg == "" {
-			ts.Fatalf("line %d is no log line: %q", n, lines.Text())
+			ts.Fatalf("line %d is not a log line: %q", n, lines.Text())
 		}
 	}
 	if n == 0 {
@@ -297,7 +299,7 @@
 	}
 }
 
-// sendSignal sends a signal to the background process begun last.
+// sendSignal sends a signal to the background process that was started last.
 func sendSignal(ts *testscript.TestScript, neg bool, args []string) {
 	requireArgs(ts, args, 2, "signal TERM|INT PROGRAM")
 	all := ts.BackgroundCmds()
@@ -334,10 +336,11 @@
 	})
 }
 
-// programTimeout is far above the time of a program that ends by itself.
+// programTimeout is much longer than a program that ends by itself takes.
 const programTimeout = 20 * time.Second
 
-// runProgram runs a program to its end with no environment but the given one.
+// runProgram runs a program until it exits, with only the given environment
+// variables.
 func runProgram(t *testing.T, env []string, name string, args ...string) (code int, stdout, stderr string) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), programTimeout)
--- a/cmd/settings_test.go
+++ b/cmd/settings_test.go
@@ -13,7 +13,7 @@
 	"github.com/azurethread/azurethread/serve/settings"
 )
 
-// goodSettings are enough for azurethreadd to start.
+// goodSettings returns settings with which azurethreadd starts.
 func goodSettings(t *testing.T) []string {
 	t.Helper()
 	addrs, err := freeAddrs(3)
@@ -27,10 +27,8 @@
 	}
 }
 
-// Symptom: an entry VM runs with a setting that its operator did not mean, or
-// ends without saying which one is wrong.
-// Sequence: one setting is wrong; the process is started.
-// Cause: a typing error in a unit file.
+// A wrong setting, for example because of a typing error in a unit file, must
+// stop the start of azurethreadd with a message that names the setting.
 func TestBadSettings(t *testing.T) {
 	for flag, values := range map[string][]string{
 		"id":               {""},
@@ -72,7 +70,7 @@
 				name := "AZURETHREAD_" + strings.ToUpper(strings.ReplaceAll(flag, "-", "_")) + "="
 				env = slices.DeleteFunc(env, func(s string) bool { return strings.HasPrefix(s, name) })
 				checkRefused(t, flag, env, "--"+flag+"="+v)
-				if v != "" { // an empty variable stands for an unset one
+				if v != "" { // an empty variable counts as unset
 					checkRefused(t, flag, append(env, name+v))
 				}
 			})
@@ -104,7 +102,7 @@
 	}
 }
 
-// All that is wrong is said at once, each on its own line.
+// All errors in the settings must be reported at once, each on its own line.
 func TestSeveralBadSettings(t *testing.T) {
 	is := is.New(t)
 	code, _, errs := runProgram(t, nil, "azurethreadd")
@@ -116,9 +114,9 @@
 	}
 }
 
-// Symptom: an entry VM takes callers although it cannot be administered.
-// Sequence: a port is in use; the process is started.
-// Cause: two processes with the same settings on one machine.
+// An entry VM must not start if one of its ports is in use, for example by a
+// second process with the same settings. Otherwise it could serve callers
+// without being open to administration.
 func TestAddressInUse(t *testing.T) {
 	for _, flag := range []string{"call-addr", "peer-addr", "admin-addr"} {
 		is := is.New(t)
--- a/operate/e2e/admin_test.go
+++ b/operate/e2e/admin_test.go
@@ -14,10 +14,9 @@
 	"github.com/azurethread/azurethread/serve/admin"
 )
 
-// Symptom: one bad message ends or blocks administration for all operators.
-// Sequence: malformed, oversized and half messages on the administration
-// address, then a good one.
-// Cause: a defective or hostile client.
+// Malformed or oversized messages of a defective or hostile client must get an
+// error response, and must not stop or block administration for the operators.
+// The log must contain no secrets.
 func TestBadAdministrationMessages(t *testing.T) {
 	sys := newTestSystem(t, testServices())
 	sys.startHandlerTarget("attiki-1", calc, func(http.ResponseWriter, *http.Request) {})
@@ -46,7 +45,7 @@
 			is.NoErr(err)
 			defer conn.Close()
 			_ = conn.SetDeadline(time.Now().Add(adminTimeout))
-			go func() { _, _ = io.WriteString(conn, c.send) }() // may be cut by the refusal
+			go func() { _, _ = io.WriteString(conn, c.send) }() // fails if the server closes the connection first
 			res, err := http.ReadResponse(bufio.NewReader(conn), nil)
 			is.NoErr(err)
 			defer res.Body.Close()
@@ -64,10 +63,10 @@
 	}
 }
 
-// Symptom: an operator's change ends with "outcome unknown" although all is
-// well, or a reader of metrics misses a value.
-// Sequence: clients that close their connection behind each answer.
-// Cause: a server that closes before the kernel has taken the answer.
+// A client that closes its connection after each answer must receive every
+// answer. Some are lost if the server closes the connection before the kernel
+// has taken the answer; then a change ends with "outcome unknown" without
+// need, or a reader of metrics misses a value.
 func TestAdministrationAnswersArrive(t *testing.T) {
 	const requests = 5000
 	sys := newTestSystem(t, testServices())
@@ -84,5 +83,5 @@
 	}
 }
 
-// adminTimeout is far above the time of any answer on loopback.
+// adminTimeout is much longer than any answer takes on loopback.
 const adminTimeout = 10 * time.Second
--- a/operate/e2e/answer_test.go
+++ b/operate/e2e/answer_test.go
@@ -29,10 +29,9 @@
 	return call(tb, e, "POST", fee, "/post", h, []byte("amount"))
 }
 
-// Symptom: a caller takes half an answer for the whole, or takes work that ran
-// for work that did not.
-// Sequence: the target's answer ends early, or its end cannot be told.
-// Cause: a target that dies, or one that speaks HTTP badly.
+// The answer of a target may end early or have no recognizable end, because the
+// target crashed or violates HTTP. The caller must get an error with the correct
+// verdict instead of a partial answer, and the request must not be repeated.
 func TestBrokenAnswers(t *testing.T) {
 	for name, c := range map[string]struct {
 		raw     string
@@ -46,7 +45,7 @@
 		"no last chunk":       {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n", "may-have-run", "answer-cut"},
 		"no length":           {"HTTP/1.1 200 OK\r\n\r\nhalf", "ran", "answer-cut"},
 		"lengths that differ": {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 4\r\n\r\nhalf", "ran", "answer-cut"},
-		// Whole by the standard; nbhttp's parser refuses it.
+		// Complete according to the standard, but rejected by nbhttp's parser.
 		"unnamed trailer":     {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n0\r\nX-T: 1\r\n\r\n", "may-have-run", "answer-cut"},
 		"longer than allowed": {"HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\nhalf", "ran", "answer-cut"},
 		"not HTTP":            {"220 mail\r\n", "may-have-run", "connection-lost"},
@@ -66,15 +65,14 @@
 			is.Equal(a.verdict(), c.verdict)
 			is.Equal(a.reason(), c.reason)
 			is.True(!strings.Contains(string(a.body), "half"))
-			is.Equal(sent.Load(), int64(1)) // and not repeated
+			is.Equal(sent.Load(), int64(1)) // not repeated
 		})
 	}
 }
 
-// Symptom: an engineer gets an error although another target could answer; or
-// half a table.
-// Sequence: the target cuts its answers in the middle.
-// Cause: a target that dies while it answers.
+// If a target crashes while it answers an idempotent request, the entry VM must
+// send the request to another target. The caller must get neither an error nor
+// a partial answer.
 func TestCutAnswerIsRetried(t *testing.T) {
 	is := is.New(t)
 	sys := newTestSystem(t, testServices())
@@ -88,14 +86,13 @@
 		is.Equal(a.status, http.StatusOK)
 		is.NoErr(payload.Check(bytes.NewReader(a.body), id, 5000))
 	}
-	is.Equal(s.Stats().CutAnswers, uint64(3)) // the fault came about
+	is.Equal(s.Stats().CutAnswers, uint64(3)) // the fault occurred
 }
 
-// Symptom: a permit submission is refused although a target is free, or runs
-// at two.
-// Sequence: one target is leaving and refuses with its word that the request
-// has not run; another one takes it.
-// Cause: a refusal taken for an answer, or for an unknown outcome.
+// A leaving target refuses requests and states that they have not run. The entry
+// VM must send them to another target. If it took the refusal for an answer or
+// for an unknown outcome, a request would be refused although a target is free,
+// or would run at two targets.
 func TestTargetRefuses(t *testing.T) {
 	is := is.New(t)
 	sys := newTestSystem(t, testServices())
@@ -108,7 +105,7 @@
 		is.Equal(a.status, http.StatusOK)
 		is.Equal(a.verdict(), "ran")
 	}
-	is.True(leaving.Stats().RefusedLeaving > 0) // the fault came about
+	is.True(leaving.Stats().RefusedLeaving > 0) // the fault occurred
 	is.Equal(len(leaving.Executions()), 0)
 	for id, n := range other.Executions() {
 		if n != 1 {
@@ -118,10 +115,9 @@
 	is.Equal(len(other.Executions()), 12)
 }
 
-// Symptom: a caller is told "not run", without a hint when to come back, or
-// with a verdict that is not true.
-// Sequence: all targets are leaving, or there is none; the deadline is short.
-// Cause: a service without capacity.
+// When a service has no capacity, because all its targets are leaving or it has
+// none, a request with a short deadline must be refused with the verdict
+// "not-run" and a time after which to retry.
 func TestRefusalsHaveRetryAfter(t *testing.T) {
 	is := is.New(t)
 	sys := newTestSystem(t, append(testServices(), catalogue.Service{Name: "empty", Idempotent: true, Priority: catalogue.Interactive}))
@@ -144,10 +140,9 @@
 	is.Equal(len(s.Executions()), 0)
 }
 
-// Symptom: look-ups hang while new connections to the same target work; or a
-// fee is posted twice.
-// Sequence: the open connections to a target go silent while others go on.
-// Cause: a middlebox has dropped its state for the connections.
+// Open connections to a target may go silent, for example because a middlebox
+// has dropped its state for them, while new connections work. Look-ups must
+// still be answered, and a fee must not be posted twice.
 func TestSilentConnections(t *testing.T) {
 	is := is.New(t)
 	sys := newTestSystem(t, []catalogue.Service{
@@ -183,12 +178,11 @@
 	is.Equal(a.verdict(), "may-have-run")
 	is.True(a.reason() == "connection-silent" || a.reason() == "deadline")
 	waitFor(t, func() bool { return callFee(t, e, "after").status == http.StatusOK })
-	is.True(fees.Executions()["silent"] <= 1) // and never repeated
+	is.True(fees.Executions()["silent"] <= 1) // not repeated
 }
 
-// Symptom: targets work for callers that have long gone.
-// Sequence: a caller closes its connection while its request is at work.
-// Cause: the end of a connection that nobody passes on.
+// When a caller closes its connection while its request is in progress, the
+// target must be notified so that it can cancel the work.
 func TestCallerGoneCancels(t *testing.T) {
 	is := is.New(t)
 	sys := newTestSystem(t, testServices())
@@ -202,10 +196,9 @@
 	waitFor(t, func() bool { return metric(t, e, "callers_gone") == 1 })
 }
 
-// Symptom: a target works on for a caller that has given up, or a caller waits
-// past its deadline.
-// Sequence: a caller states a deadline; the target is slower.
-// Cause: a deadline that is not passed on.
+// The deadline of a caller must be passed on to the target and enforced by the
+// entry VM. Otherwise a slow target would work for a caller that has given up,
+// or the caller would wait past its deadline.
 func TestDeadlines(t *testing.T) {
 	is := is.New(t)
 	sys := newTestSystem(t, testServices())
@@ -223,24 +216,23 @@
 		is.NoErr(err)
 		return ms
 	}
-	is.True(left(nil) <= int(catalogue.DefaultTimeout.Milliseconds())) // the service's
+	is.True(left(nil) <= int(catalogue.DefaultTimeout.Milliseconds())) // the service's timeout
 	ms := left(http.Header{"Azurethread-Deadline-Ms": {"30000"}})
-	is.True(ms <= 30000) // never more than was left
+	is.True(ms <= 30000) // never more than the remaining time
 	is.True(ms > 0)
 
 	a := call(t, e, "GET", calc, "/slow", http.Header{"Azurethread-Deadline-Ms": {"200"}}, nil)
 	is.Equal(a.status, http.StatusGatewayTimeout)
 	is.Equal(a.reason(), "deadline")
-	is.Equal(a.verdict(), "may-have-run") // the target had it
+	is.Equal(a.verdict(), "may-have-run") // the target had received it
 }
 
-// Symptom: a caller sees another status, or a body where none may be, or waits
-// for one that never comes.
-// Sequence: answers without a body, and unusual statuses.
-// Cause: framing that differs by method and status.
+// Framing depends on the method and the status. A caller must get the target's
+// status, and a body only where there is one; otherwise it could wait for a
+// body that is never sent.
 func TestStatusesAndMethods(t *testing.T) {
 	for _, statuses := range [][]int{
-		{200, 201, 204, 206, 299, 301, 304, 400, 404, 409, 429}, {500}, {503}, {599}, // a target that fails often is left alone
+		{200, 201, 204, 206, 299, 301, 304, 400, 404, 409, 429}, {500}, {503}, {599}, // each separately, as a target that fails often is avoided
 	} {
 		checkStatuses(t, statuses)
 	}
@@ -279,10 +271,8 @@
 	}
 }
 
-// Symptom: a header of one connection, or of the system's own, leaks to the
-// other side; or a repeated field loses a value.
-// Sequence: requests and answers with such fields.
-// Cause: fields copied without regard to their meaning.
+// Hop-by-hop fields and the system's own fields must not be forwarded, and
+// repeated fields must keep all their values.
 func TestHeaders(t *testing.T) {
 	is := is.New(t)
 	sys := newTestSystem(t, testServices())
@@ -294,7 +284,7 @@
 		h.Set("Connection", "X-Answer-Hop")
 		h.Set("X-Answer-Hop", "1")
 		h.Set("Keep-Alive", "timeout=5")
-		h.Set("Azurethread-Verdict", "not-run") // a target has no say in it
+		h.Set("Azurethread-Verdict", "not-run") // must be replaced by the entry VM's verdict
 		_, _ = io.WriteString(w, "ok")
 	})
 	e := sys.startEntryVM("a", "attiki-1")
@@ -323,10 +313,9 @@
 	}
 }
 
-// Symptom: an answer reaches its caller without one of its fields, or is
-// refused as cut although it is whole.
-// Sequence: a target answers with unusual but valid framing.
-// Cause: a parser stricter, or laxer, than the standard.
+// Answers with unusual but valid framing must reach the caller complete and with
+// all fields. A parser that is stricter or laxer than the standard would drop
+// fields or reject such answers as cut.
 func TestUnusualAnswers(t *testing.T) {
 	for name, raw := range map[string]string{
 		"chunked":          "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nX-A: 1\r\n\r\n4\r\nbody\r\n0\r\n\r\n",
@@ -351,10 +340,9 @@
 	}
 }
 
-// Symptom: drawing packs arrive short, or with another caller's bytes.
-// Sequence: 64 callers at once ask for answers of 64 KiB and 8 MiB, with a
-// length and chunked.
-// Cause: buffers shared between connections, or writes that are given up.
+// 64 concurrent callers request answers of 64 KiB and 8 MiB, with a length and
+// chunked. Buffers shared between connections, or abandoned writes, would
+// truncate an answer or mix it with that of another caller.
 func TestLargeAnswersAreWhole(t *testing.T) {
 	const callers = 64
 	sys := newTestSystem(t, testServices())
@@ -380,7 +368,7 @@
 	}
 }
 
-// fetchWhole checks an answer while it is read.
+// fetchWhole requests an answer and checks its content while reading it.
 func fetchWhole(e *entryVM, h http.Header, id string, size int) error {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
@@ -401,12 +389,11 @@
 	return payload.Check(res.Body, id, size)
 }
 
-// Symptom: submissions end as "may have run", or look-ups take twice their
-// time and run twice, although every target and connection is well.
-// Sequence: an entry VM has just started; several requests of a slow service
-// are at work at once, and the first of them is answered.
-// Cause: the others, sent a moment later, are then taken for silent, by a bound
-// that knows nothing yet of the service's usual time.
+// Shortly after the start of an entry VM, several requests of a slow service are
+// in progress and the first one is answered. The connections of the others,
+// sent a moment later, must not be taken for silent because the service's usual
+// duration is not known yet. Otherwise submissions end as "may have run", and
+// look-ups run twice and take twice as long.
 func TestSlowServiceIsNotSilent(t *testing.T) {
 	const (
 		requests = 12
@@ -432,7 +419,7 @@
 				})
 				waitFor(t, func() bool { return s.Stats().Started > uint64(i) })
 				if i == 0 {
-					time.Sleep(workTime / 2) // the others are half done at the first answer
+					time.Sleep(workTime / 2) // the others are half done when the first is answered
 				}
 			}
 			wg.Wait()
@@ -443,11 +430,10 @@
 	}
 }
 
-// Symptom: a lone engineer waits for the whole deadline and gets an error,
-// while a new connection would answer in a millisecond.
-// Sequence: one target, one caller; the open connections go silent; nobody
-// else is being answered.
-// Cause: a detector that only believes in silence once others have answers.
+// With one target and one caller, the open connections go silent. The caller must
+// be answered over a new connection, which takes a millisecond. A detector that
+// compares connections only with others that are being answered would let it
+// wait until its deadline and then return an error.
 func TestSilenceWithoutOtherTraffic(t *testing.T) {
 	is := is.New(t)
 	sys := newTestSystem(t, testServices())
--- a/operate/e2e/doc_test.go
+++ b/operate/e2e/doc_test.go
@@ -14,7 +14,7 @@
 	"github.com/matryer/is"
 )
 
-// statusNames are the constants that answers use.
+// statusNames maps the constants used for answers to their statuses.
 var statusNames = map[string]int{
 	"StatusBadRequest":            http.StatusBadRequest,
 	"StatusUnauthorized":          http.StatusUnauthorized,
@@ -29,14 +29,13 @@
 	"StatusGatewayTimeout":        http.StatusGatewayTimeout,
 }
 
-// Symptom: callers handle a reason that never comes, or miss one that does.
-// Sequence: a reason or its status changes in the code.
-// Cause: a page kept by hand.
+// The reasons and statuses in docs/API.md, which is edited by hand, must be those
+// of the code, so that callers handle every reason that occurs.
 func TestReasonsArePublished(t *testing.T) {
 	is := is.New(t)
 	names := reasonNames(t)
 	delete(names, "ReasonNone")
-	delete(names, "ReasonCallerGone") // nobody is left to get it
+	delete(names, "ReasonCallerGone") // never sent, as the caller is gone
 	want := make(map[string]int)
 	for constant, status := range reasonStatuses(t) {
 		want[names[constant]] = status
@@ -55,7 +54,7 @@
 	return f
 }
 
-// reasonNames returns the wire names of the reasons by their constants.
+// reasonNames returns the names of the reasons on the wire by their constants.
 func reasonNames(t *testing.T) map[string]string {
 	names := make(map[string]string)
 	ast.Inspect(parseFile(t, "../../decide/verdict/verdict.go"), func(n ast.Node) bool {
@@ -71,7 +70,7 @@
 	return names
 }
 
-// reasonStatuses returns the status of each reason that callers get.
+// reasonStatuses returns the status of each reason that is sent to callers.
 func reasonStatuses(t *testing.T) map[string]int {
 	statuses := make(map[string]int)
 	ast.Inspect(parseFile(t, "../../serve/daemon/answer.go"), func(n ast.Node) bool {
@@ -96,7 +95,7 @@
 
 var reasonRow = regexp.MustCompile("(?m)^\\| `([a-z-]+)` \\| (\\d+) \\| ([a-z, -]+) \\|")
 
-// documentedReasons reads the table of docs/API.md.
+// documentedReasons parses the table of reasons in docs/API.md.
 func documentedReasons(t *testing.T) map[string]int {
 	b, err := os.ReadFile("../../docs/API.md")
 	if err != nil {
@@ -116,9 +115,8 @@
 	return rows
 }
 
-// Symptom: an operator looks for a number that is not there, or does not know
-// what one means.
-// Cause: a page kept by hand.
+// The metrics documented in docs/operators/running.md, which is edited by hand,
+// must be those that an entry VM publishes.
 func TestMetricsArePublished(t *testing.T) {
 	sys := newTestSystem(t, testServices())
 	e := sys.startEntryVM("a", "attiki-1")
@@ -134,12 +132,12 @@
 	for _, m := range regexp.MustCompile("(?m)^\\| `([a-z_-]+)` \\|").FindAllStringSubmatch(table, -1) {
 		published[m[1]] = true
 		if _, ok := vars[m[1]]; !ok {
-			t.Errorf("%s is on the page only", m[1])
+			t.Errorf("metric %s is documented but not published", m[1])
 		}
 	}
 	for name := range vars {
 		if !published[name] {
-			t.Errorf("%s is not on the page", name)
+			t.Errorf("metric %s is published but not documented", name)
 		}
 	}
 }
--- a/operate/e2e/entry_test.go
+++ b/operate/e2e/entry_test.go
@@ -40,23 +40,23 @@
 	}
 }
 
-// stopTimeout bounds the graceful stop of a daemon whose test did not stop it.
+// stopTimeout is the longest time for the graceful stop of a daemon.
 const stopTimeout = 20 * time.Second
 
-// testSystem is a platform with entry VMs and targets, all in this process and on
-// loopback. Everything ends with the test.
+// testSystem is a platform with entry VMs and targets, all in this process and
+// on loopback. It is stopped at the end of the test.
 type testSystem struct {
 	tb       testing.TB
 	platform *platform.Server
-	store    daemon.Platform // what entry VMs that start get
+	store    daemon.Platform // passed to entry VMs when they start
 
 	mu       sync.Mutex
 	machines fleet.List
 	daemons  map[fleet.VMID]*entryVM
-	closers  []func() // end the targets, once no entry VM uses them
+	closers  []func() // stop the targets; called after the entry VMs have stopped
 }
 
-// entryVM is one entry VM of a world.
+// entryVM is one entry VM of a testSystem.
 type entryVM struct {
 	*daemon.Daemon
 	vm    fleet.VM
@@ -122,7 +122,7 @@
 	}
 }
 
-// publish changes the machine list.
+// publish changes the machine list and passes it to the platform.
 func (sys *testSystem) publish(change func(*fleet.List)) {
 	sys.mu.Lock()
 	defer sys.mu.Unlock()
@@ -133,7 +133,7 @@
 	sys.platform.SetMachines(l)
 }
 
-// regionOf is the region of a failure domain such as "attiki-1".
+// regionOf returns the region of a failure domain such as "attiki-1".
 func regionOf(d fleet.Domain) fleet.Region {
 	r, _, _ := strings.Cut(string(d), "-")
 	return fleet.Region(r)
@@ -152,7 +152,7 @@
 	return s
 }
 
-// startHandlerTarget starts a target whose answers h gives.
+// startHandlerTarget starts a target whose requests are handled by h.
 func (sys *testSystem) startHandlerTarget(domain fleet.Domain, service fleet.ServiceName, h http.HandlerFunc) {
 	sys.tb.Helper()
 	s := httptest.NewServer(h)
@@ -163,8 +163,8 @@
 	})
 }
 
-// startRawTarget starts a target that answers the request it reads from a connection
-// with the bytes that answer gives, and closes the connection behind them.
+// startRawTarget starts a target that reads one request from each connection,
+// sends the bytes that answer returns, and closes the connection.
 func (sys *testSystem) startRawTarget(domain fleet.Domain, service fleet.ServiceName, answer func(*http.Request) string) {
 	sys.tb.Helper()
 	sys.registerTarget(domain, fleet.Target{
@@ -179,8 +179,8 @@
 	sys.publish(func(l *fleet.List) { l.Targets = append(l.Targets, t) })
 }
 
-// startEntryVM starts an entry VM and waits until a configuration is in force there
-// and the targets of its failure domain are known.
+// startEntryVM starts an entry VM and waits until it has a configuration in
+// force and knows the targets of its failure domain.
 func (sys *testSystem) startEntryVM(id fleet.VMID, domain fleet.Domain, flags ...string) *entryVM {
 	sys.tb.Helper()
 	e := sys.startEntryVMNoWait(id, domain, flags...)
@@ -232,8 +232,8 @@
 	return e
 }
 
-// runDaemon runs the daemon of an entry VM, again after its death or the first
-// time.
+// runDaemon starts the daemon of an entry VM, for the first time or after it has
+// ended.
 func (sys *testSystem) runDaemon(e *entryVM) {
 	sys.tb.Helper()
 	e.log = &lockedBuffer{}
@@ -247,15 +247,15 @@
 	sys.mu.Unlock()
 }
 
-// markEnded marks an entry VM as ended by the test.
+// markEnded marks an entry VM as stopped or killed by the test.
 func (sys *testSystem) markEnded(e *entryVM) {
 	sys.mu.Lock()
 	e.ended = true
 	sys.mu.Unlock()
 }
 
-// freeAddrs returns addresses that are free now. All are held until the last
-// is known, so that none is given twice.
+// freeAddrs returns addresses that are currently free. All listeners stay open
+// until the last address is known, so that no address is returned twice.
 func freeAddrs(tb testing.TB, n int) []string {
 	tb.Helper()
 	var addrs []string
@@ -270,7 +270,7 @@
 	return addrs
 }
 
-// entryOptions describe one entry VM under test with a platform of its own.
+// entryOptions describes a single entry VM under test with its own platform.
 type entryOptions struct {
 	targets  []fleet.Target // region and domain are filled in
 	services []catalogue.Service
@@ -311,7 +311,7 @@
 	return d
 }
 
-// waitFor polls until ok, and fails the test when that takes very long.
+// waitFor polls until ok returns true, and fails the test after about 20 s.
 func waitFor(tb testing.TB, ok func() bool) {
 	tb.Helper()
 	for range 4000 {
@@ -323,7 +323,7 @@
 	tb.Fatal("condition not reached")
 }
 
-// lookupBody is what the tests read of a look-up's answer.
+// lookupBody has the fields of a look-up's answer that the tests use.
 type lookupBody struct {
 	Revision uint64 `json:"revision"`
 	TTLMs    int64  `json:"ttl_ms"`
@@ -336,7 +336,8 @@
 	} `json:"entry_vms"`
 }
 
-// lookup asks an entry VM for a service and n tokens for each entry VM.
+// lookup sends a look-up of a service to an entry VM, with n tokens for each
+// entry VM of the answer.
 func lookup(tb testing.TB, e *entryVM, service string, n int) lookupBody {
 	tb.Helper()
 	var p lookupBody
@@ -348,7 +349,7 @@
 	return p
 }
 
-// tokenOf takes a token for an entry VM out of a look-up's answer.
+// tokenOf returns a token for an entry VM from a look-up's answer.
 func tokenOf(tb testing.TB, p lookupBody, id fleet.VMID) string {
 	tb.Helper()
 	for _, vm := range p.EntryVMs {
@@ -360,14 +361,14 @@
 	return ""
 }
 
-// answer is a whole answer as a caller sees it.
+// answer is a complete answer as received by a caller.
 type answer struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// decode reads a JSON body.
+// decode decodes a JSON body.
 func (a answer) decode(tb testing.TB, v any) {
 	tb.Helper()
 	if err := json.Unmarshal(a.body, v); err != nil {
@@ -381,8 +382,8 @@
 // callTimeout is far above the time of any request of the tests.
 const callTimeout = 60 * time.Second
 
-// send makes a request with a connection of its own. err is of the transport,
-// such as for an answer that was not whole.
+// send sends a request on a new connection. The error is one of the transport,
+// for example because the answer was incomplete.
 func send(method, url string, h http.Header, body []byte) (answer, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
@@ -404,8 +405,8 @@
 	return answer{res.StatusCode, res.Header, b}, err
 }
 
-// call makes a request of a service through an entry VM and fails the test
-// when there is no whole answer.
+// call sends a request to a service through an entry VM and fails the test
+// if there is no complete answer.
 func call(tb testing.TB, e *entryVM, method, service, path string, h http.Header, body []byte) answer {
 	tb.Helper()
 	a, err := send(method, "http://"+e.CallAddr()+"/v1/call/"+service+path, h, body)
@@ -424,8 +425,8 @@
 	return a
 }
 
-// readMetrics reads an entry VM's metrics. It keeps its connection: of those that
-// are closed behind each answer, a few answers are lost
+// readMetrics reads an entry VM's metrics. It keeps its connection open, because
+// a few answers are lost if the connection is closed after each one
 // (TestAdministrationAnswersArrive).
 func readMetrics(tb testing.TB, e *entryVM, v any) {
 	tb.Helper()
@@ -439,7 +440,7 @@
 	}
 }
 
-// metric reads a number of an entry VM's metrics.
+// metric returns the value of one of an entry VM's metrics.
 func metric(tb testing.TB, e *entryVM, name string) int64 {
 	tb.Helper()
 	var vars map[string]json.RawMessage
--- a/operate/e2e/hop_bench_test.go
+++ b/operate/e2e/hop_bench_test.go
@@ -17,8 +17,8 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// startHopTarget answers every request with n bytes and never limits anything, so
-// that the benchmarks see the hop alone.
+// startHopTarget starts a target that answers every request with n bytes, without
+// any limits, so that the benchmarks measure only the additional hop.
 func startHopTarget(b *testing.B, n int) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -35,8 +35,8 @@
 	return ln.Addr().String()
 }
 
-// BenchmarkHop compares a call straight to the target with one through an
-// entry VM, at the same number of connections and in the same run.
+// BenchmarkHop compares direct calls to a target with calls through an entry VM,
+// with the same number of connections and in the same run.
 func BenchmarkHop(b *testing.B) {
 	addr := startHopTarget(b, 128)
 	e := startEntry(b, entryOptions{
@@ -53,8 +53,8 @@
 	}
 }
 
-// runCallers issues b.N requests over callers connections and reports the
-// median and p99.
+// runCallers sends b.N requests over the given number of connections and
+// reports the median and p99 of their durations.
 func runCallers(b *testing.B, callers int, url string) {
 	b.ReportAllocs()
 	tr := &http.Transport{MaxIdleConnsPerHost: callers, MaxConnsPerHost: callers}
@@ -115,8 +115,8 @@
 	return nil
 }
 
-// BenchmarkIdleConnections reports the memory that 4,000 callers' idle
-// connections take, both ends of each being in this process.
+// BenchmarkIdleConnections reports the memory used by the idle connections of
+// 4,000 callers. Both ends of each are in this process.
 func BenchmarkIdleConnections(b *testing.B) {
 	const connections = 4000
 	e := startEntry(b, entryOptions{})
@@ -147,8 +147,8 @@
 	return int64(m.HeapInuse + m.StackInuse)
 }
 
-// BenchmarkLargeAnswers reports what 64 callers at once get of large answers,
-// straight from the target and through an entry VM in the same run.
+// BenchmarkLargeAnswers reports the throughput of large answers to 64 concurrent
+// callers, directly from the target and through an entry VM, in the same run.
 func BenchmarkLargeAnswers(b *testing.B) {
 	const callers = 64
 	for _, size := range []int{64 << 10, 8 << 20} {
@@ -168,9 +168,9 @@
 	}
 }
 
-// BenchmarkLookup reports look-ups over HTTP. Callers and entry VM share the
-// process, so lookups/core-s, by the processor time of both, understates what
-// the entry VM alone can do.
+// BenchmarkLookup reports the rate of look-ups over HTTP. Callers and entry VM
+// share the process, so lookups/core-s is based on the processor time of both
+// and understates the rate of the entry VM.
 func BenchmarkLookup(b *testing.B) {
 	e := startEntry(b, entryOptions{services: testServices()})
 	for _, c := range []struct {
--- a/operate/e2e/join_bench_test.go
+++ b/operate/e2e/join_bench_test.go
@@ -17,8 +17,8 @@
 	"github.com/azurethread/azurethread/standin/platform"
 )
 
-// startJoinFleet runs two entry VMs in one failure domain, and returns their
-// platform and how the first of them is written as a seed.
+// startJoinFleet runs two entry VMs in one failure domain. It returns their
+// platform and the second of them as a value of --seeds.
 func startJoinFleet(tb testing.TB) (*platform.Server, string) {
 	tb.Helper()
 	p := platform.New(platform.Options{})
@@ -44,7 +44,7 @@
 	return p, seed
 }
 
-// startJoiner starts a daemon that has nothing yet.
+// startJoiner starts a daemon without any configuration or machine list.
 func startJoiner(tb testing.TB, p *platform.Server, id, seed string) *daemon.Daemon {
 	tb.Helper()
 	f := settings.Flags()
@@ -69,11 +69,9 @@
 	return d
 }
 
-// Symptom: an entry VM that is replaced while the platform is down never
-// serves.
-// Sequence: the platform goes down; a new process starts with one neighbour in
-// its settings.
-// Cause: catalogue and machine list were looked for at the platform only.
+// An entry VM that starts while the platform is down, with one neighbour in its
+// settings, must become ready. It never did when the catalogue and the machine
+// list were read from the platform only.
 func TestJoinWithoutPlatform(t *testing.T) {
 	is := is.New(t)
 	p, seed := startJoinFleet(t)
@@ -84,8 +82,8 @@
 	is.Equal(d.Revision(), uint64(1))
 }
 
-// BenchmarkJoin reports the time from a daemon's start until it can serve, and
-// what its neighbours send it.
+// BenchmarkJoin reports the time from a daemon's start until it is ready, and
+// the bytes that its neighbours send to it.
 func BenchmarkJoin(b *testing.B) {
 	for name, outage := range map[string]platform.Outage{"platform=up": platform.Up, "platform=down": platform.Hanging} {
 		b.Run(name, func(b *testing.B) {
--- a/operate/e2e/main_test.go
+++ b/operate/e2e/main_test.go
@@ -8,8 +8,8 @@
 	"github.com/azurethread/azurethread/serve/logs"
 )
 
-// TestMain keeps nbio's start and stop messages out of the tests' output,
-// where they would break benchmark lines apart.
+// TestMain discards the start and stop messages of nbio, which would otherwise
+// split the lines of benchmark output.
 func TestMain(m *testing.M) {
 	logs.TakeNetwork(logs.New("error", io.Discard))
 	os.Exit(m.Run())
--- a/operate/e2e/raw_test.go
+++ b/operate/e2e/raw_test.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// rawTarget accepts connections, reads one request from each and answers it
-// with the bytes that answer gives.
+// rawTarget accepts connections, reads one request from each and sends the
+// bytes that answer returns.
 func rawTarget(tb testing.TB, answer func(*http.Request) string) string {
 	tb.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -41,10 +41,10 @@
 	if _, err := io.Copy(io.Discard, r.Body); err != nil {
 		return
 	}
-	_, _ = io.WriteString(c, answer(r)) // the reader may have gone
+	_, _ = io.WriteString(c, answer(r)) // the peer may have closed the connection
 }
 
-// rawCaller is a caller that writes bytes of its own.
+// rawCaller is a caller that sends arbitrary bytes.
 type rawCaller struct {
 	net.Conn
 	r *bufio.Reader
@@ -84,8 +84,8 @@
 	return answer{res.StatusCode, res.Header, b}
 }
 
-// closed reads to the end and reports whether the entry VM has ended the
-// connection; a wait for the end that takes too long does not count.
+// closed reads until the end of the connection and reports whether the entry VM
+// closed it before the deadline.
 func (c *rawCaller) closed() bool {
 	_, err := io.Copy(io.Discard, c.r)
 	return !errors.Is(err, os.ErrDeadlineExceeded)
--- a/operate/e2e/refused_token_test.go
+++ b/operate/e2e/refused_token_test.go
@@ -10,10 +10,10 @@
 	"github.com/azurethread/azurethread/standin/target"
 )
 
-// Symptom: a caller is told "not run" of a fee that was posted.
-// Sequence: a fee is posted and its answer is lost; the caller sends the token
-// again with a larger body, or with more header fields, over a limit.
-// Cause: messages over a limit were refused before the token was looked up.
+// A caller that lost the answer to a posted fee sends the token again, in a
+// request whose body or header exceeds a limit. The verdict must be "ran". It
+// was "not-run" when such requests were refused before the token was looked
+// up.
 func TestTokenOfRefusedMessage(t *testing.T) {
 	is := is.New(t)
 	sys := newTestSystem(t, testServices())
--- a/operate/e2e/region_test.go
+++ b/operate/e2e/region_test.go
@@ -18,11 +18,9 @@
 	"github.com/azurethread/azurethread/standin/target"
 )
 
-// Symptom: a region stops answering because another one, or the platform, is
-// out of reach.
-// Sequence: the platform does not answer when an entry VM starts, and comes
-// back.
-// Cause: an outage of the configuration store.
+// An entry VM that starts during an outage of the platform must refuse requests
+// with "not-run" and start to serve once the platform is back. An outage after
+// that must not affect callers.
 func TestPlatformDownAtStart(t *testing.T) {
 	is := is.New(t)
 	sys := newTestSystem(t, testServices())
@@ -41,7 +39,7 @@
 	waitFor(t, e.Ready)
 	waitFor(t, func() bool { return call(t, e, "GET", calc, "/x", nil, nil).status == http.StatusOK })
 
-	// Once it has a configuration, an outage changes nothing for callers.
+	// With a configuration, an outage does not affect callers.
 	is.NoErr(sys.platform.SetOutage(platform.Hanging))
 	for range 20 {
 		is.Equal(call(t, e, "GET", calc, "/x", nil, nil).status, http.StatusOK)
@@ -50,8 +48,8 @@
 	is.NoErr(sys.platform.SetOutage(platform.Up))
 }
 
-// listOnly is a platform whose machine list works and whose key-value service
-// is out.
+// listOnly is a platform with a working machine list and a key-value service
+// that is unavailable.
 type listOnly struct{ *platform.View }
 
 var errOut = &verdict.Error{Verdict: verdict.NotRun, Reason: verdict.ReasonConnect}
@@ -65,28 +63,23 @@
 	return 0, errOut
 }
 
-// Symptom: a replaced entry VM serves nothing although its neighbours have the
-// configuration.
-// Sequence: one entry VM runs; the key-value service goes out; a second entry
-// VM starts.
-// Cause: an outage of the configuration store during a replacement.
+// An entry VM that starts while the key-value service is unavailable, for
+// example as a replacement, must obtain the configuration from a neighbour.
 func TestJoinerFetchesConfigurationFromNeighbour(t *testing.T) {
 	is := is.New(t)
 	sys := newTestSystem(t, testServices())
 	sys.startTarget("attiki-1", target.Options{Service: calc, ID: "t1", Slots: 3})
 	a := sys.startEntryVM("a", "attiki-1")
 	sys.store = listOnly{sys.platform.Store()}
-	b := sys.startEntryVM("b", "attiki-1") // ready: it has a configuration
+	b := sys.startEntryVM("b", "attiki-1") // waits until it has a configuration
 	waitFor(t, func() bool { return a.KnownVMs() == 2 && b.KnownVMs() == 2 })
 	is.Equal(lookup(t, b, calc, 0).Revision, uint64(1))
 	waitFor(t, func() bool { return call(t, b, "GET", calc, "/x", nil, nil).status == http.StatusOK })
 }
 
-// Symptom: one region refuses what another could take; or work forwarded
-// between regions runs twice.
-// Sequence: the targets of one region are gone; requests come to its entry VM
-// all the same, as callers cache look-ups.
-// Cause: a drained region.
+// A region without targets, for example a drained one, still receives requests,
+// because callers cache look-ups. Its entry VM must forward them to another
+// region with capacity, and forwarded requests must not run twice.
 func TestRegionsForward(t *testing.T) {
 	is := is.New(t)
 	sys := newTestSystem(t, []catalogue.Service{
--- a/operate/e2e/request_test.go
+++ b/operate/e2e/request_test.go
@@ -14,10 +14,10 @@
 	"github.com/azurethread/azurethread/standin/target"
 )
 
-// Symptom: a caller with a faulty request sees a broken connection, or its
-// request reaches a target in another form than it was sent.
-// Sequence: messages that are malformed, too long, or of an unknown service.
-// Cause: a defective or hostile caller.
+// Requests of a defective or hostile caller (malformed, too long, or for an
+// unknown service) must get an error response with a verdict and a reason. They
+// must not break the connection without an answer or reach a target in an
+// altered form.
 func TestBadRequests(t *testing.T) {
 	sys := newTestSystem(t, testServices())
 	var arrived atomic.Int64
@@ -85,17 +85,16 @@
 			is.Equal(conn.receive(t, http.MethodGet).status, http.StatusOK)
 		})
 	}
-	t.Cleanup(func() { // after all of them
+	t.Cleanup(func() { // after all subtests
 		if n := arrived.Load(); n != 0 {
 			t.Errorf("%d of the requests reached the target", n)
 		}
 	})
 }
 
-// Symptom: a connection and its buffers are held for ever by a caller that
-// sends a byte now and then; or half a submission runs.
-// Sequence: a caller sends its head slowly, or stops inside head or body.
-// Cause: a lost caller, or one that means harm.
+// A lost or hostile caller may send its request slowly, or stop inside the head
+// or the body. Its connection must be closed, or it would hold buffers
+// indefinitely, and an incomplete request must not run.
 func TestSlowAndCutRequests(t *testing.T) {
 	sys := newTestSystem(t, testServices())
 	s := sys.startTarget("attiki-1", target.Options{Service: calc, ID: "t1", Slots: 3})
@@ -103,7 +102,7 @@
 	post := "POST /v1/call/" + calc + "/x HTTP/1.1\r\nHost: a\r\nContent-Length: 10\r\n\r\nabc"
 	for name, c := range map[string]struct {
 		first string
-		then  string // one byte of it at a time
+		then  string // sent one byte at a time
 	}{
 		"silent in the head": {first: "GET /v1/call/" + calc},
 		"silent in the body": {first: post},
@@ -145,10 +144,10 @@
 	})
 }
 
-// Symptom: a body is cut, doubled or mixed with another request's at the
-// target.
-// Sequence: bodies with a length, chunked, empty, and up to the limit.
-// Cause: two framings of the same bytes, one on each side of the entry VM.
+// Bodies with a length, chunked, empty, and up to the size limit must reach the
+// target unchanged. The entry VM reads and writes them with different framing,
+// so an error could truncate a body, duplicate it, or mix it with that of
+// another request.
 func TestBodiesArriveWhole(t *testing.T) {
 	is := is.New(t)
 	sys := newTestSystem(t, testServices())
@@ -179,10 +178,9 @@
 	}
 }
 
-// Symptom: two answers swapped, or one lost.
-// Sequence: a caller sends several requests before it reads an answer; the
-// first is the slowest.
-// Cause: answers written in the order in which targets give them.
+// Pipelined requests must be answered in their own order, even if the first is
+// the slowest. Writing answers in the order in which targets give them would
+// swap or lose some.
 func TestPipelinedRequests(t *testing.T) {
 	is := is.New(t)
 	sys := newTestSystem(t, testServices())
@@ -206,10 +204,9 @@
 	}
 }
 
-// Symptom: a caller that speaks HTTP/1.0, or asks for the connection to be
-// closed, waits for an end that never comes.
-// Sequence: such a request, then a read until the end.
-// Cause: connections kept open against the caller's word.
+// The entry VM must close the connection after a request in HTTP/1.0 or with
+// "Connection: close". Otherwise a caller that reads until the end of the
+// connection would wait indefinitely.
 func TestConnectionCloses(t *testing.T) {
 	sys := newTestSystem(t, testServices())
 	sys.startHandlerTarget("attiki-1", calc, func(http.ResponseWriter, *http.Request) {})
--- a/operate/e2e/spread_bench_test.go
+++ b/operate/e2e/spread_bench_test.go
@@ -23,14 +23,15 @@
 	"github.com/azurethread/azurethread/standin/platform"
 )
 
-// spreadChanges is the number of changes that one size is measured with.
+// spreadChanges is the number of changes measured for each size.
 const spreadChanges = 20
 
-// restTime is how long a fleet is watched at rest.
+// restTime is how long a fleet is measured at rest.
 const restTime = 10 * time.Second
 
-// latencies delays frames as the brief says: 1.5 ms between failure domains
-// of a region, 55 ms between regions, nothing inside a domain.
+// latencies delays frames by the latencies that the users specify: 1.5 ms
+// between failure domains of a region, 55 ms between regions, none inside a
+// domain.
 type latencies map[fleet.VMID]fleet.VM
 
 func (l latencies) Pass(from, to fleet.VMID) (time.Duration, bool) {
@@ -45,7 +46,7 @@
 	}
 }
 
-// startFleet runs n daemons, spread over six domains in three regions.
+// startFleet starts n daemons, distributed over six domains in three regions.
 func startFleet(b *testing.B, p *platform.Server, n int) []*daemon.Daemon {
 	link := make(latencies)
 	vms := make([]fleet.VM, n)
@@ -84,10 +85,10 @@
 	return ds
 }
 
-// BenchmarkSpread reports, for real daemons in one process with the brief's
-// latencies between them: the time from a change's acceptance until it is in
-// force at the last daemon, the platform's calls, and what a daemon sends and
-// computes at rest.
+// BenchmarkSpread runs real daemons in one process with the specified latencies
+// between them. It reports the time from the acceptance of a change until it is
+// in force at the last daemon, the calls to the platform, and the traffic and
+// processor time of a daemon at rest.
 func BenchmarkSpread(b *testing.B) {
 	for _, n := range []int{8, 32, 128, 256} {
 		b.Run(fmt.Sprintf("daemons=%d", n), func(b *testing.B) {
@@ -111,7 +112,7 @@
 	ds := startFleet(b, p, n)
 	defer killAll(ds)
 	waitFor(b, func() bool { return fleetReady(ds) })
-	time.Sleep(5 * time.Second) // joining and its repairs are over
+	time.Sleep(5 * time.Second) // until the traffic of joining has ended
 	measureRest(b, p, ds)
 	before := p.Counts()
 	var times []time.Duration
@@ -141,7 +142,8 @@
 	}
 }
 
-// fleetReady reports whether all have a configuration and know their domain.
+// fleetReady reports whether all daemons have a configuration and know the
+// daemons of their domain.
 func fleetReady(ds []*daemon.Daemon) bool {
 	for _, d := range ds {
 		if !d.Ready() || d.KnownVMs() < min(len(ds)/6, 6) {
@@ -151,7 +153,8 @@
 	return true
 }
 
-// timeChange makes one change as an operator would and times its spread.
+// timeChange makes one change as an operator does and returns the time until it
+// is in force at all daemons.
 func timeChange(ctx context.Context, b *testing.B, p *platform.Server, ds []*daemon.Daemon, i int) time.Duration {
 	w := store.NewWriter(store.WriterOptions{
 		Store: p.Store(),
@@ -171,7 +174,7 @@
 	for _, d := range ds {
 		for d.Revision() < a.Revision {
 			if time.Since(began) > 20*time.Second {
-				b.Fatalf("revision %d not in force everywhere", a.Revision)
+				b.Fatalf("revision %d is not in force at all daemons", a.Revision)
 			}
 			time.Sleep(time.Millisecond)
 		}
@@ -179,8 +182,9 @@
 	return time.Since(began)
 }
 
-// measureRest reports what a daemon and the platform do when nothing changes.
-// The processor time includes that of the stand-ins.
+// measureRest reports the traffic and processor time of a daemon and the calls
+// to the platform when nothing changes. The processor time includes that of the
+// stand-ins.
 func measureRest(b *testing.B, p *platform.Server, ds []*daemon.Daemon) {
 	cpu, sent, worst := cpuTime(), make([]uint64, len(ds)), uint64(0)
 	calls := p.Counts()
--- a/operate/e2e/stop_test.go
+++ b/operate/e2e/stop_test.go
@@ -16,11 +16,8 @@
 	"github.com/azurethread/azurethread/standin/target"
 )
 
-// Symptom: a planned restart cuts requests off, or callers are not told where
-// to go.
-// Sequence: 50 callers have a request at work, and send the next ones, while
-// their entry VM is stopped.
-// Cause: an end of the process that does not wait.
+// A graceful stop must wait for the requests in flight of 50 callers, and refuse
+// new requests with the addresses of other entry VMs.
 func TestStopCutsNothing(t *testing.T) {
 	const callers = 50
 	is := is.New(t)
@@ -69,9 +66,9 @@
 	is.Equal(call(t, b, "GET", calc, "/after", nil, nil).status, http.StatusOK)
 }
 
-// Symptom: a drawing pack is cut by a planned restart.
-// Sequence: a caller reads a large answer slowly; its entry VM is stopped.
-// Cause: an answer counted as given once it is in the process's own buffers.
+// A graceful stop must wait until a caller that reads slowly has received its
+// large answer. The stop would cut the answer if it counted as sent once it is
+// in the buffers of the process.
 func TestStopWaitsForSlowReaders(t *testing.T) {
 	const size = 8 << 20
 	is := is.New(t)
@@ -91,16 +88,15 @@
 	}()
 	select {
 	case err := <-stopped:
-		t.Fatalf("stopped (%v) with an answer half sent", err)
-	case <-time.After(time.Second): // long enough for a stop that does not wait
+		t.Fatalf("stopped (%v) with a partly sent answer", err)
+	case <-time.After(time.Second): // enough for a stop that does not wait to end
 	}
 	is.NoErr(payload.Check(res.Body, "r1", size))
 	is.NoErr(<-stopped)
 }
 
-// Symptom: a stop hangs for ever on a request that does not end.
-// Sequence: a request is at work past the stop's bound.
-// Cause: a target that never answers.
+// A graceful stop must end at its deadline, with an error, when a target never
+// answers a request.
 func TestStopIsBounded(t *testing.T) {
 	is := is.New(t)
 	sys := newTestSystem(t, testServices())
@@ -112,5 +108,5 @@
 	sys.markEnded(e)
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer cancel()
-	is.True(e.Stop(ctx) != nil) // says that it cut something
+	is.True(e.Stop(ctx) != nil) // reports that a request was cut
 }
--- a/operate/e2e/token_test.go
+++ b/operate/e2e/token_test.go
@@ -11,7 +11,7 @@
 	"github.com/azurethread/azurethread/standin/target"
 )
 
-// outcomeBody is the answer about a token.
+// outcomeBody is the answer to a query for the outcome of a token.
 type outcomeBody struct {
 	Status   string `json:"status"`
 	Verdict  string `json:"verdict"`
@@ -29,7 +29,7 @@
 	return p
 }
 
-// refusalBody is what the tests read of an error answer.
+// refusalBody has the fields of an error answer that the tests use.
 type refusalBody struct {
 	Answered     int      `json:"answered"`
 	Ask          string   `json:"ask"`
@@ -46,7 +46,7 @@
 	return call(tb, e, "POST", fee, "/post", h, []byte("amount"))
 }
 
-// Tokens are handed out for services that need them, and only for those.
+// Look-ups must return tokens for services that need them, and only for those.
 func TestLookup(t *testing.T) {
 	is := is.New(t)
 	sys := newTestSystem(t, testServices())
@@ -77,10 +77,9 @@
 	is.Equal(len(head.body), 0)
 }
 
-// Symptom: a fee is posted twice.
-// Sequence: the caller's library sends again what it has sent before: at the
-// same entry VM, at another one, and without a token.
-// Cause: the caller sees silence and cannot know that its request runs.
+// A caller that gets no answer cannot know whether its request runs, so its
+// library may send it again: to the same entry VM, to another one, or without a
+// token. The fee must be posted only once.
 func TestTokens(t *testing.T) {
 	is := is.New(t)
 	sys := newTestSystem(t, testServices())
@@ -102,7 +101,7 @@
 	again := postFee(t, a, tok, "r1")
 	is.Equal(again.status, http.StatusConflict)
 	is.Equal(again.reason(), "token-used")
-	is.Equal(again.verdict(), "ran") // what became of the first send
+	is.Equal(again.verdict(), "ran") // the outcome of the first send
 	var page refusalBody
 	again.decode(t, &page)
 	is.Equal(page.Answered, http.StatusOK)
@@ -127,9 +126,9 @@
 	is.Equal(s.Executions()["forged"], 0)
 }
 
-// Symptom: the second send of a submission runs while the first is at work.
-// Sequence: a caller sends again before it has an answer, and asks.
-// Cause: a caller's timeout shorter than the work.
+// A caller whose timeout is shorter than the work sends its request again while
+// the first one is in progress, and queries the outcome. The second request
+// must not run.
 func TestTokenOfRequestAtWork(t *testing.T) {
 	is := is.New(t)
 	sys := newTestSystem(t, testServices())
@@ -150,7 +149,7 @@
 	again := postFee(t, e, tok, "r1")
 	is.Equal(again.status, http.StatusConflict)
 	is.Equal(again.verdict(), "may-have-run")
-	is.True(again.header.Get("Retry-After") != "") // when to ask
+	is.True(again.header.Get("Retry-After") != "") // when to query the outcome
 	is.True(outcome(t, e, tok).Pending)
 	close(release)
 	is.Equal((<-first).status, http.StatusOK)
@@ -158,10 +157,9 @@
 	is.Equal(len(began), 0) // it ran once
 }
 
-// Symptom: a caller is told "not run" of a submission that ran.
-// Sequence: a submission runs; the entry VM dies and comes back under its id;
-// the caller sends again and asks.
-// Cause: records of tokens die with their process.
+// The records of tokens are lost when the process of an entry VM ends. When it
+// has restarted with the same id, and a caller sends a request that has run
+// again or queries its outcome, the verdict must not be "not-run".
 func TestTokenAfterRestart(t *testing.T) {
 	is := is.New(t)
 	sys := newTestSystem(t, testServices())
@@ -170,7 +168,7 @@
 	tok := tokenOf(t, lookup(t, e, fee, 1), "a")
 	is.Equal(postFee(t, e, tok, "r1").status, http.StatusOK)
 	e.Kill()
-	time.Sleep(time.Millisecond) // a later incarnation needs a later clock
+	time.Sleep(time.Millisecond) // the next incarnation must have a later timestamp
 	sys.runDaemon(e)
 	waitFor(t, e.Ready)
 	again := postFee(t, e, tok, "r1")
@@ -181,5 +179,5 @@
 	is.True(o.Lost)
 	is.Equal(s.Executions()["r1"], 1)
 	fresh := tokenOf(t, lookup(t, e, fee, 1), "a")
-	is.Equal(postFee(t, e, fresh, "r2").status, http.StatusOK) // new work goes on
+	is.Equal(postFee(t, e, fresh, "r2").status, http.StatusOK) // new requests are accepted
 }
