--- a/cmd/script_test.go
+++ b/cmd/script_test.go
@@ -181,7 +181,7 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	ts.Fatalf("not reached: %s", what)
+	ts.Fatalf("timed out waiting: %s", what)
 }
 
 func requireArgs(ts *testscript.TestScript, args []string, n int, usage string) {
@@ -295,7 +295,7 @@
 		ts.Check(err)
 	}
 	if strconv.Itoa(got) != args[0] {
-		ts.Fatalf("exit code %d", got)
+		ts.Fatalf("exit code %d, want %s", got, args[0])
 	}
 }
 
--- a/operate/capacity/capacity_test.go
+++ b/operate/capacity/capacity_test.go
@@ -194,7 +194,7 @@
 		"no JSON":       {[]string{"--slopes", file}, "{", "unexpected end"},
 		"no points":     {[]string{"--slopes", file}, `{"series":[{"name":"a"}]}`, "no points"},
 		"twice":         {[]string{"--slopes", file + "," + file}, `{"series":[{"name":"a","points":[{"x":1,"y":1}]}]}`, `duplicate series "a"`},
-		"word as point": {[]string{"--slopes", file}, `[{"name":1}]`, "points of a fleet"},
+		"word as point": {[]string{"--slopes", file}, `[{"name":1}]`, "fleet points"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/operate/capacity/control.go
+++ b/operate/capacity/control.go
@@ -36,7 +36,7 @@
 func parseFleetPoints(text []byte) ([]slope.Series, error) {
 	var points []fleetPoint
 	if err := json.Unmarshal(text, &points); err != nil {
-		return nil, fmt.Errorf("points of a fleet: %w", err)
+		return nil, fmt.Errorf("fleet points: %w", err)
 	}
 	var all []slope.Series
 	for _, p := range points {
--- a/operate/capacity/http_test.go
+++ b/operate/capacity/http_test.go
@@ -102,7 +102,7 @@
 	end := time.Now().Add(startTimeout)
 	for !all[0].Ready() || all[0].KnownVMs() < httpVMs {
 		if time.Now().After(end) {
-			return fmt.Errorf("ready: %v, %d of %d entry VMs known", all[0].Ready(), all[0].KnownVMs(), httpVMs)
+			return fmt.Errorf("entry VMs did not start in time: ready %v, %d of %d known", all[0].Ready(), all[0].KnownVMs(), httpVMs)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
--- a/operate/client/client.go
+++ b/operate/client/client.go
@@ -110,7 +110,7 @@
 		return decodeError(r, resp.StatusCode, raw)
 	}
 	if err := json.Unmarshal(raw, out); err != nil {
-		return c.classifyFailure(r, fmt.Errorf("the answer is not the JSON expected: %w", err))
+		return c.classifyFailure(r, fmt.Errorf("the answer does not have the expected JSON format: %w", err))
 	}
 	return nil
 }
@@ -126,7 +126,7 @@
 	}
 	req, err := http.NewRequestWithContext(ctx, r.method, c.baseURL+r.path, body)
 	if err != nil {
-		return nil, fmt.Errorf("making the request: %w", err)
+		return nil, fmt.Errorf("creating the request: %w", err)
 	}
 	if c.token != "" {
 		req.Header.Set("Authorization", "Bearer "+c.token)
--- a/operate/command/catalogue.go
+++ b/operate/command/catalogue.go
@@ -83,14 +83,14 @@
 // withShifts is like withFile for files that must contain shifts. It first
 // adds the services of the file that the catalogue lacks.
 func (s *settings) withShifts(cmd *cobra.Command, file string, changes func(context.Context, *changeSession, []change.Entry) error) error {
-	return s.withFile(cmd, file, func(ctx context.Context, e *changeSession, cat catalogue.Catalogue, f entryfile.File) error {
+	return s.withFile(cmd, file, func(ctx context.Context, cs *changeSession, cat catalogue.Catalogue, f entryfile.File) error {
 		if len(f.Shifts) == 0 {
 			return usagef("%s holds no shifts", file)
 		}
-		if err := putMissing(ctx, e, cat, f.Services); err != nil {
+		if err := putMissing(ctx, cs, cat, f.Services); err != nil {
 			return err
 		}
-		return changes(ctx, e, f.Shifts)
+		return changes(ctx, cs, f.Shifts)
 	})
 }
 
@@ -108,10 +108,10 @@
 	return cmd
 }
 
-func addAll(ctx context.Context, e *changeSession, list []change.Entry) error {
+func addAll(ctx context.Context, cs *changeSession, list []change.Entry) error {
 	for _, x := range list {
-		add := func() (admin.Accepted, error) { return e.c.AddShift(ctx, x) }
-		if err := e.submit(ctx, "add", x.ID, add); err != nil {
+		add := func() (admin.Accepted, error) { return cs.client.AddShift(ctx, x) }
+		if err := cs.submit(ctx, "add", x.ID, add); err != nil {
 			return err
 		}
 	}
@@ -126,8 +126,8 @@
 		Short: "Replace the traffic shifts of a file; each becomes a draft again",
 		Args:  exactArgs(0),
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return s.withShifts(cmd, file, func(ctx context.Context, e *changeSession, list []change.Entry) error {
-				return changeAll(ctx, e, list, expect)
+			return s.withShifts(cmd, file, func(ctx context.Context, cs *changeSession, list []change.Entry) error {
+				return changeAll(ctx, cs, list, expect)
 			})
 		},
 	}
@@ -136,17 +136,17 @@
 	return cmd
 }
 
-func changeAll(ctx context.Context, e *changeSession, list []change.Entry, stated uint64) error {
+func changeAll(ctx context.Context, cs *changeSession, list []change.Entry, stated uint64) error {
 	if stated != 0 && len(list) != 1 {
 		return usagef("expect: needs a file with one shift, and this one has %d", len(list))
 	}
 	for _, x := range list {
-		expect, err := e.revision(ctx, x.ID, stated)
+		expect, err := cs.revision(ctx, x.ID, stated)
 		if err != nil {
 			return err
 		}
-		put := func() (admin.Accepted, error) { return e.c.ChangeShift(ctx, x, expect) }
-		if err := e.submit(ctx, "change", x.ID, put); err != nil {
+		put := func() (admin.Accepted, error) { return cs.client.ChangeShift(ctx, x, expect) }
+		if err := cs.submit(ctx, "change", x.ID, put); err != nil {
 			return err
 		}
 	}
@@ -160,8 +160,8 @@
 		Short: short,
 		Args:  exactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return s.runChanges(cmd, func(ctx context.Context, e *changeSession) error {
-				return runAction(ctx, e, a, args[0], body)
+			return s.runChanges(cmd, func(ctx context.Context, cs *changeSession) error {
+				return runAction(ctx, cs, a, args[0], body)
 			})
 		},
 	}
@@ -173,16 +173,16 @@
 	return cmd
 }
 
-func runAction(ctx context.Context, e *changeSession, a client.Action, id string, body admin.ShiftAction) error {
+func runAction(ctx context.Context, cs *changeSession, a client.Action, id string, body admin.ShiftAction) error {
 	if !a.RevisionOptional() {
-		expect, err := e.revision(ctx, id, body.Expect)
+		expect, err := cs.revision(ctx, id, body.Expect)
 		if err != nil {
 			return err
 		}
 		body.Expect = expect
 	}
-	send := func() (admin.Accepted, error) { return e.c.PerformAction(ctx, a, id, body) }
-	return e.submit(ctx, string(a), id, send)
+	send := func() (admin.Accepted, error) { return cs.client.PerformAction(ctx, a, id, body) }
+	return cs.submit(ctx, string(a), id, send)
 }
 
 func (s *settings) removeShift() *cobra.Command {
@@ -192,8 +192,8 @@
 		Short: "Remove a traffic shift that is neither running nor paused; a done one returns its traffic",
 		Args:  exactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return s.runChanges(cmd, func(ctx context.Context, e *changeSession) error {
-				return remove(ctx, e, args[0], expect)
+			return s.runChanges(cmd, func(ctx context.Context, cs *changeSession) error {
+				return remove(ctx, cs, args[0], expect)
 			})
 		},
 	}
@@ -201,11 +201,11 @@
 	return cmd
 }
 
-func remove(ctx context.Context, e *changeSession, id string, stated uint64) error {
-	expect, err := e.revision(ctx, id, stated)
+func remove(ctx context.Context, cs *changeSession, id string, stated uint64) error {
+	expect, err := cs.revision(ctx, id, stated)
 	if err != nil {
 		return err
 	}
-	send := func() (admin.Accepted, error) { return e.c.RemoveShift(ctx, id, expect) }
-	return e.submit(ctx, "remove", id, send)
+	send := func() (admin.Accepted, error) { return cs.client.RemoveShift(ctx, id, expect) }
+	return cs.submit(ctx, "remove", id, send)
 }
--- a/operate/command/edit.go
+++ b/operate/command/edit.go
@@ -25,8 +25,8 @@
 // changeSession is the execution of a command that makes one or more changes
 // to the catalogue.
 type changeSession struct {
-	s            *settings
-	c            *client.Client
+	settings     *settings
+	client       *client.Client
 	out          io.Writer
 	lastRevision uint64 // revision of the last accepted change
 }
@@ -65,25 +65,25 @@
 	if err != nil {
 		return err
 	}
-	e := &changeSession{s: s, c: c, out: cmd.OutOrStdout()}
-	if err := changes(cmd.Context(), e); err != nil {
+	cs := &changeSession{settings: s, client: c, out: cmd.OutOrStdout()}
+	if err := changes(cmd.Context(), cs); err != nil {
 		return err
 	}
-	if e.lastRevision == 0 {
-		return e.s.print(e.out, noChange{}, func(w io.Writer) { fmt.Fprintln(w, "nothing to change") })
+	if cs.lastRevision == 0 {
+		return cs.settings.print(cs.out, noChange{}, func(w io.Writer) { fmt.Fprintln(w, "nothing to change") })
 	}
-	return e.awaitInForce(cmd.Context())
+	return cs.awaitInForce(cmd.Context())
 }
 
 // withFile reads an entry file, checks it against the services of the
 // catalogue, and makes the changes that it describes.
 func (s *settings) withFile(cmd *cobra.Command, file string, changes func(context.Context, *changeSession, catalogue.Catalogue, entryfile.File) error) error {
-	return s.runChanges(cmd, func(ctx context.Context, e *changeSession) error {
+	return s.runChanges(cmd, func(ctx context.Context, cs *changeSession) error {
 		raw, err := readFile(cmd, file)
 		if err != nil {
 			return err
 		}
-		cat, err := e.c.Catalogue(ctx)
+		cat, err := cs.client.Catalogue(ctx)
 		if err != nil {
 			return err
 		}
@@ -94,7 +94,7 @@
 		if err != nil {
 			return &UsageError{fmt.Errorf("%s is not valid, nothing was sent:\n%w", file, err)}
 		}
-		return changes(ctx, e, cat, f)
+		return changes(ctx, cs, cat, f)
 	})
 }
 
@@ -120,38 +120,38 @@
 
 // revision returns the entry revision that a change is based on: the stated
 // one, or the current one if none was stated.
-func (e *changeSession) revision(ctx context.Context, id string, stated uint64) (uint64, error) {
+func (cs *changeSession) revision(ctx context.Context, id string, stated uint64) (uint64, error) {
 	if stated != 0 {
 		return stated, nil
 	}
-	s, err := e.c.Shift(ctx, id)
+	s, err := cs.client.Shift(ctx, id)
 	return s.Revision, err
 }
 
 // submit sends one change, queries its outcome if the answer was lost, and
 // prints the result.
-func (e *changeSession) submit(ctx context.Context, what, entry string, send func() (admin.Accepted, error)) error {
+func (cs *changeSession) submit(ctx context.Context, what, entry string, send func() (admin.Accepted, error)) error {
 	a, err := send()
 	var unknown *client.UnknownOutcome
 	if errors.As(err, &unknown) {
-		a, err = e.awaitOutcome(ctx, unknown)
+		a, err = cs.awaitOutcome(ctx, unknown)
 	}
 	if err != nil {
 		return fmt.Errorf("%s %s: %w", what, entry, err)
 	}
-	e.lastRevision = a.Revision
+	cs.lastRevision = a.Revision
 	line := accepted{Change: what, Entry: entry, Operation: a.Operation, Revision: a.Revision}
-	return e.s.print(e.out, line, func(w io.Writer) {
+	return cs.settings.print(cs.out, line, func(w io.Writer) {
 		fmt.Fprintf(w, "%s %s: accepted at revision %d\n", what, entry, a.Revision)
 	})
 }
 
 // awaitOutcome queries the outcome of a change until it is known or the wait
 // ends.
-func (e *changeSession) awaitOutcome(ctx context.Context, unknown *client.UnknownOutcome) (admin.Accepted, error) {
-	end := time.Now().Add(e.s.wait)
+func (cs *changeSession) awaitOutcome(ctx context.Context, unknown *client.UnknownOutcome) (admin.Accepted, error) {
+	end := time.Now().Add(cs.settings.wait)
 	for {
-		o, err := e.c.FindOutcome(ctx, unknown.Operation)
+		o, err := cs.client.FindOutcome(ctx, unknown.Operation)
 		switch {
 		case err == nil && o.Verdict == verdict.Ran:
 			return admin.Accepted{Operation: unknown.Operation, Revision: o.Revision, Settled: true}, nil
@@ -167,27 +167,27 @@
 // awaitInForce waits until the last change is in force on all entry VMs and
 // prints the result. The end of the wait does not fail the command, because
 // the change has been accepted in any case.
-func (e *changeSession) awaitInForce(ctx context.Context) error {
-	end := time.Now().Add(e.s.wait)
+func (cs *changeSession) awaitInForce(ctx context.Context) error {
+	end := time.Now().Add(cs.settings.wait)
 	for {
-		f, err := e.c.InForce(ctx, e.lastRevision)
+		f, err := cs.client.InForce(ctx, cs.lastRevision)
 		if err == nil && len(f.Missing) == 0 {
-			return e.printInForce(f)
+			return cs.printInForce(f)
 		}
 		if waitInterval(ctx, end) {
 			continue
 		}
 		if err != nil {
-			return e.s.print(e.out, inForceError{err.Error()}, func(w io.Writer) {
+			return cs.settings.print(cs.out, inForceError{err.Error()}, func(w io.Writer) {
 				fmt.Fprintf(w, "in force: not known: %v\n", err)
 			})
 		}
-		return e.printInForce(f)
+		return cs.printInForce(f)
 	}
 }
 
-func (e *changeSession) printInForce(f admin.InForce) error {
-	return e.s.print(e.out, inForce{f}, func(w io.Writer) {
+func (cs *changeSession) printInForce(f admin.InForce) error {
+	return cs.settings.print(cs.out, inForce{f}, func(w io.Writer) {
 		fmt.Fprintf(w, "in force on %d of %d entry VMs", f.Applied, f.Total)
 		if len(f.Missing) > 0 {
 			fmt.Fprintf(w, ", missing: %s", joinIDs(f.Missing))
--- a/operate/command/service.go
+++ b/operate/command/service.go
@@ -47,11 +47,11 @@
 		Short: "Add or replace the services of a file",
 		Args:  exactArgs(0),
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return s.withFile(cmd, file, func(ctx context.Context, e *changeSession, cat catalogue.Catalogue, f entryfile.File) error {
+			return s.withFile(cmd, file, func(ctx context.Context, cs *changeSession, cat catalogue.Catalogue, f entryfile.File) error {
 				if len(f.Services) == 0 {
 					return usagef("%s holds no services", file)
 				}
-				return putAll(ctx, e, cat, f.Services)
+				return putAll(ctx, cs, cat, f.Services)
 			})
 		},
 	}
@@ -60,15 +60,15 @@
 }
 
 // putAll adds or replaces the services that differ from the catalogue's.
-func putAll(ctx context.Context, e *changeSession, cat catalogue.Catalogue, list []catalogue.Service) error {
+func putAll(ctx context.Context, cs *changeSession, cat catalogue.Catalogue, list []catalogue.Service) error {
 	for _, x := range list {
 		old, _ := cat.Service(x.Name)
 		x.Revision = old.Revision
 		if x == old {
 			continue
 		}
-		put := func() (admin.Accepted, error) { return e.c.PutService(ctx, x, old.Revision) }
-		if err := e.submit(ctx, "put", string(x.Name), put); err != nil {
+		put := func() (admin.Accepted, error) { return cs.client.PutService(ctx, x, old.Revision) }
+		if err := cs.submit(ctx, "put", string(x.Name), put); err != nil {
 			return err
 		}
 	}
@@ -77,12 +77,12 @@
 
 // putMissing adds the services that the catalogue lacks. It leaves the others
 // unchanged, because a file of shifts must not alter the settings of a service.
-func putMissing(ctx context.Context, e *changeSession, cat catalogue.Catalogue, list []catalogue.Service) error {
+func putMissing(ctx context.Context, cs *changeSession, cat catalogue.Catalogue, list []catalogue.Service) error {
 	missing := slices.DeleteFunc(slices.Clone(list), func(x catalogue.Service) bool {
 		_, known := cat.Service(x.Name)
 		return known
 	})
-	return putAll(ctx, e, cat, missing)
+	return putAll(ctx, cs, cat, missing)
 }
 
 func (s *settings) removeService() *cobra.Command {
@@ -91,14 +91,14 @@
 		Short: "Remove a service that no traffic shift names",
 		Args:  exactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return s.runChanges(cmd, func(ctx context.Context, e *changeSession) error {
-				cat, err := e.c.Catalogue(ctx)
+			return s.runChanges(cmd, func(ctx context.Context, cs *changeSession) error {
+				cat, err := cs.client.Catalogue(ctx)
 				if err != nil {
 					return err
 				}
 				name := args[0]
 				expect := revisionOf(cat, name)
-				return e.submit(ctx, "remove", name, func() (admin.Accepted, error) { return e.c.RemoveService(ctx, name, expect) })
+				return cs.submit(ctx, "remove", name, func() (admin.Accepted, error) { return cs.client.RemoveService(ctx, name, expect) })
 			})
 		},
 	}
--- a/operate/e2e/entry_test.go
+++ b/operate/e2e/entry_test.go
@@ -320,7 +320,7 @@
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	tb.Fatal("condition not reached")
+	tb.Fatal("timed out waiting for a condition")
 }
 
 // lookupBody has the fields of a look-up's answer that the tests use.
--- a/operate/e2e/request_test.go
+++ b/operate/e2e/request_test.go
@@ -165,7 +165,7 @@
 			a := conn.receive(t, method)
 			is.Equal(a.status, http.StatusOK)
 			is.Equal(a.header.Get("X-Method"), method)
-			is.True(string(a.body) == body) // whole
+			is.True(string(a.body) == body) // complete
 		}
 		chunked := "0\r\n\r\n"
 		if n > 0 {
@@ -174,7 +174,7 @@
 		conn.send(t, "POST /v1/call/"+calc+"/x HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n"+chunked)
 		a := conn.receive(t, "POST")
 		is.Equal(a.status, http.StatusOK)
-		is.True(string(a.body) == body) // whole
+		is.True(string(a.body) == body) // complete
 	}
 }
 
--- a/operate/explain/explain.go
+++ b/operate/explain/explain.go
@@ -41,7 +41,7 @@
 
 // ErrNotFound means that no log line refers to the request. Only a sample of
 // the answered requests is logged.
-var ErrNotFound = errors.New("explain: no line on this request")
+var ErrNotFound = errors.New("explain: no log line for this request")
 
 // Read builds the report on a request from log lines. It skips any text before
 // the first brace of a line, such as a time or a host name, and lines that are
