--- a/operate/capacity/capacity_test.go
+++ b/operate/capacity/capacity_test.go
@@ -13,10 +13,10 @@
 	"github.com/azurethread/azurethread/decide/steer/slope"
 )
 
-// docs is the folder of the committed page and series.
+// docs is the directory of the published page and series.
 const docs = "../../docs"
 
-// The page's tables lie between these lines.
+// The page has the tables between these lines.
 const (
 	beginMark = "<!-- azurethread capacity: begin -->\n"
 	endMark   = "<!-- azurethread capacity: end -->\n"
@@ -33,7 +33,8 @@
 	return out.String(), err
 }
 
-// To make the page again, put the command's output between the marks.
+// To update the page, replace the text between the marks by the command's
+// output.
 func TestPageIsTheCommandsOutput(t *testing.T) {
 	is := is.New(t)
 	page, err := os.ReadFile(filepath.Join(docs, "CAPACITY.md"))
@@ -59,12 +60,12 @@
 	return "one is longer"
 }
 
-func TestEmbeddedSeriesAreThePublishedOnes(t *testing.T) {
+func TestEmbeddedSeriesMatchPublishedOnes(t *testing.T) {
 	is := is.New(t)
 	is.Equal(filesOf(is, "data", ".json"), filesOf(is, filepath.Join(docs, "capacity"), ".json"))
 }
 
-func TestPlotsAreOfTheSeries(t *testing.T) {
+func TestPublishedPlotsMatchSeries(t *testing.T) {
 	is := is.New(t)
 	folder := t.TempDir()
 	_, err := run(t, "--plots", folder)
@@ -74,7 +75,7 @@
 	is.Equal(filesOf(is, filepath.Join(docs, "capacity"), ".svg"), want)
 }
 
-// filesOf returns the content of the files of a folder by name.
+// filesOf returns the content of the files in a folder by name.
 func filesOf(is *is.I, folder, suffix string) map[string]string {
 	names, err := filepath.Glob(filepath.Join(folder, "*"+suffix))
 	is.NoErr(err)
@@ -115,9 +116,9 @@
 	is.True(!ok)
 }
 
-// Pattern: fleets of three sizes. What is zero at one of them has no power; it is
-// shown as measured there, and nowhere else.
-func TestPowersOfFleets(t *testing.T) {
+// A series with a zero value has no power law. It has figures at its measured
+// sizes only.
+func TestFitOfPowerSeries(t *testing.T) {
 	is := is.New(t)
 	grows := line("sweep-bytes/vms", func(x float64) float64 { return 3 * math.Pow(x, 1.2) }, 30, 99, 301)
 	f, ok := newFit(grows)
@@ -129,7 +130,7 @@
 	zero := line("sweep-after-loss/vms", func(x float64) float64 { return math.Max(0, x-30) }, 30, 99, 301)
 	_, ok = newFit(zero)
 	is.True(!ok)
-	m := newModel(Letter, []slope.Series{grows, zero})
+	m := newModel(PlannedSizes, []slope.Series{grows, zero})
 	is.Equal(m.at("sweep-after-loss/vms", 301), figure{271, measured})
 	is.Equal(m.at("sweep-after-loss/vms", 3325).basis, notMeasured)
 	is.Equal(m.at("sweep-bytes/vms", 3325).basis, extrapolated)
@@ -137,7 +138,7 @@
 
 func TestBasis(t *testing.T) {
 	is := is.New(t)
-	m := newModel(Letter, []slope.Series{
+	m := newModel(PlannedSizes, []slope.Series{
 		line("table/blocks", func(x float64) float64 { return 8 * x }, 1, 2, 4, 8),
 		line("resident/once", func(x float64) float64 { return 9 * x }, 8),
 	})
@@ -145,24 +146,24 @@
 	is.Equal(m.at("table/blocks", 5).basis, fitted)
 	is.Equal(m.at("table/blocks", 9).basis, extrapolated)
 	is.Equal(m.at("absent", 1).basis, notMeasured)
-	is.Equal(m.once("resident/once", 8), figure{72, measured})
-	is.Equal(m.once("resident/once", 16), figure{144, extrapolated})
+	is.Equal(m.atSinglePoint("resident/once", 8), figure{72, measured})
+	is.Equal(m.atSinglePoint("resident/once", 16), figure{144, extrapolated})
 	is.Equal(arithmetic(2).times(m.at("table/blocks", 9)).basis, extrapolated)
 	is.Equal(m.at("table/blocks", 5).plus(m.at("absent", 5)).basis, notMeasured)
 }
 
-// Symptom: the page shows a comfortable margin for something nobody measured.
-// Sequence: a series is missing. Cause: its figure must not pass for zero.
+// The figure of a missing series must not be taken for zero: the page would show
+// a large margin for something that was never measured.
 func TestMissingSeriesHasNoFigure(t *testing.T) {
 	is := is.New(t)
-	r := row{quantity: "x", figure: newModel(Letter, nil).at("absent", 1), unit: unitBytes, bound: 5}
+	r := row{quantity: "x", figure: newModel(PlannedSizes, nil).at("absent", 1), unit: unitBytes, bound: 5}
 	is.Equal(r.figureText(), "-")
 	is.Equal(marginText(r), "-")
 	over := row{figure: arithmetic(10), unit: unitBytes, bound: 5}
 	is.True(strings.Contains(marginText(over), "over"))
 }
 
-func TestControlMovesAlongTheSlopes(t *testing.T) {
+func TestControlCostFollowsSlopes(t *testing.T) {
 	is := is.New(t)
 	series := []slope.Series{
 		line("control-bytes/letter", func(float64) float64 { return 1000 }, 43),
@@ -170,11 +171,11 @@
 		line("control-bytes/domains", func(x float64) float64 { return 500 + x }, 6, 12, 40, 77),
 		line("control-bytes/regions", func(x float64) float64 { return 500 + x }, 2, 5, 11, 22),
 	}
-	f := newModel(Letter, series).control("control-bytes")
+	f := newModel(PlannedSizes, series).controlCost("control-bytes")
 	is.Equal(f, figure{1000, measured})
-	twice := Letter
+	twice := PlannedSizes
 	twice.Daemons *= 2
-	f = newModel(twice, series).control("control-bytes")
+	f = newModel(twice, series).controlCost("control-bytes")
 	is.Equal(f.basis, extrapolated)
 	is.True(math.Abs(f.value-(1000+10*(6600.0/77-43))) < 1e-6)
 }
@@ -192,8 +193,8 @@
 		"no file":       {[]string{"--slopes", file + "x"}, "", "no such file"},
 		"no JSON":       {[]string{"--slopes", file}, "{", "unexpected end"},
 		"no points":     {[]string{"--slopes", file}, `{"series":[{"name":"a"}]}`, "no points"},
-		"twice":         {[]string{"--slopes", file + "," + file}, `{"series":[{"name":"a","points":[{"x":1,"y":1}]}]}`, "there twice"},
-		"word as point": {[]string{"--slopes", file}, `[{"name":1}]`, "points of a fleet"},
+		"twice":         {[]string{"--slopes", file + "," + file}, `{"series":[{"name":"a","points":[{"x":1,"y":1}]}]}`, `duplicate series "a"`},
+		"word as point": {[]string{"--slopes", file}, `[{"name":1}]`, "fleet points"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/operate/command/service.go
+++ b/operate/command/service.go
@@ -24,7 +24,7 @@
 	return &cobra.Command{
 		Use:   "list",
 		Short: "List the services",
-		Args:  exactly(0),
+		Args:  exactArgs(0),
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			c, err := s.client()
 			if err != nil {
@@ -45,13 +45,13 @@
 	cmd := &cobra.Command{
 		Use:   "put -f FILE",
 		Short: "Add or replace the services of a file",
-		Args:  exactly(0),
+		Args:  exactArgs(0),
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return s.withFile(cmd, file, func(ctx context.Context, e *edit, cat catalogue.Catalogue, f entryfile.File) error {
+			return s.withFile(cmd, file, func(ctx context.Context, cs *changeSession, cat catalogue.Catalogue, f entryfile.File) error {
 				if len(f.Services) == 0 {
 					return usagef("%s holds no services", file)
 				}
-				return putAll(ctx, e, cat, f.Services)
+				return putAll(ctx, cs, cat, f.Services)
 			})
 		},
 	}
@@ -59,52 +59,52 @@
 	return cmd
 }
 
-// putAll puts the services that differ from what the catalogue has.
-func putAll(ctx context.Context, e *edit, cat catalogue.Catalogue, list []catalogue.Service) error {
+// putAll adds or replaces the services that differ from the catalogue's.
+func putAll(ctx context.Context, cs *changeSession, cat catalogue.Catalogue, list []catalogue.Service) error {
 	for _, x := range list {
 		old, _ := cat.Service(x.Name)
 		x.Revision = old.Revision
 		if x == old {
 			continue
 		}
-		put := func() (admin.Accepted, error) { return e.c.PutService(ctx, x, old.Revision) }
-		if err := e.made(ctx, "put", string(x.Name), put); err != nil {
+		put := func() (admin.Accepted, error) { return cs.client.PutService(ctx, x, old.Revision) }
+		if err := cs.submit(ctx, "put", string(x.Name), put); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// putMissing puts the services that the catalogue lacks, and leaves the others
-// as they are: a file of shifts must not change how a service is treated.
-func putMissing(ctx context.Context, e *edit, cat catalogue.Catalogue, list []catalogue.Service) error {
+// putMissing adds the services that the catalogue lacks. It leaves the others
+// unchanged, because a file of shifts must not alter the settings of a service.
+func putMissing(ctx context.Context, cs *changeSession, cat catalogue.Catalogue, list []catalogue.Service) error {
 	missing := slices.DeleteFunc(slices.Clone(list), func(x catalogue.Service) bool {
 		_, known := cat.Service(x.Name)
 		return known
 	})
-	return putAll(ctx, e, cat, missing)
+	return putAll(ctx, cs, cat, missing)
 }
 
 func (s *settings) removeService() *cobra.Command {
 	return &cobra.Command{
 		Use:   "remove NAME",
 		Short: "Remove a service that no traffic shift names",
-		Args:  exactly(1),
+		Args:  exactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return s.edit(cmd, func(ctx context.Context, e *edit) error {
-				cat, err := e.c.Catalogue(ctx)
+			return s.runChanges(cmd, func(ctx context.Context, cs *changeSession) error {
+				cat, err := cs.client.Catalogue(ctx)
 				if err != nil {
 					return err
 				}
 				name := args[0]
 				expect := revisionOf(cat, name)
-				return e.made(ctx, "remove", name, func() (admin.Accepted, error) { return e.c.RemoveService(ctx, name, expect) })
+				return cs.submit(ctx, "remove", name, func() (admin.Accepted, error) { return cs.client.RemoveService(ctx, name, expect) })
 			})
 		},
 	}
 }
 
-// revisionOf returns the revision of a service, 0 where there is none.
+// revisionOf returns the revision of a service, or 0 if it does not exist.
 func revisionOf(c catalogue.Catalogue, name string) uint64 {
 	s, _ := c.Service(fleet.ServiceName(name))
 	return s.Revision
--- a/operate/demo/demo.go
+++ b/operate/demo/demo.go
@@ -24,9 +24,9 @@
 // Options of a run.
 type Options struct {
 	Deployment string // "statikos" or "inzira"
-	For        time.Duration
+	Duration   time.Duration
 	Fault      Fault
-	Load       float64 // offered load as a part of the targets' capacity
+	Load       float64 // offered load as a fraction of the targets' capacity
 	Seed       uint64
 	Latency    bool // give callers' connections the deployment's latency
 	Progress   io.Writer
@@ -36,8 +36,8 @@
 // logLevel is the least level that the daemons log.
 const logLevel = "info"
 
-// The tokens of the demo's two operators. They guard stand-ins on loopback
-// that live as long as the run.
+// The names and tokens of the demo's two operators, and its fleet key. They
+// only protect stand-ins on loopback that exist for the time of the run.
 const (
 	authorName    = "author"
 	authorToken   = "token of the demo's author"
@@ -46,43 +46,43 @@
 	fleetKey      = "key of the demo's fleet, not a secret"
 )
 
-// run is one run under way.
+// run is the state of one run of the demo.
 type run struct {
-	opts    Options
+	options Options
 	dep     *deployment.Running
 	daemons []*daemon.Daemon
-	stopped *daemon.Daemon // by a fault
+	stopped *daemon.Daemon // the one that a fault stopped
 	log     *logrus.Logger
 	blocks  string // path of the table of client blocks
 	load    *caller.Run
 	watch   *watcher
 
-	mu    sync.Mutex
-	drain time.Duration
-	wg    sync.WaitGroup
+	mu           sync.Mutex
+	longestDrain time.Duration
+	wg           sync.WaitGroup
 }
 
-// Run runs the demo to its end.
+// Run runs the demo and returns its result.
 func Run(ctx context.Context, o Options) (*Result, error) {
-	r := &run{opts: o, log: logs.New(logLevel, o.Log)}
+	r := &run{options: o, log: logs.New(logLevel, o.Log)}
 	logs.TakeNetwork(r.log)
 	defer r.close()
 	if err := r.start(ctx); err != nil {
 		return nil, err
 	}
-	if err := r.drive(ctx); err != nil {
+	if err := r.runLoad(ctx); err != nil {
 		return nil, err
 	}
 	return r.result(), nil
 }
 
-func (r *run) say(format string, args ...any) {
-	if r.opts.Progress != nil {
-		fmt.Fprintf(r.opts.Progress, format+"\n", args...)
+func (r *run) progressf(format string, args ...any) {
+	if r.options.Progress != nil {
+		fmt.Fprintf(r.options.Progress, format+"\n", args...)
 	}
 }
 
-func (r *run) background(f func()) {
+func (r *run) goTracked(f func()) {
 	r.wg.Add(1)
 	go func() {
 		defer r.wg.Done()
@@ -90,19 +90,19 @@
 	}()
 }
 
-func (r *run) setDrain(d time.Duration) {
+func (r *run) recordDrain(d time.Duration) {
 	r.mu.Lock()
-	r.drain = max(r.drain, d)
+	r.longestDrain = max(r.longestDrain, d)
 	r.mu.Unlock()
 }
 
-// start brings up the stand-ins and the entry VMs.
+// start starts the stand-ins and the entry VMs.
 func (r *run) start(ctx context.Context) error {
-	desc, err := deployment.ByName(r.opts.Deployment)
+	desc, err := deployment.ByName(r.options.Deployment)
 	if err != nil {
 		return err
 	}
-	r.dep, err = deployment.Start(ctx, desc, deployment.Options{Seed: r.opts.Seed, PutCatalogue: daemon.PutCatalogue})
+	r.dep, err = deployment.Start(ctx, desc, deployment.Options{Seed: r.options.Seed, PutCatalogue: daemon.PutCatalogue})
 	if err != nil {
 		return err
 	}
@@ -117,8 +117,8 @@
 	return r.waitReady(ctx)
 }
 
-// writeBlocks writes the table of client blocks: each region's clients are at
-// home in it and prefer its failure domains in order.
+// writeBlocks writes the table of client blocks: the clients of each region
+// have it as their home region and prefer its failure domains in order.
 func (r *run) writeBlocks() error {
 	b := block.NewBuilder(nil)
 	for _, region := range r.dep.Description.Regions {
@@ -177,13 +177,13 @@
 	return nil
 }
 
-// readyLimit bounds the start of all entry VMs.
-const readyLimit = 20 * time.Second
+// readyTimeout is the longest time for all entry VMs to start.
+const readyTimeout = 20 * time.Second
 
 // waitReady waits until every entry VM has its configuration and knows the
 // others.
 func (r *run) waitReady(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, readyLimit)
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	began := time.Now()
 	t := time.NewTicker(10 * time.Millisecond)
@@ -191,11 +191,11 @@
 	for !r.ready() {
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("demo: entry VMs are not ready after %s", readyLimit)
+			return fmt.Errorf("demo: entry VMs are not ready after %s", readyTimeout)
 		case <-t.C:
 		}
 	}
-	r.say("%d entry VMs and %d targets ready after %s", len(r.daemons), len(r.dep.Targets), time.Since(began).Round(time.Millisecond))
+	r.progressf("%d entry VMs and %d targets ready after %s", len(r.daemons), len(r.dep.Targets), time.Since(began).Round(time.Millisecond))
 	return nil
 }
 
@@ -211,26 +211,27 @@
 // callersPerRegion is the number of client addresses in each region.
 const callersPerRegion = 60
 
-// duplicateShare is the part of the non-idempotent requests that callers send
-// a second time with the same token, as a user who presses a button twice.
+// duplicateShare is the fraction of the non-idempotent requests that callers
+// send a second time with the same token, like a user who presses a button
+// twice.
 const duplicateShare = 0.02
 
-// drive runs the load and brings about the fault after a third of it.
-func (r *run) drive(ctx context.Context) error {
+// runLoad runs the load and injects the fault after a third of its duration.
+func (r *run) runLoad(ctx context.Context) error {
 	desc := r.dep.Description
 	cs := r.dep.Callers(caller.Options{
-		Seed:           r.opts.Seed,
+		Seed:           r.options.Seed,
 		ResendLost:     true,
 		DuplicateShare: duplicateShare,
-	}, callersPerRegion, r.opts.Latency)
+	}, callersPerRegion, r.options.Latency)
 	load := caller.Load{
 		Callers: cs,
 		Kinds:   desc.Kinds(),
-		Rate:    desc.Rate(r.opts.Load),
-		For:     r.opts.For,
-		Seed:    r.opts.Seed,
+		Rate:    desc.Rate(r.options.Load),
+		For:     r.options.Duration,
+		Seed:    r.options.Seed,
 	}
-	r.say("load of %.0f requests a second for %s, fault %s", load.Rate, r.opts.For, r.opts.Fault)
+	r.progressf("load of %.0f requests a second for %s, fault %s", load.Rate, r.options.Duration, r.options.Fault)
 	r.watch = newWatcher(r)
 	var err error
 	if r.load, err = load.Start(ctx); err != nil {
@@ -238,17 +239,17 @@
 	}
 	watchCtx, stop := context.WithCancel(ctx)
 	defer stop()
-	r.background(func() { r.watch.run(watchCtx) })
+	r.goTracked(func() { r.watch.run(watchCtx) })
 	select {
-	case <-time.After(r.opts.For / 3):
+	case <-time.After(r.options.Duration / 3):
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	if r.opts.Fault != None {
-		r.say("fault: %s", r.opts.Fault)
+	if r.options.Fault != None {
+		r.progressf("fault: %s", r.options.Fault)
 	}
 	if err := r.inject(ctx); err != nil {
-		return fmt.Errorf("demo: fault %s: %w", r.opts.Fault, err)
+		return fmt.Errorf("demo: fault %s: %w", r.options.Fault, err)
 	}
 	r.load.Wait()
 	stop()
@@ -256,7 +257,7 @@
 	return ctx.Err()
 }
 
-// close ends everything and removes the table of client blocks.
+// close stops all daemons and stand-ins and removes the table of client blocks.
 func (r *run) close() {
 	var wg sync.WaitGroup
 	for _, d := range r.daemons {
--- a/operate/e2e/entry_test.go
+++ b/operate/e2e/entry_test.go
@@ -40,24 +40,24 @@
 	}
 }
 
-// stopTimeout bounds the graceful stop of a daemon whose test did not stop it.
+// stopTimeout is the longest time for the graceful stop of a daemon.
 const stopTimeout = 20 * time.Second
 
-// world is a platform with entry VMs and targets, all in this process and on
-// loopback. Everything ends with the test.
-type world struct {
+// testSystem is a platform with entry VMs and targets, all in this process and
+// on loopback. It is stopped at the end of the test.
+type testSystem struct {
 	tb       testing.TB
 	platform *platform.Server
-	store    daemon.Platform // what entry VMs that start get
+	store    daemon.Platform // passed to entry VMs when they start
 
 	mu       sync.Mutex
 	machines fleet.List
-	daemons  map[fleet.VMID]*entry
-	closers  []func() // end the targets, once no entry VM uses them
+	daemons  map[fleet.VMID]*entryVM
+	closers  []func() // stop the targets; called after the entry VMs have stopped
 }
 
-// entry is one entry VM of a world.
-type entry struct {
+// entryVM is one entry VM of a testSystem.
+type entryVM struct {
 	*daemon.Daemon
 	vm    fleet.VM
 	flags []string
@@ -83,131 +83,131 @@
 	return l.b.String()
 }
 
-// newWorld starts a platform that holds a catalogue of services.
-func newWorld(tb testing.TB, services []catalogue.Service) *world {
+// newTestSystem starts a platform that holds a catalogue of services.
+func newTestSystem(tb testing.TB, services []catalogue.Service) *testSystem {
 	tb.Helper()
-	w := &world{tb: tb, platform: platform.New(platform.Options{}), daemons: make(map[fleet.VMID]*entry)}
-	w.machines.Version = 1
-	w.store = w.platform.Store()
-	if err := w.platform.Start("127.0.0.1:0"); err != nil {
+	sys := &testSystem{tb: tb, platform: platform.New(platform.Options{}), daemons: make(map[fleet.VMID]*entryVM)}
+	sys.machines.Version = 1
+	sys.store = sys.platform.Store()
+	if err := sys.platform.Start("127.0.0.1:0"); err != nil {
 		tb.Fatal(err)
 	}
-	tb.Cleanup(func() { w.platform.Close() })
-	tb.Cleanup(w.stopAll)
+	tb.Cleanup(func() { sys.platform.Close() })
+	tb.Cleanup(sys.stopAll)
 	c := catalogue.Catalogue{Revision: 1, Services: services}
-	if err := daemon.PutCatalogue(context.Background(), w.platform.Store(), c); err != nil {
+	if err := daemon.PutCatalogue(context.Background(), sys.platform.Store(), c); err != nil {
 		tb.Fatal(err)
 	}
-	return w
+	return sys
 }
 
-func (w *world) stopAll() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, e := range w.daemons {
+func (sys *testSystem) stopAll() {
+	sys.mu.Lock()
+	defer sys.mu.Unlock()
+	for _, e := range sys.daemons {
 		if e.ended {
 			continue
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 		if err := e.Stop(ctx); err != nil {
-			w.tb.Error(err)
+			sys.tb.Error(err)
 		}
 		cancel()
 		if n := e.Violations(); n != 0 {
-			w.tb.Errorf("entry VM %s: %d broken invariants\n%s", e.vm.ID, n, e.log)
+			sys.tb.Errorf("entry VM %s: %d broken invariants\n%s", e.vm.ID, n, e.log)
 		}
 	}
-	for _, f := range w.closers {
+	for _, f := range sys.closers {
 		f()
 	}
 }
 
-// publish changes the machine list.
-func (w *world) publish(change func(*fleet.List)) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	change(&w.machines)
-	w.machines.Version++
-	l := w.machines
+// publish changes the machine list and passes it to the platform.
+func (sys *testSystem) publish(change func(*fleet.List)) {
+	sys.mu.Lock()
+	defer sys.mu.Unlock()
+	change(&sys.machines)
+	sys.machines.Version++
+	l := sys.machines
 	l.VMs, l.Targets = slices.Clone(l.VMs), slices.Clone(l.Targets)
-	w.platform.SetMachines(l)
+	sys.platform.SetMachines(l)
 }
 
-// regionOf is the region of a failure domain such as "attiki-1".
+// regionOf returns the region of a failure domain such as "attiki-1".
 func regionOf(d fleet.Domain) fleet.Region {
 	r, _, _ := strings.Cut(string(d), "-")
 	return fleet.Region(r)
 }
 
-// target starts a stand-in target in a failure domain.
-func (w *world) target(domain fleet.Domain, o target.Options) *target.Server {
-	w.tb.Helper()
+// startTarget starts a stand-in target in a failure domain.
+func (sys *testSystem) startTarget(domain fleet.Domain, o target.Options) *target.Server {
+	sys.tb.Helper()
 	o.Warm = true
 	s := target.New(o)
 	if err := s.Start("127.0.0.1:0"); err != nil {
-		w.tb.Fatal(err)
+		sys.tb.Fatal(err)
 	}
-	w.closers = append(w.closers, s.Close)
-	w.list(domain, s.Target())
+	sys.closers = append(sys.closers, s.Close)
+	sys.registerTarget(domain, s.Target())
 	return s
 }
 
-// handler starts a target whose answers h gives.
-func (w *world) handler(domain fleet.Domain, service fleet.ServiceName, h http.HandlerFunc) {
-	w.tb.Helper()
+// startHandlerTarget starts a target whose requests are handled by h.
+func (sys *testSystem) startHandlerTarget(domain fleet.Domain, service fleet.ServiceName, h http.HandlerFunc) {
+	sys.tb.Helper()
 	s := httptest.NewServer(h)
-	w.closers = append(w.closers, s.CloseClientConnections, s.Close)
-	w.list(domain, fleet.Target{
+	sys.closers = append(sys.closers, s.CloseClientConnections, s.Close)
+	sys.registerTarget(domain, fleet.Target{
 		ID:      fleet.TargetID(fmt.Sprintf("%s-%s-%s", domain, service, s.Listener.Addr())),
 		Service: service, Addr: s.Listener.Addr().String(), Slots: 1024, Connections: 4096,
 	})
 }
 
-// raw starts a target that answers the request it reads from a connection
-// with the bytes that answer gives, and closes the connection behind them.
-func (w *world) raw(domain fleet.Domain, service fleet.ServiceName, answer func(*http.Request) string) {
-	w.tb.Helper()
-	w.list(domain, fleet.Target{
+// startRawTarget starts a target that reads one request from each connection,
+// sends the bytes that answer returns, and closes the connection.
+func (sys *testSystem) startRawTarget(domain fleet.Domain, service fleet.ServiceName, answer func(*http.Request) string) {
+	sys.tb.Helper()
+	sys.registerTarget(domain, fleet.Target{
 		ID: "raw-" + fleet.TargetID(service), Service: service,
-		Addr: rawTarget(w.tb, answer), Slots: 64, Connections: 256,
+		Addr: rawTarget(sys.tb, answer), Slots: 64, Connections: 256,
 	})
 }
 
-// list adds a target to the machine list.
-func (w *world) list(domain fleet.Domain, t fleet.Target) {
+// registerTarget adds a target to the machine list.
+func (sys *testSystem) registerTarget(domain fleet.Domain, t fleet.Target) {
 	t.Region, t.Domain, t.Site = regionOf(domain), domain, fleet.Site(domain)
-	w.publish(func(l *fleet.List) { l.Targets = append(l.Targets, t) })
+	sys.publish(func(l *fleet.List) { l.Targets = append(l.Targets, t) })
 }
 
-// entry starts an entry VM and waits until a configuration is in force there
-// and the targets of its failure domain are known.
-func (w *world) entry(id fleet.VMID, domain fleet.Domain, flags ...string) *entry {
-	w.tb.Helper()
-	e := w.boot(id, domain, flags...)
-	waitFor(w.tb, e.Ready)
-	w.awaitTargets(e)
+// startEntryVM starts an entry VM and waits until it has a configuration in
+// force and knows the targets of its failure domain.
+func (sys *testSystem) startEntryVM(id fleet.VMID, domain fleet.Domain, flags ...string) *entryVM {
+	sys.tb.Helper()
+	e := sys.startEntryVMNoWait(id, domain, flags...)
+	waitFor(sys.tb, e.Ready)
+	sys.awaitTargets(e)
 	return e
 }
 
 // awaitTargets waits until an entry VM knows the targets of its failure domain.
-func (w *world) awaitTargets(e *entry) {
-	w.tb.Helper()
-	w.mu.Lock()
+func (sys *testSystem) awaitTargets(e *entryVM) {
+	sys.tb.Helper()
+	sys.mu.Lock()
 	services := make(map[fleet.ServiceName]bool)
-	for _, t := range w.machines.Targets {
+	for _, t := range sys.machines.Targets {
 		if t.Domain == e.vm.Domain {
 			services[t.Service] = true
 		}
 	}
-	w.mu.Unlock()
-	waitFor(w.tb, func() bool {
+	sys.mu.Unlock()
+	waitFor(sys.tb, func() bool {
 		var vars struct {
 			Loads []struct {
 				Service  fleet.ServiceName
 				Capacity int
 			} `json:"loads"`
 		}
-		readVars(w.tb, e, &vars)
+		readMetrics(sys.tb, e, &vars)
 		known := 0
 		for _, l := range vars.Loads {
 			if services[l.Service] && l.Capacity > 0 {
@@ -218,44 +218,44 @@
 	})
 }
 
-// boot starts an entry VM without waiting for its configuration.
-func (w *world) boot(id fleet.VMID, domain fleet.Domain, flags ...string) *entry {
-	w.tb.Helper()
-	a := freeAddrs(w.tb, 3)
+// startEntryVMNoWait starts an entry VM without waiting for its configuration.
+func (sys *testSystem) startEntryVMNoWait(id fleet.VMID, domain fleet.Domain, flags ...string) *entryVM {
+	sys.tb.Helper()
+	a := freeAddrs(sys.tb, 3)
 	vm := fleet.VM{
 		ID: id, Region: regionOf(domain), Domain: domain, Site: fleet.Site(domain), Incarnation: 1,
 		CallAddr: a[0], PeerAddr: a[1], AdminAddr: a[2],
 	}
-	w.publish(func(l *fleet.List) { l.VMs = append(l.VMs, vm) })
-	e := &entry{vm: vm, flags: flags}
-	w.start(e)
+	sys.publish(func(l *fleet.List) { l.VMs = append(l.VMs, vm) })
+	e := &entryVM{vm: vm, flags: flags}
+	sys.runDaemon(e)
 	return e
 }
 
-// start runs the daemon of an entry VM, again after its death or the first
-// time.
-func (w *world) start(e *entry) {
-	w.tb.Helper()
+// runDaemon starts the daemon of an entry VM, for the first time or after it has
+// ended.
+func (sys *testSystem) runDaemon(e *entryVM) {
+	sys.tb.Helper()
 	e.log = &lockedBuffer{}
-	e.Daemon = startDaemon(w.tb, w.store, e.log, append([]string{
+	e.Daemon = startDaemon(sys.tb, sys.store, e.log, append([]string{
 		"--id=" + string(e.vm.ID), "--region=" + string(e.vm.Region), "--domain=" + string(e.vm.Domain),
 		"--call-addr=" + e.vm.CallAddr, "--peer-addr=" + e.vm.PeerAddr, "--admin-addr=" + e.vm.AdminAddr,
 	}, e.flags...))
-	w.mu.Lock()
+	sys.mu.Lock()
 	e.ended = false
-	w.daemons[e.vm.ID] = e
-	w.mu.Unlock()
+	sys.daemons[e.vm.ID] = e
+	sys.mu.Unlock()
 }
 
-// end marks an entry VM as ended by the test.
-func (w *world) end(e *entry) {
-	w.mu.Lock()
+// markEnded marks an entry VM as stopped or killed by the test.
+func (sys *testSystem) markEnded(e *entryVM) {
+	sys.mu.Lock()
 	e.ended = true
-	w.mu.Unlock()
+	sys.mu.Unlock()
 }
 
-// freeAddrs returns addresses that are free now. All are held until the last
-// is known, so that none is given twice.
+// freeAddrs returns addresses that are currently free. All listeners stay open
+// until the last address is known, so that no address is returned twice.
 func freeAddrs(tb testing.TB, n int) []string {
 	tb.Helper()
 	var addrs []string
@@ -270,7 +270,7 @@
 	return addrs
 }
 
-// entryOptions describe one entry VM under test with a platform of its own.
+// entryOptions describes a single entry VM under test with its own platform.
 type entryOptions struct {
 	targets  []fleet.Target // region and domain are filled in
 	services []catalogue.Service
@@ -281,11 +281,11 @@
 // when the entry VM has its configuration.
 func startEntry(tb testing.TB, o entryOptions) *daemon.Daemon {
 	tb.Helper()
-	w := newWorld(tb, o.services)
+	sys := newTestSystem(tb, o.services)
 	for _, t := range o.targets {
-		w.list("attiki-1", t)
+		sys.registerTarget("attiki-1", t)
 	}
-	return w.entry("a", "attiki-1", o.flags...).Daemon
+	return sys.startEntryVM("a", "attiki-1", o.flags...).Daemon
 }
 
 func startDaemon(tb testing.TB, p daemon.Platform, out io.Writer, flags []string) *daemon.Daemon {
@@ -311,7 +311,7 @@
 	return d
 }
 
-// waitFor polls until ok, and fails the test when that takes very long.
+// waitFor polls until ok returns true, and fails the test after about 20 s.
 func waitFor(tb testing.TB, ok func() bool) {
 	tb.Helper()
 	for range 4000 {
@@ -320,11 +320,11 @@
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	tb.Fatal("condition not reached")
+	tb.Fatal("timed out waiting for a condition")
 }
 
-// lookupPage is what the tests read of a look-up's answer.
-type lookupPage struct {
+// lookupBody has the fields of a look-up's answer that the tests use.
+type lookupBody struct {
 	Revision uint64 `json:"revision"`
 	TTLMs    int64  `json:"ttl_ms"`
 	Client   string `json:"client"`
@@ -336,10 +336,11 @@
 	} `json:"entry_vms"`
 }
 
-// lookup asks an entry VM for a service and n tokens for each entry VM.
-func lookup(tb testing.TB, e *entry, service string, n int) lookupPage {
+// lookup sends a look-up of a service to an entry VM, with n tokens for each
+// entry VM of the answer.
+func lookup(tb testing.TB, e *entryVM, service string, n int) lookupBody {
 	tb.Helper()
-	var p lookupPage
+	var p lookupBody
 	a := get(tb, fmt.Sprintf("http://%s/v1/lookup?service=%s&tokens=%d", e.CallAddr(), service, n))
 	if a.status != http.StatusOK {
 		tb.Fatalf("look-up: status %d, %s", a.status, a.body)
@@ -348,8 +349,8 @@
 	return p
 }
 
-// tokenOf takes a token for an entry VM out of a look-up's answer.
-func tokenOf(tb testing.TB, p lookupPage, id fleet.VMID) string {
+// tokenOf returns a token for an entry VM from a look-up's answer.
+func tokenOf(tb testing.TB, p lookupBody, id fleet.VMID) string {
 	tb.Helper()
 	for _, vm := range p.EntryVMs {
 		if vm.ID == id && len(vm.Tokens) > 0 {
@@ -360,14 +361,14 @@
 	return ""
 }
 
-// answer is a whole answer as a caller sees it.
+// answer is a complete answer as received by a caller.
 type answer struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// decode reads a JSON body.
+// decode decodes a JSON body.
 func (a answer) decode(tb testing.TB, v any) {
 	tb.Helper()
 	if err := json.Unmarshal(a.body, v); err != nil {
@@ -381,8 +382,8 @@
 // callTimeout is far above the time of any request of the tests.
 const callTimeout = 60 * time.Second
 
-// send makes a request with a connection of its own. err is of the transport,
-// such as for an answer that was not whole.
+// send sends a request on a new connection. The error is one of the transport,
+// for example because the answer was incomplete.
 func send(method, url string, h http.Header, body []byte) (answer, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
@@ -404,9 +405,9 @@
 	return answer{res.StatusCode, res.Header, b}, err
 }
 
-// call makes a request of a service through an entry VM and fails the test
-// when there is no whole answer.
-func call(tb testing.TB, e *entry, method, service, path string, h http.Header, body []byte) answer {
+// call sends a request to a service through an entry VM and fails the test
+// if there is no complete answer.
+func call(tb testing.TB, e *entryVM, method, service, path string, h http.Header, body []byte) answer {
 	tb.Helper()
 	a, err := send(method, "http://"+e.CallAddr()+"/v1/call/"+service+path, h, body)
 	if err != nil {
@@ -424,10 +425,10 @@
 	return a
 }
 
-// readVars reads an entry VM's metrics. It keeps its connection: of those that
-// are closed behind each answer, a few answers are lost
+// readMetrics reads an entry VM's metrics. It keeps its connection open, because
+// a few answers are lost if the connection is closed after each one
 // (TestAdministrationAnswersArrive).
-func readVars(tb testing.TB, e *entry, v any) {
+func readMetrics(tb testing.TB, e *entryVM, v any) {
 	tb.Helper()
 	res, err := http.Get("http://" + e.AdminAddr() + "/debug/vars")
 	if err != nil {
@@ -439,11 +440,11 @@
 	}
 }
 
-// metric reads a number of an entry VM's metrics.
-func metric(tb testing.TB, e *entry, name string) int64 {
+// metric returns the value of one of an entry VM's metrics.
+func metric(tb testing.TB, e *entryVM, name string) int64 {
 	tb.Helper()
 	var vars map[string]json.RawMessage
-	readVars(tb, e, &vars)
+	readMetrics(tb, e, &vars)
 	var n int64
 	if err := json.Unmarshal(vars[name], &n); err != nil {
 		tb.Fatalf("metric %s: %v", name, err)
--- a/operate/explain/explain.go
+++ b/operate/explain/explain.go
@@ -1,6 +1,7 @@
-// Package explain joins the log lines of several entry VMs into one time line
-// of a request: its own lines, and what the VMs came to believe, shortly
-// before, of the targets that it was sent to, of the store and of themselves.
+// Package explain merges the log lines of several entry VMs into the timeline
+// of one request. The timeline contains the request's own lines and earlier
+// lines about the state of its targets, of the store and of the entry VM that
+// answered it.
 package explain
 
 import (
@@ -15,7 +16,7 @@
 	"time"
 )
 
-// Line is one log line that bears on a request.
+// Line is a log line that is relevant to a request.
 type Line struct {
 	Time   time.Time      `json:"time"`
 	VM     string         `json:"vm,omitempty"`
@@ -24,26 +25,27 @@
 	Fields map[string]any `json:"fields"`
 }
 
-// Report is the time line of a request.
+// Report is the timeline of a request.
 type Report struct {
 	Request string `json:"request"`
-	Cause   string `json:"cause"` // in a sentence
+	Cause   string `json:"cause"` // why the request ended as it did, as a sentence
 	Lines   []Line `json:"lines"`
 }
 
-// before is how long before a request's end other lines count.
-const before = 10 * time.Second
+// lookback is the time before the end of a request from which other lines are
+// included.
+const lookback = 10 * time.Second
 
-// maxLine bounds one log line.
-const maxLine = 1 << 20
+// maxLineSize is the largest size of a log line in bytes.
+const maxLineSize = 1 << 20
 
-// ErrNotFound means that no line speaks of the request. Of answered requests
-// only one in many has a line.
-var ErrNotFound = errors.New("explain: no line on this request")
+// ErrNotFound means that no log line refers to the request. Only a sample of
+// the answered requests is logged.
+var ErrNotFound = errors.New("explain: no log line for this request")
 
-// Read makes the report on a request from log lines. What stands before the
-// first brace of a line, such as a time or a host name, is skipped, and so are
-// lines that are not JSON.
+// Read builds the report on a request from log lines. It skips any text before
+// the first brace of a line, such as a time or a host name, and lines that are
+// not JSON. A line without a VM takes the last word of that text as its VM.
 func Read(request string, logs io.Reader) (*Report, error) {
 	all, err := parse(logs)
 	if err != nil {
@@ -63,7 +65,7 @@
 	}
 	last := own[len(own)-1]
 	for _, l := range all {
-		if l.Fields["request"] == request || (near(l, last) && bears(l, last, targets)) || keepsAway(l, last) {
+		if l.Fields["request"] == request || (shortlyBefore(l, last) && isRelevant(l, last, targets)) || isQuarantineOf(l, last) {
 			r.Lines = append(r.Lines, l)
 		}
 	}
@@ -75,7 +77,7 @@
 func parse(logs io.Reader) ([]Line, error) {
 	var all []Line
 	s := bufio.NewScanner(logs)
-	s.Buffer(nil, maxLine)
+	s.Buffer(nil, maxLineSize)
 	for s.Scan() {
 		i := bytes.IndexByte(s.Bytes(), '{')
 		if i < 0 {
@@ -85,11 +87,11 @@
 		if json.Unmarshal(s.Bytes()[i:], &f) != nil {
 			continue
 		}
-		l := Line{Fields: f, VM: text(f["vm"]), Event: text(f["event"]), Text: text(f["msg"])}
+		l := Line{Fields: f, VM: stringOf(f["vm"]), Event: stringOf(f["event"]), Text: stringOf(f["msg"])}
 		if l.VM == "" {
-			l.VM = lastWord(string(s.Bytes()[:i])) // as collectors of logs prefix it
+			l.VM = lastWord(string(s.Bytes()[:i])) // the prefix that log collectors add
 		}
-		at, err := time.Parse(time.RFC3339Nano, text(f["time"]))
+		at, err := time.Parse(time.RFC3339Nano, stringOf(f["time"]))
 		if err != nil || l.Event == "" {
 			continue
 		}
@@ -102,7 +104,7 @@
 	return all, nil
 }
 
-func text(v any) string {
+func stringOf(v any) string {
 	s, _ := v.(string)
 	return s
 }
@@ -115,7 +117,7 @@
 	return words[len(words)-1]
 }
 
-// sends returns the sends of a request's line.
+// sends returns the attempts listed in the log line of a request.
 func sends(l Line) []map[string]any {
 	list, _ := l.Fields["sends"].([]any)
 	var out []map[string]any
@@ -129,24 +131,26 @@
 
 func addTargets(to map[string]bool, l Line) {
 	for _, s := range sends(l) {
-		to[text(s["target"])] = true
+		to[stringOf(s["target"])] = true
 	}
 }
 
-// keepsAway reports whether l tells of a quarantine of requests like own, which
-// may have begun long before.
-func keepsAway(l, own Line) bool {
-	f := text(own.Fields["fingerprint"])
-	return l.Event == "quarantine" && f != "" && text(l.Fields["fingerprint"]) == f && !l.Time.After(own.Time)
+// isQuarantineOf reports whether l is about the quarantine of requests with the
+// fingerprint of own. The quarantine may have begun long before the request.
+func isQuarantineOf(l, own Line) bool {
+	f := stringOf(own.Fields["fingerprint"])
+	return l.Event == "quarantine" && f != "" && stringOf(l.Fields["fingerprint"]) == f && !l.Time.After(own.Time)
 }
 
-// near reports whether l was written shortly before the request's line.
-func near(l, own Line) bool {
-	return !l.Time.After(own.Time) && own.Time.Sub(l.Time) <= before
+// shortlyBefore reports whether l was written at most lookback before the
+// request's line.
+func shortlyBefore(l, own Line) bool {
+	return !l.Time.After(own.Time) && own.Time.Sub(l.Time) <= lookback
 }
 
-// bears reports whether l speaks of something that decided the request.
-func bears(l, own Line, targets map[string]bool) bool {
+// isRelevant reports whether l is about one of the request's targets, or about
+// the state of the entry VM that answered it.
+func isRelevant(l, own Line, targets map[string]bool) bool {
 	switch l.Event {
 	case "target":
 		return namesAny(l, targets)
@@ -156,24 +160,24 @@
 	return false
 }
 
-// namesAny reports whether a line about one target, or about many, names one of
+// namesAny reports whether a line about one or more targets names one of
 // targets.
 func namesAny(l Line, targets map[string]bool) bool {
-	if targets[text(l.Fields["target"])] {
+	if targets[stringOf(l.Fields["target"])] {
 		return true
 	}
 	for _, field := range []string{"draining_targets", "gone_targets"} {
 		list, _ := l.Fields[field].([]any)
-		if slices.ContainsFunc(list, func(id any) bool { return targets[text(id)] }) {
+		if slices.ContainsFunc(list, func(id any) bool { return targets[stringOf(id)] }) {
 			return true
 		}
 	}
 	return false
 }
 
-// cause says in a sentence why a request ended as it did.
+// cause returns a sentence on why a request ended as it did.
 func cause(l Line) string {
-	why, v := text(l.Fields["reason"]), text(l.Fields["verdict"])
+	why, v := stringOf(l.Fields["reason"]), stringOf(l.Fields["verdict"])
 	n := len(sends(l))
 	switch {
 	case why == "" && v == "ran":
@@ -202,13 +206,13 @@
 		fmt.Fprintf(w, "%s  %-24s %-9s %s%s\n", l.Time.Format("15:04:05.000"), l.VM, l.Event, l.Text, details(l))
 		for _, s := range sends(l) {
 			fmt.Fprintf(w, "%12s  after %v ms to %v: %v in %v ms %v (%v)\n", "",
-				s["after_ms"], s["target"], s["outcome"], s["took_ms"], text(s["reason"]), s["verdict"])
+				s["after_ms"], s["target"], s["outcome"], s["took_ms"], stringOf(s["reason"]), s["verdict"])
 		}
 	}
 }
 
-// shown are the fields that details shows, in this order.
-var shown = []string{
+// detailFields lists the fields that details prints, in this order.
+var detailFields = []string{
 	"status", "verdict", "reason", "took_ms", "patience_ms", "retry_after_ms", "config", "store_age_ms",
 	"store_reached", "target", "registered", "draining", "gone", "cold_ms", "version", "revision", "domain", "begin",
 	"count", "changed", "settings", "error", "fingerprint", "route", "ends", "trials",
@@ -216,7 +220,7 @@
 
 func details(l Line) string {
 	var b strings.Builder
-	for _, name := range shown {
+	for _, name := range detailFields {
 		if v, ok := l.Fields[name]; ok && v != "" {
 			fmt.Fprintf(&b, " %s=%v", name, v)
 		}
--- a/operate/render/render.go
+++ b/operate/render/render.go
@@ -18,7 +18,8 @@
 // JSON prints v as one line of JSON.
 func JSON(w io.Writer, v any) error { return json.NewEncoder(w).Encode(v) }
 
-// NewTable returns a plain table, which also reads well in a pipe.
+// NewTable returns a table without borders, so that its output is also readable
+// in a pipe.
 func NewTable(w io.Writer, header ...any) table.Writer {
 	t := table.NewWriter()
 	t.SetOutputMirror(w)
@@ -33,13 +34,13 @@
 	return t
 }
 
-// Percent writes a share as a percentage.
+// Percent formats a share as a percentage.
 func Percent(s catalogue.Share) string {
 	return fmt.Sprintf("%.2f%%", float64(s)*100/catalogue.ShareUnit)
 }
 
-// orAll writes an empty name as "all", which is what it stands for in the
-// service and receiver of a shift.
+// orAll returns "all" for an empty name, which is its meaning in the service
+// and the receiving region of a shift.
 func orAll[T ~string](s T) string {
 	if s == "" {
 		return "all"
@@ -54,7 +55,7 @@
 	return string(s)
 }
 
-func instant(t time.Time) string {
+func windowTime(t time.Time) string {
 	if t.IsZero() {
 		return "open"
 	}
@@ -94,7 +95,8 @@
 	t.Render()
 }
 
-// Shift prints all of one traffic shift, its limits with their defaults.
+// Shift prints all fields of a traffic shift. Limits that are not set are shown
+// with their defaults.
 func Shift(w io.Writer, s catalogue.Shift) {
 	l := s.Limits.WithDefaults()
 	t := NewTable(w)
@@ -116,37 +118,37 @@
 		{"min_headroom", Percent(l.MinHeadroom)},
 		{"max_error_share", Percent(l.MaxErrorShare)},
 		{"max_p99", time.Duration(l.MaxP99)},
-		{"window", instant(l.Window.Start) + " to " + instant(l.Window.End)},
+		{"window", windowTime(l.Window.Start) + " to " + windowTime(l.Window.End)},
 		{"revision", s.Revision},
 	})
 	t.Render()
 }
 
-// Status prints what one entry VM knows of the system.
+// Status prints the state of the system as one entry VM knows it.
 func Status(w io.Writer, s admin.Status) {
 	t := NewTable(w)
 	t.AppendRows([]table.Row{
 		{"entry VM", fmt.Sprintf("%s (%s, %s)", s.VM, s.Region, s.Domain)},
 		{"revision", fmt.Sprintf("%d, confirmed %s ago", s.Revision, time.Duration(s.RevisionAge).Round(time.Millisecond))},
-		{"platform", word(s.PlatformReachable, "reachable", "NOT REACHABLE")},
-		{"cut off", word(s.CutOff, "YES: no newer revision can arrive, shifts stand still", "no")},
-		{"stopping", word(s.Stopping, "YES", "no")},
-		{"entry VMs", members(s.Members)},
+		{"platform", choose(s.PlatformReachable, "reachable", "NOT REACHABLE")},
+		{"cut off", choose(s.CutOff, "YES: no newer revision can arrive, shifts stand still", "no")},
+		{"stopping", choose(s.Stopping, "YES", "no")},
+		{"entry VMs", memberCounts(s.Members)},
 		{"invariant violations", s.InvariantViolations},
 	})
 	t.Render()
-	loads(w, s.Loads)
-	moves(w, s.Shifts)
+	printLoads(w, s.Loads)
+	printShiftStatus(w, s.Shifts)
 }
 
-func word(b bool, yes, no string) string {
+func choose(b bool, yes, no string) string {
 	if b {
 		return yes
 	}
 	return no
 }
 
-func members(list []admin.Member) string {
+func memberCounts(list []admin.Member) string {
 	counts := map[string]int{}
 	for _, m := range list {
 		counts[m.State]++
@@ -158,7 +160,7 @@
 	return strings.Join(parts, ", ")
 }
 
-func loads(w io.Writer, list []admin.Load) {
+func printLoads(w io.Writer, list []admin.Load) {
 	if len(list) == 0 {
 		return
 	}
@@ -173,7 +175,7 @@
 	t.Render()
 }
 
-func moves(w io.Writer, list []admin.ShiftStatus) {
+func printShiftStatus(w io.Writer, list []admin.ShiftStatus) {
 	if len(list) == 0 {
 		return
 	}
@@ -188,7 +190,7 @@
 	t.Render()
 }
 
-// Lookup prints the answer of a look-up.
+// Lookup prints the result of a look-up.
 func Lookup(w io.Writer, l client.Lookup) {
 	fmt.Fprintf(w, "home %s, steered to %s, shift %s, keep for %s\n",
 		orDash(l.Home), orDash(l.Region), orDash(l.Shift), time.Duration(l.TTLMs)*time.Millisecond)
