--- a/serve/ingress/call_test.go
+++ b/serve/ingress/call_test.go
@@ -8,9 +8,9 @@
 	"github.com/azurethread/azurethread/decide/ingress"
 )
 
-// Symptom: a target seems to be full although it said nothing of the kind.
-// Sequence: its load field has fewer than three numbers.
-// Cause: the last number was read again for those that are missing.
+// Guards against a target that appears to be full without having reported it:
+// its load field has fewer than three numbers, and the last number is used for
+// the missing ones too.
 func TestParseLoad(t *testing.T) {
 	is := is.New(t)
 	is.Equal(parseLoad("1,2,3"), ingress.Load{Known: true, Running: 1, Waiting: 2, Slots: 3})
--- a/serve/ingress/gateway_test.go
+++ b/serve/ingress/gateway_test.go
@@ -31,7 +31,8 @@
 	w.registerTargetIn("far", id, ln.Addr().String())
 }
 
-// startTwoRegions starts an entry VM, and one in the other region that is its gateway.
+// startTwoRegions starts an entry VM, and one in the other region that is its
+// gateway.
 func (w *testEnv) startTwoRegions() (near, gate *Server) {
 	w.t.Helper()
 	gate = w.waitListed(w.startIn("far", "gate", w.store))
@@ -53,7 +54,8 @@
 	return c.readResponse(method)
 }
 
-// Guards against requests to other regions that open a connection of their own.
+// Guards against requests to other regions that bypass the gateway and open a
+// connection of their own.
 func TestGatewayForwardsRequestsToItsRegion(t *testing.T) {
 	is := is.New(t)
 	w := newTestEnv(t, catchAllRoute(false))
@@ -65,7 +67,7 @@
 		mu.Lock()
 		got = append(got, r.Header.Clone())
 		mu.Unlock()
-		rw.Header().Set(verdict.Header, "not-run") // a target's own field of that name
+		rw.Header().Set(verdict.Header, "not-run") // the target sets a field of this name itself
 		respondOK("hello")(rw, r)
 	}))
 	near, gate := w.startTwoRegions()
@@ -74,7 +76,7 @@
 	is.Equal(body, "hello")
 	is.Equal(gate.metrics.forwarded.Value(), int64(1))
 	is.Equal(near.metrics.sends.Value(), int64(1))
-	is.Equal(gate.metrics.sends.Value(), int64(0)) // its own VM counts it
+	is.Equal(gate.metrics.sends.Value(), int64(0)) // counted by the VM that received the request
 	h := got[0]
 	is.Equal(h.Get(forwardHeader), "")
 	is.Equal(h.Get(testFields.Target), "t1")
@@ -84,7 +86,8 @@
 	is.True(left > 0 && left <= 5000)
 }
 
-// Guards against bodies and answers that only fit a message between entry VMs.
+// Guards against a size limit for forwarded bodies and answers, such as that of
+// a message between entry VMs.
 func TestGatewayForwardsLargeBodies(t *testing.T) {
 	is := is.New(t)
 	const size = 3 << 20
@@ -103,18 +106,18 @@
 	is.Equal(len(body), size)
 }
 
-// maxTestBody is the largest body that the tests' entry VMs take.
+// maxTestBody is the largest body that the entry VMs of the tests accept.
 const maxTestBody = defaultBodyBytes
 
-// Guards against verdicts that change on the way through a gateway.
+// Guards against verdicts that are changed by a gateway.
 func TestGatewayPreservesVerdicts(t *testing.T) {
-	hangUp := http.HandlerFunc(func(rw http.ResponseWriter, _ *http.Request) { panic(http.ErrAbortHandler) })
+	aborting := http.HandlerFunc(func(rw http.ResponseWriter, _ *http.Request) { panic(http.ErrAbortHandler) })
 	full := http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		rw.Header().Set(testFields.NotRun, "1")
 		rw.Header().Set(testFields.RequestID, r.Header.Get(testFields.RequestID))
 		rw.WriteHeader(http.StatusServiceUnavailable)
 	})
-	broken := http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
+	failing := http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		rw.Header().Set(testFields.Stamp, "s")
 		rw.Header().Set(testFields.RequestID, r.Header.Get(testFields.RequestID))
 		rw.WriteHeader(http.StatusInternalServerError)
@@ -124,9 +127,9 @@
 		status int
 		stamp  string
 	}{
-		"connection lost": {hangUp, http.StatusBadGateway, ""},
+		"connection lost": {aborting, http.StatusBadGateway, ""},
 		"refused":         {full, http.StatusServiceUnavailable, ""},
-		"its own failure": {broken, http.StatusInternalServerError, "s"},
+		"target failure":  {failing, http.StatusInternalServerError, "s"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -137,27 +140,27 @@
 			is.Equal(res.StatusCode, tc.status)
 			is.Equal(res.Header.Get(testFields.Stamp), tc.stamp)
 			is.True(gate.metrics.forwarded.Value() > 0)
-			w.eventually("nothing is carried any more", func() bool { return gate.calls.len() == 0 })
+			w.eventually("no forwarded request is in flight", func() bool { return gate.calls.len() == 0 })
 		})
 	}
 }
 
-// Guards against requests that fail because the gateway's process has ended: the
-// target can be reached without it.
+// Guards against requests that fail because the gateway's process has ended,
+// although the target can be reached without it.
 func TestDeadGatewayIsBypassed(t *testing.T) {
 	is := is.New(t)
 	w := newTestEnv(t, catchAllRoute(false))
 	w.startRemoteTarget("t1", respondOK("hello"))
 	near, gate := w.startTwoRegions()
-	gate.close() // its lease goes on
+	gate.shutdown() // its lease has not ended
 	res, body := doRequestWithBody(t, near, http.MethodPost, "id-1", nil)
 	is.Equal(res.StatusCode, http.StatusOK)
 	is.Equal(body, "hello")
 	is.Equal(gate.metrics.forwarded.Value(), int64(0))
 }
 
-// Guards against a target that goes on working on a request whose caller has
-// left, since only the gateway could tell it.
+// Guards against a target that continues a request whose caller has left: only
+// the gateway can cancel it there.
 func TestCancelReachesTargetThroughGateway(t *testing.T) {
 	w := newTestEnv(t, catchAllRoute(true))
 	working, cancelled := make(chan struct{}), make(chan struct{})
@@ -172,10 +175,11 @@
 	<-working
 	_ = c.conn.Close()
 	<-cancelled
-	w.eventually("the call is forgotten", func() bool { return near.calls.len() == 0 && gate.calls.len() == 0 })
+	w.eventually("the call is removed", func() bool { return near.calls.len() == 0 && gate.calls.len() == 0 })
 }
 
-// Guards against requests that are cut off by the planned stop of their gateway.
+// Guards against requests that are interrupted by the planned stop of their
+// gateway.
 func TestGatewayStopUnderLoad(t *testing.T) {
 	is := is.New(t)
 	w := newTestEnv(t, catchAllRoute(false))
@@ -211,8 +215,9 @@
 	is.True(gate.metrics.forwarded.Value() > 0)
 }
 
-// requestStatus sends a request on a new connection and returns the status of its
-// answer, 502 if there is none: it may have run then.
+// requestStatus sends a request on a new connection and returns the status of
+// the answer. Without an answer it returns 502, because the request may have
+// run.
 func requestStatus(addr string) int {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -228,8 +233,8 @@
 	return res.StatusCode
 }
 
-// Guards against a gateway that carries what no entry VM of its deployment has
-// placed, or sends anywhere but to a registered target.
+// Guards against a gateway that forwards requests which no entry VM of its
+// deployment has placed, or that sends them to anything but a registered target.
 func TestGatewayRejectsInvalidForwardHeaders(t *testing.T) {
 	w := newTestEnv(t, catchAllRoute(true))
 	w.startRemoteTarget("t1", respondOK("hello"))
@@ -257,8 +262,8 @@
 	}
 }
 
-// Guards against a gateway that is shunned for as long as connections last that
-// have gone silent: new ones would work.
+// Guards against a gateway that is avoided for as long as its silent connections
+// stay open, although new ones would work.
 func TestIdleGatewayConnectionsAreReplaced(t *testing.T) {
 	is := is.New(t)
 	w := newTestEnv(t, catchAllRoute(true))
@@ -269,7 +274,7 @@
 	addr := gate.settings.Self.GatewayAddr
 	is.True(near.gatewayPool.Connections(addr) > 0)
 	near.discardGatewayConns(gate.settings.Self.ID)
-	w.eventually("free connections are closed", func() bool { return near.gatewayPool.Connections(addr) == 0 })
+	w.eventually("idle connections are closed", func() bool { return near.gatewayPool.Connections(addr) == 0 })
 	res, _ = doRequest(t, near, http.MethodGet, "/", "id-2")
 	is.Equal(res.StatusCode, http.StatusOK)
 	is.Equal(gate.metrics.forwarded.Value(), int64(2))
--- a/serve/ingress/harness_test.go
+++ b/serve/ingress/harness_test.go
@@ -24,7 +24,7 @@
 	"github.com/azurethread/azurethread/serve/kv/kvtest"
 )
 
-// Header fields, keys and places of the tests.
+// testFields are the header fields used by the tests.
 var testFields = Fields{
 	RequestID: "X-Id", Timeout: "X-Patience", Object: "X-Object", Stamp: "X-Stamp",
 	Target: "X-Target", Load: "X-Load", NotRun: "X-Not-Run", RateLimits: []string{"X-Limit"},
@@ -35,8 +35,8 @@
 	testConfig = "test/config"
 )
 
-// testTranslator reads configurations and targets as JSON of the decisions'
-// own types.
+// testTranslator decodes configurations and targets from the JSON encoding of
+// the types of decide/ingress and decide/route.
 type testTranslator struct{}
 
 func (testTranslator) Prefixes() []string { return []string{"test/"} }
@@ -62,11 +62,12 @@
 	return Change{}, nil
 }
 
-// testEnv is a store with a configuration, and entry VMs on loopback.
+// testEnv is a store with a configuration, and entry VMs on the loopback
+// interface.
 type testEnv struct {
 	t     testing.TB
 	store *kvtest.Store
-	log   io.Writer // takes the log lines
+	log   io.Writer // receives the log lines
 }
 
 func newTestEnv(t testing.TB, routes ...route.Route) *testEnv {
@@ -75,7 +76,7 @@
 	return w
 }
 
-// writeConfig writes a configuration whose services are those of its routes.
+// writeConfig writes a configuration with these routes and their services.
 func (w *testEnv) writeConfig(version uint64, routes ...route.Route) {
 	cfg := route.Config{Version: version, Services: make(map[fleet.ServiceName]route.Service)}
 	for _, r := range routes {
@@ -93,7 +94,7 @@
 	w.store.Put(testConfig, string(b))
 }
 
-// catchAllRoute is a route of one service to everything.
+// catchAllRoute is a route for all paths with one service.
 func catchAllRoute(idempotent bool) route.Route {
 	return route.Route{
 		Name: "r", Prefix: "/", Idempotent: idempotent, Attempts: 2,
@@ -162,13 +163,14 @@
 	return w.startListedWith(id, w.store)
 }
 
-// startListedWith starts an entry VM that reaches the store in its own way.
+// startListedWith starts an entry VM with its own access to the store, and waits
+// until it is listed.
 func (w *testEnv) startListedWith(id string, store kv.Store) *Server {
 	w.t.Helper()
 	return w.waitListed(w.start(id, store))
 }
 
-// waitListed waits until an entry VM is in the store's list and knows the targets.
+// waitListed waits until an entry VM is on the store's list and has all targets.
 func (w *testEnv) waitListed(s *Server) *Server {
 	w.t.Helper()
 	id := string(s.settings.Self.ID)
@@ -179,7 +181,7 @@
 	return s
 }
 
-// start starts an entry VM that knows others by their addresses.
+// start starts an entry VM with the peer addresses of other VMs.
 func (w *testEnv) start(id string, store kv.Store, seeds ...string) *Server {
 	w.t.Helper()
 	return w.startIn("d1", id, store, seeds...)
@@ -221,11 +223,11 @@
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	w.t.Cleanup(s.close)
+	w.t.Cleanup(s.shutdown)
 	return s
 }
 
-// registeredTargets counts the registered targets.
+// registeredTargets returns the number of registered targets.
 func (w *testEnv) registeredTargets() int {
 	snap, err := w.store.Range(w.t.Context(), "test/target/", kv.Latest)
 	if err != nil {
@@ -241,7 +243,7 @@
 	return known == n
 }
 
-// eventually waits for something that other goroutines bring about.
+// eventually waits for a condition that other goroutines establish.
 func (w *testEnv) eventually(what string, is func() bool) {
 	w.t.Helper()
 	for range 1000 {
@@ -270,7 +272,7 @@
 	return &caller{t: t, conn: c, r: bufio.NewReader(c)}
 }
 
-// sendRequest sends a request.
+// sendRequest sends a request without a body.
 func (c *caller) sendRequest(method, path, id string) {
 	c.t.Helper()
 	_, err := fmt.Fprintf(c.conn, "%s %s HTTP/1.1\r\nHost: %s\r\nX-Id: %s\r\nX-Patience: 5000\r\n\r\n", method, path, testHost, id)
@@ -279,7 +281,7 @@
 	}
 }
 
-// readResponse reads an answer and its whole body.
+// readResponse reads an answer with its whole body.
 func (c *caller) readResponse(method string) (*http.Response, string) {
 	c.t.Helper()
 	_ = c.conn.SetReadDeadline(time.Now().Add(10 * time.Second))
@@ -294,7 +296,7 @@
 	return res, string(b)
 }
 
-// doRequest sends a request on a new connection and reads its answer.
+// doRequest sends a request on a new connection and reads the answer.
 func doRequest(t *testing.T, s *Server, method, path, id string) (*http.Response, string) {
 	t.Helper()
 	c := dial(t, s)
--- a/serve/ingress/log_test.go
+++ b/serve/ingress/log_test.go
@@ -36,7 +36,7 @@
 	return l.buf.String()
 }
 
-// loggedRequest is what an engineer reads in the line of a failed request.
+// loggedRequest is the log line of a failed request.
 type loggedRequest struct {
 	Event   string          `json:"event"`
 	Request string          `json:"request"`
@@ -65,14 +65,13 @@
 	return found
 }
 
-// Symptom: a user complains, and nobody can say what happened to the request.
-// Sequence: one of the ways in which a request fails.
-// Cause: its line lacked what had decided it.
+// Guards against log lines that do not show why a request failed: for each way
+// of failing, the line has to contain the data that determined the result.
 func TestRequestLineExplainsFailure(t *testing.T) {
-	hangUp := func(c net.Conn, r *bufio.Reader) { _, _ = http.ReadRequest(r) }
+	closing := func(c net.Conn, r *bufio.Reader) { _, _ = http.ReadRequest(r) }
 	silent := func(c net.Conn, r *bufio.Reader) {
 		_, _ = http.ReadRequest(r)
-		_, _ = r.ReadByte() // until the other side gives up
+		_, _ = r.ReadByte() // until the entry VM closes the connection
 	}
 	cases := map[string]struct {
 		target  func(c net.Conn, r *bufio.Reader)
@@ -83,7 +82,7 @@
 			want: loggedRequest{Status: 503, Verdict: verdict.NotRun, Reason: verdict.ReasonNoTarget},
 		},
 		"sent and outcome unknown": {
-			target: hangUp,
+			target: closing,
 			want: loggedRequest{Status: 502, Verdict: verdict.MayHaveRun, Reason: verdict.ReasonConnectionLost,
 				Sends: []sendRecord{{Target: "t1", Domain: "d1", Verdict: verdict.MayHaveRun, Reason: verdict.ReasonConnectionLost}}},
 		},
@@ -122,10 +121,9 @@
 	}
 }
 
-// Symptom: much of a region's traffic is seen to change its region, and nobody
-// can say whether the entry VMs placed it so.
-// Sequence: a VM places requests; one in many of them has a line.
-// Cause: no line said where requests were placed.
+// Guards against a shift of traffic between regions that cannot be attributed to
+// the entry VMs: only a sample of the requests is logged, so the placement of
+// all requests has to be logged in total.
 func TestPlacementIsLogged(t *testing.T) {
 	is := is.New(t)
 	w := newTestEnv(t, catchAllRoute(true))
@@ -138,7 +136,7 @@
 		res, _ := doRequest(t, s, http.MethodGet, "/x", fmt.Sprint("id-", i))
 		is.Equal(res.StatusCode, http.StatusOK)
 	}
-	s.close()
+	s.shutdown()
 	total := 0
 	for _, text := range strings.Split(log.String(), "\n") {
 		var line struct {
@@ -154,9 +152,8 @@
 	is.Equal(total, requests)
 }
 
-// Symptom: a password is found in the logs.
-// Sequence: a request with credentials and a body fails.
-// Cause: its line held the whole head or body.
+// Guards against credentials in the logs: a request with credentials and a body
+// fails, and its log line contains the whole head or body.
 func TestRequestLineOmitsSecrets(t *testing.T) {
 	is := is.New(t)
 	w := newTestEnv(t, catchAllRoute(false))
@@ -173,8 +170,8 @@
 	is.True(!strings.Contains(log.String(), secret))
 }
 
-// BenchmarkRequest is a request through an entry VM to a target, with the
-// caller's and the target's part.
+// BenchmarkRequest measures a request through an entry VM to a target, including
+// the caller's and the target's work.
 func BenchmarkRequest(b *testing.B) {
 	w := newTestEnv(b, catchAllRoute(true))
 	w.startTarget("t1", respondOK("body"))
@@ -187,8 +184,8 @@
 	}
 }
 
-// BenchmarkRequestLine is one line on a request with one send. Of requests that
-// were answered, one in successEvery gets a line.
+// BenchmarkRequestLine measures one log line for a request with one send. One in
+// successSampleInterval answered requests gets a line.
 func BenchmarkRequestLine(b *testing.B) {
 	w := newTestEnv(b, catchAllRoute(true))
 	w.startTarget("t1", respondOK("body"))
@@ -200,8 +197,8 @@
 	}
 }
 
-// Nobody can tell from the lines that a failed request came again: each attempt
-// of its caller has another id.
+// Guards against log lines that do not show that a failed request was repeated:
+// each attempt of its caller has another id.
 func TestEqualRequestsShareFingerprint(t *testing.T) {
 	is := is.New(t)
 	log := new(logBuffer)
--- a/serve/ingress/lookup_test.go
+++ b/serve/ingress/lookup_test.go
@@ -28,10 +28,9 @@
 	return out
 }
 
-// Symptom: all callers of a failure domain fail for seconds when its only entry
-// VM is stopped or killed, beside others that serve.
-// Sequence: callers hold an answer that names this VM alone.
-// Cause: answers named the VMs of the failure domain, however few.
+// Guards against all callers of a failure domain failing for seconds when its
+// only entry VM is stopped or killed: look-ups return only the VMs of the
+// domain, and callers keep using an answer with this single VM.
 func TestLookupNamesSeveralVMs(t *testing.T) {
 	is := is.New(t)
 	l := Lookup{Domain: "a1", Region: "a"}
@@ -43,18 +42,18 @@
 	is.Equal(len(nearest(nil, l)), 0)
 }
 
-// Symptom: bodies that are bound to their region are sent to another one.
-// Sequence: a region has a single entry VM.
-// Cause: a second address was looked for everywhere.
+// Guards against bodies that are restricted to their region being sent to
+// another one: a region has a single entry VM, and the second address is taken
+// from any region.
 func TestLookupStaysInRegion(t *testing.T) {
 	is := is.New(t)
 	l := Lookup{Domain: "a1", Region: "a"}
 	is.Equal(domainsOf(nearest(vmsOf("a1", "b1", "b2"), l)), []string{"a1"})
 }
 
-// Symptom: the callers of all small failure domains turn to the same VM.
-// Sequence: each of them has one VM and needs a second.
-// Cause: the second was the first of the list.
+// Guards against the callers of all small failure domains using the same VM:
+// each domain has one VM and needs a second, which is always the first of the
+// list.
 func TestLookupSpreadsSecondVM(t *testing.T) {
 	is := is.New(t)
 	vms := vmsOf("a1", "a2", "a3", "a4", "a5", "a6", "a7", "a8")
@@ -65,10 +64,11 @@
 	is.True(len(second) >= 4)
 }
 
-// Pattern: a failure domain of thirty VMs with a sixth of a core and three with
-// most of one, which hold a third of its processors. Requests that are spread
-// over all of them meet a target from so many VMs that nine of ten open a
-// connection, and wait for a sixth of a core each time.
+// Guards against look-ups that spread requests over all VMs of a failure domain
+// with thirty VMs of a sixth of a core and three of most of a core, which have a
+// third of its CPU. Each target would get requests from so many VMs that nine of
+// ten open a connection, and most requests would be processed with a sixth of a
+// core.
 func TestLookupPrefersStrongVMs(t *testing.T) {
 	is := is.New(t)
 	sized := func(strong, weak int) []fleet.VM {
@@ -84,12 +84,12 @@
 	l := Lookup{Domain: "a1", Region: "a"}
 	is.Equal(len(nearest(sized(3, 30), l)), 3)
 	is.Equal(len(nearest(sized(2, 8), l)), 2)
-	is.Equal(len(nearest(sized(2, 30), l)), 32) // too few of them to bear it
+	is.Equal(len(nearest(sized(2, 30), l)), 32) // the strong ones have too little CPU
 	is.Equal(len(nearest(sized(1, 2), l)), 3)   // one may be down
 	is.Equal(len(nearest(sized(0, 9), l)), 9)
 }
 
-// BenchmarkNearest is a look-up among 85 entry VMs of three regions.
+// BenchmarkNearest measures a look-up among 85 entry VMs of three regions.
 func BenchmarkNearest(b *testing.B) {
 	var places []string
 	for i := range 85 {
--- a/serve/ingress/metrics_test.go
+++ b/serve/ingress/metrics_test.go
@@ -7,8 +7,8 @@
 	"github.com/matryer/is"
 )
 
-// Guards against waits for connections that no figure shows: the lines of
-// requests tell of one answered send in 64.
+// Guards against waits for connections that no metric shows: only one in 64
+// answered sends is logged.
 func TestConnectionWaitsAreCounted(t *testing.T) {
 	is := is.New(t)
 	w := newTestEnv(t, catchAllRoute(true))
@@ -19,5 +19,5 @@
 		is.Equal(res.StatusCode, http.StatusOK)
 	}
 	is.Equal(s.metrics.sendsByDomain.Get("d1").String(), "2")
-	is.Equal(s.metrics.connWaits.Get("d1").String(), "1") // the second one found it free
+	is.Equal(s.metrics.connWaits.Get("d1").String(), "1") // the second request finds the connection idle
 }
--- a/serve/ingress/pack.go
+++ b/serve/ingress/pack.go
@@ -39,13 +39,13 @@
 		p.asOf, p.pages = r.AsOf, pages
 	}
 	if p.expiry == nil {
-		p.expiry = time.AfterFunc(packedCopyTTL, p.clear)
+		p.expiry = time.AfterFunc(packedCopyTTL, p.evict)
 	}
 	p.expiry.Reset(packedCopyTTL)
 	return p.pages, nil
 }
 
-func (p *packedCopies) clear() {
+func (p *packedCopies) evict() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.pages = nil
--- a/serve/ingress/pack_test.go
+++ b/serve/ingress/pack_test.go
@@ -12,7 +12,7 @@
 	"github.com/azurethread/azurethread/serve/peer"
 )
 
-// fleetCopy is a copy of n keys that differ as those of targets do.
+// fleetCopy is a copy of n keys that differ like those of targets.
 func fleetCopy(n int) relay {
 	rng := rand.New(rand.NewPCG(1, 1))
 	r := relay{AsOf: 7, Full: true}
@@ -28,12 +28,12 @@
 	return r
 }
 
-// Symptom: a fleet of 300 VMs and 3,000 targets serves eight seconds after all of
-// its VMs were killed, one of 100 after half a second.
-// Sequence: fifty VMs of a failure domain take their copies from one of them;
-// those that wait in vain ask others, in other regions too, and the store.
-// Cause: a copy had 0.7 MB, and fifty of them take a link of 200 Mbit/s as long as
-// the 1.5 s that they wait. Here they may take a third of that time.
+// Guards against a slow restart: after all its VMs were killed, a fleet of 300
+// VMs and 3,000 targets served after eight seconds, one of 100 VMs after half a
+// second. Fifty VMs of a failure domain fetched copies of 0.7 MB from one of
+// them. A link of 200 Mbit/s needed as long for that as the 1.5 s for which they
+// wait, and those that waited in vain asked other VMs, in other regions too, and
+// the store. All copies together may take a third of that time.
 func TestCompressedCopiesFitReaderLink(t *testing.T) {
 	is := is.New(t)
 	const followers, bytesPerSecond = 50, 200e6 / 8
@@ -61,7 +61,8 @@
 	is.Equal(got, r.Changes)
 }
 
-// A page that is damaged, cut off or grows beyond any message is refused.
+// A damaged page, a truncated one and one that decompresses to more than the
+// largest message are rejected.
 func TestInvalidPagesAreRejected(t *testing.T) {
 	r := fleetCopy(10)
 	pages, err := packPages(&r)
@@ -82,12 +83,12 @@
 		"empty": nil, "cut off": pages[0][:len(pages[0])-3], "damaged": damaged, "bomb": decompressionBomb(t),
 	} {
 		if _, err := unpackPage(page); err == nil {
-			t.Errorf("%s: taken", name)
+			t.Errorf("%s: accepted", name)
 		}
 	}
 }
 
-// The same copy is packed once, a newer one anew.
+// The same copy is compressed once, and again for a newer revision.
 func TestCopyIsPackedOncePerRevision(t *testing.T) {
 	is := is.New(t)
 	var p packedCopies
@@ -106,12 +107,12 @@
 	is.Equal(packed, 1)
 	of(8)
 	is.Equal(packed, 2)
-	p.clear()
+	p.evict()
 	of(8)
 	is.Equal(packed, 3)
 }
 
-// decompressionBomb is a page of a few KB that grows to 64 MB.
+// decompressionBomb is a page of a few KB that decompresses to 64 MB.
 func decompressionBomb(t *testing.T) []byte {
 	t.Helper()
 	enc, err := zstd.NewWriter(nil)
--- a/serve/ingress/quarantine_test.go
+++ b/serve/ingress/quarantine_test.go
@@ -20,9 +20,9 @@
 
 const crashPath = "/deadly"
 
-// startCrashingTarget registers a target whose process ends when it gets a request for
-// deadlyPath: its connections end and nobody listens at its address.
-func (w *testEnv) startCrashingTarget(id string, ends *atomic.Int32) {
+// startCrashingTarget registers a target that crashes when it gets a request for
+// crashPath: it closes its connections and its listener.
+func (w *testEnv) startCrashingTarget(id string, crashes *atomic.Int32) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		w.t.Fatal(err)
@@ -48,7 +48,7 @@
 			open = append(open, c)
 			mu.Unlock()
 			go serveUntilCrash(c, func() {
-				ends.Add(1)
+				crashes.Add(1)
 				end()
 			})
 		}
@@ -56,7 +56,7 @@
 	w.registerTarget(id, ln.Addr().String())
 }
 
-// serveUntilCrash answers requests until one is for deadlyPath.
+// serveUntilCrash answers requests until one is for crashPath.
 func serveUntilCrash(c net.Conn, end func()) {
 	r := bufio.NewReader(c)
 	for {
@@ -72,15 +72,15 @@
 	}
 }
 
-// quarantineCount counts the fingerprints that s keeps away from targets.
+// quarantineCount returns the number of fingerprints in quarantine at s.
 func (s *Server) quarantineCount() int {
 	n := 0
 	s.core.Ask(func(now clock.Time, r *ingress.Reducer) { n = r.Status(now).Quarantined })
 	return n
 }
 
-// A request that ends the targets that run it takes those of all entry VMs, as
-// each of them learns for itself what it does.
+// Guards against a request that crashes the targets of all entry VMs: each of
+// them would send it until it has seen enough crashes itself.
 func TestQueryOfDeathIsKeptAwayByAllEntryVMs(t *testing.T) {
 	is := is.New(t)
 	w := newTestEnv(t, catchAllRoute(true))
@@ -96,16 +96,16 @@
 	}
 	for n := 0; vms[0].quarantineCount() == 0; n++ {
 		if n == 10 {
-			t.Fatalf("%d targets have ended and nothing is kept away", ends.Load())
+			t.Fatalf("%d targets have crashed and no request is in quarantine", ends.Load())
 		}
 		res, _ := doRequest(t, vms[n%len(vms)], http.MethodGet, crashPath, "deadly-"+strconv.Itoa(n))
 		is.True(res.StatusCode >= http.StatusInternalServerError)
 	}
 	for _, s := range vms {
-		w.eventually("all entry VMs keep it away", func() bool { return s.quarantineCount() == 1 })
+		w.eventually("all entry VMs have it in quarantine", func() bool { return s.quarantineCount() == 1 })
 	}
 	ended := ends.Load()
-	is.True(ended <= quarantine.MaxEnds+1) // one may have been on its way
+	is.True(ended <= quarantine.MaxEnds+1) // one more may have been in flight
 
 	for n, s := range vms {
 		id := "late-" + strconv.Itoa(n)
@@ -119,8 +119,9 @@
 	is.Equal(ends.Load(), ended)
 }
 
-// An entry VM that was not there when a request came into quarantine sends it to
-// its targets, and operators cannot lift a quarantine.
+// Guards against an entry VM that sends a quarantined request to targets because
+// it was not running when the request was quarantined, and against quarantines
+// that operators cannot lift.
 func TestQuarantineIsReadFromTheStore(t *testing.T) {
 	is := is.New(t)
 	w := newTestEnv(t, catchAllRoute(true))
@@ -139,7 +140,7 @@
 		return kept
 	})
 	later := w.startListed("vm-2")
-	w.eventually("the later entry VM keeps it away", func() bool { return later.quarantineCount() == 1 })
+	w.eventually("the later entry VM has it in quarantine", func() bool { return later.quarantineCount() == 1 })
 	w.store.Remove(key)
 	for _, s := range []*Server{first, later} {
 		w.eventually("it is lifted", func() bool { return s.quarantineCount() == 0 })
@@ -147,11 +148,11 @@
 	w.store.Put(key, "no record")
 	w.store.Put(prefixQuarantine+"zz", "{}")
 	w.startTarget("whole", respondOK("ok"))
-	w.eventually("targets are read after what is no record", func() bool { return later.hasTargets(9) })
+	w.eventually("targets are read after invalid records", func() bool { return later.hasTargets(9) })
 	is.Equal(later.quarantineCount(), 0)
 }
 
-// The end of one connection is taken for the end of its target.
+// Guards against taking a closed connection for a crash of its target.
 func TestCheckListening(t *testing.T) {
 	is := is.New(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
--- a/serve/ingress/ratelimit_test.go
+++ b/serve/ingress/ratelimit_test.go
@@ -11,7 +11,8 @@
 	"github.com/azurethread/azurethread/decide/ingress"
 )
 
-// A rate limit that is no number has a target get nothing, or everything.
+// Guards against an invalid rate limit that stops all requests to a target or
+// removes its limit.
 func TestParseRate(t *testing.T) {
 	is := is.New(t)
 	for v, want := range map[string]float64{"4.8": 4.8, "0": 0, " 12 ": 12, ".5": 0.5, "100000000": 1e8} {
@@ -27,14 +28,15 @@
 	is.Equal(err, errRateRepeated)
 }
 
-// limitedTargets counts the targets of a service that are known to name a limit.
+// limitedTargets returns the number of targets of the service that are known to
+// have a rate limit.
 func (s *Server) limitedTargets() int {
 	n := 0
 	s.core.Ask(func(now clock.Time, r *ingress.Reducer) { n = r.Status(now).Services["svc"].Limited })
 	return n
 }
 
-// A target that names a limit in its answers is not heard.
+// Guards against rate limits in answers that are ignored.
 func TestRateLimitIsReadFromAnswer(t *testing.T) {
 	is := is.New(t)
 	w := newTestEnv(t, catchAllRoute(true))
--- a/serve/ingress/reader_test.go
+++ b/serve/ingress/reader_test.go
@@ -17,7 +17,7 @@
 	"github.com/azurethread/azurethread/serve/kv"
 )
 
-// watchCounter is a store that counts the watches of one entry VM.
+// watchCounter counts the watches of one entry VM.
 type watchCounter struct {
 	kv.Store
 	watches atomic.Int64
@@ -28,7 +28,7 @@
 	return w.Store.Watch(ctx, prefix, after, wait)
 }
 
-// startRegion starts n entry VMs that know each other.
+// startRegion starts n entry VMs and waits until they know each other.
 func startRegion(w *testEnv, n int) ([]*Server, []*watchCounter) {
 	var servers []*Server
 	var stores []*watchCounter
@@ -59,7 +59,8 @@
 	return list
 }
 
-// waitIdle waits for a time of more than one watch in which no follower watches.
+// waitIdle waits until no follower has started a watch for longer than a watch
+// takes.
 func (w *testEnv) waitIdle(stores []*watchCounter, followers []int) {
 	count := func() (n int64) {
 		for _, i := range followers {
@@ -77,15 +78,12 @@
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	w.t.Fatal("followers go on watching the store")
+	w.t.Fatal("followers still watch the store")
 }
 
-// Pattern: nine entry VMs in a region, at rest and with a change now and then.
-//
-// Symptom: the store is called half a time a second for each VM of a fleet, to
-// say that nothing has changed.
-// Sequence: each VM watches the store.
-// Cause: as many watches as VMs. Three read, and the others ask them.
+// Guards against one watch per VM: each VM of an idle fleet would call the store
+// every two seconds to learn that nothing has changed. In a region of nine entry
+// VMs three read the store, and the others poll them and still get each change.
 func TestFollowersDoNotWatchStore(t *testing.T) {
 	is := is.New(t)
 	w := newTestEnv(t, catchAllRoute(true))
@@ -93,8 +91,8 @@
 	servers, stores := startRegion(w, 9)
 	followers := followersOf(servers)
 	is.Equal(len(followers), 6)
-	// Watches that wait have to end first, and on a busy machine a follower may
-	// read by itself for a while.
+	// Watches in progress have to end first, and on a busy machine a follower may
+	// read the store itself for a while.
 	w.waitIdle(stores, followers)
 	w.startTarget("t2", respondOK("two"))
 	w.store.Remove("test/target/t1")
@@ -105,16 +103,15 @@
 		w.eventually("the change is in force", func() bool { return s.configVersion() == 2 })
 	}
 	for _, i := range followers {
-		w.eventually("the target that left is not used", func() bool {
+		w.eventually("the removed target is not used", func() bool {
 			res, body := doRequest(t, servers[i], http.MethodGet, "/new/x", fmt.Sprint("id-", i))
 			return res.StatusCode == http.StatusOK && body == "two"
 		})
 	}
 }
 
-// Symptom: VMs go on with an old configuration.
-// Sequence: all VMs that read the store in a large region end without a word.
-// Cause: the others wait for them.
+// Guards against VMs that keep an old configuration: all readers of a large
+// region crash, and the followers wait for them.
 func TestFollowersSurviveLossOfReaders(t *testing.T) {
 	w := newTestEnv(t, catchAllRoute(true))
 	servers, _ := startRegion(w, 8)
@@ -125,10 +122,10 @@
 			left = append(left, s)
 			continue
 		}
-		s.close() // the key of its lease stays for seconds
+		s.shutdown() // its key stays for seconds, until the lease ends
 	}
 	if len(left) != 5 {
-		t.Fatalf("%d VMs follow", len(left))
+		t.Fatalf("%d VMs are followers, not 5", len(left))
 	}
 	w.writeConfig(2, catchAllRoute(true))
 	for _, s := range left {
@@ -136,12 +133,10 @@
 	}
 }
 
-// Pattern: VMs start in a region where others read the store. Those that will
-// not read it take their first copies from those that do.
-//
-// Symptom: a fleet of 295 VMs serves seconds after its restart.
-// Sequence: every VM reads everything; the store's link carries 224 MB.
-// Cause: VMs that take no callers' requests read as much as those that do.
+// Guards against a fleet of 295 VMs that serves only seconds after its restart:
+// if every VM reads everything, the store's link transfers 224 MB, and VMs
+// without callers read as much as those with callers. VMs that start as
+// followers have to fetch their first copies from the readers.
 func TestFollowersFetchFirstCopyFromReaders(t *testing.T) {
 	is := is.New(t)
 	w := newTestEnv(t, catchAllRoute(true))
@@ -160,10 +155,9 @@
 	is.Equal(full.reads.Load(), int64(0))
 }
 
-// Symptom: after a restart of a whole region its followers read the store all the
-// same.
-// Sequence: they ask their readers, which have no copies yet.
-// Cause: an ask that could not be answered was forgotten.
+// Guards against followers that read the store after a restart of a whole
+// region: they send requests to readers that have no copy yet, and a request
+// that cannot be answered at once is dropped.
 func TestCopyRequestBeforeFirstCopyIsAnswered(t *testing.T) {
 	is := is.New(t)
 	w := newTestEnv(t, catchAllRoute(true))
@@ -171,23 +165,23 @@
 	g.refusing.Store(true)
 	from := w.start("vm-1", g)
 	asker := w.start("vm-2", g)
-	word := make(chan bool)
+	answered := make(chan bool)
 	go func() {
 		_, ok := asker.requestReaderUpdate(from.settings.Self, time.Minute)
-		word <- ok
+		answered <- ok
 	}()
-	w.eventually("the ask has come", func() bool {
+	w.eventually("the request has arrived", func() bool {
 		from.copyMu.Lock()
 		defer from.copyMu.Unlock()
 		return len(from.awaiting) > 0
 	})
 	g.refusing.Store(false)
-	is.True(<-word)
+	is.True(<-answered)
 	is.True(asker.copyValid())
 }
 
-// Pattern: a VM has a copy from before those of its neighbours begin, whose
-// removals since then nobody knows any more; the store refuses it. It gets a whole
+// A VM that the store refuses has a copy from before the history that its
+// neighbours keep, so the removals since then are unknown. It has to get a full
 // copy.
 func TestOutdatedCopyIsReplaced(t *testing.T) {
 	is := is.New(t)
@@ -199,19 +193,19 @@
 	asker := w.start("vm-2", g)
 	asker.copyMu.Lock()
 	asker.copy = mirror.Mirror{}
-	_, taken := asker.copy.Replace([]mirror.Item{{Key: "gone", Revision: 1}}, 1)
+	_, replaced := asker.copy.Replace([]mirror.Item{{Key: "gone", Revision: 1}}, 1)
 	asker.copyMu.Unlock()
-	is.True(taken)
+	is.True(replaced)
 	_, answered := asker.requestReaderUpdate(from.settings.Self, time.Minute)
 	is.True(answered)
 	is.True(asker.copyAsOf() >= from.copyAsOf())
 	asker.copyMu.Lock()
 	defer asker.copyMu.Unlock()
-	_, there := asker.copy.Get("gone")
-	is.True(!there)
+	_, found := asker.copy.Get("gone")
+	is.True(!found)
 }
 
-// fullReadCounter is a store that counts the reads of everything.
+// fullReadCounter counts the reads of all keys.
 type fullReadCounter struct {
 	kv.Store
 	reads atomic.Int64
@@ -224,9 +218,9 @@
 	return f.Store.Range(ctx, prefix, from)
 }
 
-// Symptom: a VM that the store refuses never gets a copy of a large fleet.
-// Sequence: it asks its neighbours; the copy is larger than one message may be.
-// Cause: a relay was one message, and one that is too large was dropped.
+// Guards against a VM that the store refuses and that never gets a copy in a
+// large fleet: its neighbours' copy exceeds the maximum size of a message, and a
+// message that is too large is dropped.
 func TestRelayAssemblesPages(t *testing.T) {
 	is := is.New(t)
 	r := relay{AsOf: 7, Full: true}
@@ -243,7 +237,7 @@
 	got, whole := p.add("vm-1", pages[len(pages)-1])
 	is.True(whole)
 	is.Equal(len(got.Changes), 3000)
-	// A page is lost, or belongs to another copy: nothing is taken.
+	// A relay with a missing page or with a page of another copy is dropped.
 	for _, broken := range [][]*relay{{pages[0], pages[2]}, {pages[1]}, {pages[0], {AsOf: 8, Page: 1}}} {
 		for _, page := range broken {
 			_, whole := p.add("vm-2", page)
--- a/serve/ingress/reload_test.go
+++ b/serve/ingress/reload_test.go
@@ -13,10 +13,9 @@
 	"github.com/azurethread/azurethread/decide/ingress"
 )
 
-// Symptom: operators change a settings file, and learn only at the next restart
-// what has come into force.
-// Sequence: a file with one changed setting is read again.
-// Cause: all settings but the bounds were ignored without a word.
+// Guards against changed settings that are ignored silently: a file with one
+// changed setting is read again, and the log does not show whether the change
+// takes effect.
 func TestReloadLogsChangedSettings(t *testing.T) {
 	is := is.New(t)
 	w := newTestEnv(t, catchAllRoute(true))
@@ -24,8 +23,8 @@
 	w.log = log
 	s := w.startListed("vm-1")
 	cases := map[string]struct {
-		change func(*Settings)
-		force  bool // it comes into force
+		change  func(*Settings)
+		applied bool // takes effect without a restart
 	}{
 		"bounds":       {func(c *Settings) { c.Bounds.RegionShift = 0.4 }, true},
 		"drain-time":   {func(c *Settings) { c.DrainTime += time.Second }, true},
@@ -52,14 +51,13 @@
 		c.change(&set)
 		s.Reload(&set, nil)
 		out := log.String()[before:]
-		is.Equal(strings.Contains(out, `"changed":"`+name+`"`), c.force)   // in force
-		is.Equal(strings.Contains(out, `"settings":"`+name+`"`), !c.force) // said to wait
+		is.Equal(strings.Contains(out, `"changed":"`+name+`"`), c.applied)   // applied
+		is.Equal(strings.Contains(out, `"settings":"`+name+`"`), !c.applied) // waits for the next start
 	}
 }
 
-// Symptom: a process takes settings from a file that is half written.
-// Sequence: the file is read while it is wrong.
-// Cause: what could be read of it came into force.
+// Guards against taking settings from a file that is invalid because it is only
+// partly written.
 func TestFailedReloadKeepsSettings(t *testing.T) {
 	is := is.New(t)
 	w := newTestEnv(t, catchAllRoute(true))
@@ -69,7 +67,7 @@
 	is.Equal(s.reloadable.Load(), before)
 }
 
-// The bounds that are read again reach the decisions.
+// Changed bounds have to reach the reducer.
 func TestReloadAppliesBounds(t *testing.T) {
 	w := newTestEnv(t, catchAllRoute(true))
 	s := w.startListed("vm-1")
--- a/serve/ingress/request_test.go
+++ b/serve/ingress/request_test.go
@@ -10,10 +10,9 @@
 	"github.com/matryer/is"
 )
 
-// Symptom: a target works on for callers that have left.
-// Sequence: a caller closes its connection while a target is at work.
-// Cause: the call was forgotten when its caller left, before the cancel of its
-// attempt was carried out.
+// Guards against a target that continues requests of callers that have left: the
+// caller closes its connection while a target runs the request, and the call is
+// removed before the cancel of its attempt is executed.
 func TestCancelReachesTarget(t *testing.T) {
 	w := newTestEnv(t, catchAllRoute(true))
 	working, cancelled := make(chan struct{}), make(chan struct{})
@@ -28,13 +27,13 @@
 	<-working
 	_ = c.conn.Close()
 	<-cancelled
-	w.eventually("the call is forgotten", func() bool { return s.calls.len() == 0 })
+	w.eventually("the call is removed", func() bool { return s.calls.len() == 0 })
 }
 
-// Symptom: a caller gets the answer to another request.
-// Sequence: a target answers a request twice; the second answer comes where the
-// answer to the next request on that connection is due.
-// Cause: answers were matched by their order alone.
+// Guards against a caller getting the answer to another request: a target
+// answers a request twice, the second answer arrives when the answer to the next
+// request on that connection is due, and answers are matched only by their
+// order.
 func TestDuplicateAnswerIsDropped(t *testing.T) {
 	is := is.New(t)
 	w := newTestEnv(t, catchAllRoute(true))
@@ -62,9 +61,8 @@
 	}
 }
 
-// Symptom: a caller takes half an answer for the whole one.
-// Sequence: a target's answer has no length and its connection is reset.
-// Cause: an answer that ends with its connection looked the same either way.
+// Guards against a truncated answer taken for a complete one: an answer without
+// a length ends with its connection, and a reset looks like a regular close.
 func TestAnswerWithoutLength(t *testing.T) {
 	for name, c := range map[string]struct {
 		reset  bool
@@ -96,10 +94,9 @@
 	}
 }
 
-// Symptom: a caller is told that its order was not run although it was.
-// Sequence: a target answers with a status that promises it, without stating
-// that it did not run the request.
-// Cause: the target's status was passed on.
+// Guards against telling a caller that its request was not run although it was:
+// a target answers with a status that means "not run" without the header field
+// that states it, and the status is passed on.
 func TestNotRunStatusNeedsNotRunHeader(t *testing.T) {
 	for _, status := range []int{408, 421, 429, 503} {
 		is := is.New(t)
@@ -111,14 +108,14 @@
 		s := w.startListed("vm-1")
 		res, _ := doRequest(t, s, http.MethodPost, "/", "id-1")
 		if status == http.StatusMisdirectedRequest {
-			is.Equal(res.StatusCode, http.StatusServiceUnavailable) // it says so by the status itself
+			is.Equal(res.StatusCode, http.StatusServiceUnavailable) // 421 means by itself that it was not run
 		} else {
 			is.Equal(res.StatusCode, http.StatusBadGateway)
 		}
 	}
 }
 
-// bodyDiscarder takes header fields and drops the body.
+// bodyDiscarder keeps header fields and discards the body.
 type bodyDiscarder struct{ http.ResponseWriter }
 
 func (bodyDiscarder) Write(b []byte) (int, error) { return len(b), nil }
--- a/serve/ingress/server.go
+++ b/serve/ingress/server.go
@@ -77,10 +77,10 @@
 	relist        chan struct{}
 	listedAt      clock.Time // when keepRegistered last wrote this VM's key
 
-	ctx       context.Context
-	cancel    context.CancelFunc
-	loops     sync.WaitGroup
-	closeOnce sync.Once
+	ctx          context.Context
+	cancel       context.CancelFunc
+	loops        sync.WaitGroup
+	shutdownOnce sync.Once
 }
 
 // Limits that apply until there is a configuration, and those that a configuration
@@ -129,7 +129,7 @@
 	s.calls.byID = make(map[ingress.RequestID]*call)
 	s.members.Store(newMemberList(nil))
 	if err := s.provision(); err != nil {
-		s.close()
+		s.shutdown()
 		return nil, fmt.Errorf("ingress: %w", err)
 	}
 	s.publishGauges()
@@ -304,7 +304,7 @@
 		s.gatewayServer.Refuse()
 		err = errors.Join(err, s.gatewayServer.Stop(ctx))
 	}
-	s.close()
+	s.shutdown()
 	if err != nil {
 		return fmt.Errorf("ingress: %w", err)
 	}
@@ -312,10 +312,10 @@
 	return nil
 }
 
-// close closes everything. Only the first call has an effect.
-func (s *Server) close() { s.closeOnce.Do(s.closeAll) }
+// shutdown closes everything. Only the first call has an effect.
+func (s *Server) shutdown() { s.shutdownOnce.Do(s.releaseAll) }
 
-func (s *Server) closeAll() {
+func (s *Server) releaseAll() {
 	s.cancel()
 	s.loops.Wait()
 	if s.peers != nil {
--- a/serve/ingress/stop_test.go
+++ b/serve/ingress/stop_test.go
@@ -12,12 +12,10 @@
 	"github.com/matryer/is"
 )
 
-// Symptom: a request is cut off by a planned stop, and nobody knows whether it
-// ran.
-// Sequence: callers go on sending to a VM that is leaving, on new connections
-// and on those they have, until its time is up.
-// Cause: the listener stayed open until no request was in flight, which never
-// came about.
+// Guards against requests that are interrupted by a planned stop, with an
+// unknown outcome: callers keep sending to the leaving VM on new and open
+// connections until its time is up, and the listener stays open until no request
+// is in flight, which never happens.
 func TestStopUnderLoad(t *testing.T) {
 	is := is.New(t)
 	w := newTestEnv(t, catchAllRoute(false))
@@ -26,9 +24,9 @@
 		respondOK("done")(rw, r)
 	})
 	s := w.startListed("vm-1")
-	free := dial(t, s)
-	free.sendRequest(http.MethodGet, "/", "free")
-	free.readResponse(http.MethodGet) // its connection stays open, with nothing under way
+	idle := dial(t, s)
+	idle.sendRequest(http.MethodGet, "/", "free")
+	idle.readResponse(http.MethodGet) // the connection stays open without a request in flight
 	addr := s.callerServer.Addr()
 	var stop atomic.Bool
 	cut := make(chan int)
@@ -40,17 +38,18 @@
 	for range loadCallers {
 		is.Equal(<-cut, 0)
 	}
-	_ = free.conn.SetReadDeadline(time.Now().Add(5 * time.Second))
-	_, err := free.r.ReadByte()
+	_ = idle.conn.SetReadDeadline(time.Now().Add(5 * time.Second))
+	_, err := idle.r.ReadByte()
 	is.True(err != nil && !errors.Is(err, syscall.ETIMEDOUT)) // closed
 }
 
-// loadCallers is how many callers press: enough for one of them to have a request
-// in flight at any time.
+// loadCallers is the number of concurrent callers: enough for at least one to
+// have a request in flight at any time.
 const loadCallers = 16
 
-// sendUntilStopped sends requests, each on a new connection, until the listener is gone
-// or stop is set. It returns how many were sent whole without an answer.
+// sendUntilStopped sends requests, each on a new connection, until the listener
+// is closed or stop is set. It returns how many were sent completely and got no
+// answer.
 func sendUntilStopped(addr string, stop *atomic.Bool) (cut int) {
 	for !stop.Load() {
 		c, err := net.Dial("tcp", addr)
@@ -62,7 +61,7 @@
 			_ = c.SetReadDeadline(time.Now().Add(10 * time.Second))
 			var head [12]byte
 			if n, err := c.Read(head[:]); n < len(head) && !errors.Is(err, syscall.ECONNRESET) {
-				cut++ // a reset: it was never accepted
+				cut++ // after a reset it was never accepted, which does not count
 			}
 		}
 		_ = c.Close()
@@ -70,8 +69,8 @@
 	return cut
 }
 
-// Guards against planned stops that take all of their time once a caller has left
-// before its answer: its request counted as in flight for good.
+// Guards against planned stops that take all of their time because the request
+// of a caller that left before its answer counts as in flight forever.
 func TestStopDoesNotWaitForGoneCallers(t *testing.T) {
 	is := is.New(t)
 	w := newTestEnv(t, catchAllRoute(true))
@@ -87,5 +86,5 @@
 	<-working
 	_ = c.conn.Close()
 	<-cancelled
-	is.NoErr(s.Stop()) // it would say that requests are in flight
+	is.NoErr(s.Stop()) // fails if requests are in flight
 }
--- a/serve/ingress/store_test.go
+++ b/serve/ingress/store_test.go
@@ -16,7 +16,7 @@
 	"github.com/azurethread/azurethread/serve/kv/kvtest"
 )
 
-// refusingStore is a store that refuses the reads of one entry VM.
+// refusingStore is a store that can refuse the reads of one entry VM.
 type refusingStore struct {
 	kv.Store
 	refusing atomic.Bool
@@ -41,11 +41,9 @@
 	return c, err
 }
 
-// Symptom: one entry VM serves an old configuration for as long as the store
-// refuses it, and sends to targets that have left.
-// Sequence: the store turns one VM away and serves the others; an operator
-// changes the configuration, and a target leaves.
-// Cause: a VM knew only what it read itself.
+// Guards against an entry VM that serves an old configuration and sends to
+// removed targets while the store refuses it: the store refuses one VM and
+// serves the others, an operator changes the configuration, and a target leaves.
 func TestNeighboursRelayStoreChanges(t *testing.T) {
 	is := is.New(t)
 	w := newTestEnv(t, catchAllRoute(true))
@@ -60,45 +58,42 @@
 	rt := catchAllRoute(true)
 	rt.Prefix = "/new/"
 	w.writeConfig(2, rt)
-	w.eventually("the refused VM follows", func() bool { return b.configVersion() == 2 })
+	w.eventually("the refused VM has the new configuration", func() bool { return b.configVersion() == 2 })
 	res, body := doRequest(t, b, http.MethodGet, "/new/x", "id-1")
 	is.Equal(res.StatusCode, http.StatusOK)
 	is.Equal(body, "two")
 }
 
-// Symptom: changes are missed after the store has dropped its history.
-// Sequence: the store forgets its history while changes are made.
-// Cause: a watch that was refused was simply repeated.
+// Guards against missed changes: the store drops its history while changes are
+// made, and a watch that was refused for this is only repeated.
 func TestCompactedHistoryIsReadAgain(t *testing.T) {
 	w := newTestEnv(t, catchAllRoute(true))
 	w.startTarget("t1", respondOK("one"))
 	s := w.startListed("vm-1")
 	w.store.SetDown(true)
-	w.eventually("the store is lost", func() bool { return s.storeUnreachable.Load() })
+	w.eventually("the store is unreachable", func() bool { return s.storeUnreachable.Load() })
 	w.writeConfig(2, catchAllRoute(true))
 	w.store.Compact()
 	w.store.SetDown(false)
 	w.eventually("the change is in force", func() bool { return s.configVersion() == 2 })
 }
 
-// Symptom: callers are not sent to a VM that serves.
-// Sequence: the store takes the VM's key away, and no call shows it.
-// Cause: the VM renewed its lease and never looked at its key.
+// Guards against a serving VM that look-ups omit: the store deletes the VM's
+// key, no call of the VM fails, and the VM renews its lease without checking the
+// key.
 func TestRemovedMemberKeyIsRestored(t *testing.T) {
 	w := newTestEnv(t, catchAllRoute(true))
 	w.startListed("vm-1")
 	time.Sleep(minRelistInterval) // a key just written is not written again
 	w.store.Remove(prefixMembers + "vm-1")
-	w.eventually("the key is back", func() bool {
+	w.eventually("the key is restored", func() bool {
 		_, listed := w.store.Get(prefixMembers + "vm-1")
 		return listed
 	})
 }
 
-// Symptom: look-ups name a VM that is leaving, and it takes requests until its
-// end.
-// Sequence: a planned stop.
-// Cause: its key stayed in the store until the lease ended.
+// Guards against look-ups that return a leaving VM until its lease ends: its key
+// has to be removed at a planned stop.
 func TestLookupOmitsLeavingVM(t *testing.T) {
 	is := is.New(t)
 	w := newTestEnv(t, catchAllRoute(true))
@@ -109,10 +104,9 @@
 	is.Equal(b.lookup(Lookup{Domain: "d1"})[0], b.settings.Self.CallAddr)
 }
 
-// Symptom: a VM that was restarted refuses everything for as long as the store
-// is away, although its neighbours serve.
-// Sequence: the store goes down, then a VM is restarted.
-// Cause: it knew other entry VMs from the store alone, and asked nobody.
+// Guards against a restarted VM that refuses all requests while the store is
+// down, although its neighbours serve: it knows other entry VMs only from the
+// store.
 func TestRestartWithoutStoreUsesSeeds(t *testing.T) {
 	is := is.New(t)
 	w := newTestEnv(t, catchAllRoute(true))
@@ -127,10 +121,10 @@
 	is.Equal(body, "one")
 }
 
-// Symptom: requests go on to a target for which nobody vouches any more.
-// Sequence: another writer puts bytes that can't be read over its registration;
-// later the target writes its own again.
-// Cause: what can't be decoded changed nothing, also where a target is named.
+// Guards against sending requests to a target whose registration was overwritten
+// with invalid bytes by another program: a value that cannot be decoded changes
+// nothing. When the target writes its registration again, it has to be used
+// again.
 func TestInvalidRegistrationRemovesTarget(t *testing.T) {
 	is := is.New(t)
 	w := newTestEnv(t, catchAllRoute(true))
@@ -149,10 +143,9 @@
 	w.eventually("it is used again", func() bool { return status("id-3") == http.StatusOK })
 }
 
-// Symptom: a VM that has just started serves an old configuration and sends to
-// targets that have left.
-// Sequence: it starts while the replica that answers its first read is behind.
-// Cause: the first copy was taken for the store's present state.
+// Guards against a VM that starts with an old configuration and removed targets:
+// the replica that answers its first read is outdated, and the first copy is
+// taken for the current state of the store.
 func TestOutdatedFirstCopyCatchesUp(t *testing.T) {
 	is := is.New(t)
 	w := newTestEnv(t, catchAllRoute(true))
@@ -168,11 +161,9 @@
 	is.Equal(body, "two")
 }
 
-// Symptom: changes are missed for good after a start.
-// Sequence: the replica that answers the first read is behind, and the store has
-// dropped the history since.
-// Cause: a copy from such a replica can't follow a watch, and was read again from
-// the same replica.
+// Guards against missing all changes after a start: the replica that answers the
+// first read is outdated, the store has dropped the history since then, and the
+// copy, which cannot follow a watch, is read again from the same replica.
 func TestCompactedFirstCopyIsReadAgain(t *testing.T) {
 	w := newTestEnv(t, catchAllRoute(true))
 	w.startTarget("t1", respondOK("one"))
@@ -183,11 +174,9 @@
 	w.eventually("it is up to date", func() bool { return s.configVersion() == 2 && s.hasTargets(1) })
 }
 
-// Symptom: at the first start of a fleet, which has no configuration for seconds,
-// every VM reads the store by itself.
-// Sequence: VMs start before the operators' first configuration.
-// Cause: VMs were listed once they had a configuration, and knew no readers
-// until then.
+// Guards against every VM reading the store at the first start of a fleet, which
+// has no configuration for seconds: VMs that are listed only when they have a
+// configuration know no readers before that.
 func TestVMIsListedBeforeFirstConfiguration(t *testing.T) {
 	is := is.New(t)
 	w := &testEnv{t: t, store: kvtest.New(), log: io.Discard}
@@ -199,8 +188,9 @@
 	is.True(!s.acceptsRequests())
 }
 
-// Pattern: the store turns a third of 295 VMs away for nine seconds. A call each
-// 0.4 s from the two loops of each VM would be 4,400 calls, all of them refused.
+// Guards against too many calls to a failing store. While it refuses a third of
+// 295 VMs for nine seconds, a call every 0.4 s from the two loops of each VM
+// would add up to 4,400 refused calls.
 func TestStoreBackoffLimitsCalls(t *testing.T) {
 	is := is.New(t)
 	w := newTestEnv(t, catchAllRoute(true))
--- a/serve/platform/client_test.go
+++ b/serve/platform/client_test.go
@@ -48,10 +48,9 @@
 	is.Equal(verdictOf(is, err), verdict.NotRun)
 }
 
-// Symptom: a daemon waits for good for its catalogue.
-// Sequence: the connection is accepted, the request taken, no answer comes,
-// and the caller's context has no deadline.
-// Cause: a firewall on the path has dropped the connection's state.
+// Guards against a daemon that waits for its catalogue forever: a firewall on
+// the path has dropped the state of the connection, so it is accepted but no
+// answer arrives, and the caller's context has no deadline.
 func TestCallToSilentServiceTimesOut(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -62,14 +61,13 @@
 	is.Equal(verdictOf(is, err), verdict.MayHaveRun)
 }
 
-// Symptom: a part of a catalogue is taken for the whole, or a write that ran
-// is reported as not run.
-// Sequence: the service answers something other than a whole, expected answer.
-// Cause: it failed half-way, or something else answers at its address.
+// Guards against taking a part of a catalogue for the whole, and against
+// reporting a write that ran as not run: the service fails while it answers, or
+// another program answers at its address.
 func TestInvalidAnswerVerdicts(t *testing.T) {
 	cases := map[string]struct {
 		status int
-		length string // Content-Length, where it is not that of the body
+		length string // Content-Length, if it differs from the body's
 		body   string
 		want   verdict.Verdict
 	}{
@@ -101,10 +99,10 @@
 	}
 }
 
-// Symptom: the change of another operator is overwritten without a conflict.
-// Sequence: our write is accepted, the other one's follows at once, and our
-// read-back finds the other entry.
-// Cause: the accepting answer carries no index.
+// Guards against overwriting another operator's change without a conflict: a
+// write is accepted, another client's write follows at once, and reading the
+// entry back returns the other client's entry, because the answer to a write
+// contains no index.
 func TestIndexOfReplacedWriteIsZero(t *testing.T) {
 	is := is.New(t)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -136,9 +134,8 @@
 	}
 }
 
-// Symptom: a daemon believes that there is no catalogue.
-// Sequence: a read of its key answers 404.
-// Cause: another program listens at the service's address.
+// Guards against a daemon that concludes that there is no catalogue: another
+// program listens at the service's address and answers a read with 404.
 func TestNotFoundWithoutIndexIsAnError(t *testing.T) {
 	is := is.New(t)
 	s := httptest.NewServer(http.NotFoundHandler())
