--- a/serve/ingress/apply.go
+++ b/serve/ingress/apply.go
@@ -116,13 +116,13 @@
 	case d.Evacuated != nil:
 		s.core.Post(d.Evacuated)
 		line(eventEvacuate).WithField("domain", d.Evacuated.Domain).WithField("begin", d.Evacuated.Begin).Info("evacuation changed")
-	case d.TargetSet != nil:
-		targets.Set = append(targets.Set, *d.TargetSet)
+	case d.TargetUpdated != nil:
+		targets.Set = append(targets.Set, *d.TargetUpdated)
 	case d.TargetInvalid != "":
 		invalid.Removed = append(invalid.Removed, d.TargetInvalid)
 		line(eventTarget).WithField("target", d.TargetInvalid).Warn("invalid registration: target is not used")
-	case d.TargetGone != "":
-		targets.Removed = append(targets.Removed, d.TargetGone)
+	case d.TargetRemoved != "":
+		targets.Removed = append(targets.Removed, d.TargetRemoved)
 	}
 }
 
--- a/serve/ingress/call.go
+++ b/serve/ingress/call.go
@@ -64,7 +64,7 @@
 	return c.byID[id]
 }
 
-// remove returns a call and removes it.
+// remove removes a call and returns it, nil if there is none.
 func (c *calls) remove(id ingress.RequestID) *call {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -81,7 +81,7 @@
 
 // serveCall accepts a request of a caller.
 func (s *Server) serveCall(x *inbound.Exchange) {
-	patience, ok := s.callerTimeout(x.Header)
+	timeout, ok := s.callerTimeout(x.Header)
 	if !ok {
 		x.Respond(http.StatusBadRequest, s.refusalHeader(x), nil)
 		return
@@ -89,10 +89,10 @@
 	host := x.Header.Get("Host")
 	object := x.Header.Get(s.settings.Fields.Object)
 	k := s.calls.add(x, s.now())
-	k.timeout = patience
+	k.timeout = timeout
 	k.fingerprint = quarantine.FingerprintOf(quarantine.Content{Method: x.Method, Host: host, URI: x.URI, Body: x.Body})
 	s.core.Post(&ingress.Arrive{
-		Request: k.id, Host: host, Path: x.URI, Object: object, Patience: patience, Bytes: len(x.Body),
+		Request: k.id, Host: host, Path: x.URI, Object: object, Patience: timeout, Bytes: len(x.Body),
 		Fingerprint: k.fingerprint,
 	})
 	x.OnGone(func() { s.core.Post(&ingress.CallerGone{Request: k.id}) })
@@ -180,9 +180,9 @@
 	outcome := s.outcomeOf(ans)
 	k.mu.Lock()
 	a.answer = ans
-	step := &k.sends[a.sendIndex]
-	step.WaitedMS = ans.Waited.Milliseconds()
-	domain := step.Domain
+	rec := &k.sends[a.sendIndex]
+	rec.WaitedMS = ans.Waited.Milliseconds()
+	domain := rec.Domain
 	k.mu.Unlock()
 	if ans.Waited > 0 && !k.forwarded {
 		s.metrics.addConnWait(domain, ans.Waited)
@@ -207,9 +207,9 @@
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	st := &k.sends[a.sendIndex]
-	st.TookMS = s.now().Sub(a.sentAt).Milliseconds()
-	st.Outcome, st.Verdict, st.Reason = outcome, v, why
+	rec := &k.sends[a.sendIndex]
+	rec.TookMS = s.now().Sub(a.sentAt).Milliseconds()
+	rec.Outcome, rec.Verdict, rec.Reason = outcome, v, why
 }
 
 // outcomeOf classifies an answer.
--- a/serve/ingress/gateway.go
+++ b/serve/ingress/gateway.go
@@ -32,9 +32,8 @@
 	// gatewayIdleMargin how much longer the gateway keeps it open.
 	gatewayIdleTimeout = 30 * time.Second
 	gatewayIdleMargin  = 15 * time.Second
-	// gatewayBodyMemoryDivisor limits the memory for bodies of forwarded requests
-	// to this fraction of the total, in addition to the bodies of callers'
-	// requests.
+	// gatewayBodyMemoryDivisor is the divisor that gives the part of the memory for
+	// bodies of forwarded requests, in addition to the bodies of callers' requests.
 	gatewayBodyMemoryDivisor = 16
 )
 
--- a/serve/ingress/harness_test.go
+++ b/serve/ingress/harness_test.go
@@ -45,13 +45,13 @@
 	id, isTarget := strings.CutPrefix(c.Key, "test/target/")
 	switch {
 	case isTarget && c.Removed:
-		return Change{TargetGone: fleet.TargetID(id)}, nil
+		return Change{TargetRemoved: fleet.TargetID(id)}, nil
 	case isTarget:
 		t := new(ingress.Target)
 		if err := json.Unmarshal(c.Value, t); err != nil {
 			return Change{TargetInvalid: fleet.TargetID(id), Defects: []error{err}}, nil
 		}
-		return Change{TargetSet: t}, nil
+		return Change{TargetUpdated: t}, nil
 	case c.Key == testConfig:
 		cfg := new(route.Config)
 		if err := json.Unmarshal(c.Value, cfg); err != nil {
--- a/serve/ingress/lookup.go
+++ b/serve/ingress/lookup.go
@@ -111,10 +111,10 @@
 }
 
 // minStrongShare is the share of the total CPU of VMs at the same distance that
-// the strong ones must have to be returned alone; each core of theirs then gets
-// about three times the load. At 1.3 ms of a core per request, including the
-// cost of idle VMs, three VMs with 0.8 of a core are half busy at 900 requests
-// per second.
+// the strong ones must have to be returned alone; the load on each of them is
+// then up to about three times as high. At 1.3 ms of a core per request,
+// including the cost of idle VMs, three VMs with 0.8 of a core are half busy at
+// 900 requests per second.
 const minStrongShare = 0.3
 
 // preferStrong selects, among VMs at the same distance, those that callers
--- a/serve/ingress/reader_test.go
+++ b/serve/ingress/reader_test.go
@@ -231,21 +231,21 @@
 	is.True(len(pages) > 5)
 	var p relayAssembler
 	for _, page := range pages[:len(pages)-1] {
-		_, whole := p.add("vm-1", page)
-		is.True(!whole)
+		_, complete := p.add("vm-1", page)
+		is.True(!complete)
 	}
-	got, whole := p.add("vm-1", pages[len(pages)-1])
-	is.True(whole)
+	got, complete := p.add("vm-1", pages[len(pages)-1])
+	is.True(complete)
 	is.Equal(len(got.Changes), 3000)
 	// A relay with a missing page or with a page of another copy is dropped.
 	for _, broken := range [][]*relay{{pages[0], pages[2]}, {pages[1]}, {pages[0], {AsOf: 8, Page: 1}}} {
 		for _, page := range broken {
-			_, whole := p.add("vm-2", page)
-			is.True(!whole)
+			_, complete := p.add("vm-2", page)
+			is.True(!complete)
 		}
 	}
 	one := &relay{AsOf: 7}
-	got, whole = p.add("vm-2", one)
-	is.True(whole)
+	got, complete = p.add("vm-2", one)
+	is.True(complete)
 	is.Equal(got, one)
 }
--- a/serve/ingress/settings.go
+++ b/serve/ingress/settings.go
@@ -78,10 +78,10 @@
 // Change is one decoded change of the store. At most one field other than
 // Defects is set; none is set if the change has no effect here.
 type Change struct {
-	Configured *ingress.Configured
-	Evacuated  *ingress.Evacuated
-	TargetSet  *ingress.Target
-	TargetGone fleet.TargetID
+	Configured    *ingress.Configured
+	Evacuated     *ingress.Evacuated
+	TargetUpdated *ingress.Target
+	TargetRemoved fleet.TargetID
 	// TargetInvalid is a target whose registration is invalid: it is not used,
 	// whatever was registered before.
 	TargetInvalid fleet.TargetID
--- a/serve/ingress/stop_test.go
+++ b/serve/ingress/stop_test.go
@@ -61,7 +61,7 @@
 			_ = c.SetReadDeadline(time.Now().Add(10 * time.Second))
 			var head [12]byte
 			if n, err := c.Read(head[:]); n < len(head) && !errors.Is(err, syscall.ECONNRESET) {
-				cut++ // after a reset it was never accepted, which does not count
+				cut++ // not after a reset: the request was never accepted then
 			}
 		}
 		_ = c.Close()
