--- a/decide/block/address.go
+++ b/decide/block/address.go
@@ -74,9 +74,9 @@
 	defaultBits6 = 48
 )
 
-// Implied returns the prefix to use as the block of an address that is in no
+// DefaultBlock returns the prefix to use as the block of an address that is in no
 // block of the table.
-func Implied(a netip.Addr) netip.Prefix {
+func DefaultBlock(a netip.Addr) netip.Prefix {
 	a = a.Unmap().WithZone("")
 	bits := defaultBits6
 	if a.Is4() {
--- a/decide/config/bench_test.go
+++ b/decide/config/bench_test.go
@@ -218,7 +218,7 @@
 		old := v.st.current.cat
 		c := &catalogue.Catalogue{Revision: old.Revision + 1, Shifts: append([]catalogue.Shift{}, old.Shifts...)}
 		c.Shifts[9].Revision = c.Revision
-		ev := &PlatformRead{Seq: v.st.reader.seq, Result: ReadDocument, Catalogue: c, Confirmed: n.now}
+		ev := &PlatformRead{Seq: v.st.reader.seq, Result: ReadDocument, Catalogue: c, ConfirmedAt: n.now}
 		v.st.Step(n.now, ev, &v.ready)
 		if v.st.current.cat.Revision != c.Revision {
 			b.Fatalf("document of revision %d was not applied: revision %d is in force", c.Revision, v.st.current.cat.Revision)
--- a/decide/config/catchup.go
+++ b/decide/config/catchup.go
@@ -22,12 +22,12 @@
 // candidate is a peer whose content supersedes the content in force here.
 type candidate struct {
 	id      fleet.VMID
-	version Point
+	version Version
 }
 
 // supersedes reports whether p takes precedence over q: the higher revision
 // does, and under the same revision the greater hash.
-func (p Point) supersedes(q Point) bool {
+func (p Version) supersedes(q Version) bool {
 	if p.Revision != q.Revision {
 		return p.Revision > q.Revision
 	}
@@ -36,7 +36,7 @@
 
 // addCandidate records that a peer has p, unless p is no newer than the content
 // in force.
-func (s *State) addCandidate(from fleet.VMID, p Point) {
+func (s *State) addCandidate(from fleet.VMID, p Version) {
 	c := &s.catchUp
 	current := s.currentVersion()
 	if !p.supersedes(current) {
@@ -64,7 +64,7 @@
 
 // prune drops the candidates whose content does not supersede p, and ends the
 // current request.
-func (c *catchUp) prune(p Point) {
+func (c *catchUp) prune(p Version) {
 	c.candidates = slices.DeleteFunc(c.candidates, func(x candidate) bool { return !x.version.supersedes(p) })
 	c.highestKnown = max(c.highestKnown, p.Revision)
 	c.askedPeer = ""
@@ -156,7 +156,7 @@
 // handleDelta applies a Delta if it fits the content in force, and otherwise
 // records the sender as a candidate.
 func (s *State) handleDelta(from fleet.VMID, d *Delta, out *Ready) {
-	p := Point{Revision: d.To, Hash: d.Hash}
+	p := Version{Revision: d.To, Hash: d.Hash}
 	if s.current == nil || d.From > s.current.cat.Revision {
 		s.addCandidate(from, p)
 		s.catchUp.askAfter = s.now
@@ -183,7 +183,7 @@
 // handleSnapshot takes one part of a Snapshot, and installs the content once
 // all parts have arrived.
 func (s *State) handleSnapshot(from fleet.VMID, m *Snapshot, out *Ready) {
-	p := Point{Revision: m.Revision, Hash: m.Hash}
+	p := Version{Revision: m.Revision, Hash: m.Hash}
 	if !p.supersedes(s.currentVersion()) {
 		s.compareWithPeer(from, p, m.Age)
 		return
@@ -207,7 +207,7 @@
 
 // compareWithPeer compares p, the content of a peer, with the content in force:
 // it records a confirmation, a divergence, or a candidate for newer content.
-func (s *State) compareWithPeer(from fleet.VMID, p Point, age Age) {
+func (s *State) compareWithPeer(from fleet.VMID, p Version, age Age) {
 	current := s.currentVersion()
 	switch {
 	case p == current:
--- a/decide/config/confirm.go
+++ b/decide/config/confirm.go
@@ -25,7 +25,7 @@
 
 // confirmCurrent records that p was the platform's newest content at the given
 // time, if p is in force.
-func (s *State) confirmCurrent(p Point, at clock.Time) {
+func (s *State) confirmCurrent(p Version, at clock.Time) {
 	if s.current == nil || p != s.current.version() {
 		return
 	}
@@ -36,7 +36,7 @@
 }
 
 // confirmByPeer records a confirmation of p that a peer has reported.
-func (s *State) confirmByPeer(p Point, age Age) {
+func (s *State) confirmByPeer(p Version, age Age) {
 	if age == Unknown || s.now.Before(s.confirmation.ignorePeersUntil) {
 		return
 	}
--- a/decide/config/content.go
+++ b/decide/config/content.go
@@ -56,8 +56,8 @@
 }
 
 // version returns the revision and the content hash.
-func (c *content) version() Point {
-	return Point{Revision: c.cat.Revision, Hash: c.hash()}
+func (c *content) version() Version {
+	return Version{Revision: c.cat.Revision, Hash: c.hash()}
 }
 
 func compareServices(a, b catalogue.Service) int { return cmp.Compare(a.Name, b.Name) }
--- a/decide/config/event.go
+++ b/decide/config/event.go
@@ -44,18 +44,18 @@
 	Catalogue *catalogue.Catalogue
 	// Lineage holds the earlier revisions that Catalogue was built on, as far
 	// back as the document lists them.
-	Lineage []Point
+	Lineage []Version
 	// Index is the platform's index of the document; the next watch starts from
 	// it.
 	Index uint64
-	// Confirmed is the latest time at which the answer is known to have been
+	// ConfirmedAt is the latest time at which the answer is known to have been
 	// the platform's newest: when the read was sent or, for ReadNotModified,
 	// when the platform's wait ended.
-	Confirmed clock.Time
+	ConfirmedAt clock.Time
 }
 
-// Point identifies content by its revision and hash.
-type Point struct {
+// Version identifies content by its revision and hash.
+type Version struct {
 	Revision uint64 `json:"revision"`
 	Hash     uint64 `json:"hash"`
 }
@@ -69,8 +69,8 @@
 // Accepted reports that the platform has accepted a write of this daemon.
 type Accepted struct {
 	Catalogue *catalogue.Catalogue
-	// Confirmed is when the write was sent.
-	Confirmed clock.Time
+	// ConfirmedAt is when the write was sent.
+	ConfirmedAt clock.Time
 }
 
 // Tick runs the timers that are due. The caller sends one at Ready.Wake.
--- a/decide/config/failure_test.go
+++ b/decide/config/failure_test.go
@@ -184,16 +184,16 @@
 	st := New(Config{Self: "a0", Domain: "a"})
 	var out Ready
 	now := clock.Time(time.Hour)
-	st.Step(now, &Accepted{Catalogue: withShift(9, "x"), Confirmed: 0}, &out)
+	st.Step(now, &Accepted{Catalogue: withShift(9, "x"), ConfirmedAt: 0}, &out)
 	for _, r := range []uint64{8, 10} {
 		d := &Digest{Format: Format, Revision: r, Hash: 1, Age: 0, ReadAge: Unknown}
 		st.Step(now, &PeerMessage{From: "a1", Msg: d}, &out)
 		is.True(st.CutOff(now))
 	}
-	older := &PlatformRead{Result: ReadDocument, Catalogue: withShift(8, "x"), Confirmed: now.Add(-1)}
+	older := &PlatformRead{Result: ReadDocument, Catalogue: withShift(8, "x"), ConfirmedAt: now.Add(-1)}
 	st.Step(now, older, &out)
 	is.Equal(st.Counters().PlatformBehind, uint64(0))
-	older.Confirmed = now
+	older.ConfirmedAt = now
 	st.Step(now, older, &out)
 	is.Equal(st.Counters().PlatformBehind, uint64(1))
 	is.True(st.CutOff(now))
@@ -279,11 +279,11 @@
 	is := is.New(t)
 	st := New(Config{Self: "a0", Domain: "a"})
 	var out Ready
-	st.Step(1, &Accepted{Catalogue: withShift(5, "x"), Confirmed: 1}, &out)
+	st.Step(1, &Accepted{Catalogue: withShift(5, "x"), ConfirmedAt: 1}, &out)
 	current := st.currentVersion()
-	st.Step(2, &PlatformRead{Result: ReadDocument, Catalogue: withShift(7, "y"), Lineage: []Point{{Revision: 4}, current}}, &out)
+	st.Step(2, &PlatformRead{Result: ReadDocument, Catalogue: withShift(7, "y"), Lineage: []Version{{Revision: 4}, current}}, &out)
 	is.Equal(st.Counters().HistoryLost, uint64(0))
-	st.Step(3, &PlatformRead{Result: ReadDocument, Catalogue: withShift(9, "z"), Lineage: []Point{{Revision: 4}, {Revision: 8}}}, &out)
+	st.Step(3, &PlatformRead{Result: ReadDocument, Catalogue: withShift(9, "z"), Lineage: []Version{{Revision: 4}, {Revision: 8}}}, &out)
 	is.Equal(st.Counters().HistoryLost, uint64(1))
 }
 
--- a/decide/config/gossip.go
+++ b/decide/config/gossip.go
@@ -166,7 +166,7 @@
 		s.forwardHeartbeat(m, out)
 	}
 	if s.current == nil {
-		s.addCandidate(from, Point{Revision: m.Revision, Hash: m.Hash})
+		s.addCandidate(from, Version{Revision: m.Revision, Hash: m.Hash})
 		s.recordJoinAnswer(from, out)
 		return
 	}
@@ -174,7 +174,7 @@
 		s.send(from, s.makeDigest(), out)
 		return
 	}
-	p := Point{Revision: m.Revision, Hash: m.Hash}
+	p := Version{Revision: m.Revision, Hash: m.Hash}
 	s.compareWithPeer(from, p, m.Age)
 	if from == s.catchUp.askedPeer && !p.supersedes(s.currentVersion()) {
 		s.dropCandidate(from) // it has no newer content yet
@@ -222,7 +222,7 @@
 
 // updatePeer sends a peer that is behind a delta or, if none is available, a
 // digest, upon which the peer sends an UpdateRequest.
-func (s *State) updatePeer(to fleet.VMID, p Point, out *Ready) {
+func (s *State) updatePeer(to fleet.VMID, p Version, out *Ready) {
 	if p.Revision < s.current.cat.Revision && p.Revision > 0 {
 		if d, ok := s.history.deltaSince(p.Revision, s.current, MaxPushEntries); ok {
 			d.Age = s.messageAge()
--- a/decide/config/history.go
+++ b/decide/config/history.go
@@ -106,7 +106,7 @@
 
 // snapshotAssembly collects the parts of one snapshot.
 type snapshotAssembly struct {
-	version Point
+	version Version
 	parts   []*Snapshot
 	missing int
 }
@@ -114,7 +114,7 @@
 // add adds one part, and returns the content once all parts are present. A part
 // of a different snapshot discards the parts collected so far.
 func (a *snapshotAssembly) add(s *Snapshot) (*content, error) {
-	p := Point{Revision: s.Revision, Hash: s.Hash}
+	p := Version{Revision: s.Revision, Hash: s.Hash}
 	if a.version != p || len(a.parts) != s.Parts {
 		*a = snapshotAssembly{version: p, parts: make([]*Snapshot, s.Parts), missing: s.Parts}
 	}
--- a/decide/config/net_test.go
+++ b/decide/config/net_test.go
@@ -194,7 +194,7 @@
 
 func (n *network) step(v *testDaemon, ev Event) {
 	v.st.Step(n.now, ev, &v.ready)
-	v.wake = v.ready.Wake
+	v.wake = v.ready.WakeAt
 	for _, a := range v.ready.Apply {
 		n.checkApplied(v, a.Catalogue)
 	}
--- a/decide/config/platform_test.go
+++ b/decide/config/platform_test.go
@@ -12,7 +12,7 @@
 type platformStore struct {
 	index   uint64
 	cat     *catalogue.Catalogue
-	lineage []Point
+	lineage []Version
 }
 
 func (n *network) fetch(v *testDaemon, seq uint64) {
@@ -25,7 +25,7 @@
 }
 
 func (n *network) document(seq uint64, asked clock.Time) *PlatformRead {
-	ev := &PlatformRead{Seq: seq, Index: n.platform.index, Confirmed: asked, Result: ReadNotFound}
+	ev := &PlatformRead{Seq: seq, Index: n.platform.index, ConfirmedAt: asked, Result: ReadNotFound}
 	if n.platform.cat != nil {
 		ev.Result = ReadDocument
 		ev.Catalogue = n.platform.cat
@@ -41,7 +41,7 @@
 	}
 	n.platformCalls++
 	v.watch = &w
-	quiet := &PlatformRead{Seq: w.Seq, Result: ReadNotModified, Confirmed: n.now.Add(w.Wait)}
+	quiet := &PlatformRead{Seq: w.Seq, Result: ReadNotModified, ConfirmedAt: n.now.Add(w.Wait)}
 	n.deliver(v, quiet, w.Wait+n.delay())
 }
 
@@ -53,7 +53,7 @@
 	}
 	n.platform.index++
 	n.platform.cat = c
-	n.platform.lineage = append(slices.Clone(n.platform.lineage), Point{Revision: c.Revision, Hash: h})
+	n.platform.lineage = append(slices.Clone(n.platform.lineage), Version{Revision: c.Revision, Hash: h})
 	for _, v := range n.daemons {
 		if v.watch == nil || v.st == nil {
 			continue
@@ -87,7 +87,7 @@
 	}
 	n.storeDocument(c)
 	if !loseAnswer {
-		n.deliver(v, &Accepted{Catalogue: c, Confirmed: n.now}, n.delay())
+		n.deliver(v, &Accepted{Catalogue: c, ConfirmedAt: n.now}, n.delay())
 	}
 	return true
 }
--- a/decide/config/read.go
+++ b/decide/config/read.go
@@ -36,9 +36,9 @@
 	watches   int        // since the last fetch without a watch
 	failures  int        // since the last success
 
-	index      uint64 // platform's index of its document
-	version    Point  // content at index
-	indexKnown bool   // whether index and version are known
+	index      uint64  // platform's index of its document
+	version    Version // content at index
+	indexKnown bool    // whether index and version are known
 
 	everSucceeded bool       // whether a read has succeeded yet
 	lastSuccess   clock.Time // time as of which the last successful read was current
@@ -245,7 +245,7 @@
 	r.mode = readIdle
 	r.failures = 0
 	r.everSucceeded = true
-	r.lastSuccess = max(r.lastSuccess, clock.Min(ev.Confirmed, s.now))
+	r.lastSuccess = max(r.lastSuccess, clock.Min(ev.ConfirmedAt, s.now))
 	r.nextAt = max(s.now, r.startedAt.Add(readSpacing))
 	if r.platformBehind {
 		r.nextAt = s.now.Add(platformBehindSpacing)
@@ -280,7 +280,7 @@
 	p := c.version()
 	r.index, r.version, r.indexKnown = ev.Index, p, true
 	if s.current == nil {
-		s.addJoinOffer(joinOffer{content: c, confirmed: true, confirmedAt: ev.Confirmed}, out)
+		s.addJoinOffer(joinOffer{content: c, confirmed: true, confirmedAt: ev.ConfirmedAt}, out)
 		return true
 	}
 	s.checkLineage(p, ev.Lineage)
@@ -290,30 +290,30 @@
 	} else if p == s.current.version() {
 		s.announceCurrent()
 	}
-	s.confirmCurrent(p, ev.Confirmed)
-	s.checkBehind(p, ev.Confirmed, out)
+	s.confirmCurrent(p, ev.ConfirmedAt)
+	s.checkBehind(p, ev.ConfirmedAt, out)
 	return true
 }
 
 func (s *State) handleNotModified(ev *PlatformRead, out *Ready) {
-	s.confirmCurrent(s.reader.version, ev.Confirmed)
+	s.confirmCurrent(s.reader.version, ev.ConfirmedAt)
 	if s.current != nil {
-		s.checkBehind(s.reader.version, ev.Confirmed, out)
+		s.checkBehind(s.reader.version, ev.ConfirmedAt, out)
 	}
 }
 
 func (s *State) handleNotFound(ev *PlatformRead, out *Ready) {
 	r := &s.reader
-	r.index, r.version, r.indexKnown = ev.Index, Point{}, ev.Index > 0
+	r.index, r.version, r.indexKnown = ev.Index, Version{}, ev.Index > 0
 	if s.current == nil {
 		return
 	}
-	s.checkBehind(Point{}, ev.Confirmed, out)
+	s.checkBehind(Version{}, ev.ConfirmedAt, out)
 }
 
 // checkLineage detects a platform that was restored from older data and has
 // accepted writes since: the content in force here is missing from its lineage.
-func (s *State) checkLineage(p Point, lineage []Point) {
+func (s *State) checkLineage(p Version, lineage []Version) {
 	current := s.current.version()
 	if p.Revision <= current.Revision || len(lineage) == 0 {
 		return
@@ -334,7 +334,7 @@
 // force, in an answer to a read that was sent after that came into force. If this
 // persists for RestoreDelay times the position in the ranking (from 1), it requests
 // that the platform be restored.
-func (s *State) checkBehind(p Point, asked clock.Time, out *Ready) {
+func (s *State) checkBehind(p Version, asked clock.Time, out *Ready) {
 	r := &s.reader
 	if !s.current.version().supersedes(p) {
 		r.platformBehind = false
--- a/decide/config/ready.go
+++ b/decide/config/ready.go
@@ -19,8 +19,8 @@
 	Stop    []StopWatching
 	Restore []RestorePlatform
 	Status  []StatusChange
-	// Wake is when the next Tick is due.
-	Wake clock.Time
+	// WakeAt is when the next Tick is due.
+	WakeAt clock.Time
 }
 
 // Apply puts a new catalogue in force at this daemon. The catalogue must not be
@@ -72,7 +72,7 @@
 	r.Stop = r.Stop[:0]
 	r.Restore = r.Restore[:0]
 	r.Status = r.Status[:0]
-	r.Wake = clock.Never
+	r.WakeAt = clock.Never
 }
 
 // Status is the state of the configuration as shown to operators.
--- a/decide/config/state.go
+++ b/decide/config/state.go
@@ -168,7 +168,7 @@
 		s.schedulePush(before, true)
 		s.join.finish()
 	}
-	s.confirmCurrent(c.version(), ev.Confirmed)
+	s.confirmCurrent(c.version(), ev.ConfirmedAt)
 }
 
 // install puts c in force if it may replace the current content, and reports
@@ -225,9 +225,9 @@
 
 // currentVersion returns the revision and hash in force, or zeros if no catalogue
 // is in force.
-func (s *State) currentVersion() Point {
+func (s *State) currentVersion() Version {
 	if s.current == nil {
-		return Point{}
+		return Version{}
 	}
 	return s.current.version()
 }
@@ -248,7 +248,7 @@
 		out.Status = append(out.Status, StatusChange{Status: st})
 	}
 	s.counters.MessagesOut += uint64(len(out.Send))
-	out.Wake = s.wake()
+	out.WakeAt = s.wake()
 }
 
 func (s *State) wake() clock.Time {
--- a/decide/dispatch/arrive.go
+++ b/decide/dispatch/arrive.go
@@ -47,7 +47,7 @@
 		return
 	}
 	r := s.accept(e, svc, deadline)
-	svc.budget.Earn()
+	svc.budget.Deposit()
 	if svc.queue.Len() == 0 && s.trySend(r) {
 		return
 	}
--- a/decide/dispatch/choose.go
+++ b/decide/dispatch/choose.go
@@ -124,7 +124,7 @@
 // maxInFlight returns how many requests t may have in flight, including
 // borrowed slots.
 func (s *State) maxInFlight(t *targetState) int {
-	if t.leaving || s.now < t.pausedUntil || t.outlier.Standing() != target.InUse {
+	if t.leaving || s.now < t.pausedUntil || t.outlier.State() != target.InUse {
 		return t.capacity
 	}
 	if t.limit.Limit() < t.share {
--- a/decide/dispatch/ejection.go
+++ b/decide/dispatch/ejection.go
@@ -36,7 +36,7 @@
 // others could not carry the load. In that case t is only ejected briefly
 // between two tests.
 func (s *State) eject(t *targetState) {
-	if t.outlier.Standing() == target.Ejected {
+	if t.outlier.State() == target.Ejected {
 		return
 	}
 	t.ejectedBriefly = !s.mayEjectFully(t)
@@ -63,7 +63,7 @@
 	}
 	ejected := 1
 	for _, o := range svc.targets {
-		if o != t && o.outlier.Standing() == target.Ejected && !o.ejectedBriefly {
+		if o != t && o.outlier.State() == target.Ejected && !o.ejectedBriefly {
 			ejected++
 		}
 	}
@@ -118,12 +118,12 @@
 	if !t.listed {
 		return clock.Never
 	}
-	if t.outlier.Standing() == target.Ejected && s.now >= t.outlier.Until() {
+	if t.outlier.State() == target.Ejected && s.now >= t.outlier.Until() {
 		s.endEjection(t)
 	}
 	s.updateCapacity(t)
 	next := clock.Never
-	if t.outlier.Standing() == target.Ejected {
+	if t.outlier.State() == target.Ejected {
 		next = t.outlier.Until()
 	}
 	if s.now < t.pausedUntil {
@@ -147,7 +147,7 @@
 		t.outlier.Restore() // only slots reported free are borrowed from it, so it needs no test
 		return
 	}
-	t.outlier.Test()
+	t.outlier.StartTesting()
 }
 
 // healthySinceEjection reports whether t has sent a good health report since
@@ -166,11 +166,11 @@
 	switch {
 	case e.OK:
 		t.healthyAt = max(t.healthyAt, s.now.Add(-e.Age))
-	case t.outlier.Standing() == target.InUse && !t.outlier.Outvoted(s.now):
+	case t.outlier.State() == target.InUse && !t.outlier.OverridesHealthReport(s.now):
 		s.eject(t)
 	}
 	if e.Cold && !t.cold {
-		t.limit = limit.Cold(t.share) // it restarted without any failed request
+		t.limit = limit.NewColdAdaptive(t.share) // it restarted without any failed request
 	}
 	t.cold = e.Cold
 	s.updateCapacity(t)
--- a/decide/dispatch/event.go
+++ b/decide/dispatch/event.go
@@ -83,9 +83,9 @@
 // Services replaces the services of the catalogue.
 type Services struct{ List []catalogue.Service }
 
-// Remote is the load report, made some time ago, of one service at another
+// RemoteLoad is the load report, made some time ago, of one service at another
 // entry VM.
-type Remote struct {
+type RemoteLoad struct {
 	VM       fleet.VMID
 	Domain   fleet.Domain
 	Region   fleet.Region
@@ -97,11 +97,11 @@
 	RTT      time.Duration // round trip to the entry VM
 }
 
-// Remotes replaces the reports of all other entry VMs. When the queue of a
+// RemoteLoads replaces the reports of all other entry VMs. When the queue of a
 // service is long, State evaluates each of its reports, so in a large fleet the
 // sender of this event lists only some dozens per service: those nearby and
 // those with the most headroom.
-type Remotes struct{ List []Remote }
+type RemoteLoads struct{ List []RemoteLoad }
 
 // Health is a report of a target's health and load endpoint.
 type Health struct {
@@ -132,15 +132,15 @@
 	Event  ConnectionEvent
 }
 
-func (*Arrive) event()     {}
-func (*Answered) event()   {}
-func (*Failed) event()     {}
-func (*CallerGone) event() {}
-func (*Tick) event()       {}
-func (*Stop) event()       {}
-func (*Targets) event()    {}
-func (*Peers) event()      {}
-func (*Services) event()   {}
-func (*Remotes) event()    {}
-func (*Health) event()     {}
-func (*Connection) event() {}
+func (*Arrive) event()      {}
+func (*Answered) event()    {}
+func (*Failed) event()      {}
+func (*CallerGone) event()  {}
+func (*Tick) event()        {}
+func (*Stop) event()        {}
+func (*Targets) event()     {}
+func (*Peers) event()       {}
+func (*Services) event()    {}
+func (*RemoteLoads) event() {}
+func (*Health) event()      {}
+func (*Connection) event()  {}
--- a/decide/dispatch/golden_test.go
+++ b/decide/dispatch/golden_test.go
@@ -133,7 +133,7 @@
 	case "peers":
 		return &Peers{Count: f.int("count"), Rank: f.int("rank")}
 	case "remote":
-		return &Remotes{List: []Remote{{
+		return &RemoteLoads{List: []RemoteLoad{{
 			VM: fleet.VMID(f.plain[0]), Service: fleet.ServiceName(f.plain[1]), Headroom: f.int("headroom"),
 			Age: f.duration("age"), RTT: f.duration("rtt"),
 		}}}
--- a/decide/dispatch/invariant.go
+++ b/decide/dispatch/invariant.go
@@ -35,7 +35,7 @@
 
 // checkSend checks the invariants of a send.
 func (s *State) checkSend(r *request, t *targetState) bool {
-	if t.leaving || !t.listed || t.outlier.Standing() == target.Ejected {
+	if t.leaving || !t.listed || t.outlier.State() == target.Ejected {
 		s.reportViolation(invTargetInUse, "send to a target not in use; request (target in flight)", uint64(r.id), uint64(t.inFlight))
 		return false
 	}
--- a/decide/dispatch/load.go
+++ b/decide/dispatch/load.go
@@ -46,7 +46,7 @@
 // warming reports whether slow start is active at a target in use.
 func (svc *service) warming() bool {
 	for _, t := range svc.targets {
-		if !t.leaving && t.limit.Warming() && t.outlier.Standing() != target.Ejected {
+		if !t.leaving && t.limit.Warming() && t.outlier.State() != target.Ejected {
 			return true
 		}
 	}
--- a/decide/dispatch/measure/simulation.go
+++ b/decide/dispatch/measure/simulation.go
@@ -77,7 +77,7 @@
 	origins   map[dispatch.RequestID]origin // of forwarded requests
 	attempts  map[dispatch.AttemptID]*attempt
 	idle      map[*upstream][]bool // unused connections; true when silent
-	remotes   map[fleet.VMID][]dispatch.Remote
+	remotes   map[fleet.VMID][]dispatch.RemoteLoad
 	remotesAt map[fleet.VMID]clock.Time
 }
 
@@ -155,7 +155,7 @@
 		origins:   make(map[dispatch.RequestID]origin),
 		attempts:  make(map[dispatch.AttemptID]*attempt),
 		idle:      make(map[*upstream][]bool),
-		remotes:   make(map[fleet.VMID][]dispatch.Remote),
+		remotes:   make(map[fleet.VMID][]dispatch.RemoteLoad),
 		remotesAt: make(map[fleet.VMID]clock.Time),
 	}
 	sim.vms = append(sim.vms, v)
@@ -465,9 +465,9 @@
 func (v *vm) report() {
 	sim := v.sim
 	made := sim.now
-	var list []dispatch.Remote
+	var list []dispatch.RemoteLoad
 	for _, l := range v.state.AppendLoads(nil) {
-		list = append(list, dispatch.Remote{VM: v.id, Service: l.Service, Capacity: l.Capacity, InFlight: l.InFlight, Headroom: l.Headroom})
+		list = append(list, dispatch.RemoteLoad{VM: v.id, Service: l.Service, Capacity: l.Capacity, InFlight: l.InFlight, Headroom: l.Headroom})
 	}
 	for _, o := range sim.vms {
 		if o == v {
@@ -483,7 +483,7 @@
 // deliverReports applies the latest reports of the other entry VMs.
 func (v *vm) deliverReports() {
 	sim := v.sim
-	ev := &dispatch.Remotes{}
+	ev := &dispatch.RemoteLoads{}
 	for _, o := range sim.vms {
 		for _, r := range v.remotes[o.id] {
 			r.Age = sim.now.Sub(v.remotesAt[o.id])
--- a/decide/dispatch/measure/upstream.go
+++ b/decide/dispatch/measure/upstream.go
@@ -41,7 +41,7 @@
 	case len(u.backlog) < backlogPerSlot*u.slots:
 		u.backlog = append(u.backlog, a)
 	default:
-		u.fail(a, verdict.NotRun, verdict.ReasonShed)
+		u.fail(a, verdict.NotRun, verdict.ReasonTargetRefused)
 	}
 }
 
--- a/decide/dispatch/membership.go
+++ b/decide/dispatch/membership.go
@@ -89,7 +89,7 @@
 	t.listed = true
 	t.leaving = f.State != fleet.Live
 	t.svc.targets = append(t.svc.targets, t)
-	if t.outlier.Standing() == target.Ejected {
+	if t.outlier.State() == target.Ejected {
 		s.scheduleRecheck(t, t.outlier.Until()) // rechecks stop while a target is unlisted
 	}
 }
@@ -100,9 +100,9 @@
 	t.declaredSlots = f.Slots
 	t.slots = max(f.Slots, defaultSlots)
 	if s.targetsReceived {
-		t.limit = limit.Cold(t.slots)
+		t.limit = limit.NewColdAdaptive(t.slots)
 	} else {
-		t.limit = limit.Full(t.slots)
+		t.limit = limit.NewAdaptive(t.slots)
 	}
 }
 
--- a/decide/dispatch/outcome.go
+++ b/decide/dispatch/outcome.go
@@ -67,7 +67,7 @@
 	if t.outlier.Answered(s.now) {
 		// It is back in use after an ejection, so it may have restarted with
 		// cold caches.
-		t.limit = limit.Cold(t.share)
+		t.limit = limit.NewColdAdaptive(t.share)
 	}
 	if !wanted {
 		s.updateCapacity(t)
@@ -132,9 +132,9 @@
 // targetAttemptFailed records a failed attempt at t.
 func (s *State) targetAttemptFailed(t *targetState, e *Failed, sentAt clock.Time) {
 	switch e.Reason {
-	case verdict.ReasonShed, verdict.ReasonOverload, verdict.ReasonQueueFull, verdict.ReasonNotReady:
-		t.limit.Shed()
-		t.borrow.Shed(s.now)
+	case verdict.ReasonTargetRefused, verdict.ReasonOverload, verdict.ReasonQueueFull, verdict.ReasonNotReady:
+		t.limit.Refused()
+		t.borrow.Refused(s.now)
 		s.pause(t, min(max(e.RetryAfter, minShedPause), maxShedPause))
 	case verdict.ReasonStopping:
 		s.pause(t, leavingPause)
@@ -180,7 +180,7 @@
 // spendRepeat takes a repeat of r from the budget. It reports whether there was
 // one and r has attempts left.
 func (s *State) spendRepeat(r *request) bool {
-	r.svc.budget.Pass(s.now)
+	r.svc.budget.Refill(s.now)
 	return r.attempts < s.lim.MaxAttempts && r.svc.budget.Spend()
 }
 
--- a/decide/dispatch/random_test.go
+++ b/decide/dispatch/random_test.go
@@ -306,7 +306,7 @@
 		return
 	}
 	e := Failed{Req: a.req, Attempt: id, Verdict: verdict.NotRun}
-	e.Reason = []verdict.Reason{verdict.ReasonShed, verdict.ReasonConnect, verdict.ReasonStopping, verdict.ReasonOverload, verdict.ReasonBadRequest}[run.intn(5)]
+	e.Reason = []verdict.Reason{verdict.ReasonTargetRefused, verdict.ReasonConnect, verdict.ReasonStopping, verdict.ReasonOverload, verdict.ReasonBadRequest}[run.intn(5)]
 	if run.intn(2) == 0 {
 		e.Verdict = verdict.MayHaveRun
 		e.Reason = []verdict.Reason{verdict.ReasonConnectionLost, verdict.ReasonSilent, verdict.ReasonAnswerCut}[run.intn(3)]
@@ -350,9 +350,9 @@
 }
 
 func (run *randomRun) setRemotes() {
-	e := &Remotes{}
+	e := &RemoteLoads{}
 	for i := 0; i < run.intn(4); i++ {
-		e.List = append(e.List, Remote{
+		e.List = append(e.List, RemoteLoad{
 			VM: fleet.VMID(fmt.Sprint("vm", run.intn(4))), Service: []fleet.ServiceName{"look", "post", "bulk"}[run.intn(3)],
 			Headroom: run.intn(6), Age: time.Duration(run.intn(2000)) * time.Millisecond, RTT: time.Duration(1+run.intn(110)) * time.Millisecond,
 		})
--- a/decide/dispatch/remote.go
+++ b/decide/dispatch/remote.go
@@ -27,7 +27,7 @@
 )
 
 // setRemotes applies the load reports of other entry VMs.
-func (s *State) setRemotes(list []Remote) {
+func (s *State) setRemotes(list []RemoteLoad) {
 	s.clearReported()
 	s.vmCount = 0
 	for i := range list {
@@ -55,7 +55,7 @@
 	}
 }
 
-func (s *State) setRemoteVM(e *Remote) {
+func (s *State) setRemoteVM(e *RemoteLoad) {
 	if e.VM == s.opts.VM {
 		return
 	}
@@ -71,7 +71,7 @@
 	vm.rtt = e.RTT
 }
 
-func (s *State) setRemoteService(e *Remote) {
+func (s *State) setRemoteService(e *RemoteLoad) {
 	vm := s.vms[e.VM]
 	if vm == nil {
 		return
@@ -218,7 +218,7 @@
 
 // headroom returns how many forwards rs can take now.
 func (s *State) headroom(rs *remoteService) float64 {
-	switch rs.vm.outlier.Standing() {
+	switch rs.vm.outlier.State() {
 	case target.Ejected:
 		if s.now < rs.vm.outlier.Until() {
 			return 0
@@ -276,7 +276,7 @@
 // lacked capacity or time for it.
 func refusedForLoad(reason verdict.Reason) bool {
 	switch reason {
-	case verdict.ReasonOverload, verdict.ReasonQueueFull, verdict.ReasonShed, verdict.ReasonNoTarget,
+	case verdict.ReasonOverload, verdict.ReasonQueueFull, verdict.ReasonTargetRefused, verdict.ReasonNoTarget,
 		verdict.ReasonHopLimit, verdict.ReasonDeadline, verdict.ReasonRetriesExhausted, verdict.ReasonNotReady:
 		return true
 	}
--- a/decide/dispatch/send.go
+++ b/decide/dispatch/send.go
@@ -114,7 +114,7 @@
 	}
 	r.avoidTarget = r.current[0].target
 	t, borrowed := s.choose(r)
-	if t == nil || borrowed || t == r.avoidTarget || !svc.budget.SpendSpare() {
+	if t == nil || borrowed || t == r.avoidTarget || !svc.budget.SpendForHedge() {
 		return
 	}
 	s.send(r, t, false)
--- a/decide/dispatch/service.go
+++ b/decide/dispatch/service.go
@@ -95,7 +95,7 @@
 	if t.leaving || !t.listed || now < t.pausedUntil {
 		return 0
 	}
-	standing := t.outlier.Standing()
+	standing := t.outlier.State()
 	switch {
 	case standing == target.Ejected:
 		return 0
--- a/decide/dispatch/state.go
+++ b/decide/dispatch/state.go
@@ -104,7 +104,7 @@
 		s.setPeers(*e)
 	case *Services:
 		s.setServices(e.List)
-	case *Remotes:
+	case *RemoteLoads:
 		s.setRemotes(e.List)
 	case *Health:
 		s.handleHealth(e)
--- a/decide/emulate/caller.go
+++ b/decide/emulate/caller.go
@@ -117,7 +117,7 @@
 		v.openRequests[v.lastRequest] = q
 		sim.step(v, &ingress.Arrive{
 			Request: v.lastRequest, Host: "h", Path: "/" + c.kind.Name + "/x", Object: c.object,
-			Patience: c.deadline.Sub(sim.now), Bytes: c.kind.BodyBytes, Fingerprint: c.content,
+			Timeout: c.deadline.Sub(sim.now), Bytes: c.kind.BodyBytes, Fingerprint: c.content,
 		})
 	})
 }
--- a/decide/emulate/deathquery.go
+++ b/decide/emulate/deathquery.go
@@ -98,7 +98,7 @@
 // crashTarget crashes t because of the query of death r, unless the process that
 // executed r has already ended.
 func (sim *simulation) crashTarget(t *target, r *execution, start int64) {
-	if t.registered.Born != start || t.down || r.ended {
+	if t.registered.StartedAt != start || t.down || r.ended {
 		return // the process has ended, or r was cancelled
 	}
 	d := r.send.attempt.deathQuery
--- a/decide/emulate/emulate_test.go
+++ b/decide/emulate/emulate_test.go
@@ -150,7 +150,7 @@
 	p := smallRegion(t, nil)
 	all := meanOf(p, 0, (*Result).WorstDomain)
 	is.True(all > 0.75)
-	is.True(meanOf(p, ingress.Elsewhere, (*Result).WorstDomain) < all-0.3)
+	is.True(meanOf(p, ingress.OtherRegions, (*Result).WorstDomain) < all-0.3)
 }
 
 // Guards against late answers after the restart of an entry VM: half of them
@@ -165,7 +165,7 @@
 			p.Events = append(p.Events, Event{Kind: KillVMs, Start: 4 + 3*float64(i), Duration: 1, Share: 0.5, Domain: domain})
 		}
 	})
-	with, without := runSeeds(p, recallSeeds, 0), runSeeds(p, recallSeeds, ingress.Recall)
+	with, without := runSeeds(p, recallSeeds, 0), runSeeds(p, recallSeeds, ingress.LastTargets)
 	var gains []siteWorth
 	for i := range with {
 		gains = append(gains, siteWorth{with: with[i].All.Worth(), without: without[i].All.Worth()})
--- a/decide/emulate/event.go
+++ b/decide/emulate/event.go
@@ -98,10 +98,10 @@
 	sim.failRunning(t)
 	sim.after(down, func() {
 		t.down = false
-		t.registered.Born++
+		t.registered.StartedAt++
 		t.coldEnd = sim.now.Add(seconds(t.service.ColdTime))
 		sim.broadcast(func() ingress.Event {
-			return &ingress.TargetsChanged{Set: []ingress.Target{t.registration(sim.now)}}
+			return &ingress.TargetsChanged{Updated: []ingress.Target{t.registration(sim.now)}}
 		})
 	})
 }
@@ -111,7 +111,7 @@
 	for _, v := range sim.vms {
 		for _, id := range sortedKeys(v.attempts) {
 			s := v.attempts[id]
-			if s.target != t || s.execution == nil || s.execution.targetStart != t.registered.Born || s.execution.ended {
+			if s.target != t || s.execution == nil || s.execution.targetStart != t.registered.StartedAt || s.execution.ended {
 				continue
 			}
 			s.execution.ended = true
--- a/decide/emulate/fleet.go
+++ b/decide/emulate/fleet.go
@@ -165,7 +165,7 @@
 			for range d.Targets[s.Name] {
 				id := fleet.TargetID(fmt.Sprintf("%s-%s-%d", s.Name, d.Name, len(sim.targetList)))
 				t := &target{region: d.Region, service: s, slowFactor: 1, registered: ingress.Target{
-					ID: id, Service: s.Name, Addr: string(id), Domain: d.Name, Slots: s.Slots, Born: 1,
+					ID: id, Service: s.Name, Addr: string(id), Domain: d.Name, Slots: s.Slots, StartedAt: 1,
 				}}
 				sim.targets[id] = t
 				sim.targetList = append(sim.targetList, t)
@@ -201,17 +201,17 @@
 	v.connections = make(connectionPools)
 	v.reducer = ingress.New(ingress.Options{
 		Self: v.self.ID, Domain: v.self.Domain, Regions: sim.regions, Start: sim.now,
-		Seed: sim.variant.Seed + uint64(v.processNumber), Without: sim.variant.Disabled,
+		Seed: sim.variant.Seed + uint64(v.processNumber), Disabled: sim.variant.Disabled,
 		Bounds: ingress.Bounds{
-			ColdFactor: sim.pattern.ColdFactor, ColdSlack: sim.pattern.ColdSlack, RepeatRatio: sim.pattern.RepeatRatio,
-			RepeatSlack: sim.pattern.RepeatSlack, RepeatWindow: 10 * time.Second, RegionShift: sim.pattern.RegionShift,
+			ColdFactor: sim.pattern.ColdFactor, ColdSlack: sim.pattern.ColdSlack, RetryRatio: sim.pattern.RepeatRatio,
+			RetrySlack: sim.pattern.RepeatSlack, RetryWindow: 10 * time.Second, RegionShift: sim.pattern.RegionShift,
 		},
 	})
 	sim.step(v, &ingress.Configured{Table: sim.table})
 	var all ingress.TargetsChanged
 	for _, t := range sim.targetList {
 		if !t.down {
-			all.Set = append(all.Set, t.registration(sim.now))
+			all.Updated = append(all.Updated, t.registration(sim.now))
 		}
 	}
 	sim.step(v, &all)
@@ -268,10 +268,10 @@
 	for _, p := range out.Probes {
 		sim.probe(v, p)
 	}
-	for _, tell := range out.Tells {
+	for _, tell := range out.Messages {
 		sim.sendMessage(v, tell)
 	}
-	sim.setTickTimer(v, out.Wake)
+	sim.setTickTimer(v, out.WakeAt)
 }
 
 // setTickTimer sets the time of v's next tick and replaces an earlier one.
@@ -301,13 +301,13 @@
 	}
 }
 
-func (sim *simulation) sendMessage(from *vm, tell ingress.Tell) {
+func (sim *simulation) sendMessage(from *vm, tell ingress.OutgoingMessage) {
 	to := sim.vmByID[tell.To]
 	if to == nil {
 		return
 	}
 	sim.after(sim.latency(from.self.Domain, to.self.Domain), func() {
-		sim.step(to, &ingress.Heard{From: from.self.ID, Message: tell.Message})
+		sim.step(to, &ingress.IncomingMessage{From: from.self.ID, Message: tell.Message})
 	})
 }
 
@@ -322,7 +322,7 @@
 		s.gateway = sim.vmByID[e.Gateway]
 		s.transmit = func() { sim.sendToGateway(s) }
 	}
-	sim.connect(s, e.Spare)
+	sim.connect(s, e.KeepSpare)
 }
 
 // sendToTarget sends a request directly to its target on its connection.
@@ -342,7 +342,7 @@
 		sim.recorder.countArrival(sim.now, q, t.region)
 		sim.recordFarDelay(s)
 		t.limit.countArrival(sim.now, v)
-		s.execution = &execution{send: s, object: q.object, targetStart: t.registered.Born}
+		s.execution = &execution{send: s, object: q.object, targetStart: t.registered.StartedAt}
 		t.handleRequest(sim, s.execution)
 	})
 }
@@ -354,10 +354,10 @@
 		if !s.ended && s.vm.processNumber == s.processNumber {
 			sim.releaseConnection(s)
 		}
-		if limit.Named {
+		if limit.Limited {
 			t.limit.markKnown(sim.now, s.vm)
 		}
-		sim.endSend(s, &ingress.Answered{Attempt: s.id, Outcome: o, Load: load, Limit: limit, Connect: s.connectTime, Waited: s.connectionWait})
+		sim.endSend(s, &ingress.Answered{Attempt: s.id, Outcome: o, Load: load, Limit: limit, ConnectTime: s.connectTime, ConnectionWait: s.connectionWait})
 	})
 }
 
@@ -385,7 +385,7 @@
 		}
 		sim.after(way, func() {
 			if v.processNumber == process {
-				sim.step(v, &ingress.Probed{Target: p.Target, Born: p.Born, Listening: found})
+				sim.step(v, &ingress.Probed{Target: p.Target, StartedAt: p.StartedAt, Listening: found})
 			}
 		})
 	})
--- a/decide/emulate/gateway.go
+++ b/decide/emulate/gateway.go
@@ -28,7 +28,7 @@
 // confirmAtSender reports to the VM of s that the gateway has the request.
 func (sim *simulation) confirmAtSender(s *targetSend) {
 	if !s.ended && s.vm.processNumber == s.processNumber {
-		sim.step(s.vm, &ingress.Received{Attempt: s.id})
+		sim.step(s.vm, &ingress.GatewayAccepted{Attempt: s.id})
 	}
 }
 
@@ -38,7 +38,7 @@
 	g.lastGatewayRequest++
 	s.gatewayRequest = ingress.RequestID(math.MaxUint64) - g.lastGatewayRequest
 	g.openRequests[s.gatewayRequest] = &entryAttempt{caller: s.attempt.caller, gatewaySend: s}
-	sim.step(g, &ingress.Carry{Request: s.gatewayRequest, Target: s.target.registered.ID, Left: s.attempt.deadline.Sub(sim.now)})
+	sim.step(g, &ingress.ForwardRequest{Request: s.gatewayRequest, Target: s.target.registered.ID, TimeLeft: s.attempt.deadline.Sub(sim.now)})
 }
 
 // returnFromGateway returns the result of a forwarded request to the VM of s.
@@ -50,7 +50,7 @@
 		}
 		switch e := end.(type) {
 		case *ingress.Answered:
-			e.Attempt, e.Connect, e.Waited = s.id, s.connectTime, s.connectionWait
+			e.Attempt, e.ConnectTime, e.ConnectionWait = s.id, s.connectTime, s.connectionWait
 			sim.endSend(s, e)
 		case *ingress.Failed:
 			e.Attempt = s.id
--- a/decide/emulate/ratelimit.go
+++ b/decide/emulate/ratelimit.go
@@ -60,9 +60,9 @@
 // advertisedLimit returns what an answer of t says about its limit.
 func (t *target) advertisedLimit(now clock.Time) ingress.RateLimit {
 	if t.limit == nil || !now.Before(t.limit.until) {
-		return ingress.RateLimit{Heard: true}
+		return ingress.RateLimit{Known: true}
 	}
-	return ingress.RateLimit{Heard: true, Named: true, PerSecond: t.limit.perSecond}
+	return ingress.RateLimit{Known: true, Limited: true, PerSecond: t.limit.perSecond}
 }
 
 // markKnown records that v has received an answer with the limit.
--- a/decide/emulate/target.go
+++ b/decide/emulate/target.go
@@ -74,13 +74,13 @@
 func (t *target) startExecution(sim *simulation, r *execution) {
 	t.running++
 	took := t.workTime(sim, r.send.attempt.kind, r.object)
-	start := t.registered.Born
+	start := t.registered.StartedAt
 	if r.send.attempt.deathQuery != nil {
 		sim.after(deathQueryWork, func() { sim.crashTarget(t, r, start) })
 		return
 	}
 	sim.after(took, func() {
-		if t.registered.Born != start || t.down {
+		if t.registered.StartedAt != start || t.down {
 			return // the process has ended
 		}
 		t.running--
--- a/decide/engine/control.go
+++ b/decide/engine/control.go
@@ -45,7 +45,7 @@
 		out.Peers = append(out.Peers, PeerSend{To: s.To, Member: s.Msg, Load: e.loadReport(now, s.Scope)})
 	}
 	out.Superseded = out.Superseded || r.Superseded
-	changed, group := len(r.Changed) > 0, r.Group
+	changed, group := len(r.Changed) > 0, r.DutiesChanged
 	if !changed && !group {
 		return
 	}
@@ -65,18 +65,18 @@
 }
 
 var loadScopes = [...]load.Scope{
-	member.ScopeOwn:    load.ScopeOwn,
-	member.ScopeMember: load.ScopeMember,
-	member.ScopePeer:   load.ScopePeer,
-	member.ScopeRegion: load.ScopeRegion,
-	member.ScopeFar:    load.ScopeFar,
+	member.ScopeCollector:   load.ScopeCollector,
+	member.ScopeMember:      load.ScopeMember,
+	member.ScopePeer:        load.ScopePeer,
+	member.ScopeRegion:      load.ScopeRegion,
+	member.ScopeOtherRegion: load.ScopeOtherRegion,
 }
 
 // updateLoadFleet passes the failure domains and this VM's reporting duties to
 // the load state.
 func (e *Engine) updateLoadFleet(now clock.Time, domains []member.DomainView) {
 	d := e.member.Duties()
-	f := &load.Fleet{Representative: d.Representative, Group: d.Group, Peers: d.Peers}
+	f := &load.Membership{Representative: d.Representative, Group: d.Group, Peers: d.Peers}
 	for _, v := range domains {
 		f.Domains = append(f.Domains, load.DomainOf{Region: v.Region, Domain: v.Domain})
 	}
@@ -99,7 +99,7 @@
 	slices.SortFunc(e.vms, func(a, b fleet.VM) int { return cmp.Compare(a.ID, b.ID) })
 	out.VMs = e.vms
 	out.EligibleForLease = e.eligibleForLease(domains)
-	e.stepTally(now, &tally.Fleet{Domains: domains}, out)
+	e.stepTally(now, &tally.FleetChanged{Domains: domains}, out)
 	e.stepDispatch(now, e.domainPeers(), out)
 	e.updateRemotes(now, domains, out)
 	e.stepConfig(now, &config.Members{Members: e.configMembers()}, out)
@@ -153,7 +153,7 @@
 func (e *Engine) stepConfig(now clock.Time, ev config.Event, out *Ready) {
 	r := &e.configReady
 	e.config.Step(now, ev, r)
-	e.wakeTimes.config = r.Wake
+	e.wakeTimes.config = r.WakeAt
 	for _, s := range r.Send {
 		if vm, ok := e.findVM(s.To); ok {
 			out.Peers = append(out.Peers, PeerSend{To: vm, Config: s.Msg})
@@ -228,7 +228,7 @@
 		return t.Domain != e.self.Domain
 	})
 	e.stepDispatch(now, &dispatch.Targets{List: own}, out)
-	e.stepMember(now, &member.Listed{List: *l}, out)
+	e.stepMember(now, &member.PlatformList{List: *l}, out)
 }
 
 // updateReading tells the distribution of the machine list whether this
@@ -239,7 +239,7 @@
 		return
 	}
 	e.reading = on
-	e.stepMachine(now, &machine.Reading{On: on}, out)
+	e.stepMachine(now, &machine.ReaderRole{On: on}, out)
 }
 
 // rebuildView rebuilds the view that answers look-ups, with and without
--- a/decide/engine/engine.go
+++ b/decide/engine/engine.go
@@ -138,7 +138,7 @@
 	case shift.Event:
 		e.stepShiftRunner(now, ev, out)
 	case *MachineListRead:
-		e.stepMachine(now, &machine.Read{List: ev.List}, out)
+		e.stepMachine(now, &machine.ListRead{List: ev.List}, out)
 	case machine.Event:
 		e.stepMachine(now, ev, out)
 	case *BlockTableLoaded:
--- a/decide/engine/enginetest/lookups.go
+++ b/decide/engine/enginetest/lookups.go
@@ -29,7 +29,7 @@
 // Lookup answers a look-up as the daemon does.
 func (v *VM) Lookup(s fleet.ServiceName, c *Caller, out []steer.Choice) steer.Answer {
 	a := v.view.Lookup(s, c.addr, out)
-	if v.gate != nil && !v.gate.Pass(v.now(), s, a.Home, a.ShiftID) && a.Moved {
+	if v.gate != nil && !v.gate.Allow(v.now(), s, a.Home, a.ShiftID) && a.Moved {
 		a = v.unshifted.Lookup(s, c.addr, out)
 	}
 	v.w.Checker.checkLookup(v, s, a)
--- a/decide/engine/enginetest/platform.go
+++ b/decide/engine/enginetest/platform.go
@@ -17,7 +17,7 @@
 type document struct {
 	index      uint64
 	catalogue  *catalogue.Catalogue
-	lineage    []config.Point
+	lineage    []config.Version
 	operations map[string]uint64 // revision by operation ID
 	write      *write            // that created the document; nil for a restore
 }
@@ -31,7 +31,7 @@
 	n := document{
 		index:      d.index + 1,
 		catalogue:  c,
-		lineage:    append(slices.Clone(d.lineage), config.Point{Revision: c.Revision, Hash: h}),
+		lineage:    append(slices.Clone(d.lineage), config.Version{Revision: c.Revision, Hash: h}),
 		operations: maps.Clone(d.operations),
 	}
 	if n.operations == nil {
@@ -206,12 +206,12 @@
 		return &config.PlatformRead{Seq: seq}
 	}
 	return &config.PlatformRead{
-		Seq:       seq,
-		Result:    config.ReadDocument,
-		Catalogue: p.doc.catalogue,
-		Lineage:   p.doc.lineage,
-		Index:     p.doc.index,
-		Confirmed: asked,
+		Seq:         seq,
+		Result:      config.ReadDocument,
+		Catalogue:   p.doc.catalogue,
+		Lineage:     p.doc.lineage,
+		Index:       p.doc.index,
+		ConfirmedAt: asked,
 	}
 }
 
@@ -248,7 +248,7 @@
 	}
 	current := &watch{seq: w.Seq}
 	v.watch = current
-	quiet := &config.PlatformRead{Seq: w.Seq, Result: config.ReadNotModified, Confirmed: v.now().Add(w.Wait)}
+	quiet := &config.PlatformRead{Seq: w.Seq, Result: config.ReadNotModified, ConfirmedAt: v.now().Add(w.Wait)}
 	v.after(w.Wait+p.delay(), func() {
 		if v.watch == current {
 			v.watch = nil
@@ -305,7 +305,7 @@
 	}
 	l := p.shown()
 	if l.Version == v.listVersion {
-		v.step(&machine.Unchanged{})
+		v.step(&machine.ListUnchanged{})
 		return
 	}
 	v.listVersion = l.Version
--- a/decide/engine/enginetest/target.go
+++ b/decide/engine/enginetest/target.go
@@ -118,7 +118,7 @@
 	default:
 		t.Shed++
 		t.w.Checker.Counts.Shed++
-		x.Answer(Answer{Submission: j.submission, Verdict: verdict.NotRun, Reason: verdict.ReasonShed, RetryAfter: t.Work})
+		x.Answer(Answer{Submission: j.submission, Verdict: verdict.NotRun, Reason: verdict.ReasonTargetRefused, RetryAfter: t.Work})
 	}
 }
 
--- a/decide/engine/enginetest/trace.go
+++ b/decide/engine/enginetest/trace.go
@@ -45,7 +45,7 @@
 		s = fmt.Sprintf("accepted revision=%d", e.Catalogue.Revision)
 	case shift.WriteResult:
 		s = fmt.Sprintf("write-result %d %s conflict=%t", e.ID, e.Verdict, e.Conflict)
-	case shift.Duty:
+	case shift.Lease:
 		if e.Held != v.engine.RunsShifts() {
 			s = fmt.Sprintf("duty held=%t", e.Held)
 		}
--- a/decide/engine/enginetest/writer.go
+++ b/decide/engine/enginetest/writer.go
@@ -134,7 +134,7 @@
 
 func (w *write) handleAccepted(d document, revision uint64, asked clock.Time) {
 	w.vm.w.Checker.recordOperation(w, verdict.Ran)
-	w.vm.step(&config.Accepted{Catalogue: d.catalogue, Confirmed: asked})
+	w.vm.step(&config.Accepted{Catalogue: d.catalogue, ConfirmedAt: asked})
 	w.done(Result{Verdict: verdict.Ran, Revision: revision})
 }
 
@@ -148,7 +148,7 @@
 		next := d.successor(c, "")
 		p.compareAndSwap(v, d.index, next, "restored by "+string(v.Self.ID), func(ok bool) {
 			if ok {
-				v.step(&config.Accepted{Catalogue: c, Confirmed: asked})
+				v.step(&config.Accepted{Catalogue: c, ConfirmedAt: asked})
 			}
 		}, func() {})
 	}, func() {})
@@ -233,7 +233,7 @@
 		now := v.now() < v.shiftLease.until
 		if now || held {
 			v.step(shift.Platform{Reachable: now})
-			v.step(shift.Duty{Held: now, Until: v.now().Add(leaseCheckValidity)})
+			v.step(shift.Lease{Held: now, Until: v.now().Add(leaseCheckValidity)})
 		}
 		v.reportShiftLease(now)
 	})
--- a/decide/engine/meter_test.go
+++ b/decide/engine/meter_test.go
@@ -28,7 +28,7 @@
 		var out Ready
 		out.Reset()
 		service := catalogue.Service{Name: "calc", Idempotent: true, Priority: catalogue.Interactive}
-		e.Step(now, &config.Accepted{Catalogue: &catalogue.Catalogue{Revision: 1, Services: []catalogue.Service{service}}, Confirmed: now}, &out)
+		e.Step(now, &config.Accepted{Catalogue: &catalogue.Catalogue{Revision: 1, Services: []catalogue.Service{service}}, ConfirmedAt: now}, &out)
 		is.True(out.Catalogue != nil)
 		out.Reset()
 		e.Step(now, &Call{Req: 1, Service: "calc", Home: "kriti", Hops: c.hops, Deadline: now.Add(time.Second)}, &out)
--- a/decide/engine/refresh.go
+++ b/decide/engine/refresh.go
@@ -65,7 +65,7 @@
 // because the actual division is known only to them; the receiver decides about
 // each request on arrival.
 func (e *Engine) updateRemotes(now clock.Time, domains []member.DomainView, out *Ready) {
-	ev := &dispatch.Remotes{}
+	ev := &dispatch.RemoteLoads{}
 	if e.catalogue == nil {
 		return
 	}
@@ -83,7 +83,7 @@
 				continue
 			}
 			for _, vm := range d.VMs[:min(len(d.VMs), maxRemotesPerDomain)] {
-				ev.List = append(ev.List, dispatch.Remote{
+				ev.List = append(ev.List, dispatch.RemoteLoad{
 					VM: vm.ID, Domain: d.Domain, Region: d.Region, Service: s.Name,
 					Capacity: int(f.Slots) / d.Live,
 					InFlight: int(f.InFlight) / d.Live,
--- a/decide/engine/shifts.go
+++ b/decide/engine/shifts.go
@@ -36,9 +36,9 @@
 
 // stepShiftRunner steps the runner of the traffic shifts.
 func (e *Engine) stepShiftRunner(now clock.Time, ev shift.Event, out *Ready) {
-	if d, ok := ev.(shift.Duty); ok && d.Held != e.runsShifts {
+	if d, ok := ev.(shift.Lease); ok && d.Held != e.runsShifts {
 		e.runsShifts = d.Held
-		e.stepTally(now, &tally.Lead{Held: d.Held}, out)
+		e.stepTally(now, &tally.LeaseChanged{Held: d.Held}, out)
 	}
 	if e.wakeTimes.runner <= now {
 		// The runner returns a wake time only if it needs one. A past wake
@@ -123,14 +123,14 @@
 		busy = now.Sub(s.sent)
 	}
 	if s.hops == 0 {
-		e.tally.Served(s.service, s.home, s.block, s.movedBy, busy)
+		e.tally.RecordRequest(s.service, s.home, s.block, s.movedBy, busy)
 	}
 	// A refused forward is not a failed answer, because its sender tries
 	// another VM. Counting it held shifts back wherever requests were
 	// forwarded to a busy region.
 	refused := !ok && s.sent == 0 && s.hops == 0
 	if s.local || refused {
-		e.tally.Meter().Answered(now, s.service, now.Sub(s.arrived), ok)
+		e.tally.Meter().RecordAnswer(now, s.service, now.Sub(s.arrived), ok)
 	}
 }
 
--- a/decide/ingress/attempt.go
+++ b/decide/ingress/attempt.go
@@ -37,16 +37,16 @@
 	q, t := a.req, a.target
 	t.answeredAt = now
 	q.svc.latency.Observe(now.Sub(a.sent))
-	if ev.Connect > 0 {
-		r.observeRTT(t.region, ev.Connect)
+	if ev.ConnectTime > 0 {
+		r.observeRTT(t.region, ev.ConnectTime)
 	}
 	r.endAttempt(now, a, &Report{
 		Result: resultByOutcome[ev.Outcome], Load: ev.Load, Limit: ev.Limit, Bytes: ev.Bytes,
-		Took: now.Sub(a.sent), Connect: ev.Waited,
+		Took: now.Sub(a.sent), Connect: ev.ConnectionWait,
 	})
 	switch ev.Outcome {
 	case Misdirected, Refused:
-		r.attemptNotRun(now, q, verdict.ReasonShed)
+		r.attemptNotRun(now, q, verdict.ReasonTargetRefused)
 	case InvalidAnswer:
 		r.attemptMayHaveRun(now, q, verdict.ReasonAnswerCut)
 	case ServerError:
@@ -201,7 +201,7 @@
 			continue
 		}
 		total++
-		if o != t && o.standing.Standing() != target.InUse {
+		if o != t && o.standing.State() != target.InUse {
 			ejected++
 		}
 	}
--- a/decide/ingress/bench_test.go
+++ b/decide/ingress/bench_test.go
@@ -57,7 +57,7 @@
 	for i := range size.targets {
 		targets = append(targets, ingress.Target{ID: fleet.TargetID(fmt.Sprint("t", i)), Service: "svc", Domain: domains[i%9], Slots: 3})
 	}
-	l.step(&ingress.TargetsChanged{Set: targets})
+	l.step(&ingress.TargetsChanged{Updated: targets})
 	return l
 }
 
@@ -71,15 +71,15 @@
 func (l *fleetMember) requestPlacement(object string, wait time.Duration) ingress.PlacementID {
 	l.next++
 	id := ingress.PlacementID(l.next)
-	l.step(&ingress.Heard{From: "vm0", Message: &ingress.PlacementRequest{ID: id, Service: "svc", Route: "a", Object: object, Domain: "d3", MaxWait: wait, TimeLeft: 4 * time.Second}})
-	if len(l.out.Tells) == 0 {
+	l.step(&ingress.IncomingMessage{From: "vm0", Message: &ingress.PlacementRequest{ID: id, Service: "svc", Route: "a", Object: object, Domain: "d3", MaxWait: wait, TimeLeft: 4 * time.Second}})
+	if len(l.out.Messages) == 0 {
 		return 0
 	}
 	return id
 }
 
 func (l *fleetMember) report(id ingress.PlacementID) {
-	l.step(&ingress.Heard{From: "vm0", Message: &ingress.Report{ID: id, Result: ingress.ResultServed, Took: 250 * time.Millisecond,
+	l.step(&ingress.IncomingMessage{From: "vm0", Message: &ingress.Report{ID: id, Result: ingress.ResultServed, Took: 250 * time.Millisecond,
 		Load: ingress.Load{Known: true, Running: 1, Slots: 3}}})
 }
 
@@ -153,7 +153,7 @@
 				l.now = l.now.Add(100 * time.Microsecond)
 				l.report(open[0])
 				open = open[1:]
-				for _, t := range l.out.Tells {
+				for _, t := range l.out.Messages {
 					if g, ok := t.Message.(*ingress.Grant); ok {
 						open = append(open, g.ID)
 					}
@@ -180,12 +180,12 @@
 			for i := range b.N {
 				l.now = l.now.Add(100 * time.Microsecond)
 				l.next++
-				l.step(&ingress.Arrive{Request: l.next, Host: "h", Path: "/a/x", Object: names[i%len(names)], Patience: 4 * time.Second})
-				if len(l.out.Tells) != 1 {
+				l.step(&ingress.Arrive{Request: l.next, Host: "h", Path: "/a/x", Object: names[i%len(names)], Timeout: 4 * time.Second})
+				if len(l.out.Messages) != 1 {
 					b.Fatal("no placement request is sent")
 				}
-				msg := l.out.Tells[0]
-				l.step(&ingress.Heard{From: msg.To, Message: &ingress.Grant{ID: msg.Message.(*ingress.PlacementRequest).ID, Target: fleet.TargetID(fmt.Sprint("t", i%size.targets))}})
+				msg := l.out.Messages[0]
+				l.step(&ingress.IncomingMessage{From: msg.To, Message: &ingress.Grant{ID: msg.Message.(*ingress.PlacementRequest).ID, Target: fleet.TargetID(fmt.Sprint("t", i%size.targets))}})
 				l.step(&ingress.Answered{Attempt: l.out.Sends[0].Attempt, Outcome: ingress.Served})
 			}
 		})
@@ -208,7 +208,7 @@
 				if i%2 == 0 {
 					l.step(&ingress.TargetsChanged{Removed: []fleet.TargetID{id}})
 				} else {
-					l.step(&ingress.TargetsChanged{Set: []ingress.Target{{ID: id, Service: "svc", Domain: fleet.Domain(fmt.Sprint("d", i/2%9)), Slots: 3}}})
+					l.step(&ingress.TargetsChanged{Updated: []ingress.Target{{ID: id, Service: "svc", Domain: fleet.Domain(fmt.Sprint("d", i/2%9)), Slots: 3}}})
 				}
 				l.serve(names, &open, size.targets/10, 1)
 			}
--- a/decide/ingress/coordinate.go
+++ b/decide/ingress/coordinate.go
@@ -154,11 +154,11 @@
 }
 
 func (r *Reducer) sendMessage(to fleet.VMID, m Message) {
-	r.out.Tells = append(r.out.Tells, Tell{To: to, Message: m})
+	r.out.Messages = append(r.out.Messages, OutgoingMessage{To: to, Message: m})
 }
 
 // handleMessage handles a message of another entry VM.
-func (r *Reducer) handleMessage(now clock.Time, ev *Heard) {
+func (r *Reducer) handleMessage(now clock.Time, ev *IncomingMessage) {
 	switch m := ev.Message.(type) {
 	case *PlacementRequest:
 		r.mergeLimits(now, m.Limits)
--- a/decide/ingress/crash_test.go
+++ b/decide/ingress/crash_test.go
@@ -93,12 +93,12 @@
 // endTarget terminates an instance of t with all requests there, and restarts it
 // later.
 func (s *fleetSim) endTarget(t *simTarget, born int64, crashed bool) {
-	if t.Born != born || t.down {
+	if t.StartedAt != born || t.down {
 		return
 	}
 	c := &s.contents
 	if crashed {
-		if c.terminations++; c.terminations == quarantine.MaxEnds {
+		if c.terminations++; c.terminations == quarantine.QuarantineThreshold {
 			c.thirdTermination = s.now
 		}
 	}
@@ -116,8 +116,8 @@
 	clear(t.inFlight)
 	s.after(time.Duration(1000+s.rng.IntN(2000))*time.Millisecond, func() {
 		t.down = false
-		t.Born++
-		s.stepAll(&TargetsChanged{Set: []Target{t.Target}})
+		t.StartedAt++
+		s.stepAll(&TargetsChanged{Updated: []Target{t.Target}})
 	})
 }
 
@@ -133,7 +133,7 @@
 		case t.down:
 			found = ListeningNo
 		}
-		s.step(vm, &Probed{Target: p.Target, Born: p.Born, Listening: found})
+		s.step(vm, &Probed{Target: p.Target, StartedAt: p.StartedAt, Listening: found})
 	})
 }
 
@@ -177,7 +177,7 @@
 				s.arrive()
 				if s.rng.IntN(200) == 0 {
 					if t := s.anyTarget(); t != nil {
-						s.endTarget(t, t.Born, false)
+						s.endTarget(t, t.StartedAt, false)
 					}
 				}
 				s.run(s.now.Add(time.Duration(s.rng.IntN(15)) * time.Millisecond))
@@ -216,7 +216,7 @@
 				if s.rng.IntN(100) == 0 { // half of them at once, with their requests
 					for _, id := range s.targetIDs() {
 						if t := s.targets[id]; s.rng.IntN(2) == 0 {
-							s.endTarget(t, t.Born, false)
+							s.endTarget(t, t.StartedAt, false)
 						}
 					}
 				}
@@ -235,10 +235,10 @@
 func (s *fleetSim) startTarget(n int) *simTarget {
 	d := simDomains[n%len(simDomains)]
 	t := &simTarget{region: simRegions[d], inFlight: make(map[simAttempt]func()), Target: Target{
-		ID: fleet.TargetID(fmt.Sprintf("t-%d", n)), Domain: d, Slots: 4, Born: 1,
+		ID: fleet.TargetID(fmt.Sprintf("t-%d", n)), Domain: d, Slots: 4, StartedAt: 1,
 		Service: fleet.ServiceName(fmt.Sprintf("s%d", 1+n/len(simDomains)%2)), Addr: "10.0.0.1:1",
 	}}
 	s.targets[t.ID] = t
-	s.stepAll(&TargetsChanged{Set: []Target{t.Target}})
+	s.stepAll(&TargetsChanged{Updated: []Target{t.Target}})
 	return t
 }
--- a/decide/ingress/event.go
+++ b/decide/ingress/event.go
@@ -32,16 +32,16 @@
 	Draining bool
 	// Cold is how long the target stays cold, counted from the registration.
 	Cold time.Duration
-	// Born is the target's start time in Unix milliseconds by its own clock; 0:
+	// StartedAt is the target's start time in Unix milliseconds by its own clock; 0:
 	// not stated. A target may restart under its ID, and then has lost its state.
 	// Values are compared for equality only, because clocks may jump.
-	Born int64
+	StartedAt int64
 }
 
 // TargetsChanged lists targets that were registered or updated, and those whose
 // registrations are gone.
 type TargetsChanged struct {
-	Set     []Target
+	Updated []Target
 	Removed []fleet.TargetID
 	// StoreDegraded means that the store was in trouble: removed targets may be
 	// alive but unable to renew their registrations.
@@ -64,9 +64,9 @@
 	Host    string
 	Path    string // with or without a query
 	Object  string // shared by requests for the same object; may be empty
-	// Patience is how long the caller waits; 0: not stated.
-	Patience time.Duration
-	Bytes    int // of the body
+	// Timeout is how long the caller waits; 0: not stated.
+	Timeout time.Duration
+	Bytes   int // of the body
 	// Fingerprint identifies the request's content.
 	Fingerprint quarantine.Fingerprint
 }
@@ -74,17 +74,17 @@
 // CallerGone reports that the caller of a request has closed its connection.
 type CallerGone struct{ Request RequestID }
 
-// Carry is a request that an entry VM of another region has placed at a target
+// ForwardRequest is a request that an entry VM of another region has placed at a target
 // near this VM, which acts as its gateway. The answer or refusal goes back to that
 // VM.
-type Carry struct {
-	Request RequestID
-	Target  fleet.TargetID
-	Left    time.Duration // time left for the target
+type ForwardRequest struct {
+	Request  RequestID
+	Target   fleet.TargetID
+	TimeLeft time.Duration // time left for the target
 }
 
-// Received reports that the gateway of an attempt has accepted the request.
-type Received struct{ Attempt AttemptID }
+// GatewayAccepted reports that the gateway of an attempt has accepted the request.
+type GatewayAccepted struct{ Attempt AttemptID }
 
 // Answered is a complete answer of a target. For an answer that does not belong to
 // the request, the transport reports Failed instead.
@@ -94,12 +94,12 @@
 	Load    Load
 	Limit   RateLimit
 	Bytes   int // of the body
-	// Connect is the time that opening the connection took if this is its first
+	// ConnectTime is the time that opening the connection took if this is its first
 	// answer, 0 otherwise.
-	Connect time.Duration
-	// Waited is how long the request waited for a connection: less than Connect if
+	ConnectTime time.Duration
+	// ConnectionWait is how long the request waited for a connection: less than Connect if
 	// another connection became free meanwhile.
-	Waited time.Duration
+	ConnectionWait time.Duration
 }
 
 // Outcome classifies an answer.
@@ -148,10 +148,10 @@
 // RateLimit is what an answer states about the rate of requests that its target
 // accepts from all entry VMs together.
 type RateLimit struct {
-	// Heard means that there was an answer and its statement could be parsed.
-	Heard bool
-	// Named means that the answer states a limit. Without one there is no limit.
-	Named     bool
+	// Known means that there was an answer and its statement could be parsed.
+	Known bool
+	// Limited means that the answer states a limit. Without one there is no limit.
+	Limited   bool
 	PerSecond float64
 }
 
@@ -166,7 +166,7 @@
 // Probed is the result of a Probe.
 type Probed struct {
 	Target    fleet.TargetID
-	Born      int64
+	StartedAt int64
 	Listening Listening
 }
 
@@ -211,18 +211,18 @@
 	Gateway        fleet.VMID
 	TimeLeft       time.Duration // time left for the target
 	ConnectTimeout time.Duration // for opening a connection
-	// Spare requests that one more connection to the gateway or target be kept
+	// KeepSpare requests that one more connection to the gateway or target be kept
 	// free beside those in use.
-	Spare bool
+	KeepSpare bool
 }
 
 // Probe requests a check whether a target listens, by opening and closing a
 // connection.
 type Probe struct {
-	Target  fleet.TargetID
-	Born    int64 // distinguishes restarts of a target
-	Addr    string
-	Timeout time.Duration // for opening the connection
+	Target    fleet.TargetID
+	StartedAt int64 // distinguishes restarts of a target
+	Addr      string
+	Timeout   time.Duration // for opening the connection
 }
 
 // Quarantine is a change of a quarantine, for the log and the store.
@@ -271,7 +271,7 @@
 	// Abandoned are requests that need no answer because their callers have gone.
 	// They follow the cancels of their attempts.
 	Abandoned    []RequestID
-	Tells        []Tell
+	Messages     []OutgoingMessage
 	StateChanges []TargetStateChange
 	// RestartedAddrs are the addresses of targets that have restarted: pooled
 	// connections to them lead to terminated processes.
@@ -282,8 +282,8 @@
 	// Probes check targets that may have terminated.
 	Probes      []Probe
 	Quarantines []Quarantine
-	// Wake is the latest time at which Tick is due.
-	Wake clock.Time
+	// WakeAt is the latest time at which Tick is due.
+	WakeAt clock.Time
 }
 
 // Reset empties r and keeps its memory.
@@ -293,11 +293,11 @@
 	r.Delivers = r.Delivers[:0]
 	r.Refusals = r.Refusals[:0]
 	r.Abandoned = r.Abandoned[:0]
-	r.Tells = r.Tells[:0]
+	r.Messages = r.Messages[:0]
 	r.StateChanges = r.StateChanges[:0]
 	r.RestartedAddrs = r.RestartedAddrs[:0]
 	r.SilentGateways = r.SilentGateways[:0]
 	r.Probes = r.Probes[:0]
 	r.Quarantines = r.Quarantines[:0]
-	r.Wake = clock.Never
+	r.WakeAt = clock.Never
 }
--- a/decide/ingress/fleet_test.go
+++ b/decide/ingress/fleet_test.go
@@ -80,9 +80,9 @@
 func (s *fleetSim) limitOf(t *simTarget) RateLimit {
 	switch s.rng.IntN(60) {
 	case 0:
-		t.limit = RateLimit{Heard: true, Named: true, PerSecond: float64(s.rng.IntN(10))}
+		t.limit = RateLimit{Known: true, Limited: true, PerSecond: float64(s.rng.IntN(10))}
 	case 1:
-		t.limit = RateLimit{Heard: true}
+		t.limit = RateLimit{Known: true}
 	}
 	return t.limit
 }
@@ -97,7 +97,7 @@
 var (
 	simRegions = map[fleet.Domain]fleet.Region{"a1": "a", "a2": "a", "b1": "b"}
 	simDomains = []fleet.Domain{"a1", "a2", "b1"}
-	simBounds  = Bounds{ColdFactor: 1.5, ColdSlack: 5, RepeatRatio: 0.2, RepeatSlack: 30, RepeatWindow: 10 * time.Second, RegionShift: 0.15}
+	simBounds  = Bounds{ColdFactor: 1.5, ColdSlack: 5, RetryRatio: 0.2, RetrySlack: 30, RetryWindow: 10 * time.Second, RegionShift: 0.15}
 	simRoutes  = []route.Route{
 		{Name: "read", Host: "h", Prefix: "/read/", Idempotent: true, Attempts: 3, Aim: 200 * time.Millisecond, Timeout: time.Second, Parts: []route.Part{{Service: "s1", Weight: 1}}},
 		{Name: "write", Host: "h", Prefix: "/write/", Attempts: 2, Aim: 300 * time.Millisecond, Priority: 1, Parts: []route.Part{{Service: "s2", Weight: 1}}},
@@ -111,7 +111,7 @@
 		targets: make(map[fleet.TargetID]*simTarget), bounds: simBounds,
 	}
 	if seed%2 == 1 {
-		s.bounds.RepeatSlack *= 10 // so that retries are seldom refused
+		s.bounds.RetrySlack *= 10 // so that retries are seldom refused
 	}
 	cfg := &route.Config{Version: 1, Routes: simRoutes, Services: map[fleet.ServiceName]route.Service{
 		"s1": {Name: "s1", ColdRate: 2.6, ColdTime: 3 * time.Second},
@@ -178,12 +178,12 @@
 	for i := range out.Quarantines {
 		s.storeQuarantine(&out.Quarantines[i])
 	}
-	for _, msg := range out.Tells {
+	for _, msg := range out.Messages {
 		s.deliverMessage(vm, msg)
 	}
-	vm.wake = out.Wake
-	if out.Wake != clock.Never {
-		at := max(out.Wake, s.now)
+	vm.wake = out.WakeAt
+	if out.WakeAt != clock.Never {
+		at := max(out.WakeAt, s.now)
 		s.at(at, func() {
 			if vm.wake <= s.now {
 				s.step(vm, &Tick{})
@@ -288,7 +288,7 @@
 	t.running++
 	load := Load{Known: true, Running: min(t.running, t.Slots), Waiting: max(0, t.running-t.Slots), Slots: t.Slots}
 	took := time.Duration(20+s.rng.IntN(100)) * time.Millisecond
-	key, born := simAttempt{vm, id}, t.Born
+	key, born := simAttempt{vm, id}, t.StartedAt
 	t.inFlight[key] = func() {
 		if q.running[id] {
 			delete(q.running, id)
@@ -303,7 +303,7 @@
 	}
 	end := func(d time.Duration, mayRun bool, ev func() Event) {
 		s.after(d, func() {
-			if t.Born != born || t.down {
+			if t.StartedAt != born || t.down {
 				return // it has terminated meanwhile
 			}
 			delete(t.inFlight, key)
@@ -343,14 +343,14 @@
 	}
 }
 
-func (s *fleetSim) deliverMessage(from *simVM, msg Tell) {
+func (s *fleetSim) deliverMessage(from *simVM, msg OutgoingMessage) {
 	if s.rng.Float64() < s.loss {
 		return
 	}
 	s.after(time.Duration(1+s.rng.IntN(3))*time.Millisecond, func() {
 		for _, vm := range s.vms {
 			if vm.id == msg.To {
-				s.step(vm, &Heard{From: from.id, Message: msg.Message})
+				s.step(vm, &IncomingMessage{From: from.id, Message: msg.Message})
 			}
 		}
 	})
@@ -370,7 +370,7 @@
 	s.requests = append(s.requests, s.now)
 	s.step(vm, &Arrive{
 		Request: q.id, Host: "h", Path: rt.Prefix + "x",
-		Object: fmt.Sprintf("o%d", s.rng.IntN(20)), Patience: wait, Fingerprint: q.content,
+		Object: fmt.Sprintf("o%d", s.rng.IntN(20)), Timeout: wait, Fingerprint: q.content,
 	})
 	if s.rng.IntN(20) == 0 {
 		s.after(time.Duration(s.rng.IntN(200))*time.Millisecond, func() {
@@ -387,24 +387,24 @@
 	switch s.rng.IntN(6) {
 	case 5:
 		if t := s.anyTarget(); t != nil {
-			s.endTarget(t, t.Born, false)
+			s.endTarget(t, t.StartedAt, false)
 		}
 	case 0, 1:
 		d := simDomains[s.rng.IntN(len(simDomains))]
 		t := &simTarget{region: simRegions[d], Target: Target{
 			ID: fleet.TargetID(fmt.Sprintf("t-%d", n)), Domain: d, Slots: 1 + s.rng.IntN(4),
-			Service: fleet.ServiceName(fmt.Sprintf("s%d", 1+s.rng.IntN(2))), Addr: "10.0.0.1:1", Born: 1,
+			Service: fleet.ServiceName(fmt.Sprintf("s%d", 1+s.rng.IntN(2))), Addr: "10.0.0.1:1", StartedAt: 1,
 		}, inFlight: make(map[simAttempt]func())}
 		if s.rng.IntN(2) == 0 {
 			t.Cold = 3 * time.Second
 			t.coldUntil = s.now.Add(t.Cold)
 		}
 		s.targets[t.ID] = t
-		s.stepAll(&TargetsChanged{Set: []Target{t.Target}})
+		s.stepAll(&TargetsChanged{Updated: []Target{t.Target}})
 	case 2:
 		if t := s.anyTarget(); t != nil {
 			t.Draining = true
-			s.stepAll(&TargetsChanged{Set: []Target{t.Target}})
+			s.stepAll(&TargetsChanged{Updated: []Target{t.Target}})
 		}
 	case 3:
 		if t := s.anyTarget(); t != nil {
@@ -447,13 +447,13 @@
 	for _, from := range s.retries {
 		in := func(list []clock.Time) (n int) {
 			for _, at := range list {
-				if at >= from && at < from.Add(s.bounds.RepeatWindow) {
+				if at >= from && at < from.Add(s.bounds.RetryWindow) {
 					n++
 				}
 			}
 			return n
 		}
-		most := s.bounds.RepeatRatio*float64(in(s.requests)) + s.bounds.RepeatSlack
+		most := s.bounds.RetryRatio*float64(in(s.requests)) + s.bounds.RetrySlack
 		if n := in(s.retries); float64(n) > most {
 			s.t.Fatalf("%d retries in a window, %.1f allowed", n, most)
 		}
--- a/decide/ingress/gateway.go
+++ b/decide/ingress/gateway.go
@@ -62,7 +62,7 @@
 		Attempt: a.id, Request: q.id, Target: t.ID, Domain: t.Domain, Addr: t.Addr, Gateway: a.gateway,
 		TimeLeft:       q.deadline.Sub(now),
 		ConnectTimeout: r.connectTimeout(t),
-		Spare:          !r.isLocal(t) && r.on(SpareConnections),
+		KeepSpare:      !r.isLocal(t) && r.on(SpareConnections),
 	})
 	if a.gateway == "" {
 		return
@@ -129,9 +129,9 @@
 // forward sends a request of another entry VM to the target at which it was
 // placed. If the target is unknown here, the request is returned: its own VM may
 // know another target.
-func (r *Reducer) forward(now clock.Time, ev *Carry) {
+func (r *Reducer) forward(now clock.Time, ev *ForwardRequest) {
 	t, ok := r.targets[ev.Target]
-	if !ok || ev.Left <= 0 {
+	if !ok || ev.TimeLeft <= 0 {
 		r.out.Refusals = append(r.out.Refusals, Refusal{
 			Request: ev.Request, Verdict: verdict.NotRun, Reason: verdict.ReasonGateway,
 		})
@@ -143,9 +143,9 @@
 	r.forwardsByAttempt[c.attempt] = c
 	r.out.Sends = append(r.out.Sends, Send{
 		Attempt: c.attempt, Request: c.request, Target: t.ID, Domain: t.Domain, Addr: t.Addr,
-		TimeLeft: ev.Left, ConnectTimeout: r.connectTimeout(t),
+		TimeLeft: ev.TimeLeft, ConnectTimeout: r.connectTimeout(t),
 	})
-	r.timers.add(timer{at: now.Add(ev.Left + answerMargin), purpose: dueForward, request: c.request})
+	r.timers.add(timer{at: now.Add(ev.TimeLeft + answerMargin), purpose: dueForward, request: c.request})
 }
 
 // forwardAnswered returns the answer to a forwarded request. Its own entry VM
--- a/decide/ingress/gateway_test.go
+++ b/decide/ingress/gateway_test.go
@@ -19,7 +19,7 @@
 // requests.
 func gatewayHarness(t *testing.T, idempotent bool) *harness {
 	t.Helper()
-	s := newHarness(t, Bounds{RepeatRatio: 1, RepeatSlack: 20}, selfVM)
+	s := newHarness(t, Bounds{RetryRatio: 1, RetrySlack: 20}, selfVM)
 	s.step(&MembersChanged{VMs: gatewayMembers()})
 	rt := idempotentRoute("a")
 	rt.Idempotent = idempotent
@@ -120,7 +120,7 @@
 	probe := s.arriveAndSend(102)
 	is.Equal(probe.Gateway, e.Gateway)
 	is.True(s.arriveAndSend(103).Gateway != e.Gateway)
-	s.step(&Received{Attempt: probe.Attempt})
+	s.step(&GatewayAccepted{Attempt: probe.Attempt})
 	is.Equal(s.arriveAndSend(104).Gateway, e.Gateway)
 }
 
@@ -130,7 +130,7 @@
 	is := is.New(t)
 	s := gatewayHarness(t, true)
 	e := s.arriveAndSend(100)
-	s.step(&Received{Attempt: e.Attempt})
+	s.step(&GatewayAccepted{Attempt: e.Attempt})
 	s.now = s.now.Add(gatewayMargin + time.Duration(gatewayRTTs)*initialRemoteRTT)
 	is.Equal(len(s.step(&Tick{}).Sends), 0)
 	is.Equal(s.arriveAndSend(101).Gateway, e.Gateway)
@@ -149,7 +149,7 @@
 func TestAGatewayReturnsEveryResult(t *testing.T) {
 	const id = RequestID(7)
 	forward := func(is *is.I, s *harness) Send {
-		out := s.step(&Carry{Request: id, Target: "t1", Left: time.Second})
+		out := s.step(&ForwardRequest{Request: id, Target: "t1", TimeLeft: time.Second})
 		is.Equal(len(out.Sends), 1)
 		is.Equal(out.Sends[0].Gateway, fleet.VMID(""))
 		is.Equal(out.Sends[0].TimeLeft, time.Second)
@@ -194,7 +194,7 @@
 	})
 	t.Run("unknown target", func(t *testing.T) {
 		is, s := is.New(t), gatewayHarness(t, true)
-		out := s.step(&Carry{Request: id, Target: "none", Left: time.Second})
+		out := s.step(&ForwardRequest{Request: id, Target: "none", TimeLeft: time.Second})
 		is.Equal(out.Refusals, []Refusal{{Request: id, Verdict: verdict.NotRun, Reason: verdict.ReasonGateway}})
 		checkRemoved(is, s)
 	})
@@ -243,9 +243,9 @@
 		forwarded: &simForwarded{sender: vm, attempt: e.Attempt, q: q},
 	}
 	q.gateways = append(q.gateways, simGatewayRequest{gate, id, e.Attempt})
-	s.step(gate, &Carry{Request: id, Target: e.Target, Left: e.TimeLeft})
+	s.step(gate, &ForwardRequest{Request: id, Target: e.Target, TimeLeft: e.TimeLeft})
 	if s.rng.IntN(20) > 0 && q.running[e.Attempt] {
-		s.step(vm, &Received{Attempt: e.Attempt})
+		s.step(vm, &GatewayAccepted{Attempt: e.Attempt})
 	}
 }
 
--- a/decide/ingress/index_test.go
+++ b/decide/ingress/index_test.go
@@ -120,7 +120,7 @@
 func newIndexRun(t *testing.T, seed uint64) *indexRun {
 	x := &indexRun{rng: rand.New(rand.NewPCG(seed, 11)), targets: make(map[fleet.TargetID]Target)}
 	x.harness = &harness{t: t, now: clock.Time(time.Hour)}
-	x.r = New(Options{Self: selfVM, Domain: "d1", Regions: indexRegions, Bounds: Bounds{ColdFactor: 1.5, ColdSlack: 4, RegionShift: 0.15, RepeatSlack: 1000}, Seed: seed})
+	x.r = New(Options{Self: selfVM, Domain: "d1", Regions: indexRegions, Bounds: Bounds{ColdFactor: 1.5, ColdSlack: 4, RegionShift: 0.15, RetrySlack: 1000}, Seed: seed})
 	x.step(&MembersChanged{VMs: []fleet.VM{{ID: selfVM, Domain: "d1", Region: "r1"}}})
 	rt := idempotentRoute("a")
 	rt.Aim, rt.Timeout = 400*time.Millisecond, 3*time.Second
@@ -139,7 +139,7 @@
 
 func (x *indexRun) addTarget() {
 	x.starts++
-	d := Target{ID: fleet.TargetID(fmt.Sprint("t", x.rng.IntN(200))), Service: "svc", Domain: x.domain(), Slots: 1 + x.rng.IntN(3), Born: x.starts}
+	d := Target{ID: fleet.TargetID(fmt.Sprint("t", x.rng.IntN(200))), Service: "svc", Domain: x.domain(), Slots: 1 + x.rng.IntN(3), StartedAt: x.starts}
 	if old, ok := x.targets[d.ID]; ok {
 		d.Domain = old.Domain
 	}
@@ -151,7 +151,7 @@
 
 func (x *indexRun) setTarget(d Target) {
 	x.targets[d.ID] = d
-	x.step(&TargetsChanged{Set: []Target{d}})
+	x.step(&TargetsChanged{Updated: []Target{d}})
 }
 
 // anyTarget returns a random known target.
--- a/decide/ingress/lasttarget.go
+++ b/decide/ingress/lasttarget.go
@@ -48,7 +48,7 @@
 // useLastTarget marks the object of j as warm at the target named by another entry
 // VM, if no warm target is known here.
 func (r *Reducer) useLastTarget(now clock.Time, j *job) {
-	if j.LastTarget == "" || j.Object == "" || !r.on(Recall) || j.obj.isWarmAnywhere(now) {
+	if j.LastTarget == "" || j.Object == "" || !r.on(LastTargets) || j.obj.isWarmAnywhere(now) {
 		return
 	}
 	if t, ok := r.targets[j.LastTarget]; ok && t.svc == j.svc {
--- a/decide/ingress/lasttarget_test.go
+++ b/decide/ingress/lasttarget_test.go
@@ -36,9 +36,9 @@
 			out := entry.step(&Arrive{
 				Request: RequestID(round*objects + i + 1), Host: "h", Path: "/a/x", Object: fmt.Sprint("o", i),
 			})
-			req := out.Tells[0].Message.(*PlacementRequest)
+			req := out.Messages[0].Message.(*PlacementRequest)
 			last = append(last, *req)
-			out = entry.step(&Heard{From: otherVM, Message: &Grant{ID: req.ID, Target: place(i)}})
+			out = entry.step(&IncomingMessage{From: otherVM, Message: &Grant{ID: req.ID, Target: place(i)}})
 			entry.step(&Answered{Attempt: out.Sends[0].Attempt, Outcome: Served})
 		}
 	}
@@ -46,8 +46,8 @@
 	successor := start(selfVM, otherVM)
 	for i := range objects {
 		is.Equal(last[i].LastTarget, place(i))
-		out := successor.step(&Heard{From: otherVM, Message: &last[i]})
-		is.Equal(out.Tells[0].Message.(*Grant).Target, place(i))
+		out := successor.step(&IncomingMessage{From: otherVM, Message: &last[i]})
+		is.Equal(out.Messages[0].Message.(*Grant).Target, place(i))
 	}
 }
 
--- a/decide/ingress/mechanism.go
+++ b/decide/ingress/mechanism.go
@@ -14,8 +14,8 @@
 
 // The mechanisms.
 const (
-	// Recall reports to the coordinator where a VM's own requests last ran.
-	Recall Mechanisms = 1 << iota
+	// LastTargets reports to the coordinator where a VM's own requests last ran.
+	LastTargets Mechanisms = 1 << iota
 	// Coordinators let one VM of a region place all requests for a service;
 	// without it, each VM places its own requests with its own knowledge.
 	Coordinators
@@ -23,8 +23,8 @@
 	Hedging
 	// Headroom raises the share of other regions before the own region is full.
 	Headroom
-	// Elsewhere runs a share of the requests in other regions.
-	Elsewhere
+	// OtherRegions runs a share of the requests in other regions.
+	OtherRegions
 	// LargeBodies keeps requests with large bodies in their region.
 	LargeBodies
 	// TransferCosts includes the cost of bytes between failure domains and regions
@@ -75,4 +75,4 @@
 }
 
 // on reports whether a mechanism is switched on.
-func (r *Reducer) on(m Mechanisms) bool { return r.opts.Without&m == 0 }
+func (r *Reducer) on(m Mechanisms) bool { return r.opts.Disabled&m == 0 }
--- a/decide/ingress/message.go
+++ b/decide/ingress/message.go
@@ -103,14 +103,14 @@
 	ResultUnreachable
 )
 
-// Tell requests that a message be sent to another entry VM.
-type Tell struct {
+// OutgoingMessage requests that a message be sent to another entry VM.
+type OutgoingMessage struct {
 	To      fleet.VMID
 	Message Message
 }
 
-// Heard is a message received from another entry VM.
-type Heard struct {
+// IncomingMessage is a message received from another entry VM.
+type IncomingMessage struct {
 	From    fleet.VMID
 	Message Message
 }
--- a/decide/ingress/options.go
+++ b/decide/ingress/options.go
@@ -20,8 +20,8 @@
 	Seed      uint64
 	// Start is the time at which this process started.
 	Start clock.Time
-	// Without is the set of mechanisms that are switched off in experiments.
-	Without Mechanisms
+	// Disabled is the set of mechanisms that are switched off in experiments.
+	Disabled Mechanisms
 }
 
 // Bounds are the operators' limits for all entry VMs together.
@@ -32,9 +32,9 @@
 	ColdSlack  float64
 	// The targets of a service may get at most RepeatRatio of its requests plus
 	// RepeatSlack as retries within RepeatWindow.
-	RepeatRatio  float64
-	RepeatSlack  float64
-	RepeatWindow time.Duration
+	RetryRatio  float64
+	RetrySlack  float64
+	RetryWindow time.Duration
 	// RegionShift is the largest share of a region's requests that may change the
 	// region in which they run from one shiftWindow to the next. 0: unlimited.
 	RegionShift float64
--- a/decide/ingress/place.go
+++ b/decide/ingress/place.go
@@ -31,7 +31,7 @@
 // anyInUse reports whether a target that may get j is in use.
 func (r *Reducer) anyInUse(now clock.Time, j *job) bool {
 	for _, t := range j.svc.targets {
-		if r.usable(j, t) && t.standing.Standing() == target.InUse {
+		if r.usable(j, t) && t.standing.State() == target.InUse {
 			return true
 		}
 	}
@@ -115,7 +115,7 @@
 	switch {
 	case local.t == nil:
 		return remote, r.noLocalReason(now, j)
-	case remote.t == nil || !r.on(Elsewhere):
+	case remote.t == nil || !r.on(OtherRegions):
 		return local, ReasonOnlyLocal
 	case j.Large || len(j.AllowedRegions) > 0:
 		if len(j.AllowedRegions) > 0 && remote.cost < local.cost {
@@ -201,10 +201,10 @@
 
 // admits reports whether t's ejection state lets it take a request now.
 func (r *Reducer) admits(now clock.Time, t *targetState) bool {
-	if t.standing.Standing() == target.Ejected && !t.standing.Until().After(now) {
-		t.standing.Test()
+	if t.standing.State() == target.Ejected && !t.standing.Until().After(now) {
+		t.standing.StartTesting()
 	}
-	switch t.standing.Standing() {
+	switch t.standing.State() {
 	case target.InUse:
 		return true
 	case target.Testing:
--- a/decide/ingress/placement_stats.go
+++ b/decide/ingress/placement_stats.go
@@ -70,7 +70,7 @@
 		return ReasonUnusable
 	case slices.Contains(j.Tried, t.ID):
 		return ReasonTried
-	case t.standing.Standing() != target.InUse:
+	case t.standing.State() != target.InUse:
 		return ReasonEjected
 	case t.cold(now) && !r.owns(t):
 		return ReasonNotOwner
--- a/decide/ingress/quarantine.go
+++ b/decide/ingress/quarantine.go
@@ -62,7 +62,7 @@
 	}
 	rec := r.quarantine.Find(now, q.fingerprint)
 	switch {
-	case rec == nil || rec.Ends() < quarantine.Suspected:
+	case rec == nil || rec.Ends() < quarantine.SuspectThreshold:
 		return 0, false
 	case len(r.requestsWith(q.fingerprint)) > 0:
 		return max(suspectRetryAfter, rec.TrialAt().Sub(now)), true
@@ -85,7 +85,7 @@
 		return
 	}
 	q.trialCounted = true
-	c := r.quarantine.Tried(now, q.fingerprint)
+	c := r.quarantine.RecordTrial(now, q.fingerprint)
 	if c.Changed {
 		r.broadcast(&c.Record)
 		r.reportQuarantine(&c.Record)
@@ -109,7 +109,7 @@
 		return !q.trial || q.sends < maxTrialSends // no target was put at risk yet
 	}
 	ends := r.quarantine.Ends(now, q.fingerprint)
-	return ends < quarantine.Suspected && (ends == 0 || q.lostConnections < quarantine.Suspected)
+	return ends < quarantine.SuspectThreshold && (ends == 0 || q.lostConnections < quarantine.SuspectThreshold)
 }
 
 // recordTermination records that this instance of t has terminated while a request
@@ -118,7 +118,7 @@
 	if l.fingerprint == (quarantine.Fingerprint{}) || !r.on(Quarantining) {
 		return
 	}
-	c := r.quarantine.Ended(now, l.fingerprint, l.route, quarantine.End{Start: t.instance(), Sent: l.sent, At: l.at})
+	c := r.quarantine.RecordEnd(now, l.fingerprint, l.route, quarantine.End{Start: t.instance(), Sent: l.sent, At: l.at})
 	if c.Changed {
 		r.announce(&c.Record)
 		r.quarantineChanged(now, &c)
@@ -127,7 +127,7 @@
 
 // announce sends a record to the VMs that need it.
 func (r *Reducer) announce(rec *quarantine.Record) {
-	if len(rec.Ended) >= quarantine.Suspected {
+	if len(rec.Ended) >= quarantine.SuspectThreshold {
 		r.broadcast(rec)
 		return
 	}
@@ -165,7 +165,7 @@
 func (r *Reducer) applyStoredQuarantine(now clock.Time, ev *QuarantineRead) {
 	var c quarantine.Change
 	if ev.Record == nil {
-		c = r.quarantine.Answered(now, ev.Fingerprint)
+		c = r.quarantine.RecordAnswer(now, ev.Fingerprint)
 	} else {
 		c = r.quarantine.Merge(now, ev.Record)
 	}
@@ -190,7 +190,7 @@
 	if r.quarantine.Len() == 0 {
 		return
 	}
-	c := r.quarantine.Answered(now, f)
+	c := r.quarantine.RecordAnswer(now, f)
 	if c.Changed {
 		r.announce(&c.Record)
 		r.quarantineChanged(now, &c)
@@ -275,7 +275,7 @@
 		r.reportQuarantine(&quarantine.Record{Fingerprint: f})
 	}
 	r.expiryScheduled = false
-	if r.quarantine.Quarantined() > 0 {
+	if r.quarantine.QuarantinedCount() > 0 {
 		r.scheduleExpiry(now)
 	}
 }
--- a/decide/ingress/quarantine_test.go
+++ b/decide/ingress/quarantine_test.go
@@ -13,7 +13,7 @@
 
 // quarantineHarness has targets t0 to t9 and no other entry VM.
 func quarantineHarness(t *testing.T) *harness {
-	s := newHarness(t, Bounds{RepeatRatio: 1, RepeatSlack: 100}, selfVM)
+	s := newHarness(t, Bounds{RetryRatio: 1, RetrySlack: 100}, selfVM)
 	rt := idempotentRoute("a")
 	rt.Timeout = 0
 	s.configure(1, rt)
@@ -30,7 +30,7 @@
 // arriveContent passes in a request with oneContent.
 func (s *harness) arriveContent() *Ready {
 	s.last++
-	return s.step(&Arrive{Request: s.last, Host: "h", Path: "/a/x", Patience: time.Minute, Fingerprint: oneContent})
+	return s.step(&Arrive{Request: s.last, Host: "h", Path: "/a/x", Timeout: time.Minute, Fingerprint: oneContent})
 }
 
 // loseConnection fails a send with its connection, and answers the probe of its
@@ -40,7 +40,7 @@
 	out := s.step(&Failed{Attempt: e.Attempt, Verdict: verdict.MayHaveRun, Reason: verdict.ReasonConnectionLost})
 	for _, p := range append([]Probe(nil), out.Probes...) {
 		sends := append([]Send(nil), out.Sends...)
-		out = s.step(&Probed{Target: p.Target, Born: p.Born, Listening: found})
+		out = s.step(&Probed{Target: p.Target, StartedAt: p.StartedAt, Listening: found})
 		out.Sends = append(out.Sends, sends...)
 	}
 	return out
@@ -80,7 +80,7 @@
 	is := is.New(t)
 	s := quarantineHarness(t)
 	first := s.arriveContent().Sends[0]
-	s.step(&TargetsChanged{Set: []Target{{ID: first.Target, Service: "svc", Domain: "d1", Slots: 3, Draining: true}}})
+	s.step(&TargetsChanged{Updated: []Target{{ID: first.Target, Service: "svc", Domain: "d1", Slots: 3, Draining: true}}})
 	s.loseConnection(first, ListeningNo)
 	s.step(&TargetsChanged{Removed: []fleet.TargetID{first.Target}})
 	is.Equal(s.r.quarantine.Ends(s.now, oneContent), 0)
@@ -109,11 +109,11 @@
 	is.Equal(len(out.Sends), 0)
 	var rec quarantine.Record
 	rec.Fingerprint, rec.Since = oneContent, s.now
-	for n := range quarantine.MaxEnds {
+	for n := range quarantine.QuarantineThreshold {
 		at := s.now.Add(time.Duration(n-10) * time.Second)
 		rec.Ended = append(rec.Ended, quarantine.End{Start: quarantine.Start{Target: "x", Born: int64(n)}, Sent: at, At: at})
 	}
-	out = s.step(&Heard{From: otherVM, Message: &rec})
+	out = s.step(&IncomingMessage{From: otherVM, Message: &rec})
 	is.Equal(len(out.Refusals), 1)
 	is.Equal(out.Refusals[0].Verdict, verdict.NotRun)
 	is.Equal(out.Refusals[0].Reason, verdict.ReasonQuarantined)
@@ -124,7 +124,7 @@
 func TestATrialThatHasNotRunIsNotCounted(t *testing.T) {
 	is := is.New(t)
 	s := quarantineHarness(t)
-	for s.r.quarantine.Quarantined() == 0 {
+	for s.r.quarantine.QuarantinedCount() == 0 {
 		for out := s.arriveContent(); len(out.Sends) > 0; {
 			out = s.loseConnection(out.Sends[0], ListeningNo)
 		}
@@ -149,7 +149,7 @@
 func TestExpiredQuarantinesAreRemovedFromTheStore(t *testing.T) {
 	is := is.New(t)
 	s := quarantineHarness(t)
-	for s.r.quarantine.Quarantined() == 0 {
+	for s.r.quarantine.QuarantinedCount() == 0 {
 		for out := s.arriveContent(); len(out.Sends) > 0; {
 			out = s.loseConnection(out.Sends[0], ListeningNo)
 		}
--- a/decide/ingress/ratelimit.go
+++ b/decide/ingress/ratelimit.go
@@ -51,8 +51,8 @@
 // to a request that was sent after the limit was last stated ends it.
 func (r *Reducer) applyLimit(now clock.Time, t *targetState, rep *Report) {
 	switch l := rep.Limit; {
-	case !l.Heard:
-	case l.Named:
+	case !l.Known:
+	case l.Limited:
 		r.setLimit(now, t, rateLimit{active: true, perSecond: l.PerSecond, statedAt: now})
 	case rep.Result == ResultServed && t.limit.active && now.Sub(t.limit.statedAt) >= max(limitEndDelay, rep.Took):
 		r.reportChange(t, "rate limit has ended", 0)
--- a/decide/ingress/ratelimit_test.go
+++ b/decide/ingress/ratelimit_test.go
@@ -49,9 +49,9 @@
 	return got
 }
 
-var noLimit = RateLimit{Heard: true}
+var noLimit = RateLimit{Known: true}
 
-func limitOf(rate float64) RateLimit { return RateLimit{Heard: true, Named: true, PerSecond: rate} }
+func limitOf(rate float64) RateLimit { return RateLimit{Known: true, Limited: true, PerSecond: rate} }
 
 // Guards against a target that is never fully used again after it stated a limit
 // once.
@@ -154,15 +154,15 @@
 	n := 0
 	for end := s.now.Add(d); s.now.Before(end); s.now = s.now.Add(20 * time.Millisecond) {
 		s.last++
-		out := s.step(&Heard{From: otherVM, Message: &PlacementRequest{
+		out := s.step(&IncomingMessage{From: otherVM, Message: &PlacementRequest{
 			ID: PlacementID(s.last), Service: "svc", Route: "a", Domain: "d1", TimeLeft: time.Minute, Limits: limited,
 		}})
-		for _, msg := range out.Tells {
+		for _, msg := range out.Messages {
 			if _, ok := msg.Message.(*Grant); ok {
 				n++
 			}
 		}
-		s.step(&Heard{From: otherVM, Message: &Withdraw{ID: PlacementID(s.last)}})
+		s.step(&IncomingMessage{From: otherVM, Message: &Withdraw{ID: PlacementID(s.last)}})
 	}
 	return n
 }
@@ -199,7 +199,7 @@
 	is := is.New(t)
 	s := limitHarness(t, false, selfVM)
 	s.last = 1000
-	late := s.step(&Arrive{Request: 1000, Host: "h", Path: "/a/x", Patience: time.Minute}).Sends[0]
+	late := s.step(&Arrive{Request: 1000, Host: "h", Path: "/a/x", Timeout: time.Minute}).Sends[0]
 	s.sendAtRate(time.Second, 50, limitOf(4.8))
 	s.now = s.now.Add(2 * limitEndDelay)
 	s.step(&Answered{Attempt: late.Attempt, Limit: noLimit})
--- a/decide/ingress/reducer.go
+++ b/decide/ingress/reducer.go
@@ -95,11 +95,11 @@
 	switch ev := ev.(type) {
 	case *Arrive:
 		r.arrive(now, ev)
-	case *Carry:
+	case *ForwardRequest:
 		r.forward(now, ev)
 	case *CallerGone:
 		r.callerGone(now, ev)
-	case *Received:
+	case *GatewayAccepted:
 		r.gatewayAccepted(ev.Attempt)
 	case *Answered:
 		r.answered(now, ev)
@@ -115,7 +115,7 @@
 		r.setMembers(ev.VMs)
 		r.releaseJobsOfLostVMs(now)
 		r.dispatchAll(now)
-	case *Heard:
+	case *IncomingMessage:
 		r.handleMessage(now, ev)
 	case *Probed:
 		r.probed(now, ev)
@@ -128,7 +128,7 @@
 	r.removeLapsed(now)
 	r.fireTimers(now)
 	r.enforce(now)
-	out.Wake = clock.Min(r.timers.next(), r.nextLapse)
+	out.WakeAt = clock.Min(r.timers.next(), r.nextLapse)
 	r.out = nil
 }
 
--- a/decide/ingress/reducer_test.go
+++ b/decide/ingress/reducer_test.go
@@ -54,10 +54,10 @@
 	for {
 		s.out.Reset()
 		s.r.Step(s.now, &Tick{}, &s.out)
-		if s.out.Wake > end {
+		if s.out.WakeAt > end {
 			break
 		}
-		s.now = max(s.out.Wake, s.now+1)
+		s.now = max(s.out.WakeAt, s.now+1)
 	}
 	s.now = end
 }
@@ -75,7 +75,7 @@
 }
 
 func (s *harness) target(id fleet.TargetID, d fleet.Domain, slots int) {
-	s.step(&TargetsChanged{Set: []Target{{ID: id, Service: "svc", Domain: d, Slots: slots}}})
+	s.step(&TargetsChanged{Updated: []Target{{ID: id, Service: "svc", Domain: d, Slots: slots}}})
 }
 
 // earnRetries sends and cancels requests until the budget pays for a retry.
@@ -98,7 +98,7 @@
 // granted one.
 func TestNoSendAfterTheDeadline(t *testing.T) {
 	is := is.New(t)
-	s := newHarness(t, Bounds{RepeatRatio: 1, RepeatSlack: 10}, otherVM)
+	s := newHarness(t, Bounds{RetryRatio: 1, RetrySlack: 10}, otherVM)
 	rt := idempotentRoute("a")
 	rt.Timeout = minHedgeDelay + placementTimeout/2
 	s.configure(1, rt)
@@ -106,15 +106,15 @@
 	s.target("t2", "d1", 3)
 	s.earnRetries()
 	out := s.step(&Arrive{Request: 100, Host: "h", Path: "/a/x"})
-	req := out.Tells[0].Message.(*PlacementRequest)
-	out = s.step(&Heard{From: otherVM, Message: &Grant{ID: req.ID, Target: "t1"}})
+	req := out.Messages[0].Message.(*PlacementRequest)
+	out = s.step(&IncomingMessage{From: otherVM, Message: &Grant{ID: req.ID, Target: "t1"}})
 	is.Equal(len(out.Sends), 1)
 	s.now = s.now.Add(minHedgeDelay)
 	out = s.step(&Tick{})
-	second := out.Tells[0].Message.(*PlacementRequest)
+	second := out.Messages[0].Message.(*PlacementRequest)
 	s.now = s.now.Add(placementTimeout / 2)
 	is.Equal(len(s.step(&Tick{}).Sends), 0)
-	out = s.step(&Heard{From: otherVM, Message: &Grant{ID: second.ID, Target: "t2"}})
+	out = s.step(&IncomingMessage{From: otherVM, Message: &Grant{ID: second.ID, Target: "t2"}})
 	is.Equal(len(out.Sends), 0)
 }
 
@@ -122,7 +122,7 @@
 // is still awaited.
 func TestNoHedgeAfterTheDeadline(t *testing.T) {
 	is := is.New(t)
-	s := newHarness(t, Bounds{RepeatRatio: 1, RepeatSlack: 10}, selfVM)
+	s := newHarness(t, Bounds{RetryRatio: 1, RetrySlack: 10}, selfVM)
 	rt := idempotentRoute("a")
 	rt.Timeout = minHedgeDelay - answerMargin/2
 	s.configure(1, rt)
@@ -159,7 +159,7 @@
 	s.configure(1, idempotentRoute("a"))
 	s.target("t1", "d1", 3)
 	out := s.step(&Arrive{Request: 1, Host: "h", Path: "/a/x"})
-	req := out.Tells[0].Message.(*PlacementRequest)
+	req := out.Messages[0].Message.(*PlacementRequest)
 	s.now = s.now.Add(req.MaxWait + placementTimeout)
 	out = s.step(&Tick{})
 	is.Equal(len(out.Sends), 1)
@@ -175,7 +175,7 @@
 	s.configure(1, idempotentRoute("a"))
 	s.target("t1", "d1", 1)
 	for id := PlacementID(1); id <= 2; id++ {
-		s.step(&Heard{From: otherVM, Message: &PlacementRequest{ID: id, Service: "svc", TimeLeft: time.Minute}})
+		s.step(&IncomingMessage{From: otherVM, Message: &PlacementRequest{ID: id, Service: "svc", TimeLeft: time.Minute}})
 	}
 	is.Equal(s.r.Status(s.now).Services["svc"].InFlight, 2)
 	s.step(&MembersChanged{VMs: []fleet.VM{{ID: selfVM, Domain: "d1", Region: "r1"}}})
@@ -279,7 +279,7 @@
 		is.Equal(serveOne(id, "o").Target, fleet.TargetID("t1"))
 	}
 	s.now = s.now.Add(time.Minute)
-	s.step(&TargetsChanged{Set: []Target{{ID: "t2", Service: "svc", Domain: "d1", Slots: 3, Cold: 3 * time.Second}}})
+	s.step(&TargetsChanged{Updated: []Target{{ID: "t2", Service: "svc", Domain: "d1", Slots: 3, Cold: 3 * time.Second}}})
 	is.Equal(serveOne(11, "new").Target, fleet.TargetID("t2"))
 	is.Equal(serveOne(12, "o").Target, fleet.TargetID("t1")) // one request is enough
 }
--- a/decide/ingress/request.go
+++ b/decide/ingress/request.go
@@ -64,7 +64,7 @@
 
 // isLarge reports whether q or its answer is expensive to send to another region.
 func (r *Reducer) isLarge(q *request) bool {
-	return q.route.Large || (r.on(LargeBodies) && q.bytes > largeBody)
+	return q.route.LargeAnswers || (r.on(LargeBodies) && q.bytes > largeBody)
 }
 
 // arrive handles a new request of a caller.
@@ -84,7 +84,7 @@
 		})
 		return
 	}
-	if rt.Unserved {
+	if rt.Disabled {
 		r.out.Refusals = append(r.out.Refusals, Refusal{
 			Request: ev.Request, Verdict: verdict.NotRun,
 			Reason: verdict.ReasonRouteDefect, RetryAfter: defaultAim,
@@ -101,10 +101,10 @@
 		})
 		return
 	}
-	q.deadline = now.Add(requestTimeout(rt, ev.Patience))
+	q.deadline = now.Add(requestTimeout(rt, ev.Timeout))
 	r.requests[q.id] = q
 	r.timers.add(timer{at: q.deadline, request: q.id, purpose: dueAnswer})
-	q.svc.retryBudget.earn(r.opts.Bounds.RepeatRatio*retryBudgetShare, r.retryLimit())
+	q.svc.retryBudget.earn(r.opts.Bounds.RetryRatio*retryBudgetShare, r.retryLimit())
 	r.findTarget(now, q)
 }
 
@@ -133,7 +133,7 @@
 
 // retryLimit is this VM's part of the fixed allowance of retries.
 func (r *Reducer) retryLimit() float64 {
-	return r.opts.Bounds.RepeatSlack * retryBudgetShare / float64(max(len(r.members), 1))
+	return r.opts.Bounds.RetrySlack * retryBudgetShare / float64(max(len(r.members), 1))
 }
 
 // waitDeadline returns the time until which q may wait for a target.
--- a/decide/ingress/restart_test.go
+++ b/decide/ingress/restart_test.go
@@ -12,8 +12,8 @@
 )
 
 func (s *harness) registerInstance(id fleet.TargetID, born int64, cold time.Duration) *Ready {
-	return s.step(&TargetsChanged{Set: []Target{{
-		ID: id, Service: "svc", Domain: "d1", Slots: 2, Addr: "10.0.0.1:1", Born: born, Cold: cold,
+	return s.step(&TargetsChanged{Updated: []Target{{
+		ID: id, Service: "svc", Domain: "d1", Slots: 2, Addr: "10.0.0.1:1", StartedAt: born, Cold: cold,
 	}}})
 }
 
@@ -60,7 +60,7 @@
 // and only a silence of half a second or more led to a second send.
 func TestRequestsAtATerminatedInstanceAreSentAgain(t *testing.T) {
 	is := is.New(t)
-	s := newHarness(t, Bounds{RepeatRatio: 1, RepeatSlack: 10}, selfVM)
+	s := newHarness(t, Bounds{RetryRatio: 1, RetrySlack: 10}, selfVM)
 	s.configure(1, idempotentRoute("a"))
 	s.registerInstance("t1", 1000, 0)
 	s.earnRetries()
@@ -78,7 +78,7 @@
 	is := is.New(t)
 	s := newHarness(t, Bounds{}, selfVM)
 	broken := idempotentRoute("a")
-	broken.Unserved = true
+	broken.Disabled = true
 	s.configure(1, broken, idempotentRoute("b"))
 	s.target("t1", "d1", 2)
 	out := s.step(&Arrive{Request: 1, Host: "h", Path: "/a/x"})
@@ -99,21 +99,21 @@
 	if t == nil {
 		return
 	}
-	t.Born++
+	t.StartedAt++
 	t.running = 0
 	t.Cold, t.coldUntil, t.coldSends = 0, 0, nil
 	if s.rng.IntN(2) == 0 {
 		t.Cold = 3 * time.Second
-		born := t.Born
+		born := t.StartedAt
 		s.after(maxLearnTime, func() {
-			if t.Born == born {
+			if t.StartedAt == born {
 				t.coldUntil = s.now.Add(t.Cold - maxLearnTime)
 			}
 		})
 	}
 	for _, vm := range s.vms {
 		s.after(time.Duration(s.rng.Int64N(int64(maxLearnTime))), func() {
-			s.step(vm, &TargetsChanged{Set: []Target{t.Target}}) // the latest state: copies never go back
+			s.step(vm, &TargetsChanged{Updated: []Target{t.Target}}) // the latest state: copies never go back
 		})
 	}
 }
@@ -131,11 +131,11 @@
 			for i := range 8 {
 				d := simDomains[i%len(simDomains)]
 				tg := &simTarget{inFlight: make(map[simAttempt]func()), region: simRegions[d], Target: Target{
-					ID: fleet.TargetID(fmt.Sprint("t-", i)), Domain: d, Slots: 3, Born: 1,
+					ID: fleet.TargetID(fmt.Sprint("t-", i)), Domain: d, Slots: 3, StartedAt: 1,
 					Service: fleet.ServiceName(fmt.Sprint("s", 1+i%2)), Addr: "10.0.0.1:1",
 				}}
 				s.targets[tg.ID] = tg
-				s.stepAll(&TargetsChanged{Set: []Target{tg.Target}})
+				s.stepAll(&TargetsChanged{Updated: []Target{tg.Target}})
 			}
 			const requests = 1000
 			for range requests {
@@ -166,7 +166,7 @@
 // earlier instance answers with a failure, which started another search.
 func TestAFailureStartsNoSecondSearch(t *testing.T) {
 	is := is.New(t)
-	s := newHarness(t, Bounds{RepeatRatio: 1, RepeatSlack: 10}, selfVM)
+	s := newHarness(t, Bounds{RetryRatio: 1, RetrySlack: 10}, selfVM)
 	s.configure(1, idempotentRoute("a"))
 	s.registerInstance("t1", 1000, 0)
 	s.earnRetries()
--- a/decide/ingress/shift_test.go
+++ b/decide/ingress/shift_test.go
@@ -31,7 +31,7 @@
 	remote, all := 0, 0
 	for n := range 4000 { // 100 requests a second for 40 s
 		if n == 2000 {
-			s.step(&TargetsChanged{Set: []Target{{ID: "near0", Service: "svc", Domain: "d1", Slots: 3, Draining: true}}})
+			s.step(&TargetsChanged{Updated: []Target{{ID: "near0", Service: "svc", Domain: "d1", Slots: 3, Draining: true}}})
 		}
 		id := RequestID(n + 1)
 		out := s.step(&Arrive{Request: id, Host: "h", Path: "/a/x", Object: fmt.Sprint(n * 7 % 40)})
@@ -217,9 +217,9 @@
 	if s.r.coordinator("r1", svc) == selfVM {
 		s.step(&MembersChanged{VMs: []fleet.VM{{ID: otherVM, Domain: "d1", Region: "r1"}}})
 	}
-	req := s.step(&Arrive{Request: 1, Host: "h", Path: "/a/x", Object: "o"}).Tells[0]
+	req := s.step(&Arrive{Request: 1, Host: "h", Path: "/a/x", Object: "o"}).Messages[0]
 	is.Equal(req.To, otherVM)
-	s.step(&Heard{From: otherVM, Message: &Grant{ID: req.Message.(*PlacementRequest).ID, Target: "near1", Share: RemoteShare{Known: true, Share: 0.33}}})
+	s.step(&IncomingMessage{From: otherVM, Message: &Grant{ID: req.Message.(*PlacementRequest).ID, Target: "near1", Share: RemoteShare{Known: true, Share: 0.33}}})
 	is.Equal(s.r.services[svc].share.setpoint, 0.33)
 	s.step(&MembersChanged{VMs: []fleet.VM{{ID: selfVM, Domain: "d1", Region: "r1"}}})
 	remote, all := 0, 0
--- a/decide/ingress/standby_test.go
+++ b/decide/ingress/standby_test.go
@@ -13,7 +13,7 @@
 // placementRequests returns the VMs that are asked for a target, and the last
 // request.
 func placementRequests(out *Ready) (to []fleet.VMID, last *PlacementRequest) {
-	for _, msg := range out.Tells {
+	for _, msg := range out.Messages {
 		if a, ok := msg.Message.(*PlacementRequest); ok {
 			to, last = append(to, msg.To), a
 		}
@@ -58,7 +58,7 @@
 	s.silenceCoordinator()
 	to, req := placementRequests(s.step(&Arrive{Request: 2, Host: "h", Path: "/a/x"}))
 	is.Equal(to, []fleet.VMID{second})
-	out := s.step(&Heard{From: second, Message: &Grant{ID: req.ID, Target: "t1"}})
+	out := s.step(&IncomingMessage{From: second, Message: &Grant{ID: req.ID, Target: "t1"}})
 	is.Equal(len(out.Sends), 1)
 }
 
@@ -81,7 +81,7 @@
 	is.Equal(to, []fleet.VMID{first})
 
 	// It answers, and is the active coordinator again.
-	s.step(&Heard{From: first, Message: &Grant{ID: probe.ID, Target: "t1"}})
+	s.step(&IncomingMessage{From: first, Message: &Grant{ID: probe.ID, Target: "t1"}})
 	for id := range RequestID(3) {
 		to, _ = placementRequests(s.step(&Arrive{Request: 10 + id, Host: "h", Path: "/a/x"}))
 		is.Equal(to, []fleet.VMID{first})
--- a/decide/ingress/status.go
+++ b/decide/ingress/status.go
@@ -35,7 +35,7 @@
 func (r *Reducer) Status(now clock.Time) Status {
 	st := Status{
 		Requests: len(r.requests), Jobs: len(r.jobs), Placements: len(r.placements), Timers: r.timers.Len(),
-		Suspects: r.quarantine.Len(), Quarantined: r.quarantine.Quarantined(),
+		Suspects: r.quarantine.Len(), Quarantined: r.quarantine.QuarantinedCount(),
 		Services: make(map[fleet.ServiceName]ServiceStatus, len(r.services)),
 	}
 	for name, s := range r.services {
@@ -45,7 +45,7 @@
 			v.Draining += count(t.Draining)
 			v.Cold += count(t.cold(now))
 			v.Limited += count(t.limit.active)
-			v.Ejected += count(t.standing.Standing() == target.Ejected)
+			v.Ejected += count(t.standing.State() == target.Ejected)
 		}
 		st.Services[name] = v
 	}
--- a/decide/ingress/target.go
+++ b/decide/ingress/target.go
@@ -96,7 +96,7 @@
 		}
 	}
 	var terminated []*targetState
-	for _, d := range ev.Set {
+	for _, d := range ev.Updated {
 		if old := r.setTarget(now, d); old != nil {
 			terminated = append(terminated, old)
 		}
@@ -186,7 +186,7 @@
 // isRestart reports whether d describes a later instance of t. The first
 // registration to state a start time describes the current instance.
 func (t *targetState) isRestart(d Target) bool {
-	return t.Born != 0 && d.Born != 0 && t.Born != d.Born
+	return t.StartedAt != 0 && d.StartedAt != 0 && t.StartedAt != d.StartedAt
 }
 
 // abandonInstance closes the pooled connections to a terminated instance, whose
--- a/decide/ingress/termination.go
+++ b/decide/ingress/termination.go
@@ -34,7 +34,7 @@
 
 // instance identifies this instance of t.
 func (t *targetState) instance() quarantine.Start {
-	return quarantine.Start{Target: t.ID, Born: t.Born}
+	return quarantine.Start{Target: t.ID, Born: t.StartedAt}
 }
 
 // recordLostRequest records that a has ended with its connection.
@@ -57,13 +57,13 @@
 		return
 	}
 	t.probing = true
-	r.out.Probes = append(r.out.Probes, Probe{Target: t.ID, Born: t.Born, Addr: t.Addr, Timeout: r.connectTimeout(t)})
+	r.out.Probes = append(r.out.Probes, Probe{Target: t.ID, StartedAt: t.StartedAt, Addr: t.Addr, Timeout: r.connectTimeout(t)})
 }
 
 // probed handles the result of a probe.
 func (r *Reducer) probed(now clock.Time, ev *Probed) {
 	t, ok := r.targets[ev.Target]
-	if !ok || t.Born != ev.Born {
+	if !ok || t.StartedAt != ev.StartedAt {
 		return // it has restarted or left, which proves the same
 	}
 	t.probing = false
--- a/decide/ingress/work_test.go
+++ b/decide/ingress/work_test.go
@@ -232,7 +232,7 @@
 	for id := range RequestID(20) {
 		send := s.arriveOnce(id, "/a/x", "object")
 		s.now = s.now.Add(waited + workWarm)
-		s.step(&Answered{Attempt: send.Attempt, Outcome: Served, Waited: waited})
+		s.step(&Answered{Attempt: send.Attempt, Outcome: Served, ConnectionWait: waited})
 	}
 	got := time.Duration(s.r.routeOf("a").expected(objectWarm))
 	is.True(got > workWarm-waited/2 && got < workWarm+waited/2)
--- a/decide/limit/adaptive.go
+++ b/decide/limit/adaptive.go
@@ -15,12 +15,12 @@
 	cold  bool // started cold and hasn't yet reached all slots
 }
 
-// Full returns a limit that starts at all slots.
-func Full(slots int) Adaptive { return Adaptive{limit: float64(slots), slots: slots} }
+// NewAdaptive returns a limit that starts at all slots.
+func NewAdaptive(slots int) Adaptive { return Adaptive{limit: float64(slots), slots: slots} }
 
-// Cold returns a limit that starts at 1. A new or restarted target has cold
+// NewColdAdaptive returns a limit that starts at 1. A new or restarted target has cold
 // caches; given its full share at once, it would answer every request slowly.
-func Cold(slots int) Adaptive {
+func NewColdAdaptive(slots int) Adaptive {
 	return Adaptive{limit: min(minLimit, float64(slots)), slots: slots, cold: slots > minLimit}
 }
 
@@ -62,8 +62,8 @@
 // latency.
 func (a *Adaptive) Slow() { a.lower(slowFactor) }
 
-// Shed records that the target refused a request for lack of capacity.
-func (a *Adaptive) Shed() { a.lower(refusedFactor) }
+// Refused records that the target refused a request for lack of capacity.
+func (a *Adaptive) Refused() { a.lower(refusedFactor) }
 
 func (a *Adaptive) lower(factor float64) {
 	a.limit = min(max(a.limit*factor, minLimit), float64(a.slots))
--- a/decide/limit/borrow.go
+++ b/decide/limit/borrow.go
@@ -40,10 +40,10 @@
 	b.report = r
 }
 
-// Shed records that the target refused a request while slots were borrowed.
+// Refused records that the target refused a request while slots were borrowed.
 // Without the pause, entry VMs that all borrow the same free slot would be
 // refused again and again, each time at the cost of a round trip.
-func (b *Borrow) Shed(now clock.Time) {
+func (b *Borrow) Refused(now clock.Time) {
 	b.pause = min(max(2*b.pause, minPause), maxPause)
 	b.pausedUntil = now.Add(b.pause)
 }
--- a/decide/limit/limit_test.go
+++ b/decide/limit/limit_test.go
@@ -41,7 +41,7 @@
 
 func TestAdaptive(t *testing.T) {
 	is := is.New(t)
-	a := Cold(9)
+	a := NewColdAdaptive(9)
 	is.Equal(a.Limit(), 1)
 	is.True(a.Warming())
 	for range 60 {
@@ -49,11 +49,11 @@
 	}
 	is.Equal(a.Limit(), 9)
 	is.True(!a.Warming())
-	a.Shed()
+	a.Refused()
 	is.Equal(a.Limit(), 6)
 	is.True(!a.Warming()) // a refusal doesn't make it cold again
 	for range 50 {
-		a.Shed()
+		a.Refused()
 	}
 	is.Equal(a.Limit(), 1)
 	a.SetSlots(0)
@@ -72,7 +72,7 @@
 	b.Observe(Report{Others: 0, At: now})
 	is.Equal(b.Slots(now, 3, 1, horizon), 2)
 	is.Equal(b.Slots(now.Add(300*time.Millisecond), 3, 1, horizon), 0)
-	b.Shed(now)
+	b.Refused(now)
 	is.Equal(b.Slots(now, 3, 1, horizon), 0)
 	b.Observe(Report{Others: 0, At: now.Add(minPause)})
 	is.Equal(b.Slots(now.Add(minPause), 3, 1, horizon), 2)
--- a/decide/load/event.go
+++ b/decide/load/event.go
@@ -43,10 +43,10 @@
 	Report *Report
 }
 
-// Fleet describes the participants: the VMs whose figures this one collects,
+// Membership describes the participants: the VMs whose figures this one collects,
 // empty unless it is a representative; the live representatives of the domain;
 // and all domains by region.
-type Fleet struct {
+type Membership struct {
 	Representative bool
 	Group          []fleet.VMID
 	Peers          []fleet.VMID
@@ -62,6 +62,6 @@
 	Domain fleet.Domain
 }
 
-func (*Measured) isEvent() {}
-func (*Received) isEvent() {}
-func (*Fleet) isEvent()    {}
+func (*Measured) isEvent()   {}
+func (*Received) isEvent()   {}
+func (*Membership) isEvent() {}
--- a/decide/load/load.go
+++ b/decide/load/load.go
@@ -103,12 +103,12 @@
 
 // The scopes.
 const (
-	ScopeNone   Scope = iota
-	ScopeOwn          // to the representative that collects; one row, for the VM itself
-	ScopeMember       // from that representative
-	ScopePeer         // to another representative; the first row is the group's sum
-	ScopeRegion       // to another domain of the region
-	ScopeFar          // to another region
+	ScopeNone        Scope = iota
+	ScopeCollector         // to the representative that collects; one row, for the VM itself
+	ScopeMember            // from that representative
+	ScopePeer              // to another representative; the first row is the group's sum
+	ScopeRegion            // to another domain of the region
+	ScopeOtherRegion       // to another region
 )
 
 // Bounds of a report.
@@ -122,7 +122,7 @@
 
 // Validate returns an error for reports beyond the bounds.
 func (r *Report) Validate() error {
-	if r.Scope == ScopeNone || r.Scope > ScopeFar {
+	if r.Scope == ScopeNone || r.Scope > ScopeOtherRegion {
 		return fmt.Errorf("%w: unknown scope %d", ErrBounds, r.Scope)
 	}
 	if len(r.Rows) > MaxRows {
--- a/decide/load/load_test.go
+++ b/decide/load/load_test.go
@@ -50,16 +50,16 @@
 func TestFigureReachesOtherRegion(t *testing.T) {
 	is := is.New(t)
 	rep := load.New(vm("a1", "attiki", "attiki-1"), load.Options{})
-	rep.Step(epoch, &load.Fleet{Representative: true, Group: []fleet.VMID{"a1", "a2"}, Domains: domains})
+	rep.Step(epoch, &load.Membership{Representative: true, Group: []fleet.VMID{"a1", "a2"}, Domains: domains})
 	other := load.New(vm("a2", "attiki", "attiki-1"), load.Options{})
 	far := load.New(vm("k1", "kriti", "kriti-1"), load.Options{})
-	far.Step(epoch, &load.Fleet{Representative: true, Group: []fleet.VMID{"k1", "k2"}, Domains: domains})
+	far.Step(epoch, &load.Membership{Representative: true, Group: []fleet.VMID{"k1", "k2"}, Domains: domains})
 	last := load.New(vm("k2", "kriti", "kriti-1"), load.Options{})
 
 	other.Step(epoch, sample(4))
 	rep.Step(epoch.Add(time.Second), sample(3))
 	at := epoch.Add(2 * time.Second)
-	sendReport(t, at, other, "a2", load.ScopeOwn, rep)
+	sendReport(t, at, other, "a2", load.ScopeCollector, rep)
 	f, ok := rep.Domain(at, service, "attiki-1")
 	is.True(ok)
 	is.Equal(f.InFlight, uint32(7))
@@ -70,7 +70,7 @@
 	is.Equal(f.Age, 2*time.Second+load.DefaultTransit) // of the older part
 
 	at = epoch.Add(3 * time.Second)
-	sendReport(t, at, rep, "a1", load.ScopeFar, far)
+	sendReport(t, at, rep, "a1", load.ScopeOtherRegion, far)
 	at = epoch.Add(5 * time.Second)
 	sendReport(t, at, far, "k1", load.ScopeMember, last)
 	at = epoch.Add(6 * time.Second)
@@ -91,7 +91,7 @@
 func TestExpiredIsUnknownNotZero(t *testing.T) {
 	is := is.New(t)
 	s := load.New(vm("a1", "attiki", "attiki-1"), load.Options{})
-	s.Step(epoch, &load.Fleet{Representative: true, Group: []fleet.VMID{"a1"}, Domains: domains})
+	s.Step(epoch, &load.Membership{Representative: true, Group: []fleet.VMID{"a1"}, Domains: domains})
 	_, ok := s.Domain(epoch, service, "attiki-1")
 	is.True(!ok)
 	s.Step(epoch, sample(4))
@@ -102,7 +102,7 @@
 	is.True(!ok)
 	_, ok = s.Region(late, service, "attiki")
 	is.True(!ok)
-	is.True(s.Attach(late, load.ScopeOwn) == nil)
+	is.True(s.Attach(late, load.ScopeCollector) == nil)
 	_, ok = s.Domain(epoch, "unknown", "attiki-1")
 	is.True(!ok)
 }
@@ -113,12 +113,12 @@
 func TestOlderFigureNeverReplacesNewer(t *testing.T) {
 	is := is.New(t)
 	src := load.New(vm("k1", "kriti", "kriti-1"), load.Options{})
-	src.Step(epoch, &load.Fleet{Representative: true, Domains: domains})
+	src.Step(epoch, &load.Membership{Representative: true, Domains: domains})
 	s := load.New(vm("a1", "attiki", "attiki-1"), load.Options{})
 	src.Step(epoch, sample(1))
-	old := src.Attach(epoch, load.ScopeFar)
+	old := src.Attach(epoch, load.ScopeOtherRegion)
 	src.Step(epoch.Add(time.Second), sample(2))
-	fresh := src.Attach(epoch.Add(time.Second), load.ScopeFar)
+	fresh := src.Attach(epoch.Add(time.Second), load.ScopeOtherRegion)
 	s.Step(epoch.Add(time.Second), &load.Received{From: "k1", Report: fresh})
 	old.Rows[0].Age += 1100 // it was delayed in transit
 	old.Rows[0].SumAge += 1100
@@ -137,15 +137,15 @@
 	second := load.New(vm("a2", "attiki", "attiki-1"), load.Options{})
 	member := load.New(vm("a3", "attiki", "attiki-1"), load.Options{})
 	group := func(s *load.State, self, peer fleet.VMID, ids ...fleet.VMID) {
-		s.Step(epoch, &load.Fleet{Representative: true, Group: append(ids, self), Peers: []fleet.VMID{peer}, Domains: domains})
+		s.Step(epoch, &load.Membership{Representative: true, Group: append(ids, self), Peers: []fleet.VMID{peer}, Domains: domains})
 	}
 	group(first, "a1", "a2", "a3")
 	group(second, "a2", "a1")
 	for _, s := range []*load.State{first, second, member} {
 		s.Step(epoch, sample(5))
 	}
-	sendReport(t, epoch, member, "a3", load.ScopeOwn, first)
-	sendReport(t, epoch, member, "a3", load.ScopeOwn, second) // ignored: second does not collect from it
+	sendReport(t, epoch, member, "a3", load.ScopeCollector, first)
+	sendReport(t, epoch, member, "a3", load.ScopeCollector, second) // ignored: second does not collect from it
 	at := epoch.Add(100 * time.Millisecond)
 	sendReport(t, at, second, "a2", load.ScopePeer, first)
 	f, _ := first.Domain(at, service, "attiki-1")
@@ -153,7 +153,7 @@
 
 	group(first, "a1", "a2")
 	group(second, "a2", "a1", "a3")
-	sendReport(t, at, member, "a3", load.ScopeOwn, second)
+	sendReport(t, at, member, "a3", load.ScopeCollector, second)
 	at = epoch.Add(200 * time.Millisecond)
 	sendReport(t, at, second, "a2", load.ScopePeer, first)
 	f, _ = first.Domain(at, service, "attiki-1")
@@ -167,12 +167,12 @@
 	for i := range 20 {
 		many = append(many, load.DomainOf{Region: fleet.Region(rune('A' + i)), Domain: fleet.Domain(rune('a' + i))})
 	}
-	s.Step(epoch, &load.Fleet{Representative: true, Domains: many, Interest: []fleet.Region{"T"}})
+	s.Step(epoch, &load.Membership{Representative: true, Domains: many, Interest: []fleet.Region{"T"}})
 	for _, d := range many[3:] {
 		src := load.New(vm("x", d.Region, d.Domain), load.Options{})
-		src.Step(epoch, &load.Fleet{Representative: true, Domains: many})
+		src.Step(epoch, &load.Membership{Representative: true, Domains: many})
 		src.Step(epoch, sample(1))
-		sendReport(t, epoch, src, "x", load.ScopeFar, s)
+		sendReport(t, epoch, src, "x", load.ScopeOtherRegion, s)
 	}
 	seen := make(map[load.Place]bool)
 	for range 10 {
@@ -202,11 +202,11 @@
 		limit time.Duration
 	}{{domains, load.DefaultExpire}, {many, load.DefaultExpireFar}} {
 		src := load.New(vm("k1", "kriti", "kriti-1"), load.Options{})
-		src.Step(epoch, &load.Fleet{Representative: true, Domains: c.fleet})
+		src.Step(epoch, &load.Membership{Representative: true, Domains: c.fleet})
 		src.Step(epoch, sample(1))
 		s := load.New(vm("a1", "attiki", "attiki-1"), load.Options{})
-		s.Step(epoch, &load.Fleet{Domains: c.fleet})
-		sendReport(t, epoch, src, "k1", load.ScopeFar, s)
+		s.Step(epoch, &load.Membership{Domains: c.fleet})
+		sendReport(t, epoch, src, "k1", load.ScopeOtherRegion, s)
 		limit := c.limit - load.DefaultTransit
 		_, ok := s.Region(epoch.Add(limit), service, "kriti")
 		is.True(ok)
@@ -220,10 +220,10 @@
 	for _, r := range []load.Report{
 		{},
 		{Scope: 99},
-		{Scope: load.ScopeOwn, Rows: make([]load.Row, load.MaxRows+1)},
-		{Scope: load.ScopeOwn, Services: make([]uint32, load.MaxServices+1)},
-		{Scope: load.ScopeOwn, Services: []uint32{1}, Rows: []load.Row{{ServiceBits: 2, Values: make([]uint32, 7)}}},
-		{Scope: load.ScopeOwn, Services: []uint32{1}, Rows: []load.Row{{ServiceBits: 1, Values: make([]uint32, 6)}}},
+		{Scope: load.ScopeCollector, Rows: make([]load.Row, load.MaxRows+1)},
+		{Scope: load.ScopeCollector, Services: make([]uint32, load.MaxServices+1)},
+		{Scope: load.ScopeCollector, Services: []uint32{1}, Rows: []load.Row{{ServiceBits: 2, Values: make([]uint32, 7)}}},
+		{Scope: load.ScopeCollector, Services: []uint32{1}, Rows: []load.Row{{ServiceBits: 1, Values: make([]uint32, 6)}}},
 	} {
 		is.True(errors.Is(r.Validate(), load.ErrBounds))
 	}
@@ -231,7 +231,7 @@
 
 func BenchmarkAttachMember(b *testing.B) {
 	s := load.New(vm("a1", "attiki", "attiki-1"), load.Options{})
-	s.Step(epoch, &load.Fleet{Representative: true, Domains: domains})
+	s.Step(epoch, &load.Membership{Representative: true, Domains: domains})
 	s.Step(epoch, sample(4))
 	b.ReportAllocs()
 	for b.Loop() {
@@ -245,10 +245,10 @@
 func TestExpiredPlacesAreReplaced(t *testing.T) {
 	is := is.New(t)
 	s := load.New(vm("a1", "attiki", "attiki-1"), load.Options{})
-	s.Step(epoch, &load.Fleet{Domains: domains})
+	s.Step(epoch, &load.Membership{Domains: domains})
 	const more = 1024 // more places than a process keeps
 	for from := 0; from < more; from += load.MaxRows {
-		r := &load.Report{Scope: load.ScopeFar}
+		r := &load.Report{Scope: load.ScopeOtherRegion}
 		for i := range load.MaxRows {
 			r.Rows = append(r.Rows, load.Row{Place: load.PlaceOfDomain(fleet.Domain(fmt.Sprintf("old-%d", from+i)))})
 		}
@@ -256,10 +256,10 @@
 		s.Step(epoch, &load.Received{From: "k1", Report: r})
 	}
 	k := load.New(vm("k1", "kriti", "kriti-1"), load.Options{})
-	k.Step(epoch, &load.Fleet{Representative: true, Group: []fleet.VMID{"k1"}, Domains: domains})
+	k.Step(epoch, &load.Membership{Representative: true, Group: []fleet.VMID{"k1"}, Domains: domains})
 	later := epoch.Add(2 * load.DefaultExpireFar)
 	k.Step(later, sample(4))
-	sendReport(t, later, k, "k1", load.ScopeFar, s)
+	sendReport(t, later, k, "k1", load.ScopeOtherRegion, s)
 	f, ok := s.Domain(later, service, "kriti-1")
 	is.True(ok)
 	is.Equal(f.InFlight, uint32(4))
--- a/decide/load/report.go
+++ b/decide/load/report.go
@@ -13,7 +13,7 @@
 func (s *State) Attach(now clock.Time, scope Scope) *Report {
 	r := &Report{Scope: scope}
 	switch scope {
-	case ScopeOwn:
+	case ScopeCollector:
 		sum, ok := s.sum(now, &s.own)
 		r.addAggregate(now, 0, &sum, ok)
 	case ScopeMember:
@@ -31,7 +31,7 @@
 		s.addDomain(now, r)
 		s.addInterest(now, r)
 		s.addRotating(now, r, maxRegionRows, func(p *placeLoad) bool { return !s.isNearby(p.place) })
-	case ScopeFar:
+	case ScopeOtherRegion:
 		s.addRegion(now, r)
 	}
 	if len(r.Rows) == 0 {
--- a/decide/load/state.go
+++ b/decide/load/state.go
@@ -62,7 +62,7 @@
 	places         []placeLoad // in order of place
 	interest       []Place     // regions of interest
 	nearDomains    []Place     // other domains of the own region, in order
-	nextRow        [ScopeFar + 1]int
+	nextRow        [ScopeOtherRegion + 1]int
 }
 
 // New returns the state of the entry VM self.
@@ -82,7 +82,7 @@
 		s.measured(now, e.Samples)
 	case *Received:
 		s.received(now, e)
-	case *Fleet:
+	case *Membership:
 		s.setFleet(e)
 	}
 }
@@ -108,7 +108,7 @@
 
 // setFleet drops the figures of VMs that this one no longer collects: a VM
 // that moved to another representative would be counted twice.
-func (s *State) setFleet(f *Fleet) {
+func (s *State) setFleet(f *Membership) {
 	s.representative = f.Representative
 	s.small = len(f.Domains) <= maxSmallFleet
 	s.group = slices.DeleteFunc(s.group, func(v vmLoad) bool { return !slices.Contains(f.Group, v.id) })
@@ -156,7 +156,7 @@
 			services:   e.Report.serviceLoads(row),
 		}
 		switch {
-		case e.Report.Scope == ScopeOwn && i == 0:
+		case e.Report.Scope == ScopeCollector && i == 0:
 			s.storeGroupReport(e.From, p)
 		case e.Report.Scope == ScopePeer && i == 0:
 			s.storePeerSum(e.From, p)
@@ -211,7 +211,7 @@
 		return
 	}
 	s.places[at] = placeLoad{place: place, aggregate: p}
-	if scope == ScopeRegion || scope == ScopeFar {
+	if scope == ScopeRegion || scope == ScopeOtherRegion {
 		s.places[at].receivedAt = now
 	}
 }
--- a/decide/machine/event.go
+++ b/decide/machine/event.go
@@ -9,14 +9,14 @@
 // *PeerMessage or *Tick.
 type Event interface{ isEvent() }
 
-// Read carries a list that was just read from the platform.
-type Read struct{ List fleet.List }
+// ListRead carries a list that was just read from the platform.
+type ListRead struct{ List fleet.List }
 
-// Unchanged reports that the platform still has the list of the last Read.
-type Unchanged struct{}
+// ListUnchanged reports that the platform still has the list of the last Read.
+type ListUnchanged struct{}
 
-// Reading sets whether this daemon is one of the readers of its domain.
-type Reading struct{ On bool }
+// ReaderRole sets whether this daemon is one of the readers of its domain.
+type ReaderRole struct{ On bool }
 
 // Members replaces the set of entry VMs of the own failure domain that are not
 // dead.
@@ -31,12 +31,12 @@
 // Tick runs the tasks that are due. It must be sent at Ready.Wake.
 type Tick struct{}
 
-func (*Read) isEvent()        {}
-func (*Unchanged) isEvent()   {}
-func (*Reading) isEvent()     {}
-func (*Members) isEvent()     {}
-func (*PeerMessage) isEvent() {}
-func (*Tick) isEvent()        {}
+func (*ListRead) isEvent()      {}
+func (*ListUnchanged) isEvent() {}
+func (*ReaderRole) isEvent()    {}
+func (*Members) isEvent()       {}
+func (*PeerMessage) isEvent()   {}
+func (*Tick) isEvent()          {}
 
 // Send is a message to be sent to a member of the domain. It may be lost.
 type Send struct {
--- a/decide/machine/machine_test.go
+++ b/decide/machine/machine_test.go
@@ -63,11 +63,11 @@
 	n.change(addTarget(20))
 	n.run(time.Second)
 	n.daemons[0].isolated = true
-	n.step(n.daemons[0], &Read{List: old})
+	n.step(n.daemons[0], &ListRead{List: old})
 	n.run(2 * LowerVersionFor) // nothing confirms the old list
 	is.Equal(n.daemons[0].version, n.daemons[7].version)
 	n.daemons[0].isolated = false
-	n.step(n.daemons[0], &Read{List: old})
+	n.step(n.daemons[0], &ListRead{List: old})
 	n.run(2 * LowerVersionFor)
 	is.NoErr(n.checkConverged())
 	is.Equal(n.daemons[0].version.Epoch, uint64(0))
@@ -232,7 +232,7 @@
 				n.start(v)
 			}
 		}
-		n.step(n.daemons[0], &Reading{On: true})
+		n.step(n.daemons[0], &ReaderRole{On: true})
 		n.sendListToWatchers()
 		n.run(NewEpochGrace + 2*LowerVersionFor)
 		if err := n.checkConverged(); err != nil {
@@ -266,7 +266,7 @@
 		n.lossRate = rapid.SampledFrom([]float64{0, 0.1, 0.5}).Draw(t, "loss")
 	case 8:
 		if v.state != nil {
-			n.step(v, &Reading{On: rapid.Bool().Draw(t, "on")})
+			n.step(v, &ReaderRole{On: rapid.Bool().Draw(t, "on")})
 		}
 	case 9:
 		if rapid.Bool().Draw(t, "back") {
--- a/decide/machine/net_test.go
+++ b/decide/machine/net_test.go
@@ -73,7 +73,7 @@
 	for i, v := range n.daemons {
 		n.start(v)
 		if i < 2 {
-			n.step(v, &Reading{On: true})
+			n.step(v, &ReaderRole{On: true})
 		}
 	}
 	return n
@@ -115,7 +115,7 @@
 }
 
 func (n *network) step(v *daemon, ev Event) {
-	if r, ok := ev.(*Read); ok {
+	if r, ok := ev.(*ListRead); ok {
 		v.shownVersion = r.List.Version
 	}
 	v.state.Step(n.now, ev, &v.out)
@@ -142,7 +142,7 @@
 	if !n.platformDown && !v.isolated {
 		l := n.listFor(v)
 		l.VMs, l.Targets = slices.Clone(l.VMs), slices.Clone(l.Targets)
-		n.push(n.now.Add(2*time.Millisecond), v, &Read{List: l})
+		n.push(n.now.Add(2*time.Millisecond), v, &ListRead{List: l})
 	}
 }
 
@@ -156,7 +156,9 @@
 
 // scheduleConfirmation schedules the platform's next answer to a watch without
 // a change.
-func (n *network) scheduleConfirmation(v *daemon) { n.push(n.now.Add(confirmEvery), v, &Unchanged{}) }
+func (n *network) scheduleConfirmation(v *daemon) {
+	n.push(n.now.Add(confirmEvery), v, &ListUnchanged{})
+}
 
 func (n *network) push(at clock.Time, to *daemon, ev Event) {
 	n.queue.Push(at, delivery{to: to, state: to.state, ev: ev})
@@ -190,7 +192,7 @@
 			if x.to.wake != at {
 				continue
 			}
-		case *Unchanged:
+		case *ListUnchanged:
 			if !x.to.watches {
 				continue
 			}
--- a/decide/machine/state.go
+++ b/decide/machine/state.go
@@ -136,12 +136,12 @@
 	out.reset()
 	s.now = max(s.now, now)
 	switch e := ev.(type) {
-	case *Read:
+	case *ListRead:
 		s.platform.shown = newDomainList(e.List, s.self.Domain)
 		s.compareShown()
-	case *Unchanged:
+	case *ListUnchanged:
 		s.compareShown()
-	case *Reading:
+	case *ReaderRole:
 		s.isReader = e.On
 	case *Members:
 		s.setMembers(e.IDs, out)
--- a/decide/member/duty.go
+++ b/decide/member/duty.go
@@ -92,7 +92,7 @@
 	at := slices.Index(reps, s.collector(reps, s.self))
 	id := reps[(at+s.unansweredReports)%len(reps)]
 	s.unansweredReports++
-	s.send(s.byID[id].vm, &Report{}, ScopeOwn, out)
+	s.send(s.byID[id].vm, &Report{}, ScopeCollector, out)
 }
 
 func (s *State) handleReport(m *Message, out *Ready) {
--- a/decide/member/event.go
+++ b/decide/member/event.go
@@ -8,8 +8,8 @@
 // Event is an input of State.Step.
 type Event interface{ isEvent() }
 
-// Listed carries the platform's list of VMs, which lags.
-type Listed struct{ List fleet.List }
+// PlatformList carries the platform's list of VMs, which lags.
+type PlatformList struct{ List fleet.List }
 
 // Message is a received message from entry VM From, sent by its process with
 // the given Incarnation.
@@ -30,11 +30,11 @@
 // Leave announces that this process accepts no new work and is about to stop.
 type Leave struct{}
 
-func (*Listed) isEvent()     {}
-func (*Message) isEvent()    {}
-func (*SendFailed) isEvent() {}
-func (*Tick) isEvent()       {}
-func (*Leave) isEvent()      {}
+func (*PlatformList) isEvent() {}
+func (*Message) isEvent()      {}
+func (*SendFailed) isEvent()   {}
+func (*Tick) isEvent()         {}
+func (*Leave) isEvent()        {}
 
 // Scope classifies the receiver of a message, so that a load report of the
 // matching detail can be piggybacked on it.
@@ -43,16 +43,16 @@
 const (
 	// ScopeNone carries no load report.
 	ScopeNone Scope = iota
-	// ScopeOwn goes to the representative that collects this VM's load reports.
-	ScopeOwn
+	// ScopeCollector goes to the representative that collects this VM's load reports.
+	ScopeCollector
 	// ScopeMember goes from a representative to a VM whose reports it collects.
 	ScopeMember
 	// ScopePeer goes to another representative of the own domain.
 	ScopePeer
 	// ScopeRegion answers a watcher of another domain of the region.
 	ScopeRegion
-	// ScopeFar answers a watcher in another region.
-	ScopeFar
+	// ScopeOtherRegion answers a watcher in another region.
+	ScopeOtherRegion
 )
 
 // Send is a message to be sent to an entry VM. To has at least an ID. Without
@@ -71,8 +71,8 @@
 	// reported. A VM of another domain is reported as Leaving once that domain
 	// no longer offers it, and as Dead while its domain is unreachable.
 	Changed []fleet.VM
-	// Group is true when the result of State.Duties has changed.
-	Group bool
+	// DutiesChanged is true when the result of State.Duties has changed.
+	DutiesChanged bool
 	// Superseded is true when another process with a higher incarnation runs
 	// under this VM's id. This process should stop.
 	Superseded bool
@@ -83,6 +83,6 @@
 func (r *Ready) reset() {
 	r.Sends = r.Sends[:0]
 	r.Changed = r.Changed[:0]
-	r.Group = false
+	r.DutiesChanged = false
 	r.Superseded = false
 }
--- a/decide/member/member_test.go
+++ b/decide/member/member_test.go
@@ -297,11 +297,11 @@
 	startAndSettle(n, vms)
 	counts := changeCounts(n)
 	for _, entry := range n.VMs {
-		n.Step(entry, &member.Listed{List: fleet.List{VMs: vms[:1]}})
+		n.Step(entry, &member.PlatformList{List: fleet.List{VMs: vms[:1]}})
 	}
 	n.Run(3 * time.Minute)
 	for _, entry := range n.VMs {
-		n.Step(entry, &member.Listed{List: fleet.List{VMs: vms[:1]}})
+		n.Step(entry, &member.PlatformList{List: fleet.List{VMs: vms[:1]}})
 	}
 	n.Run(time.Minute)
 	is.Equal(len(disagreements(n, runningVMs(n))), 0)
@@ -310,7 +310,7 @@
 	dead := vms[2]
 	for _, entry := range n.VMs {
 		if entry.Up {
-			n.Step(entry, &member.Listed{List: fleet.List{VMs: []fleet.VM{dead}}})
+			n.Step(entry, &member.PlatformList{List: fleet.List{VMs: []fleet.VM{dead}}})
 		}
 	}
 	n.Run(time.Second)
--- a/decide/member/membertest/network.go
+++ b/decide/member/membertest/network.go
@@ -114,7 +114,7 @@
 	entry.wake = 0
 	seed := n.Seed*1000003 + uint64(len(n.VMs))*31 + uint64(entry.process)
 	entry.State = member.New(vm, seed, n.Options)
-	n.Step(entry, &member.Listed{List: fleet.List{VMs: contacts}})
+	n.Step(entry, &member.PlatformList{List: fleet.List{VMs: contacts}})
 	return entry
 }
 
--- a/decide/member/message.go
+++ b/decide/member/message.go
@@ -36,7 +36,7 @@
 	MaxFacts        = 512 // facts about members of one domain
 	MaxRows         = 256 // domains in all regions
 	MaxReachResults = 256 // also the limit of what a VM stores
-	RowVMs          = 8   // entry VMs in one row
+	MaxRowVMs       = 8   // entry VMs in one row
 )
 
 // ErrBounds is wrapped by every error that Validate returns.
@@ -330,7 +330,7 @@
 			return fmt.Errorf("%w: row of domain %s lists a VM without an id", ErrBounds, r.Domain)
 		}
 	}
-	return checkLimit("VMs in a row", len(r.VMs), RowVMs)
+	return checkLimit("VMs in a row", len(r.VMs), MaxRowVMs)
 }
 
 // Validate implements Msg.
--- a/decide/member/options.go
+++ b/decide/member/options.go
@@ -80,16 +80,16 @@
 	// partitioned domain publishes.
 	mergedPublishInterval = 3 * time.Second
 
-	pushCopies           = 2      // representatives of each domain or region that get an update
-	maxPiggybackedFacts  = 3      // per ping or ack
-	piggybackFactor      = 1      // a fact is sent this many times the log2 of the number of members
-	minReps              = 2      // representatives of a domain with at least this many VMs
-	maxReps              = RowVMs // a row lists all representatives
-	watchFallbacks       = 3      // further representatives asked before a remote counts as unreachable
-	probesPerTimeout     = 2      // further successors pinged when one doesn't answer
-	maxSentReachResults  = 24     // reachability results per message
-	maxContactsPerDomain = 4      // listed VMs kept for each other domain
-	maxMismatches        = 64     // VMs recorded as having different tables
+	pushCopies           = 2         // representatives of each domain or region that get an update
+	maxPiggybackedFacts  = 3         // per ping or ack
+	piggybackFactor      = 1         // a fact is sent this many times the log2 of the number of members
+	minReps              = 2         // representatives of a domain with at least this many VMs
+	maxReps              = MaxRowVMs // a row lists all representatives
+	watchFallbacks       = 3         // further representatives asked before a remote counts as unreachable
+	probesPerTimeout     = 2         // further successors pinged when one doesn't answer
+	maxSentReachResults  = 24        // reachability results per message
+	maxContactsPerDomain = 4         // listed VMs kept for each other domain
+	maxMismatches        = 64        // VMs recorded as having different tables
 )
 
 func (o Options) withDefaults() Options {
--- a/decide/member/protocol_test.go
+++ b/decide/member/protocol_test.go
@@ -27,7 +27,7 @@
 		now = now.Add(d)
 		s.Step(now, ev, &out)
 	}
-	step(0, &member.Listed{List: fleet.List{VMs: []fleet.VM{peer}}})
+	step(0, &member.PlatformList{List: fleet.List{VMs: []fleet.VM{peer}}})
 	step(time.Millisecond, messageFrom(peer, &member.SyncAck{Domain: peer.Domain, Facts: []member.Fact{{
 		ID: peer.ID, Incarnation: 5, CallAddr: peer.CallAddr, PeerAddr: peer.PeerAddr,
 	}}}))
@@ -86,7 +86,7 @@
 	is := is.New(t)
 	s, _, step := newStateWithPeer(t)
 	other := membertest.NewVM("r00", "r00-d1", 0)
-	step(time.Millisecond, &member.Listed{List: fleet.List{VMs: []fleet.VM{other}}})
+	step(time.Millisecond, &member.PlatformList{List: fleet.List{VMs: []fleet.VM{other}}})
 	facts := []member.Fact{{ID: "x", Incarnation: 1, PeerAddr: "10.0.0.9:1"}}
 	for _, m := range []member.Msg{
 		&member.Ping{Seq: 1, Facts: facts}, &member.Ack{Seq: 1, Facts: facts}, &member.Spread{Facts: facts},
--- a/decide/member/row.go
+++ b/decide/member/row.go
@@ -238,7 +238,7 @@
 	}
 	// The sides of a partition share the RowVMs places, so that their rows list
 	// the same VMs.
-	own := RowVMs - min(len(s.merged), RowVMs/2)
+	own := MaxRowVMs - min(len(s.merged), MaxRowVMs/2)
 	for _, r := range s.members {
 		switch r.vm.State {
 		case fleet.Live:
@@ -276,7 +276,7 @@
 }
 
 func (r *Row) addVM(v RowVM) {
-	if len(r.VMs) < RowVMs {
+	if len(r.VMs) < MaxRowVMs {
 		r.VMs = append(r.VMs, v)
 	}
 }
--- a/decide/member/state.go
+++ b/decide/member/state.go
@@ -108,7 +108,7 @@
 	s.extendDeadlines(now)
 	s.now = now
 	switch e := ev.(type) {
-	case *Listed:
+	case *PlatformList:
 		s.applyPlatformList(e.List)
 	case *Message:
 		s.handleMessage(e, out)
--- a/decide/member/view.go
+++ b/decide/member/view.go
@@ -91,7 +91,7 @@
 // reportChanges adds to out what has changed since the last step.
 func (s *State) reportChanges(out *Ready) {
 	out.Superseded = s.superseded
-	out.Group = s.dutiesChanged()
+	out.DutiesChanged = s.dutiesChanged()
 	for _, r := range s.members {
 		if !r.reported || r.reportedState != r.vm.State || r.reportedIncarnation != r.vm.Incarnation {
 			r.reported, r.reportedState, r.reportedIncarnation = true, r.vm.State, r.vm.Incarnation
--- a/decide/member/watch.go
+++ b/decide/member/watch.go
@@ -326,7 +326,7 @@
 		RowsHash:     s.rowHashForRegion(s.self.vm.Region),
 		ReachResults: s.latestReachResults(!sameRegion),
 	}
-	scope := ScopeFar
+	scope := ScopeOtherRegion
 	if sameRegion {
 		scope = ScopeRegion
 		a.RowsHash = s.rowHash()
--- a/decide/quarantine/list.go
+++ b/decide/quarantine/list.go
@@ -55,9 +55,9 @@
 // Lifted reports whether the update ended the quarantine of the fingerprint.
 func (c *Change) Lifted() bool { return c.WasQuarantined && !c.Record.Quarantined() }
 
-// Ended records the end of a target where a request with the fingerprint was
+// RecordEnd records the end of a target where a request with the fingerprint was
 // in flight.
-func (l *List) Ended(now clock.Time, f Fingerprint, route string, e End) Change {
+func (l *List) RecordEnd(now clock.Time, f Fingerprint, route string, e End) Change {
 	end := Record{Fingerprint: f, Route: route, Ended: []End{e}, Since: now}
 	if r := l.Find(now, f); r != nil {
 		end.Round = r.Round
@@ -82,8 +82,8 @@
 	return Change{Record: r.clone(), Changed: changed, WasQuarantined: before}
 }
 
-// Answered records that a request with the fingerprint was answered.
-func (l *List) Answered(now clock.Time, f Fingerprint) Change {
+// RecordAnswer records that a request with the fingerprint was answered.
+func (l *List) RecordAnswer(now clock.Time, f Fingerprint) Change {
 	r := l.Find(now, f)
 	if r == nil || r.Ends() == 0 {
 		return Change{}
@@ -94,8 +94,8 @@
 	return Change{Record: r.clone(), Changed: true, WasQuarantined: before}
 }
 
-// Tried records that a request with the fingerprint is let through as a trial.
-func (l *List) Tried(now clock.Time, f Fingerprint) Change {
+// RecordTrial records that a request with the fingerprint is let through as a trial.
+func (l *List) RecordTrial(now clock.Time, f Fingerprint) Change {
 	r := l.Find(now, f)
 	if r == nil {
 		return Change{}
@@ -122,8 +122,8 @@
 	return expired
 }
 
-// Quarantined returns the number of fingerprints in quarantine.
-func (l *List) Quarantined() int {
+// QuarantinedCount returns the number of fingerprints in quarantine.
+func (l *List) QuarantinedCount() int {
 	n := 0
 	for _, r := range l.records {
 		if r.Quarantined() {
--- a/decide/quarantine/list_test.go
+++ b/decide/quarantine/list_test.go
@@ -34,7 +34,7 @@
 // other.
 func recordEnds(l *List, f Fingerprint, first, last int) {
 	for n := first; n <= last; n++ {
-		l.Ended(testEnd(n).At, f, "r", testEnd(n))
+		l.RecordEnd(testEnd(n).At, f, "r", testEnd(n))
 	}
 }
 
@@ -44,13 +44,13 @@
 	is := is.New(t)
 	var l List
 	f := testFingerprint(1)
-	for range MaxEnds {
-		l.Ended(testNow, f, "r", testEnd(1))
+	for range QuarantineThreshold {
+		l.RecordEnd(testNow, f, "r", testEnd(1))
 	}
 	is.Equal(l.Ends(testNow, f), 1)
 	again := testEnd(5)
 	again.Start = Start{Target: "t1", Born: 2}
-	l.Ended(testNow, f, "r", again)
+	l.RecordEnd(testNow, f, "r", again)
 	is.Equal(l.Ends(testNow, f), 2)
 }
 
@@ -63,7 +63,7 @@
 	for n := range 10 {
 		e := testEnd(n)
 		e.Sent = testNow.Add(-time.Second)
-		l.Ended(testNow, f, "r", e)
+		l.RecordEnd(testNow, f, "r", e)
 	}
 	is.Equal(l.Ends(testNow, f), 1)
 }
@@ -74,18 +74,18 @@
 	is := is.New(t)
 	var l List
 	f := testFingerprint(1)
-	recordEnds(&l, f, 1, MaxEnds)
+	recordEnds(&l, f, 1, QuarantineThreshold)
 	is.True(l.Find(testNow, f).Quarantined())
-	cleared := l.Answered(testNow.Add(time.Second), f)
+	cleared := l.RecordAnswer(testNow.Add(time.Second), f)
 	is.True(cleared.Changed)
 	is.True(cleared.Lifted())
 	is.Equal(l.Ends(testNow.Add(time.Second), f), 0)
 
 	var other List // receives the ends after the answer
 	other.Merge(testNow, &cleared.Record)
-	recordEnds(&other, f, 1, MaxEnds)
+	recordEnds(&other, f, 1, QuarantineThreshold)
 	is.Equal(other.Ends(testNow.Add(time.Second), f), 0)
-	recordEnds(&other, f, MaxEnds+1, MaxEnds+1)
+	recordEnds(&other, f, QuarantineThreshold+1, QuarantineThreshold+1)
 	is.Equal(other.Ends(testNow.Add(time.Second), f), 1)
 }
 
@@ -98,9 +98,9 @@
 		var records []Record
 		var source List
 		for n := range 1 + rng.IntN(6) {
-			records = append(records, source.Ended(testNow, f, "r", testEnd(n)).Record)
+			records = append(records, source.RecordEnd(testNow, f, "r", testEnd(n)).Record)
 			if rng.IntN(4) == 0 {
-				records = append(records, source.Answered(testNow, f).Record)
+				records = append(records, source.RecordAnswer(testNow, f).Record)
 			}
 		}
 		want := source.Ends(testNow, f)
@@ -126,14 +126,14 @@
 	is := is.New(t)
 	var l List
 	f := testFingerprint(1)
-	recordEnds(&l, f, 1, MaxEnds)
+	recordEnds(&l, f, 1, QuarantineThreshold)
 	now := testNow
 	for n := range trialDelays {
 		at := l.Find(now, f).TrialAt()
 		is.Equal(at, l.Find(now, f).Since.Add(trialDelays[n]))
 		now = at
-		l.Tried(now, f)
-		l.Ended(now, f, "r", End{Start: testStart(10 + n), Sent: now, At: now})
+		l.RecordTrial(now, f)
+		l.RecordEnd(now, f, "r", End{Start: testStart(10 + n), Sent: now, At: now})
 	}
 	is.True(!l.Find(now, f).TrialAt().Before(now.Add(quarantineRetention)))
 	is.Equal(l.Find(now.Add(quarantineRetention), f), nil)
@@ -146,10 +146,10 @@
 	is := is.New(t)
 	var l List
 	f := testFingerprint(1)
-	recordEnds(&l, f, 1, MaxEnds+1)
+	recordEnds(&l, f, 1, QuarantineThreshold+1)
 	rec := l.Find(testNow, f)
 	is.Equal(rec.TrialAt(), rec.Since.Add(trialDelays[0]))
-	l.Tried(rec.TrialAt(), f) // without a result, as when its target is full
+	l.RecordTrial(rec.TrialAt(), f) // without a result, as when its target is full
 	rec = l.Find(testNow, f)
 	is.Equal(rec.TrialAt(), rec.Since.Add(trialDelays[0]))
 }
@@ -160,7 +160,7 @@
 	is := is.New(t)
 	var l List
 	deadly := testFingerprint(0)
-	recordEnds(&l, deadly, 1, MaxEnds)
+	recordEnds(&l, deadly, 1, QuarantineThreshold)
 	for n := 1; n < 2*maxRecords; n++ {
 		recordEnds(&l, testFingerprint(n), 1, 1)
 	}
@@ -182,9 +182,9 @@
 	f := testFingerprint(1)
 	for n := range 5 * maxListLen {
 		recordEnds(&l, f, n, n)
-		l.Answered(testNow.Add(time.Duration(n)*time.Millisecond), f)
+		l.RecordAnswer(testNow.Add(time.Duration(n)*time.Millisecond), f)
 	}
-	recordEnds(&l, f, 1000, 1000+MaxEnds-1)
+	recordEnds(&l, f, 1000, 1000+QuarantineThreshold-1)
 	is.True(l.Find(testNow, f).Quarantined())
 }
 
@@ -201,13 +201,13 @@
 func TestExpire(t *testing.T) {
 	is := is.New(t)
 	var l List
-	recordEnds(&l, testFingerprint(1), 1, MaxEnds)
+	recordEnds(&l, testFingerprint(1), 1, QuarantineThreshold)
 	recordEnds(&l, testFingerprint(2), 1, 1)
 	is.Equal(len(l.Expire(testNow.Add(time.Minute))), 0)
 	is.Equal(l.Len(), 2)
 	is.Equal(len(l.Expire(testNow.Add(time.Hour))), 0)
 	is.Equal(l.Len(), 1)
-	is.Equal(l.Quarantined(), 1)
+	is.Equal(l.QuarantinedCount(), 1)
 	is.Equal(l.Expire(testNow.Add(quarantineRetention+time.Second)), []Fingerprint{testFingerprint(1)})
 	is.Equal(l.Len(), 0)
 }
--- a/decide/quarantine/record.go
+++ b/decide/quarantine/record.go
@@ -9,15 +9,15 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// MaxEnds is the number of ends in a row, without an answer, that put a
+// QuarantineThreshold is the number of ends in a row, without an answer, that put a
 // fingerprint into quarantine. A lower number would also quarantine requests
 // that were in flight beside a query of death twice, or at two crashes.
-const MaxEnds = 3
+const QuarantineThreshold = 3
 
-// Suspected is the number of ends from which a record is sent to all entry
+// SuspectThreshold is the number of ends from which a record is sent to all entry
 // VMs. It is rarely reached by chance, and the next end may put the
 // fingerprint into quarantine.
-const Suspected = 2
+const SuspectThreshold = 2
 
 const (
 	// maxListLen bounds each list of a record, as peers and the store may send
@@ -97,12 +97,12 @@
 // not counted.
 func (r *Record) endsByTrials() int {
 	list := r.consecutiveEnds()
-	if len(list) <= MaxEnds {
+	if len(list) <= QuarantineThreshold {
 		return 0
 	}
-	knownByAll := list[MaxEnds-1].At.Add(trialDelays[0] / 2)
+	knownByAll := list[QuarantineThreshold-1].At.Add(trialDelays[0] / 2)
 	n := 0
-	for _, e := range list[MaxEnds:] {
+	for _, e := range list[QuarantineThreshold:] {
 		if !e.Sent.Before(knownByAll) {
 			n++
 		}
@@ -117,7 +117,7 @@
 
 // Quarantined reports whether requests with the fingerprint are kept away from
 // targets.
-func (r *Record) Quarantined() bool { return r.Ends() >= MaxEnds }
+func (r *Record) Quarantined() bool { return r.Ends() >= QuarantineThreshold }
 
 // TrialAt returns when the next request may be let through as a trial.
 func (r *Record) TrialAt() clock.Time {
@@ -133,7 +133,7 @@
 	switch n := r.Ends(); {
 	case n == 0:
 		return r.Since.Add(clearedRetention)
-	case n < MaxEnds:
+	case n < QuarantineThreshold:
 		return r.Since.Add(endsRetention)
 	default:
 		return r.Since.Add(quarantineRetention)
--- a/decide/retry/budget.go
+++ b/decide/retry/budget.go
@@ -26,11 +26,11 @@
 	return Budget{ratio: ratio, burst: float64(burst), tokens: float64(burst)}
 }
 
-// Earn adds the credit for a first attempt.
-func (b *Budget) Earn() { b.tokens = min(b.tokens+b.ratio, b.burst) }
+// Deposit adds the credit for a first attempt.
+func (b *Budget) Deposit() { b.tokens = min(b.tokens+b.ratio, b.burst) }
 
-// Pass adds the credit for the time until now, up to one token.
-func (b *Budget) Pass(now clock.Time) {
+// Refill adds the credit for the time until now, up to one token.
+func (b *Budget) Refill(now clock.Time) {
 	elapsed := now.Sub(b.refilledAt)
 	b.refilledAt = now
 	if limit := min(1, b.burst); b.tokens < limit {
@@ -47,9 +47,9 @@
 	return true
 }
 
-// SpendSpare takes a token for a hedge. It leaves half of the bucket for
+// SpendForHedge takes a token for a hedge. It leaves half of the bucket for
 // retries: a hedge saves some time, whereas a retry saves the answer.
-func (b *Budget) SpendSpare() bool {
+func (b *Budget) SpendForHedge() bool {
 	if b.tokens < b.burst/2+1 {
 		return false
 	}
--- a/decide/retry/retry_test.go
+++ b/decide/retry/retry_test.go
@@ -18,7 +18,7 @@
 	b := NewBudget(0.1, 10)
 	retries := 0
 	for range 1000 {
-		b.Earn()
+		b.Deposit()
 		for b.Spend() {
 			retries++
 		}
@@ -30,7 +30,7 @@
 	is := is.New(t)
 	b := NewBudget(0.1, 10)
 	hedges := 0
-	for b.SpendSpare() {
+	for b.SpendForHedge() {
 		hedges++
 	}
 	is.Equal(hedges, 5)
@@ -55,16 +55,16 @@
 func TestTimeRefillsOneRetry(t *testing.T) {
 	is := is.New(t)
 	b := NewBudget(0.1, 2)
-	b.Pass(clock.Time(time.Second))
+	b.Refill(clock.Time(time.Second))
 	is.True(b.Spend())
 	is.True(b.Spend())
 	is.True(!b.Spend())
-	b.Pass(clock.Time(time.Second + refillInterval/2))
+	b.Refill(clock.Time(time.Second + refillInterval/2))
 	is.True(!b.Spend())
-	b.Pass(clock.Time(time.Hour))
+	b.Refill(clock.Time(time.Hour))
 	is.True(b.Spend())
 	is.True(!b.Spend())
 	off := NewBudget(0, 0)
-	off.Pass(clock.Time(time.Hour))
+	off.Refill(clock.Time(time.Hour))
 	is.True(!off.Spend())
 }
--- a/decide/route/route.go
+++ b/decide/route/route.go
@@ -33,9 +33,9 @@
 	Parts  []Part // at least one; their weights sum to more than 0
 	// Idempotent requests may run more than once.
 	Idempotent bool
-	// Large says that answers are large, so carrying them over long distances
+	// LargeAnswers says that answers are large, so carrying them over long distances
 	// is expensive.
-	Large bool
+	LargeAnswers bool
 	// Timeout is the longest time that operators allow a request to wait; 0:
 	// only the deadline of the caller applies.
 	Timeout time.Duration
@@ -50,10 +50,10 @@
 	// Affinity says that a target that has recently handled an object handles
 	// it faster.
 	Affinity bool
-	// Unserved says that the route is invalid and its requests are refused.
+	// Disabled says that the route is invalid and its requests are refused.
 	// Otherwise they would match a route with a shorter prefix and run at a
 	// service that isn't meant for them.
-	Unserved bool
+	Disabled bool
 }
 
 // Part is one service of a route and its weight.
@@ -107,11 +107,11 @@
 	var defects []error
 	for i := range c.Routes {
 		r := &c.Routes[i]
-		if r.Unserved {
+		if r.Disabled {
 			continue
 		}
 		if err := r.validate(c.Services); err != nil {
-			r.Unserved = true
+			r.Disabled = true
 			defects = append(defects, fmt.Errorf("route %q: %w", r.Name, err))
 		}
 	}
--- a/decide/route/route_test.go
+++ b/decide/route/route_test.go
@@ -66,8 +66,8 @@
 		cfg := config(r, ok)
 		defects := cfg.DisableInvalidRoutes()
 		is.True(errors.Is(errors.Join(defects...), c.want))
-		is.Equal(cfg.Routes[0].Unserved, c.want != nil)
-		is.True(!cfg.Routes[1].Unserved) // the valid route
+		is.Equal(cfg.Routes[0].Disabled, c.want != nil)
+		is.True(!cfg.Routes[1].Disabled) // the valid route
 	}
 }
 
--- a/decide/shift/event.go
+++ b/decide/shift/event.go
@@ -16,9 +16,9 @@
 // Measured delivers new evidence, which replaces the previous one.
 type Measured struct{ Evidence Evidence }
 
-// Duty states whether this process holds the runner's lease, and until when by
+// Lease states whether this process holds the runner's lease, and until when by
 // its own clock.
-type Duty struct {
+type Lease struct {
 	Held  bool
 	Until clock.Time
 }
@@ -40,7 +40,7 @@
 
 func (Configured) event()  {}
 func (Measured) event()    {}
-func (Duty) event()        {}
+func (Lease) event()       {}
 func (Platform) event()    {}
 func (WriteResult) event() {}
 func (Tick) event()        {}
--- a/decide/shift/gate.go
+++ b/decide/shift/gate.go
@@ -47,11 +47,11 @@
 	return g
 }
 
-// Pass counts a look-up by a client at home in the given region and reports
+// Allow counts a look-up by a client at home in the given region and reports
 // whether the shift movedBy may move it. It must be called for every look-up,
 // with an empty movedBy if no shift moves it, because the cap is a share of all
 // look-ups. An unknown shift may move nothing.
-func (g *Gate) Pass(now clock.Time, service fleet.ServiceName, home fleet.Region, movedBy string) bool {
+func (g *Gate) Allow(now clock.Time, service fleet.ServiceName, home fleet.Region, movedBy string) bool {
 	if now.Sub(g.since) >= GateWindow {
 		g.reset(now)
 	}
--- a/decide/shift/plan_test.go
+++ b/decide/shift/plan_test.go
@@ -247,7 +247,7 @@
 func TestTakeoverWaitsWholeInterval(t *testing.T) {
 	is := is.New(t)
 	r := newPlanRunner(planNow, 1000)
-	is.Equal(len(writes(r.Step(planNow, Duty{Held: true, Until: clock.Never}, nil))), 0)
+	is.Equal(len(writes(r.Step(planNow, Lease{Held: true, Until: clock.Never}, nil))), 0)
 	is.Equal(r.Status(nil)[0].Decision.Reason.Code, WaitingInterval)
 	held := r.reservations()
 	is.Equal(len(held), 1) // the figures may not include the step yet
@@ -271,7 +271,7 @@
 func TestFailedWriteIsRetriedAfterDelay(t *testing.T) {
 	is := is.New(t)
 	r := newPlanRunner(planNow, 0)
-	w := writes(r.Step(planNow, Duty{Held: true, Until: clock.Never}, nil))
+	w := writes(r.Step(planNow, Lease{Held: true, Until: clock.Never}, nil))
 	is.Equal(len(w), 1)
 	is.Equal(w[0].Share, catalogue.DefaultStep)
 	failed := WriteResult{ID: w[0].ID, Verdict: verdict.NotRun}
--- a/decide/shift/random_test.go
+++ b/decide/shift/random_test.go
@@ -52,7 +52,7 @@
 	now       clock.Time
 	cat       catalogue.Catalogue
 	delivered catalogue.Catalogue // last catalogue that the Runner received
-	lease     Duty
+	lease     Lease
 	reachable bool
 	open      map[string]Write // outstanding writes by shift
 	lastRise  map[string]clock.Time
@@ -168,7 +168,7 @@
 	h.now = h.now.Add(time.Duration(rapid.IntRange(1, 60).Draw(t, "seconds")) * time.Second)
 	h.reachable = true
 	h.step(Platform{Reachable: true})
-	h.lease = Duty{Held: true, Until: h.now.Add(time.Minute)}
+	h.lease = Lease{Held: true, Until: h.now.Add(time.Minute)}
 	h.step(h.lease)
 	span := Span{Since: h.now.Add(-2 * time.Second), Until: h.now}
 	var e Evidence
@@ -227,7 +227,7 @@
 }
 
 func (h *harness) leaseEvent(t *rapid.T) {
-	h.lease = Duty{Held: rapid.IntRange(0, 3).Draw(t, "held") > 0, Until: h.now.Add(time.Duration(rapid.IntRange(0, 90).Draw(t, "lease")) * time.Second)}
+	h.lease = Lease{Held: rapid.IntRange(0, 3).Draw(t, "held") > 0, Until: h.now.Add(time.Duration(rapid.IntRange(0, 90).Draw(t, "lease")) * time.Second)}
 	h.step(h.lease)
 }
 
--- a/decide/shift/runner.go
+++ b/decide/shift/runner.go
@@ -14,7 +14,7 @@
 	now            clock.Time // latest instant seen
 	catalogue      *catalogue.Catalogue
 	evidence       Evidence
-	duty           Duty
+	duty           Lease
 	reachable      bool
 	entries        []*entry // moving shifts, in the order of their ids
 	writes         uint64   // last Write.ID
@@ -60,7 +60,7 @@
 	case Measured:
 		r.evidence = e.Evidence
 		r.trackErrors()
-	case Duty:
+	case Lease:
 		r.duty = e
 	case Platform:
 		r.reachable = e.Reachable
--- a/decide/shift/table_test.go
+++ b/decide/shift/table_test.go
@@ -102,15 +102,15 @@
 			by = "drain"
 		}
 		total++
-		if g.Pass(at(time.Duration(i)*time.Millisecond), worldService, "attiki", by) {
+		if g.Allow(at(time.Duration(i)*time.Millisecond), worldService, "attiki", by) {
 			moved++
 		}
 		is.True(moved*10 <= total)
 	}
 	is.True(moved >= 999) // the cap is used in full
-	is.True(!g.Pass(0, worldService, "attiki", "unknown"))
-	is.True(!g.Pass(0, worldService, "kriti", "drain"))
-	is.True(!g.Pass(at(2*GateWindow), worldService, "attiki", "drain")) // a new window
+	is.True(!g.Allow(0, worldService, "attiki", "unknown"))
+	is.True(!g.Allow(0, worldService, "kriti", "drain"))
+	is.True(!g.Allow(at(2*GateWindow), worldService, "attiki", "drain")) // a new window
 }
 
 func TestCounter(t *testing.T) {
@@ -125,8 +125,8 @@
 		if Moved(&s, b) {
 			by = "drain"
 		}
-		k.Served(worldService, "attiki", b, by, 10*time.Millisecond)
-		k.Served(worldService, "kriti", b, "", time.Hour)
+		k.RecordRequest(worldService, "attiki", b, by, 10*time.Millisecond)
+		k.RecordRequest(worldService, "kriti", b, "", time.Hour)
 	}
 	counts := k.Take(at(10*time.Second), nil)
 	is.Equal(len(counts), 2)
@@ -161,8 +161,8 @@
 	is.Equal(testing.AllocsPerRun(1000, func() {
 		block += 1 << 40
 		_, id, _ := table.Region(worldService, "attiki", block)
-		g.Pass(0, worldService, "attiki", id)
-		k.Served(worldService, "attiki", block, id, time.Millisecond)
+		g.Allow(0, worldService, "attiki", id)
+		k.RecordRequest(worldService, "attiki", block, id, time.Millisecond)
 	}), 0.0)
 }
 
@@ -183,6 +183,6 @@
 	var block uint64
 	for b.Loop() {
 		block += 1 << 40
-		k.Served(worldService, "attiki", block, "", time.Millisecond)
+		k.RecordRequest(worldService, "attiki", block, "", time.Millisecond)
 	}
 }
--- a/decide/shift/world_test.go
+++ b/decide/shift/world_test.go
@@ -229,7 +229,7 @@
 			requests++
 		}
 		for range requests {
-			k.Served(worldService, w.regions[b.home].name, b.hash, b.movedBy, 50*time.Millisecond)
+			k.RecordRequest(worldService, w.regions[b.home].name, b.hash, b.movedBy, 50*time.Millisecond)
 		}
 	}
 	s.counts = k.Take(w.now, nil)
@@ -295,7 +295,7 @@
 		return
 	}
 	k.event(w.now, Platform{Reachable: w.platform})
-	k.event(w.now, Duty{Held: w.lease == name, Until: w.now.Add(3 * time.Second)})
+	k.event(w.now, Lease{Held: w.lease == name, Until: w.now.Add(3 * time.Second)})
 	if k.seen != w.cat.Revision {
 		c := w.cat
 		k.seen = c.Revision
--- a/decide/steer/lookup.go
+++ b/decide/steer/lookup.go
@@ -95,7 +95,7 @@
 		return client{hash: block.Hash(m.Prefix), home: v.homes[m.Home], known: true}
 	}
 	return client{
-		hash: block.Hash(block.Implied(addr)),
+		hash: block.Hash(block.DefaultBlock(addr)),
 		home: homeRef{region: v.self, name: v.selfName},
 	}
 }
--- a/decide/tally/bench_test.go
+++ b/decide/tally/bench_test.go
@@ -67,7 +67,7 @@
 	n := newNetwork(1, 2, 2)
 	b.ReportAllocs()
 	for b.Loop() {
-		n.leader.state.Served(testService, "r0", 7, "", time.Millisecond)
+		n.leader.state.RecordRequest(testService, "r0", 7, "", time.Millisecond)
 	}
 }
 
@@ -75,10 +75,10 @@
 func BenchmarkAnswered(b *testing.B) {
 	m := NewMeter(0)
 	for i := range 10 {
-		m.Answered(0, fleet.ServiceName(fmt.Sprint(i)), 0, true)
+		m.RecordAnswer(0, fleet.ServiceName(fmt.Sprint(i)), 0, true)
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		m.Answered(0, "7", time.Millisecond, true)
+		m.RecordAnswer(0, "7", time.Millisecond, true)
 	}
 }
--- a/decide/tally/candidate.go
+++ b/decide/tally/candidate.go
@@ -34,7 +34,7 @@
 		if !domains[i].Reachable {
 			continue
 		}
-		for _, vm := range domains[i].VMs[:min(len(domains[i].VMs), member.RowVMs)] {
+		for _, vm := range domains[i].VMs[:min(len(domains[i].VMs), member.MaxRowVMs)] {
 			ids = append(ids, vm.ID)
 		}
 	}
--- a/decide/tally/domains.go
+++ b/decide/tally/domains.go
@@ -36,7 +36,7 @@
 	if !d.Reachable || len(d.VMs) == 0 {
 		return "", false
 	}
-	n := min(len(d.VMs), member.RowVMs)
+	n := min(len(d.VMs), member.MaxRowVMs)
 	return d.VMs[round%uint64(n)].ID, true
 }
 
--- a/decide/tally/event.go
+++ b/decide/tally/event.go
@@ -14,12 +14,12 @@
 // Configured delivers a catalogue that has come into force.
 type Configured struct{ Catalogue *catalogue.Catalogue }
 
-// Fleet replaces the views of all failure domains. The view of the own domain
+// FleetChanged replaces the views of all failure domains. The view of the own domain
 // lists all its live entry VMs.
-type Fleet struct{ Domains []member.DomainView }
+type FleetChanged struct{ Domains []member.DomainView }
 
-// Lead reports whether this process holds the runner's lease.
-type Lead struct{ Held bool }
+// LeaseChanged reports whether this process holds the runner's lease.
+type LeaseChanged struct{ Held bool }
 
 // Measured delivers the load of the services that have targets here, several
 // times a second. Services that are not in it have no targets.
@@ -42,12 +42,12 @@
 // Tick only advances the time; it is due at Ready.Wake.
 type Tick struct{}
 
-func (*Configured) isEvent()  {}
-func (*Fleet) isEvent()       {}
-func (*Lead) isEvent()        {}
-func (*Measured) isEvent()    {}
-func (*PeerMessage) isEvent() {}
-func (*Tick) isEvent()        {}
+func (*Configured) isEvent()   {}
+func (*FleetChanged) isEvent() {}
+func (*LeaseChanged) isEvent() {}
+func (*Measured) isEvent()     {}
+func (*PeerMessage) isEvent()  {}
+func (*Tick) isEvent()         {}
 
 // Send asks the caller of Step to send Msg to an entry VM; it may be lost. If
 // membership doesn't hold the address of an entry VM of another domain, an
--- a/decide/tally/meter.go
+++ b/decide/tally/meter.go
@@ -139,9 +139,9 @@
 	return s
 }
 
-// Answered counts the final answer to a request that was served by targets of
+// RecordAnswer counts the final answer to a request that was served by targets of
 // the own failure domain, or refused here. ok is false for a failure.
-func (m *Meter) Answered(now clock.Time, service fleet.ServiceName, latency time.Duration, ok bool) {
+func (m *Meter) RecordAnswer(now clock.Time, service fleet.ServiceName, latency time.Duration, ok bool) {
 	m.advance(now)
 	s := m.series(service)
 	if s == nil {
--- a/decide/tally/net_test.go
+++ b/decide/tally/net_test.go
@@ -128,7 +128,7 @@
 	v.state = New(n.clockOf(v), v.vm, Options{})
 	v.started = n.now
 	n.step(v, &Configured{Catalogue: n.catalogue})
-	n.step(v, &Lead{Held: v == n.leader})
+	n.step(v, &LeaseChanged{Held: v == n.leader})
 }
 
 func (n *network) stopNode(v *node) {
@@ -140,7 +140,7 @@
 func (n *network) announce() {
 	for _, v := range n.nodes {
 		if v.state != nil {
-			n.step(v, &Fleet{Domains: n.views(v)})
+			n.step(v, &FleetChanged{Domains: n.views(v)})
 		}
 	}
 }
@@ -157,7 +157,7 @@
 			continue
 		}
 		out[at].Live++
-		if v.vm.Domain == of.vm.Domain || len(out[at].VMs) < member.RowVMs {
+		if v.vm.Domain == of.vm.Domain || len(out[at].VMs) < member.MaxRowVMs {
 			out[at].VMs = append(out[at].VMs, v.vm)
 		}
 	}
@@ -227,13 +227,13 @@
 				continue
 			}
 			v.served = append(v.served, n.now)
-			v.state.Served(testService, "r0", n.blocks[n.positionAt(n.now)], "", 50*time.Millisecond)
+			v.state.RecordRequest(testService, "r0", n.blocks[n.positionAt(n.now)], "", 50*time.Millisecond)
 			for range n.extraRequests {
-				v.state.Served(testService, "r0", n.rng.Uint64(), "", time.Millisecond)
+				v.state.RecordRequest(testService, "r0", n.rng.Uint64(), "", time.Millisecond)
 				latency := time.Duration(n.rng.ExpFloat64() * float64(50*time.Millisecond))
-				v.state.Meter().Answered(n.clockOf(v), testService, latency, true)
+				v.state.Meter().RecordAnswer(n.clockOf(v), testService, latency, true)
 			}
-			v.state.Meter().Answered(n.clockOf(v), testService, 50*time.Millisecond, true)
+			v.state.Meter().RecordAnswer(n.clockOf(v), testService, 50*time.Millisecond, true)
 			if !v.reportsNoLoad {
 				n.step(v, &Measured{Samples: []Sample{{Service: testService, Capacity: v.slots, InFlight: 1}}})
 			}
--- a/decide/tally/state.go
+++ b/decide/tally/state.go
@@ -81,12 +81,12 @@
 // Meter returns the meter of this entry VM's services.
 func (s *State) Meter() *Meter { return s.meter }
 
-// Served counts one request for shifts; see shift.Counter.Served. The entry VM
+// RecordRequest counts one request for shifts; see shift.Counter.Served. The entry VM
 // that received a request from its caller calls it once, at the final answer.
 // It is not called for requests that another entry VM has forwarded.
-func (s *State) Served(service fleet.ServiceName, home fleet.Region, block uint64, movedBy string, busy time.Duration) {
+func (s *State) RecordRequest(service fleet.ServiceName, home fleet.Region, block uint64, movedBy string, busy time.Duration) {
 	if s.local.counter != nil {
-		s.local.counter.Served(service, home, block, movedBy, busy)
+		s.local.counter.RecordRequest(service, home, block, movedBy, busy)
 	}
 }
 
@@ -101,11 +101,11 @@
 	case *Configured:
 		changed := s.local.configure(s.now, e.Catalogue)
 		s.lead.configure(e.Catalogue, changed)
-	case *Fleet:
+	case *FleetChanged:
 		if s.domains.update(s.now, s.options.LostAfter, s.self.Domain, e.Domains) {
 			s.restartRounds()
 		}
-	case *Lead:
+	case *LeaseChanged:
 		s.lead.setHeld(s.now, e.Held)
 	case *Measured:
 		s.meter.observe(s.now, e.Samples)
--- a/decide/tally/tally_test.go
+++ b/decide/tally/tally_test.go
@@ -290,14 +290,14 @@
 		if i%50 == 0 {
 			latency = time.Second
 		}
-		m.Answered(at, testService, latency, i%20 != 0)
+		m.RecordAnswer(at, testService, latency, i%20 != 0)
 	}
 	r := m.Rate(at, testService)
 	is.Equal(r.Answers, uint32(100))
 	is.Equal(r.Errors, catalogue.Share(500))
 	is.True(r.P99 >= time.Second && r.P99 <= 1250*time.Millisecond)
 	is.Equal(m.Rate(at.Add(10*time.Second), testService), Rate{})
-	is.Equal(testing.AllocsPerRun(100, func() { m.Answered(at, testService, time.Second, true) }), 0.0)
+	is.Equal(testing.AllocsPerRun(100, func() { m.RecordAnswer(at, testService, time.Second, true) }), 0.0)
 	for b := 1; b < latencyBuckets-1; b++ {
 		is.Equal(latencyBucket(bucketUpperBound(b)), b)
 		is.Equal(latencyBucket(bucketUpperBound(b)+1), b+1)
--- a/decide/target/outlier.go
+++ b/decide/target/outlier.go
@@ -54,8 +54,8 @@
 	backoff             retry.Backoff
 }
 
-// Standing returns the present state.
-func (o *Outlier) Standing() State { return o.state }
+// State returns the present state.
+func (o *Outlier) State() State { return o.state }
 
 // Until returns when the latest ejection ends.
 func (o *Outlier) Until() clock.Time { return o.ejectedUntil }
@@ -102,9 +102,9 @@
 	}
 }
 
-// Outvoted reports whether a bad health report is contradicted by a recent
+// OverridesHealthReport reports whether a bad health report is contradicted by a recent
 // answer to a request.
-func (o *Outlier) Outvoted(now clock.Time) bool {
+func (o *Outlier) OverridesHealthReport(now clock.Time) bool {
 	return o.lastAnswer != 0 && o.consecutiveFailures == 0 && now.Sub(o.lastAnswer) < answerOverride
 }
 
@@ -116,8 +116,8 @@
 	o.ejectedUntil = now.Add(o.backoff.Next(rng))
 }
 
-// Test allows one request at a time.
-func (o *Outlier) Test() {
+// StartTesting allows one request at a time.
+func (o *Outlier) StartTesting() {
 	o.state = Testing
 	o.passedTests = 0
 }
--- a/decide/target/target_test.go
+++ b/decide/target/target_test.go
@@ -52,17 +52,17 @@
 	is.True(!o.Failed())
 	is.True(o.Failed())
 	o.Eject(0, rng)
-	is.Equal(o.Standing(), Ejected)
+	is.Equal(o.State(), Ejected)
 	is.True(o.Until() <= clock.Time(minEjection))
-	o.Test()
+	o.StartTesting()
 	is.True(o.Failed()) // the first failed test is enough
 	o.Eject(0, rng)
 	is.True(o.Until() > clock.Time(minEjection))
-	o.Test()
+	o.StartTesting()
 	is.True(!o.Answered(1))
 	is.True(o.Answered(2))
-	is.Equal(o.Standing(), InUse)
-	is.True(o.Outvoted(3))
+	is.Equal(o.State(), InUse)
+	is.True(o.OverridesHealthReport(3))
 }
 
 // A target that fails every other request never fails three times in a row.
--- a/decide/verdict/verdict.go
+++ b/decide/verdict/verdict.go
@@ -103,7 +103,7 @@
 	ReasonConnectionLost   Reason = "connection-lost"
 	ReasonSilent           Reason = "connection-silent"
 	ReasonAnswerCut        Reason = "answer-cut"
-	ReasonShed             Reason = "target-refused"
+	ReasonTargetRefused    Reason = "target-refused"
 	ReasonBodyTooLarge     Reason = "body-too-large"
 	ReasonBadRequest       Reason = "bad-request"
 	ReasonTokenRequired    Reason = "token-required"
--- a/operate/capacity/plan_test.go
+++ b/operate/capacity/plan_test.go
@@ -28,7 +28,7 @@
 			var out []shift.Effect
 			for b.Loop() {
 				now = now.Add(time.Second)
-				r.Step(now, shift.Duty{Held: true, Until: now.Add(time.Minute)}, nil)
+				r.Step(now, shift.Lease{Held: true, Until: now.Add(time.Minute)}, nil)
 				out = r.Step(now, shift.Measured{Evidence: planEvidence(n, now)}, out[:0])
 			}
 			if total, _ := r.Violations(); total > 0 || len(r.Status(nil)) != n {
--- a/operate/command/command_test.go
+++ b/operate/command/command_test.go
@@ -45,7 +45,7 @@
 	}
 	mux := http.NewServeMux()
 	mux.Handle(admin.Prefix, admin.New(admin.Config{
-		Changer: s.mem, Settler: s.mem, Viewer: s.mem, Operators: ops, Auditor: discardAuditor{},
+		Changer: s.mem, OutcomeFinder: s.mem, Viewer: s.mem, Operators: ops, Auditor: discardAuditor{},
 		NewOperationID: func() string { return "none" },
 	}))
 	mux.HandleFunc("/v1/lookup", func(w http.ResponseWriter, r *http.Request) {
@@ -117,7 +117,7 @@
 		return ""
 	case "switch":
 		s.mem.Update(func(m *admintest.Memory) {
-			m.Down, m.Lose, m.Silent = d.HasArg("down"), d.HasArg("lose"), d.HasArg("silent")
+			m.PlatformDown, m.LoseAnswers, m.FailOutcomes = d.HasArg("down"), d.HasArg("lose"), d.HasArg("silent")
 			m.Lagging = nil
 			if d.HasArg("lagging") {
 				m.Lagging = []fleet.VMID{"entry-3"}
--- a/operate/demo/demo.go
+++ b/operate/demo/demo.go
@@ -65,7 +65,7 @@
 // Run runs the demo and returns its result.
 func Run(ctx context.Context, o Options) (*Result, error) {
 	r := &run{options: o, log: logs.New(logLevel, o.Log)}
-	logs.TakeNetwork(r.log)
+	logs.RedirectNbio(r.log)
 	defer r.close()
 	if err := r.start(ctx); err != nil {
 		return nil, err
@@ -225,11 +225,11 @@
 		DuplicateShare: duplicateShare,
 	}, callersPerRegion, r.options.Latency)
 	load := caller.Load{
-		Callers: cs,
-		Kinds:   desc.Kinds(),
-		Rate:    desc.Rate(r.options.Load),
-		For:     r.options.Duration,
-		Seed:    r.options.Seed,
+		Callers:  cs,
+		Kinds:    desc.Kinds(),
+		Rate:     desc.Rate(r.options.Load),
+		Duration: r.options.Duration,
+		Seed:     r.options.Seed,
 	}
 	r.progressf("load of %.0f requests a second for %s, fault %s", load.Rate, r.options.Duration, r.options.Fault)
 	r.watch = newWatcher(r)
--- a/operate/demo/fault.go
+++ b/operate/demo/fault.go
@@ -91,7 +91,7 @@
 		r.goTracked(func() {
 			ctx, cancel := context.WithTimeout(context.Background(), drainTimeout)
 			defer cancel()
-			if _, err := t.Drained(ctx); err == nil {
+			if _, err := t.WaitDrained(ctx); err == nil {
 				r.recordDrain(time.Since(began))
 			}
 		})
--- a/operate/demo/watch.go
+++ b/operate/demo/watch.go
@@ -93,7 +93,7 @@
 // result combines the records of the callers and the targets.
 func (r *run) result() *Result {
 	rep := r.load.Wait()
-	proof := caller.Prove(rep.Outcomes, r.dep.Executions())
+	proof := caller.Audit(rep.Outcomes, r.dep.Executions())
 	res := &Result{
 		Deployment:   r.options.Deployment,
 		Fault:        r.options.Fault,
@@ -108,16 +108,16 @@
 		NotRun:       rep.NotRun,
 		MayHaveRun:   rep.MayHaveRun,
 		Reasons:      make(map[verdict.Reason]uint64),
-		Unmarked:     rep.Unmarked,
+		Unmarked:     rep.MissingVerdicts,
 		P50:          milliseconds(rep.Quantile(50)),
 		P99:          milliseconds(rep.Quantile(99)),
 		DrainSeconds: r.longestDrain.Seconds(),
 	}
 	if r.options.Fault == EntryStop || r.options.Fault == TargetLeave || r.options.Fault == RegionDrain {
-		res.Cut = proof.CutRan
+		res.Cut = proof.RanAnswerLost
 	}
 	for _, t := range r.dep.Targets {
-		if t.Stats().LastArrival > leaveGrace {
+		if t.Stats().LastArrivalAfterLeave > leaveGrace {
 			res.LateArrivals++
 		}
 	}
--- a/operate/e2e/main_test.go
+++ b/operate/e2e/main_test.go
@@ -11,6 +11,6 @@
 // TestMain discards the start and stop messages of nbio, which would otherwise
 // split the lines of benchmark output.
 func TestMain(m *testing.M) {
-	logs.TakeNetwork(logs.New("error", io.Discard))
+	logs.RedirectNbio(logs.New("error", io.Discard))
 	os.Exit(m.Run())
 }
--- a/serve/admin/admintest/memory.go
+++ b/serve/admin/admintest/memory.go
@@ -21,12 +21,12 @@
 type Memory struct {
 	// Now is the time of every change.
 	Now time.Time
-	// Lose makes changes succeed but return an error as if the answer were lost.
-	Lose bool
-	// Down simulates an unreachable platform: changes fail with not-run.
-	Down bool
-	// Silent makes queries for outcomes fail.
-	Silent bool
+	// LoseAnswers makes changes succeed but return an error as if the answer were lost.
+	LoseAnswers bool
+	// PlatformDown simulates an unreachable platform: changes fail with not-run.
+	PlatformDown bool
+	// FailOutcomes makes queries for outcomes fail.
+	FailOutcomes bool
 	// Lagging are the entry VMs that never apply a revision.
 	Lagging []fleet.VMID
 
@@ -58,7 +58,7 @@
 func (m *Memory) Change(_ context.Context, op change.Operation) (admin.Accepted, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.Down {
+	if m.PlatformDown {
 		return admin.Accepted{}, &verdict.Error{Verdict: verdict.NotRun, Reason: verdict.ReasonConnect}
 	}
 	next, err := change.Apply(*m.cat, op, clock.FromWall(m.Now))
@@ -67,7 +67,7 @@
 	}
 	m.cat = &next
 	m.revisions[op.ID] = next.Revision
-	if m.Lose {
+	if m.LoseAnswers {
 		return admin.Accepted{}, &verdict.Error{Verdict: verdict.MayHaveRun, Reason: verdict.ReasonConnectionLost}
 	}
 	return admin.Accepted{Operation: op.ID, Revision: next.Revision, Settled: true}, nil
@@ -77,7 +77,7 @@
 func (m *Memory) FindOutcome(_ context.Context, operation string) (admin.Outcome, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.Silent {
+	if m.FailOutcomes {
 		return admin.Outcome{}, &verdict.Error{Verdict: verdict.NotRun, Reason: verdict.ReasonConnect, Err: errors.New("platform is silent")}
 	}
 	if r, ok := m.revisions[operation]; ok {
--- a/serve/admin/handler.go
+++ b/serve/admin/handler.go
@@ -37,11 +37,11 @@
 // Config holds the dependencies and settings of a Handler. All fields except
 // Stopping and ChangeTimeout are required.
 type Config struct {
-	Changer   Changer
-	Settler   OutcomeFinder
-	Viewer    Viewer
-	Operators Operators
-	Auditor   Auditor
+	Changer       Changer
+	OutcomeFinder OutcomeFinder
+	Viewer        Viewer
+	Operators     Operators
+	Auditor       Auditor
 	// NewOperationID returns an id for a change that was sent without one.
 	NewOperationID func() string
 	// Stopping, once closed, ends waiting watches, so that they do not delay
--- a/serve/admin/handler_test.go
+++ b/serve/admin/handler_test.go
@@ -45,7 +45,7 @@
 	log.SetOutput(&b.audit)
 	log.SetFormatter(&logrus.JSONFormatter{})
 	b.h = admin.New(admin.Config{
-		Changer: b.mem, Settler: b.mem, Viewer: b.mem,
+		Changer: b.mem, OutcomeFinder: b.mem, Viewer: b.mem,
 		Operators: ops, Auditor: admin.LogAuditor{Log: log},
 		NewOperationID: func() string { return "op-made-here" },
 	})
@@ -129,7 +129,7 @@
 func TestUnknownOutcomeIsReportedAsMayHaveRun(t *testing.T) {
 	is := is.New(t)
 	b := newHarness(t)
-	b.mem.Lose = true
+	b.mem.LoseAnswers = true
 	w := b.request(anaToken, "PUT", "services/calc-lookup", serviceBody)
 	is.Equal(w.Code, http.StatusGatewayTimeout)
 	is.Equal(w.Header().Get(verdict.Header), "may-have-run")
@@ -137,7 +137,7 @@
 	w = b.request(anaToken, "GET", "operations/op-made-here", "")
 	is.True(strings.Contains(w.Body.String(), `"verdict":"ran","revision":1`))
 
-	b.mem.Down = true
+	b.mem.PlatformDown = true
 	w = b.request(anaToken, "PUT", "services/calc-lookup", serviceBody)
 	is.Equal(w.Code, http.StatusServiceUnavailable)
 	is.Equal(w.Header().Get(verdict.Header), "not-run")
@@ -218,7 +218,7 @@
 	ops, err := admin.ParseOperators("ana=" + admin.HashToken(anaToken))
 	is.NoErr(err)
 	h := admin.New(admin.Config{
-		Changer: mem, Settler: mem, Viewer: mem, Operators: ops,
+		Changer: mem, OutcomeFinder: mem, Viewer: mem, Operators: ops,
 		Auditor:        admin.LogAuditor{Log: discard()},
 		NewOperationID: func() string { return "op" },
 		Stopping:       stopping,
--- a/serve/admin/reads.go
+++ b/serve/admin/reads.go
@@ -89,7 +89,7 @@
 	ctx, cancel := context.WithTimeout(q.Context(), h.cfg.ChangeTimeout)
 	defer cancel()
 	id := q.PathValue("id")
-	out, err := h.cfg.Settler.FindOutcome(ctx, id)
+	out, err := h.cfg.OutcomeFinder.FindOutcome(ctx, id)
 	q.record.Operation = id
 	if err != nil {
 		return response{}, err
--- a/serve/command/command.go
+++ b/serve/command/command.go
@@ -76,7 +76,7 @@
 // serve runs a daemon until a signal arrives or another process supersedes it.
 func serve(set *settings.Settings, stderr io.Writer) int {
 	log := logs.New(set.LogLevel, stderr)
-	logs.TakeNetwork(log)
+	logs.RedirectNbio(log)
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	client, err := platform.NewClient(platform.Options{Addr: set.PlatformURL})
--- a/serve/core/core.go
+++ b/serve/core/core.go
@@ -141,11 +141,11 @@
 	}
 }
 
-// Ask runs f on the state between two steps and waits for it. It returns false
+// Query runs f on the state between two steps and waits for it. It returns false
 // if the core has been closed; f is then never run, as its variables may be in
 // use again. Ask must not be called while an effect is performed: it would wait
 // for itself.
-func (c *Core[T]) Ask(f func(now clock.Time, state T)) bool {
+func (c *Core[T]) Query(f func(now clock.Time, state T)) bool {
 	q := &query[T]{ask: f, done: make(chan struct{})}
 	c.Post(q)
 	select {
--- a/serve/core/core_test.go
+++ b/serve/core/core_test.go
@@ -28,7 +28,7 @@
 	c := testCore(t, func() {})
 	go func() {
 		defer close(ended)
-		c.Ask(func(clock.Time, int) {
+		c.Query(func(clock.Time, int) {
 			close(stepping)
 			<-proceed
 		})
@@ -36,7 +36,7 @@
 	<-stepping
 	var ran bool
 	asked := make(chan bool)
-	go func() { asked <- c.Ask(func(clock.Time, int) { ran = true }) }()
+	go func() { asked <- c.Query(func(clock.Time, int) { ran = true }) }()
 	for queued := 0; queued == 0; {
 		time.Sleep(time.Millisecond)
 		c.mu.Lock()
--- a/serve/daemon/admin.go
+++ b/serve/daemon/admin.go
@@ -28,7 +28,7 @@
 	mux.HandleFunc("GET /debug/vars", d.serveVars)
 	mux.Handle(admin.Prefix, admin.New(admin.Config{
 		Changer:        changer{d},
-		Settler:        changer{d},
+		OutcomeFinder:  changer{d},
 		Viewer:         viewer{d},
 		Operators:      operators,
 		Auditor:        admin.LogAuditor{Log: d.log},
@@ -50,7 +50,7 @@
 		return err
 	}
 	d.adminAddr = d.admin.Addr()
-	d.adminPages = inbound.Standard(mux, func(v any) {
+	d.adminPages = inbound.FromHTTPHandler(mux, func(v any) {
 		d.log.WithField("panic", v).WithField("stack", string(debug.Stack())).Error("administration handler panicked")
 	})
 	return nil
--- a/serve/daemon/answer.go
+++ b/serve/daemon/answer.go
@@ -48,7 +48,7 @@
 	verdict.ReasonSilent:           {http.StatusBadGateway, "The target did not answer in time."},
 	verdict.ReasonAnswerCut:        {http.StatusBadGateway, "The target's answer was incomplete."},
 	verdict.ReasonGateway:          {http.StatusBadGateway, "The entry VM that forwarded the request to its target was lost."},
-	verdict.ReasonShed:             {http.StatusServiceUnavailable, "The targets refused the request."},
+	verdict.ReasonTargetRefused:    {http.StatusServiceUnavailable, "The targets refused the request."},
 	verdict.ReasonBodyTooLarge:     {http.StatusRequestEntityTooLarge, "The request body is larger than the limit."},
 	verdict.ReasonBadRequest:       {http.StatusBadRequest, "The request is malformed."},
 	verdict.ReasonTokenRequired:    {http.StatusPreconditionRequired, "The service is not idempotent: send a one-time token from a look-up."},
--- a/serve/daemon/attempt.go
+++ b/serve/daemon/attempt.go
@@ -39,7 +39,7 @@
 	delete(r.Header, headerHops)
 	delete(r.Header, headerWait)
 	delete(r.Header, headerClient)
-	r.Fresh = s.NewConnection
+	r.NewConnection = s.NewConnection
 	a.span.inject(r.Header)
 	d.startAttempt(c, a, &r)
 }
@@ -117,12 +117,12 @@
 // sends its verdict and reason.
 func parseRefusal(a *outbound.Answer, remote bool) *verdict.Error {
 	if remote {
-		return heads.Failure(a.Header)
+		return heads.ParseFailure(a.Header)
 	}
 	if a.Header.Get(headerRefused) != verdict.NotRun.String() {
 		return nil
 	}
-	reason := verdict.ReasonShed
+	reason := verdict.ReasonTargetRefused
 	if a.Header.Get(headerReason) == string(verdict.ReasonStopping) {
 		reason = verdict.ReasonStopping
 	}
@@ -135,13 +135,13 @@
 		return 0
 	}
 	if ms, err := strconv.ParseInt(a.Header.Get(headerRetryMs), 10, 64); err == nil && ms > 0 {
-		return time.Duration(min(ms, heads.MaxWait.Milliseconds())) * time.Millisecond
+		return time.Duration(min(ms, heads.MaxMillis.Milliseconds())) * time.Millisecond
 	}
 	s, err := strconv.ParseInt(a.Header.Get(headerRetry), 10, 64)
 	if err != nil || s < 0 {
 		return 0
 	}
-	return time.Duration(min(s, int64(heads.MaxWait/time.Second))) * time.Second
+	return time.Duration(min(s, int64(heads.MaxMillis/time.Second))) * time.Second
 }
 
 // parseLoad returns the load that a target may report with its answer.
@@ -178,7 +178,7 @@
 	if k.Replace {
 		reason = verdict.ReasonSilent
 		d.metrics.connectionsReplaced.Add(1)
-		d.pool.Discard(a.addr, minSuspectIdle)
+		d.pool.CloseIdle(a.addr, minSuspectIdle)
 	}
 	c.mu.Lock()
 	h := a.outboundCall
--- a/serve/daemon/calls.go
+++ b/serve/daemon/calls.go
@@ -141,7 +141,7 @@
 	}
 	tok := x.Header.Get(headerToken)
 	c.span = d.tracer.start(x.Header, string(service))
-	heads.EndToEnd(x.Header)
+	heads.RemoveHopByHop(x.Header)
 	d.calls.add(c)
 	if !ok || !hopsOK {
 		d.core.Post(&engine.Reject{Req: c.id, Token: tok, Reason: verdict.ReasonBadRequest})
@@ -159,7 +159,7 @@
 		ExpectedWait: parseExpectedWait(x.Header),
 		BodyBytes:    int64(len(x.Body)),
 	})
-	x.OnGone(func() { d.callerGone(c) })
+	x.OnCallerGone(func() { d.callerGone(c) })
 }
 
 // hasToken reports whether a request that inbound refuses may have been sent
@@ -263,7 +263,7 @@
 		return
 	}
 	ans := a.answer
-	heads.EndToEnd(ans.Header)
+	heads.RemoveHopByHop(ans.Header)
 	ans.Header[verdict.Header] = []string{verdict.Ran.String()}
 	d.metrics.countAnswer(verdict.Ran, verdict.ReasonNone)
 	c.span.end(verdict.Ran, verdict.ReasonNone)
--- a/serve/daemon/control.go
+++ b/serve/daemon/control.go
@@ -102,7 +102,7 @@
 		l, err := d.platform.Machines(d.ctx, version, longPollWait)
 		switch {
 		case errors.Is(err, platform.ErrNotModified):
-			d.core.Post(&machine.Unchanged{})
+			d.core.Post(&machine.ListUnchanged{})
 		case err != nil:
 			d.waitForRetry()
 		default:
--- a/serve/daemon/daemon.go
+++ b/serve/daemon/daemon.go
@@ -187,7 +187,7 @@
 		WriteTimeout: d.settings.WriteTimeout,
 		Pollers:      d.settings.Pollers,
 		Refusal:      refusalByStatus,
-		Known:        hasToken,
+		MayBeRepeat:  hasToken,
 	})
 	return err
 }
@@ -251,12 +251,12 @@
 	d.metrics.addFunc("platform_reachable", func() any { return d.platformReachable.Load() })
 	d.metrics.addFunc("configuration", func() any {
 		var c config.Counters
-		d.core.Ask(func(_ clock.Time, e *engine.Engine) { c = e.Config().Counters() })
+		d.core.Query(func(_ clock.Time, e *engine.Engine) { c = e.Config().Counters() })
 		return c
 	})
 	d.metrics.addFunc("loads", func() any {
 		var l []dispatch.ServiceLoad
-		d.core.Ask(func(_ clock.Time, e *engine.Engine) { l = e.OwnLoads() })
+		d.core.Query(func(_ clock.Time, e *engine.Engine) { l = e.OwnLoads() })
 		return l
 	})
 }
--- a/serve/daemon/lookups.go
+++ b/serve/daemon/lookups.go
@@ -56,7 +56,7 @@
 func (l *lookups) passesGate(now clock.Time, s fleet.ServiceName, a steer.Answer) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.gate == nil || l.gate.Pass(now, s, a.Home, a.ShiftID)
+	return l.gate == nil || l.gate.Allow(now, s, a.Home, a.ShiftID)
 }
 
 // client returns the home region and block of an address. The look-up is not
--- a/serve/daemon/pages.go
+++ b/serve/daemon/pages.go
@@ -147,7 +147,7 @@
 	go func() {
 		var a token.Admission
 		var addr string
-		ok := d.core.Ask(func(now clock.Time, e *engine.Engine) {
+		ok := d.core.Query(func(now clock.Time, e *engine.Engine) {
 			a = e.Outcome(now, tok)
 			addr = d.vms[a.VM].CallAddr
 		})
--- a/serve/daemon/platform.go
+++ b/serve/daemon/platform.go
@@ -39,7 +39,7 @@
 // changeBase returns the catalogue that a change is based on if the platform holds
 // an older one or none.
 func (d *Daemon) changeBase() (b config.Base, ok bool) {
-	asked := d.core.Ask(func(now clock.Time, e *engine.Engine) { b, ok = e.Config().Base(now) })
+	asked := d.core.Query(func(now clock.Time, e *engine.Engine) { b, ok = e.Config().Base(now) })
 	return b, ok && asked
 }
 
--- a/serve/daemon/request.go
+++ b/serve/daemon/request.go
@@ -61,7 +61,7 @@
 // for a malformed value.
 func parseDeadline(h http.Header, now clock.Time) (deadline clock.Time, ok bool) {
 	v := h.Get(headerDeadline)
-	d, ok := heads.Wait(v)
+	d, ok := heads.ParseMillis(v)
 	if v == "" || !ok {
 		return 0, ok
 	}
@@ -72,7 +72,7 @@
 // It is 0 if absent or malformed, which only makes this entry VM less willing to
 // queue the request.
 func parseExpectedWait(h http.Header) time.Duration {
-	d, _ := heads.Wait(h.Get(headerWait))
+	d, _ := heads.ParseMillis(h.Get(headerWait))
 	return d
 }
 
--- a/serve/daemon/shifts.go
+++ b/serve/daemon/shifts.go
@@ -53,7 +53,7 @@
 		}
 		held = now
 		d.core.Post(shift.Platform{Reachable: held})
-		d.core.Post(shift.Duty{Held: held, Until: d.now().Add(leaseValidity)})
+		d.core.Post(shift.Lease{Held: held, Until: d.now().Add(leaseValidity)})
 	}
 }
 
--- a/serve/daemon/status.go
+++ b/serve/daemon/status.go
@@ -36,7 +36,7 @@
 		PlatformReachable:   d.platformReachable.Load(),
 		InvariantViolations: uint64(d.metrics.violations.Load()),
 	}
-	d.core.Ask(func(now clock.Time, e *engine.Engine) { fillStatus(&s, now, e) })
+	d.core.Query(func(now clock.Time, e *engine.Engine) { fillStatus(&s, now, e) })
 	return s
 }
 
--- a/serve/heads/failure.go
+++ b/serve/heads/failure.go
@@ -6,9 +6,9 @@
 	"github.com/azurethread/azurethread/decide/verdict"
 )
 
-// Failure returns the verdict and reason that an entry VM states instead of a
+// ParseFailure returns the verdict and reason that an entry VM states instead of a
 // target's answer; nil if it states none.
-func Failure(h http.Header) *verdict.Error {
+func ParseFailure(h http.Header) *verdict.Error {
 	v, ok := verdict.Parse(h.Get(verdict.Header))
 	if !ok || v == verdict.Ran {
 		return nil
@@ -22,9 +22,9 @@
 	h[verdict.HeaderReason] = []string{string(why)}
 }
 
-// DropFailure removes the fields that Failure reads. In a target's answer they
+// RemoveFailure removes the fields that Failure reads. In a target's answer they
 // would be mistaken for a verdict of an entry VM.
-func DropFailure(h http.Header) {
+func RemoveFailure(h http.Header) {
 	delete(h, verdict.Header)
 	delete(h, verdict.HeaderReason)
 }
--- a/serve/heads/failure_test.go
+++ b/serve/heads/failure_test.go
@@ -12,13 +12,13 @@
 func TestFailureIsReadAsItIsStated(t *testing.T) {
 	is := is.New(t)
 	h := make(http.Header)
-	is.True(Failure(h) == nil)
+	is.True(ParseFailure(h) == nil)
 	SetFailure(h, verdict.NotRun, verdict.ReasonGateway)
-	got := Failure(h)
+	got := ParseFailure(h)
 	is.Equal(got.Verdict, verdict.NotRun)
 	is.Equal(got.Reason, verdict.ReasonGateway)
-	DropFailure(h)
+	RemoveFailure(h)
 	is.Equal(len(h), 0)
 	SetFailure(h, verdict.Ran, verdict.ReasonNone) // verdict Ran is an answer, not a failure
-	is.True(Failure(h) == nil)
+	is.True(ParseFailure(h) == nil)
 }
--- a/serve/heads/hops.go
+++ b/serve/heads/hops.go
@@ -12,9 +12,9 @@
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Proxy-Connection",
 }
 
-// EndToEnd removes from h the hop-by-hop fields, including those named by
+// RemoveHopByHop removes from h the hop-by-hop fields, including those named by
 // Connection.
-func EndToEnd(h http.Header) {
+func RemoveHopByHop(h http.Header) {
 	for _, v := range h["Connection"] {
 		for _, f := range strings.Split(v, ",") {
 			h.Del(strings.TrimSpace(f))
--- a/serve/heads/wait.go
+++ b/serve/heads/wait.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// MaxWait is the longest duration that a field may state.
-const MaxWait = time.Hour
+// MaxMillis is the longest duration that a field may state.
+const MaxMillis = time.Hour
 
-// Wait parses a field that states a duration in whole milliseconds; an empty
+// ParseMillis parses a field that states a duration in whole milliseconds; an empty
 // field is 0. ok is false for anything else and for values above MaxWait.
-func Wait(value string) (d time.Duration, ok bool) {
+func ParseMillis(value string) (d time.Duration, ok bool) {
 	if value == "" {
 		return 0, true
 	}
 	ms, err := strconv.ParseInt(value, 10, 64)
-	if err != nil || ms < 0 || ms > MaxWait.Milliseconds() {
+	if err != nil || ms < 0 || ms > MaxMillis.Milliseconds() {
 		return 0, false
 	}
 	return time.Duration(ms) * time.Millisecond, true
--- a/serve/inbound/conn.go
+++ b/serve/inbound/conn.go
@@ -293,7 +293,7 @@
 func (c *conn) refusedExchange(status int) *Exchange {
 	x := &Exchange{c: c}
 	x.close = true
-	known := c.s.opts.Known
+	known := c.s.opts.MayBeRepeat
 	if c.req == nil || known == nil || !known(c.req.Header) {
 		return x
 	}
--- a/serve/inbound/exchange.go
+++ b/serve/inbound/exchange.go
@@ -41,9 +41,9 @@
 	answer *answer // guarded by the connection's mu; nil: none yet
 }
 
-// OnGone registers f to be called once if the caller closes its connection
+// OnCallerGone registers f to be called once if the caller closes its connection
 // before the answer. If that has already happened, f is called at once.
-func (x *Exchange) OnGone(f func()) {
+func (x *Exchange) OnCallerGone(f func()) {
 	x.mu.Lock()
 	gone := x.callerGone
 	x.onGone = f
--- a/serve/inbound/inbound_test.go
+++ b/serve/inbound/inbound_test.go
@@ -161,7 +161,7 @@
 func TestCallerGone(t *testing.T) {
 	is := is.New(t)
 	gone := make(chan struct{})
-	s := listen(t, func(x *Exchange) { x.OnGone(func() { close(gone) }) })
+	s := listen(t, func(x *Exchange) { x.OnCallerGone(func() { close(gone) }) })
 	conn, _ := dial(t, s)
 	_, err := io.WriteString(conn, "GET / HTTP/1.1\r\nHost: a\r\n\r\n")
 	is.NoErr(err)
@@ -264,7 +264,7 @@
 				}
 				go x.Respond(http.StatusConflict, http.Header{"Azurethread-Verdict": {"may-have-run"}}, nil)
 			})
-			s.opts.Known = func(h http.Header) bool { return h.Get("Key") != "" }
+			s.opts.MayBeRepeat = func(h http.Header) bool { return h.Get("Key") != "" }
 			conn, r := dial(t, s)
 			go func() { _, _ = io.WriteString(conn, c.send) }()
 			res, _ := read(t, r, http.MethodPost)
@@ -310,7 +310,7 @@
 func TestHTTPHandlerPanic(t *testing.T) {
 	is := is.New(t)
 	got := make(chan any, 1)
-	h := Standard(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	h := FromHTTPHandler(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/bad" {
 			panic("defect")
 		}
@@ -340,8 +340,8 @@
 	var waiting []*Exchange
 	arrived := make(chan *Exchange, 4)
 	s, err := Listen("127.0.0.1:0", Options{
-		Limits:    Limits{HeadBytes: testHead, BodyBytes: testBody, ReadTimeout: time.Minute, IdleTimeout: time.Minute},
-		HeldBytes: testBody * 3 / 2, WriteTimeout: time.Minute,
+		Limits:            Limits{HeadBytes: testHead, BodyBytes: testBody, ReadTimeout: time.Minute, IdleTimeout: time.Minute},
+		MaxBufferedBodies: testBody * 3 / 2, WriteTimeout: time.Minute,
 		Refusal: func(int) (http.Header, []byte) { return nil, nil },
 	})
 	is.NoErr(err)
--- a/serve/inbound/pipeline_test.go
+++ b/serve/inbound/pipeline_test.go
@@ -112,7 +112,7 @@
 	for range maxOverlap {
 		<-h.arrived
 	}
-	s.Leave()
+	s.AnnounceClose()
 	for i := maxOverlap; i >= 1; i-- {
 		h.answer(fmt.Sprint("/", i))
 	}
@@ -133,7 +133,7 @@
 	gone := make(chan string, 3)
 	s := listenOverlapping(t, isGet, func(x *Exchange) {
 		uri := x.URI
-		x.OnGone(func() { gone <- uri })
+		x.OnCallerGone(func() { gone <- uri })
 	})
 	conn, _ := dial(t, s)
 	sendGets(t, conn, 3)
--- a/serve/inbound/server.go
+++ b/serve/inbound/server.go
@@ -41,18 +41,18 @@
 	// MaxBodyBytes is the largest body limit that SetLimits may set; 0:
 	// Limits.BodyBytes.
 	MaxBodyBytes int
-	// HeldBytes bounds the total size of the bodies of all requests in memory;
+	// MaxBufferedBodies bounds the total size of the bodies of all requests in memory;
 	// 0: unlimited. A request that exceeds it is refused with 503.
-	HeldBytes    int64
-	WriteTimeout time.Duration // for a caller to take an answer
-	Pollers      int           // 0: nbio's default
+	MaxBufferedBodies int64
+	WriteTimeout      time.Duration // for a caller to take an answer
+	Pollers           int           // 0: nbio's default
 	// Refusal returns the header and body of the answers that this package
 	// sends itself: 400, 408, 413, 431 or 503.
 	Refusal func(status int) (http.Header, []byte)
-	// Known reports whether a request with these header fields may be a repeat
+	// MayBeRepeat reports whether a request with these header fields may be a repeat
 	// of an earlier one. If so, its refusal is left to the handler, which knows
 	// the outcome of the earlier send. May be nil.
-	Known func(h http.Header) bool
+	MayBeRepeat func(h http.Header) bool
 	// Overlaps reports whether a request may be served concurrently with others
 	// that its caller has pipelined on the same connection. Nil: each request
 	// waits for the answer to the one before.
@@ -128,7 +128,7 @@
 // HeldBytes. Each body is kept in memory as a whole; a few large ones at once
 // could exhaust it and end the process.
 func (s *Server) reserveBody(n int64) bool {
-	if s.bodyBytes.Add(n) <= s.opts.HeldBytes || s.opts.HeldBytes == 0 {
+	if s.bodyBytes.Add(n) <= s.opts.MaxBufferedBodies || s.opts.MaxBufferedBodies == 0 {
 		return true
 	}
 	s.bodyBytes.Add(-n)
@@ -264,9 +264,9 @@
 	}
 }
 
-// Leave makes every further answer tell its caller to close the connection.
+// AnnounceClose makes every further answer tell its caller to close the connection.
 // Requests are still served.
-func (s *Server) Leave() { s.stopping.Store(true) }
+func (s *Server) AnnounceClose() { s.stopping.Store(true) }
 
 // Stop waits until no request is in flight or ctx ends, and then closes
 // everything. By then the handler must refuse new requests; their connections
@@ -297,10 +297,10 @@
 	_ = s.Stop(ended) // the error only says what was aborted
 }
 
-// Refuse closes the listener and all idle connections. Otherwise callers that
+// StopAccepting closes the listener and all idle connections. Otherwise callers that
 // keep opening or reusing connections would keep a leaving VM busy until it
 // ends and breaks their requests off.
-func (s *Server) Refuse() {
+func (s *Server) StopAccepting() {
 	s.closeListener()
 	s.mu.Lock()
 	var free []*conn
--- a/serve/inbound/standard.go
+++ b/serve/inbound/standard.go
@@ -7,11 +7,11 @@
 	"net/url"
 )
 
-// Standard adapts a net/http handler whose work may block: each request runs on
+// FromHTTPHandler adapts a net/http handler whose work may block: each request runs on
 // its own goroutine. The answer is sent when the handler returns, so its size
 // must be bounded. A panic of the handler gives status 500 and is passed to
 // onPanic: a defect of one page must not end a process that serves callers.
-func Standard(h http.Handler, onPanic func(v any)) Handler { return httpHandler{h, onPanic} }
+func FromHTTPHandler(h http.Handler, onPanic func(v any)) Handler { return httpHandler{h, onPanic} }
 
 type httpHandler struct {
 	h       http.Handler
@@ -25,7 +25,7 @@
 		x.Respond(http.StatusBadRequest, nil, nil)
 		return
 	}
-	x.OnGone(cancel)
+	x.OnCallerGone(cancel)
 	go func() {
 		defer cancel()
 		w := s.run(r)
--- a/serve/ingress/apply.go
+++ b/serve/ingress/apply.go
@@ -35,7 +35,7 @@
 	if len(invalid.Removed) > 0 {
 		s.core.Post(&invalid) // StoreDegraded is false: the store itself has not failed
 	}
-	if len(targets.Set) > 0 || len(targets.Removed) > 0 {
+	if len(targets.Updated) > 0 || len(targets.Removed) > 0 {
 		targets.StoreDegraded = storeDegraded
 		s.core.Post(&targets)
 		s.logTargets(&targets)
@@ -53,12 +53,12 @@
 
 // logTargets logs changed registrations.
 func (s *Server) logTargets(ev *ingress.TargetsChanged) {
-	if len(ev.Set)+len(ev.Removed) > maxTargetLines {
+	if len(ev.Updated)+len(ev.Removed) > maxTargetLines {
 		s.logManyTargets(ev)
 		return
 	}
-	for i := range ev.Set {
-		t := &ev.Set[i]
+	for i := range ev.Updated {
+		t := &ev.Updated[i]
 		s.event(eventTarget).WithField("target", t.ID).WithField("domain", t.Domain).WithField("draining", t.Draining).
 			WithField("cold_ms", t.Cold.Milliseconds()).WithField("revision", s.copy.AsOf()).Info("registered")
 	}
@@ -75,12 +75,12 @@
 // them.
 func (s *Server) logManyTargets(ev *ingress.TargetsChanged) {
 	var draining []fleet.TargetID
-	for i := range ev.Set {
-		if ev.Set[i].Draining {
-			draining = append(draining, ev.Set[i].ID)
+	for i := range ev.Updated {
+		if ev.Updated[i].Draining {
+			draining = append(draining, ev.Updated[i].ID)
 		}
 	}
-	s.event(eventTarget).WithField("registered", len(ev.Set)).WithField("draining", len(draining)).WithField("gone", len(ev.Removed)).
+	s.event(eventTarget).WithField("registered", len(ev.Updated)).WithField("draining", len(draining)).WithField("gone", len(ev.Removed)).
 		WithField("draining_targets", draining[:min(len(draining), maxLoggedTargets)]).
 		WithField("gone_targets", ev.Removed[:min(len(ev.Removed), maxLoggedTargets)]).
 		WithField("unsure", ev.StoreDegraded).WithField("revision", s.copy.AsOf()).Info("registrations changed")
@@ -117,7 +117,7 @@
 		s.core.Post(d.Evacuated)
 		line(eventEvacuate).WithField("domain", d.Evacuated.Domain).WithField("begin", d.Evacuated.Begin).Info("evacuation changed")
 	case d.TargetUpdated != nil:
-		targets.Set = append(targets.Set, *d.TargetUpdated)
+		targets.Updated = append(targets.Updated, *d.TargetUpdated)
 	case d.TargetInvalid != "":
 		invalid.Removed = append(invalid.Removed, d.TargetInvalid)
 		line(eventTarget).WithField("target", d.TargetInvalid).Warn("invalid registration: target is not used")
--- a/serve/ingress/call.go
+++ b/serve/ingress/call.go
@@ -92,17 +92,17 @@
 	k.timeout = timeout
 	k.fingerprint = quarantine.FingerprintOf(quarantine.Content{Method: x.Method, Host: host, URI: x.URI, Body: x.Body})
 	s.core.Post(&ingress.Arrive{
-		Request: k.id, Host: host, Path: x.URI, Object: object, Patience: timeout, Bytes: len(x.Body),
+		Request: k.id, Host: host, Path: x.URI, Object: object, Timeout: timeout, Bytes: len(x.Body),
 		Fingerprint: k.fingerprint,
 	})
-	x.OnGone(func() { s.core.Post(&ingress.CallerGone{Request: k.id}) })
+	x.OnCallerGone(func() { s.core.Post(&ingress.CallerGone{Request: k.id}) })
 }
 
 // callerTimeout reads how long the caller waits, 0 if not stated. It reports
 // false if the header field is invalid.
 func (s *Server) callerTimeout(h http.Header) (time.Duration, bool) {
 	v := h.Get(s.settings.Fields.Timeout)
-	d, ok := heads.Wait(v)
+	d, ok := heads.ParseMillis(v)
 	if v != "" && ok {
 		d = max(d, time.Millisecond) // 0 means that the caller states no timeout
 	}
@@ -145,16 +145,16 @@
 func (s *Server) targetRequest(x *inbound.Exchange, e *ingress.Send) *outbound.Request {
 	f := &s.settings.Fields
 	h := x.Header.Clone()
-	heads.EndToEnd(h)
+	heads.RemoveHopByHop(h)
 	h[f.Target] = []string{string(e.Target)}
 	h[f.Timeout] = []string{strconv.FormatInt(max(e.TimeLeft.Milliseconds(), 1), 10)}
 	id := x.Header.Get(f.RequestID)
 	return &outbound.Request{
 		Method: x.Method, URI: x.URI, Host: x.Header.Get("Host"), Header: h, Body: x.Body,
-		Own:           func(status int, h http.Header) bool { return s.answersRequest(id, status, h) },
-		MayEndByClose: true,
-		Connect:       e.ConnectTimeout,
-		Spare:         e.Spare,
+		IsOwnAnswer:    func(status int, h http.Header) bool { return s.answersRequest(id, status, h) },
+		MayEndByClose:  true,
+		ConnectTimeout: e.ConnectTimeout,
+		KeepSpare:      e.KeepSpare,
 	}
 }
 
@@ -181,21 +181,21 @@
 	k.mu.Lock()
 	a.answer = ans
 	rec := &k.sends[a.sendIndex]
-	rec.WaitedMS = ans.Waited.Milliseconds()
+	rec.WaitedMS = ans.ConnectionWait.Milliseconds()
 	domain := rec.Domain
 	k.mu.Unlock()
-	if ans.Waited > 0 && !k.forwarded {
-		s.metrics.addConnWait(domain, ans.Waited)
+	if ans.ConnectionWait > 0 && !k.forwarded {
+		s.metrics.addConnWait(domain, ans.ConnectionWait)
 	}
 	s.recordOutcome(k, a, outcome.String(), outcome.Verdict(), verdict.ReasonNone)
 	s.core.Post(&ingress.Answered{
-		Attempt: id,
-		Outcome: outcome,
-		Load:    parseLoad(ans.Header.Get(s.settings.Fields.Load)),
-		Limit:   s.rateLimitOf(k, a, ans),
-		Bytes:   len(ans.Body),
-		Connect: ans.Connected,
-		Waited:  ans.Waited,
+		Attempt:        id,
+		Outcome:        outcome,
+		Load:           parseLoad(ans.Header.Get(s.settings.Fields.Load)),
+		Limit:          s.rateLimitOf(k, a, ans),
+		Bytes:          len(ans.Body),
+		ConnectTime:    ans.ConnectTime,
+		ConnectionWait: ans.ConnectionWait,
 	})
 }
 
@@ -285,7 +285,7 @@
 		s.deliverForwarded(k, a)
 		return
 	}
-	heads.EndToEnd(a.Header)
+	heads.RemoveHopByHop(a.Header)
 	k.exchange.Respond(a.Status, a.Header, a.Body)
 	s.logDelivered(k, a.Status)
 }
--- a/serve/ingress/effects.go
+++ b/serve/ingress/effects.go
@@ -13,7 +13,7 @@
 		out.Reset()
 		r.Step(now, ev, &out)
 		s.execute(&out)
-		return out.Wake
+		return out.WakeAt
 	}
 }
 
@@ -42,7 +42,7 @@
 		s.refuse(&out.Refusals[i])
 	}
 	for _, addr := range out.RestartedAddrs {
-		s.targetPool.Discard(addr, 0)
+		s.targetPool.CloseIdle(addr, 0)
 	}
 	for _, id := range out.SilentGateways {
 		s.handleSilentGateway(id)
@@ -56,8 +56,8 @@
 	for i := range out.Quarantines {
 		s.quarantineChanged(&out.Quarantines[i])
 	}
-	for i := range out.Tells {
-		s.sendMessage(&out.Tells[i])
+	for i := range out.Messages {
+		s.sendMessage(&out.Messages[i])
 	}
 	for _, c := range out.StateChanges {
 		s.metrics.targetStateChanges.Add(c.Change, 1)
--- a/serve/ingress/gateway.go
+++ b/serve/ingress/gateway.go
@@ -57,10 +57,10 @@
 			BodyTimeout: bodyTimeout,
 			IdleTimeout: gatewayIdleTimeout + gatewayIdleMargin,
 		},
-		HeldBytes:    s.settings.MemoryBytes / gatewayBodyMemoryDivisor,
-		WriteTimeout: writeTimeout,
-		Pollers:      1,
-		Refusal:      func(int) (http.Header, []byte) { return gatewayNotRun(), nil },
+		MaxBufferedBodies: s.settings.MemoryBytes / gatewayBodyMemoryDivisor,
+		WriteTimeout:      writeTimeout,
+		Pollers:           1,
+		Refusal:           func(int) (http.Header, []byte) { return gatewayNotRun(), nil },
 	})
 	if err != nil {
 		return err
@@ -89,22 +89,22 @@
 		return nil
 	}
 	h := k.exchange.Header.Clone()
-	heads.EndToEnd(h)
+	heads.RemoveHopByHop(h)
 	h[forwardHeader] = []string{s.forwardHeaderValue(e)}
 	id := e.Attempt
 	return s.gatewayPool.Do(vm.GatewayAddr, &outbound.Request{
 		Method: k.exchange.Method, URI: k.exchange.URI, Host: k.exchange.Header.Get("Host"), Header: h, Body: k.exchange.Body,
-		Acknowledged: func() { s.core.Post(&ingress.Received{Attempt: id}) },
-		Connect:      e.ConnectTimeout,
-		Spare:        e.Spare,
+		Acknowledged:   func() { s.core.Post(&ingress.GatewayAccepted{Attempt: id}) },
+		ConnectTimeout: e.ConnectTimeout,
+		KeepSpare:      e.KeepSpare,
 	}, func(ans *outbound.Answer, err *verdict.Error) {
 		switch {
 		case err != nil && err.Reason == verdict.ReasonCallerGone:
 			// This VM cancelled it.
 		case err != nil:
 			err = &verdict.Error{Verdict: err.Verdict, Reason: verdict.ReasonGateway, Err: err}
-		case heads.Failure(ans.Header) != nil:
-			ans, err = nil, heads.Failure(ans.Header)
+		case heads.ParseFailure(ans.Header) != nil:
+			ans, err = nil, heads.ParseFailure(ans.Header)
 		}
 		done(ans, err)
 	})
@@ -122,7 +122,7 @@
 // reachable.
 func (s *Server) discardGatewayConns(id fleet.VMID) {
 	if vm, known := s.member(id); known {
-		s.gatewayPool.Discard(vm.GatewayAddr, 0)
+		s.gatewayPool.CloseIdle(vm.GatewayAddr, 0)
 	}
 }
 
@@ -147,28 +147,28 @@
 	ev.Request = k.id
 	s.metrics.forwarded.Add(1)
 	s.core.Post(ev)
-	x.OnGone(func() { s.core.Post(&ingress.CallerGone{Request: k.id}) })
+	x.OnCallerGone(func() { s.core.Post(&ingress.CallerGone{Request: k.id}) })
 }
 
 // parseForwardHeader parses forwardHeader. It reports false if the value is
 // invalid or from another deployment.
-func (s *Server) parseForwardHeader(h http.Header) (*ingress.Carry, bool) {
+func (s *Server) parseForwardHeader(h http.Header) (*ingress.ForwardRequest, bool) {
 	part := strings.Split(h.Get(forwardHeader), " ")
 	if len(part) != 3 || subtle.ConstantTimeCompare([]byte(part[2]), []byte(s.deploymentTag)) == 0 {
 		return nil, false
 	}
-	left, ok := heads.Wait(part[1])
+	left, ok := heads.ParseMillis(part[1])
 	if !ok || part[0] == "" {
 		return nil, false
 	}
-	return &ingress.Carry{Target: fleet.TargetID(part[0]), Left: left}, true
+	return &ingress.ForwardRequest{Target: fleet.TargetID(part[0]), TimeLeft: left}, true
 }
 
 // deliverForwarded returns a target's answer to the entry VM that received the
 // request.
 func (s *Server) deliverForwarded(k *call, ans *outbound.Answer) {
-	heads.EndToEnd(ans.Header)
-	heads.DropFailure(ans.Header)
+	heads.RemoveHopByHop(ans.Header)
+	heads.RemoveFailure(ans.Header)
 	k.exchange.Respond(ans.Status, ans.Header, ans.Body)
 }
 
--- a/serve/ingress/gateway_test.go
+++ b/serve/ingress/gateway_test.go
@@ -254,7 +254,7 @@
 			res, err := http.DefaultClient.Do(req)
 			is.NoErr(err)
 			defer res.Body.Close()
-			failure := heads.Failure(res.Header)
+			failure := heads.ParseFailure(res.Header)
 			is.True(failure != nil)
 			is.Equal(failure.Verdict, verdict.NotRun)
 			is.Equal(failure.Reason, verdict.ReasonGateway)
--- a/serve/ingress/harness_test.go
+++ b/serve/ingress/harness_test.go
@@ -210,7 +210,7 @@
 		LookupTTL:   time.Second,
 		LeaseTTL:    10 * time.Second,
 		DrainTime:   2 * time.Second,
-		Bounds:      ingress.Bounds{ColdFactor: 1, ColdSlack: 10, RepeatRatio: 0.5, RepeatSlack: 20},
+		Bounds:      ingress.Bounds{ColdFactor: 1, ColdSlack: 10, RetryRatio: 0.5, RetrySlack: 20},
 		Fields:      testFields,
 		Pages:       Pages{Ready: "/ready", Lookup: "/lookup"},
 		Translate:   testTranslator{},
@@ -239,7 +239,7 @@
 // hasTargets reports whether s has n targets.
 func (s *Server) hasTargets(n int) bool {
 	known := 0
-	s.core.Ask(func(_ clock.Time, r *ingress.Reducer) { known = r.TargetCount() })
+	s.core.Query(func(_ clock.Time, r *ingress.Reducer) { known = r.TargetCount() })
 	return known == n
 }
 
--- a/serve/ingress/pack.go
+++ b/serve/ingress/pack.go
@@ -60,12 +60,12 @@
 		}
 		pages = append(pages, b.Data)
 	}
-	return pack.All(pack.Fast, pages...)
+	return pack.Compress(pack.Fast, pages...)
 }
 
 // unpackPage decompresses a page. It rejects pages larger than any that is sent.
 func unpackPage(packed []byte) ([]mirror.Change, error) {
-	data, err := pack.Open(packed, peer.MaxBody)
+	data, err := pack.Decompress(packed, peer.MaxBody)
 	if err != nil {
 		return nil, fmt.Errorf("ingress: %w", err)
 	}
--- a/serve/ingress/peers.go
+++ b/serve/ingress/peers.go
@@ -95,13 +95,13 @@
 	if err := peer.Decode(b, peer.MaxBody, m); err != nil {
 		return err
 	}
-	s.core.Post(&ingress.Heard{From: from, Message: m})
+	s.core.Post(&ingress.IncomingMessage{From: from, Message: m})
 	return nil
 }
 
 // sendMessage executes a Tell. A message that cannot be sent is dropped, just as
 // it may be lost in the network: the sender of a request has a timeout.
-func (s *Server) sendMessage(t *ingress.Tell) {
+func (s *Server) sendMessage(t *ingress.OutgoingMessage) {
 	var kind peer.Kind
 	switch t.Message.(type) {
 	case *ingress.PlacementRequest:
--- a/serve/ingress/placementlog.go
+++ b/serve/ingress/placementlog.go
@@ -30,7 +30,7 @@
 
 func (s *Server) logPlacement() {
 	var placed []ingress.PlacementStats
-	s.core.Ask(func(_ clock.Time, r *ingress.Reducer) { placed = r.TakePlacementStats() })
+	s.core.Query(func(_ clock.Time, r *ingress.Reducer) { placed = r.TakePlacementStats() })
 	for _, p := range placed {
 		s.event(eventPlaced).WithField("service", p.Service).WithField("by_region", p.ByRegion).
 			WithField("crossed", p.RemoteByReason).WithField("slower", p.RemoteSlower).
--- a/serve/ingress/quarantine.go
+++ b/serve/ingress/quarantine.go
@@ -158,7 +158,7 @@
 func (s *Server) probe(p ingress.Probe) {
 	s.metrics.probes.Add(1)
 	go func() {
-		s.core.Post(&ingress.Probed{Target: p.Target, Born: p.Born, Listening: checkListening(p.Addr, p.Timeout)})
+		s.core.Post(&ingress.Probed{Target: p.Target, StartedAt: p.StartedAt, Listening: checkListening(p.Addr, p.Timeout)})
 	}()
 }
 
--- a/serve/ingress/quarantine_test.go
+++ b/serve/ingress/quarantine_test.go
@@ -75,7 +75,7 @@
 // quarantineCount returns the number of fingerprints in quarantine at s.
 func (s *Server) quarantineCount() int {
 	n := 0
-	s.core.Ask(func(now clock.Time, r *ingress.Reducer) { n = r.Status(now).Quarantined })
+	s.core.Query(func(now clock.Time, r *ingress.Reducer) { n = r.Status(now).Quarantined })
 	return n
 }
 
@@ -105,7 +105,7 @@
 		w.eventually("all entry VMs have it in quarantine", func() bool { return s.quarantineCount() == 1 })
 	}
 	ended := ends.Load()
-	is.True(ended <= quarantine.MaxEnds+1) // one more may have been in flight
+	is.True(ended <= quarantine.QuarantineThreshold+1) // one more may have been in flight
 
 	for n, s := range vms {
 		id := "late-" + strconv.Itoa(n)
--- a/serve/ingress/ratelimit.go
+++ b/serve/ingress/ratelimit.go
@@ -19,14 +19,14 @@
 		}
 	}
 	if len(values) == 0 {
-		return ingress.RateLimit{Heard: true}
+		return ingress.RateLimit{Known: true}
 	}
 	rate, err := parseRate(values)
 	if err != nil {
 		s.logUnreadLimit(k, a, values, err)
 		return ingress.RateLimit{}
 	}
-	return ingress.RateLimit{Heard: true, Named: true, PerSecond: rate}
+	return ingress.RateLimit{Known: true, Limited: true, PerSecond: rate}
 }
 
 // logUnreadLimit logs a rate limit that cannot be parsed. It shares the limit of
--- a/serve/ingress/ratelimit_test.go
+++ b/serve/ingress/ratelimit_test.go
@@ -32,7 +32,7 @@
 // have a rate limit.
 func (s *Server) limitedTargets() int {
 	n := 0
-	s.core.Ask(func(now clock.Time, r *ingress.Reducer) { n = r.Status(now).Services["svc"].Limited })
+	s.core.Query(func(now clock.Time, r *ingress.Reducer) { n = r.Status(now).Services["svc"].Limited })
 	return n
 }
 
--- a/serve/ingress/relay.go
+++ b/serve/ingress/relay.go
@@ -53,7 +53,7 @@
 		// A restarted VM knows other VMs only by the addresses in its settings.
 		for _, addr := range s.reloadable.Load().seeds {
 			if addr != s.settings.Self.PeerAddr {
-				far = append(far, peer.At(addr))
+				far = append(far, peer.AtAddress(addr))
 			}
 		}
 	}
