--- a/serve/ingress/reload_test.go
+++ b/serve/ingress/reload_test.go
@@ -76,7 +76,7 @@
 	s.Reload(&set, nil)
 	w.eventually("they are in force", func() bool {
 		var shift float64
-		s.core.Ask(func(_ clock.Time, r *ingress.Reducer) { shift = r.Bounds().RegionShift })
+		s.core.Query(func(_ clock.Time, r *ingress.Reducer) { shift = r.Bounds().RegionShift })
 		return shift == 0.4
 	})
 }
--- a/serve/ingress/server.go
+++ b/serve/ingress/server.go
@@ -202,12 +202,12 @@
 			BodyTimeout: bodyTimeout,
 			IdleTimeout: defaultIdleTimeout,
 		},
-		MaxBodyBytes: maxBodyBytes,
-		HeldBytes:    s.settings.MemoryBytes / bodyMemoryDivisor,
-		WriteTimeout: writeTimeout,
-		Pollers:      1,
-		Refusal:      func(int) (http.Header, []byte) { return nil, nil },
-		Overlaps:     s.mayOverlap,
+		MaxBodyBytes:      maxBodyBytes,
+		MaxBufferedBodies: s.settings.MemoryBytes / bodyMemoryDivisor,
+		WriteTimeout:      writeTimeout,
+		Pollers:           1,
+		Refusal:           func(int) (http.Header, []byte) { return nil, nil },
+		Overlaps:          s.mayOverlap,
 	})
 }
 
@@ -287,9 +287,9 @@
 	ctx, cancel := context.WithTimeout(context.Background(), s.reloadable.Load().stopTimeout-stopMargin)
 	defer cancel()
 	s.leaving.Store(true)
-	s.callerServer.Leave()
+	s.callerServer.AnnounceClose()
 	if s.gatewayServer != nil {
-		s.gatewayServer.Leave()
+		s.gatewayServer.AnnounceClose()
 	}
 	s.event(eventStop).WithField("in_flight", s.calls.len()).Info("entry VM is stopping")
 	s.cancel() // keepRegistered revokes the lease
@@ -297,11 +297,11 @@
 	case <-time.After(leaveDelay):
 	case <-ctx.Done():
 	}
-	s.callerServer.Refuse()
+	s.callerServer.StopAccepting()
 	err := s.callerServer.Stop(ctx)
 	if s.gatewayServer != nil {
 		// Other entry VMs learn later than callers that this VM is leaving.
-		s.gatewayServer.Refuse()
+		s.gatewayServer.StopAccepting()
 		err = errors.Join(err, s.gatewayServer.Stop(ctx))
 	}
 	s.shutdown()
@@ -341,7 +341,7 @@
 // placement returns the reducer's status for the metrics.
 func (s *Server) placement() ingress.Status {
 	var st ingress.Status
-	s.core.Ask(func(now clock.Time, r *ingress.Reducer) { st = r.Status(now) })
+	s.core.Query(func(now clock.Time, r *ingress.Reducer) { st = r.Status(now) })
 	return st
 }
 
--- a/serve/logs/logs.go
+++ b/serve/logs/logs.go
@@ -23,10 +23,10 @@
 	return l
 }
 
-// TakeNetwork sends nbio's log messages to l. nbio's logger is global to the
+// RedirectNbio sends nbio's log messages to l. nbio's logger is global to the
 // process. Its info messages are logged at debug level, because nbio reports
 // every start and stop of a poller as info.
-func TakeNetwork(l logrus.FieldLogger) {
+func RedirectNbio(l logrus.FieldLogger) {
 	logging.SetLogger(nbioLogger{l.WithField("library", "nbio")})
 }
 
--- a/serve/outbound/call.go
+++ b/serve/outbound/call.go
@@ -19,23 +19,23 @@
 	Body   []byte
 	// Host is the value of the Host field; empty: the receiver's address.
 	Host string
-	// Own reports whether an answer with this status and these fields belongs
+	// IsOwnAnswer reports whether an answer with this status and these fields belongs
 	// to this request; nil: every answer does.
-	Own func(status int, h http.Header) bool
+	IsOwnAnswer func(status int, h http.Header) bool
 	// MayEndByClose accepts an answer without a length as complete when the
 	// receiver has closed the connection cleanly.
 	MayEndByClose bool
-	// Connect bounds the time to open a connection; 0: Options.DialTimeout.
-	Connect time.Duration
-	// Fresh asks for a new connection even if one is idle, because the idle
+	// ConnectTimeout bounds the time to open a connection; 0: Options.DialTimeout.
+	ConnectTimeout time.Duration
+	// NewConnection asks for a new connection even if one is idle, because the idle
 	// ones are suspected to be silent.
-	Fresh bool
+	NewConnection bool
 	// Acknowledged is called when the receiver reports, before its answer, that
 	// it has received the request. It must not block; may be nil.
 	Acknowledged func()
-	// Spare asks for one more connection if the request takes the last idle
+	// KeepSpare asks for one more connection if the request takes the last idle
 	// one.
-	Spare bool
+	KeepSpare bool
 }
 
 // Answer is one complete answer.
@@ -43,12 +43,12 @@
 	Status int
 	Header http.Header
 	Body   []byte
-	// Connected is the time it took to open the connection, if it was opened
+	// ConnectTime is the time it took to open the connection, if it was opened
 	// for a request and this is its first answer; otherwise 0.
-	Connected time.Duration
-	// Waited is how long the request waited for a connection; 0 if one was
+	ConnectTime time.Duration
+	// ConnectionWait is how long the request waited for a connection; 0 if one was
 	// idle.
-	Waited time.Duration
+	ConnectionWait time.Duration
 }
 
 // Done receives the outcome of a call: exactly one of the arguments is not nil.
@@ -78,7 +78,7 @@
 	}
 	k.finished = true
 	if a != nil {
-		a.Waited = k.waited
+		a.ConnectionWait = k.waited
 	}
 	k.mu.Unlock()
 	k.done(a, err)
--- a/serve/outbound/conn.go
+++ b/serve/outbound/conn.go
@@ -247,7 +247,7 @@
 	if !c.p.hasRequest(c) {
 		return errUnsolicited
 	}
-	c.answer = &Answer{Header: make(http.Header, typicalHeaderFields), Connected: c.connected}
+	c.answer = &Answer{Header: make(http.Header, typicalHeaderFields), ConnectTime: c.connected}
 	c.answerStarted.Store(true)
 	c.framed = false
 	c.foreignAnswer = false
--- a/serve/outbound/dial.go
+++ b/serve/outbound/dial.go
@@ -19,7 +19,7 @@
 	pe.mu.Lock()
 	pe.dialing--
 	pe.mu.Unlock()
-	if claimed == nil && err != nil && (k.req.Fresh || pe.stopWaiting(k)) {
+	if claimed == nil && err != nil && (k.req.NewConnection || pe.stopWaiting(k)) {
 		claimed = k
 	}
 	switch {
@@ -56,8 +56,8 @@
 func (pe *peer) connect(k *Call) (*conn, *Call, error) {
 	opts := &pe.pool.opts
 	timeout := opts.DialTimeout
-	if k.req.Connect > 0 {
-		timeout = k.req.Connect
+	if k.req.ConnectTimeout > 0 {
+		timeout = k.req.ConnectTimeout
 	}
 	began := opts.Now()
 	nc, err := opts.Dial("tcp", pe.addr, timeout)
@@ -69,7 +69,7 @@
 
 // claimNew returns the request that gets a connection opened for k.
 func (pe *peer) claimNew(k *Call) *Call {
-	if k.req.Fresh || pe.stopWaiting(k) {
+	if k.req.NewConnection || pe.stopWaiting(k) {
 		return k
 	}
 	pe.mu.Lock()
--- a/serve/outbound/outbound_test.go
+++ b/serve/outbound/outbound_test.go
@@ -234,7 +234,7 @@
 		conn  string
 	}{{false, "0"}, {false, "0"}, {true, "1"}} {
 		ch := make(chan outcome, 1)
-		r := &Request{Method: http.MethodGet, URI: "/", Header: http.Header{}, Fresh: c.fresh}
+		r := &Request{Method: http.MethodGet, URI: "/", Header: http.Header{}, NewConnection: c.fresh}
 		p.Do(addr, r, func(a *Answer, err *verdict.Error) { ch <- outcome{a, err} })
 		is.Equal(string((<-ch).a.Body), c.conn)
 	}
--- a/serve/outbound/peer.go
+++ b/serve/outbound/peer.go
@@ -186,7 +186,7 @@
 	pe.mu.Lock()
 	k := c.call
 	pe.mu.Unlock()
-	return k == nil || k.req.Own == nil || k.req.Own(c.answer.Status, c.answer.Header)
+	return k == nil || k.req.IsOwnAnswer == nil || k.req.IsOwnAnswer(c.answer.Status, c.answer.Header)
 }
 
 // reportAcknowledged calls Acknowledged of c's request.
--- a/serve/outbound/pool.go
+++ b/serve/outbound/pool.go
@@ -74,10 +74,10 @@
 // Do returns. Do does not block.
 func (p *Pool) Do(addr string, r *Request, done Done) *Call {
 	k := &Call{req: r, done: done}
-	pe, c := p.claim(addr, k, r.Fresh)
+	pe, c := p.claim(addr, k, r.NewConnection)
 	if c != nil {
 		c.start(k)
-		if r.Spare && pe.reserveSpareDial() {
+		if r.KeepSpare && pe.reserveSpareDial() {
 			go pe.dialSpare()
 		}
 		return k
@@ -86,11 +86,11 @@
 	return k
 }
 
-// Discard closes the connections to addr that have been idle for at least age.
+// CloseIdle closes the connections to addr that have been idle for at least age.
 // A firewall or router on the path may drop the state of open connections
 // without a reset. When one connection has become silent, those unused since
 // then are suspect too, while a new one costs about a millisecond.
-func (p *Pool) Discard(addr string, age time.Duration) {
+func (p *Pool) CloseIdle(addr string, age time.Duration) {
 	if pe := p.find(addr); pe != nil {
 		pe.closeIdle(age)
 	}
--- a/serve/outbound/waiting_test.go
+++ b/serve/outbound/waiting_test.go
@@ -77,8 +77,8 @@
 	answer <- struct{}{}
 	o := <-second // its dial still waits at the gate
 	is.True(o.err == nil)
-	is.Equal(o.a.Connected, time.Duration(0))
-	is.True(o.a.Waited > 0)
+	is.Equal(o.a.ConnectTime, time.Duration(0))
+	is.True(o.a.ConnectionWait > 0)
 	is.Equal(p.Connections(addr), 1)
 	close(g.pass)
 	for p.Connections(addr) < 2 { // the newly opened connection is kept
@@ -88,7 +88,7 @@
 	_, third := send(p, addr)
 	o = <-third
 	is.True(o.err == nil)
-	is.Equal(o.a.Waited, time.Duration(0))
+	is.Equal(o.a.ConnectionWait, time.Duration(0))
 	is.Equal(g.dials.Load(), int64(2))
 }
 
@@ -177,7 +177,7 @@
 	addr := receiver(t, answerAlways("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok"))
 	p := newPool(t)
 	ch := make(chan outcome, 1)
-	r := &Request{Method: http.MethodGet, URI: "/", Header: http.Header{}, Fresh: true}
+	r := &Request{Method: http.MethodGet, URI: "/", Header: http.Header{}, NewConnection: true}
 	p.Do(addr, r, func(a *Answer, err *verdict.Error) { ch <- outcome{a, err} })
 	is.True((<-ch).err == nil)
 	awaitNoConnections(p, addr)
@@ -195,7 +195,7 @@
 	p := newPool(t)
 	spared := func() <-chan outcome {
 		ch := make(chan outcome, 1)
-		r := &Request{Method: http.MethodGet, URI: "/", Header: http.Header{}, Spare: true}
+		r := &Request{Method: http.MethodGet, URI: "/", Header: http.Header{}, KeepSpare: true}
 		p.Do(addr, r, func(a *Answer, err *verdict.Error) { ch <- outcome{a, err} })
 		return ch
 	}
@@ -212,6 +212,6 @@
 	for _, ch := range []<-chan outcome{second, third} {
 		o := <-ch
 		is.True(o.err == nil)
-		is.Equal(o.a.Waited, time.Duration(0))
+		is.Equal(o.a.ConnectionWait, time.Duration(0))
 	}
 }
--- a/serve/pack/pack.go
+++ b/serve/pack/pack.go
@@ -20,8 +20,8 @@
 
 var levels = [...]zstd.EncoderLevel{Fast: zstd.SpeedFastest, Small: zstd.SpeedDefault}
 
-// All compresses each part separately.
-func All(l Level, parts ...[]byte) ([][]byte, error) {
+// Compress compresses each part separately.
+func Compress(l Level, parts ...[]byte) ([][]byte, error) {
 	enc, err := zstd.NewWriter(nil, zstd.WithEncoderLevel(levels[l]), zstd.WithEncoderConcurrency(1),
 		zstd.WithLowerEncoderMem(true))
 	if err != nil {
@@ -35,9 +35,9 @@
 	return packed, nil
 }
 
-// Open decompresses packed. It fails if the result exceeds limit bytes, so that
+// Decompress decompresses packed. It fails if the result exceeds limit bytes, so that
 // damaged data cannot exhaust the memory.
-func Open(packed []byte, limit uint64) ([]byte, error) {
+func Decompress(packed []byte, limit uint64) ([]byte, error) {
 	dec, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true),
 		zstd.WithDecoderMaxMemory(limit))
 	if err != nil {
--- a/serve/pack/pack_test.go
+++ b/serve/pack/pack_test.go
@@ -11,11 +11,11 @@
 	for _, l := range []Level{Fast, Small} {
 		is := is.New(t)
 		parts := [][]byte{nil, []byte("a"), bytes.Repeat([]byte("ab"), 10_000)}
-		packed, err := All(l, parts...)
+		packed, err := Compress(l, parts...)
 		is.NoErr(err)
 		is.True(len(packed[2]) < 1000)
 		for i, p := range packed {
-			plain, err := Open(p, 20_000)
+			plain, err := Decompress(p, 20_000)
 			is.NoErr(err)
 			is.True(bytes.Equal(plain, parts[i]))
 		}
@@ -25,10 +25,10 @@
 // Guards against a few bytes that decompress to more than fits into memory.
 func TestOpenIsBounded(t *testing.T) {
 	is := is.New(t)
-	packed, err := All(Small, make([]byte, 1<<20))
+	packed, err := Compress(Small, make([]byte, 1<<20))
 	is.NoErr(err)
-	_, err = Open(packed[0], 1<<19)
+	_, err = Decompress(packed[0], 1<<19)
 	is.True(err != nil)
-	_, err = Open([]byte("not packed"), 1<<19)
+	_, err = Decompress([]byte("not packed"), 1<<19)
 	is.True(err != nil)
 }
--- a/serve/peer/body_test.go
+++ b/serve/peer/body_test.go
@@ -55,7 +55,7 @@
 
 func TestLoadReportRoundTrip(t *testing.T) {
 	is := is.New(t)
-	r := &load.Report{Scope: load.ScopeFar, Services: []uint32{7, 8}, Rows: []load.Row{
+	r := &load.Report{Scope: load.ScopeOtherRegion, Services: []uint32{7, 8}, Rows: []load.Row{
 		{Place: 1, Age: 2, SumAge: 1, ServiceBits: 2, Values: []uint32{1, 2, 3, 4, 5, 6, 7}}}}
 	b, err := EncodeLoad(r)
 	is.NoErr(err)
--- a/serve/peer/capacity_test.go
+++ b/serve/peer/capacity_test.go
@@ -84,15 +84,15 @@
 
 // updateLoad updates the load reducer after a change of the membership.
 func (m *meter) updateLoad(n *membertest.EntryVM, out *member.Ready) {
-	if !out.Group && len(out.Changed) == 0 {
+	if !out.DutiesChanged && len(out.Changed) == 0 {
 		return
 	}
 	m.state(n).Step(m.n.Now, fleetOf(n.State))
 }
 
-func fleetOf(s *member.State) *load.Fleet {
+func fleetOf(s *member.State) *load.Membership {
 	d := s.Duties()
-	f := &load.Fleet{Representative: d.Representative, Group: d.Group, Peers: d.Peers}
+	f := &load.Membership{Representative: d.Representative, Group: d.Group, Peers: d.Peers}
 	for _, v := range s.Domains(nil) {
 		f.Domains = append(f.Domains, load.DomainOf{Region: v.Region, Domain: v.Domain})
 	}
--- a/serve/peer/dial.go
+++ b/serve/peer/dial.go
@@ -11,9 +11,9 @@
 // addressPrefix marks an id that stands for whichever VM is at an address.
 const addressPrefix = "@"
 
-// At returns a VM to pass to Send for the entry VM at addr, a host:port, whose id
+// AtAddress returns a VM to pass to Send for the entry VM at addr, a host:port, whose id
 // is not known. Its answers arrive under the id of that placeholder.
-func At(addr string) fleet.VM {
+func AtAddress(addr string) fleet.VM {
 	return fleet.VM{ID: fleet.VMID(addressPrefix + addr), PeerAddr: addr}
 }
 
--- a/serve/store/document.go
+++ b/serve/store/document.go
@@ -42,7 +42,7 @@
 // the document was built on.
 type operation struct {
 	ID string `json:"id,omitempty"` // empty for a catalogue restored by the fleet
-	config.Point
+	config.Version
 }
 
 // document is the value of HeadKey.
@@ -76,12 +76,12 @@
 
 // remembers reports whether every operation accepted after p is still listed,
 // so that a missing one was certainly not accepted.
-func (d *document) remembers(p config.Point) bool {
-	if p == (config.Point{}) {
+func (d *document) remembers(p config.Version) bool {
+	if p == (config.Version{}) {
 		return len(d.Operations) < MaxOperations
 	}
 	for _, o := range d.Operations {
-		if o.Point == p {
+		if o.Version == p {
 			return true
 		}
 	}
@@ -89,15 +89,15 @@
 }
 
 // point returns the document's revision and hash.
-func (d *document) point() config.Point {
-	return config.Point{Revision: d.Revision, Hash: d.Hash}
+func (d *document) point() config.Version {
+	return config.Version{Revision: d.Revision, Hash: d.Hash}
 }
 
 // lineage returns the revisions that the document lists.
-func (d *document) lineage() []config.Point {
-	out := make([]config.Point, len(d.Operations))
+func (d *document) lineage() []config.Version {
+	out := make([]config.Version, len(d.Operations))
 	for i, o := range d.Operations {
-		out[i] = o.Point
+		out[i] = o.Version
 	}
 	return out
 }
@@ -105,7 +105,7 @@
 // next returns the document that follows d, with catalogue c written by the
 // operation id. base is what c was built on; if that is not d itself it is
 // added to the lineage.
-func (d *document) next(c *catalogue.Catalogue, id string, base config.Point) (document, error) {
+func (d *document) next(c *catalogue.Catalogue, id string, base config.Version) (document, error) {
 	hash, err := config.Hash(c)
 	if err != nil {
 		return document{}, err
@@ -113,10 +113,10 @@
 	n := document{Format: config.Format, Revision: c.Revision, Hash: hash, Catalogue: c, Obsolete: d.Chunks}
 	n.Operations = append(n.Operations, d.Operations...)
 	if base != d.point() && base.Revision > 0 {
-		n.Operations = append(n.Operations, operation{Point: base})
+		n.Operations = append(n.Operations, operation{Version: base})
 	}
 	if at := n.point(); id != "" || at != base {
-		n.Operations = append(n.Operations, operation{ID: id, Point: at})
+		n.Operations = append(n.Operations, operation{ID: id, Version: at})
 	}
 	n.Operations = n.Operations[max(0, len(n.Operations)-MaxOperations):]
 	return n, nil
@@ -160,7 +160,7 @@
 }
 
 func compress(body []byte) ([]byte, error) {
-	packed, err := pack.All(pack.Small, body)
+	packed, err := pack.Compress(pack.Small, body)
 	if err != nil {
 		return nil, fmt.Errorf("store: compress catalogue: %w", err)
 	}
@@ -168,7 +168,7 @@
 }
 
 // splitChunks splits a compressed catalogue into chunks.
-func splitChunks(packed []byte, p config.Point) ([]chunk, error) {
+func splitChunks(packed []byte, p config.Version) ([]chunk, error) {
 	size := len(packed)
 	var out []chunk
 	for len(packed) > 0 {
@@ -258,7 +258,7 @@
 }
 
 func unpack(packed []byte) (*catalogue.Catalogue, error) {
-	body, err := pack.Open(packed, maxCatalogue)
+	body, err := pack.Decompress(packed, maxCatalogue)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
--- a/serve/store/duty_test.go
+++ b/serve/store/duty_test.go
@@ -103,7 +103,7 @@
 		return err.Error() + "\n"
 	}
 	s.f.clock.Advance(span)
-	s.f.server.Tick()
+	s.f.server.ApplyDue()
 	return "ok\n"
 }
 
--- a/serve/store/reader.go
+++ b/serve/store/reader.go
@@ -120,9 +120,9 @@
 	e, err := r.o.Store.Watch(ctx, HeadKey, w.After, w.Wait)
 	if errors.Is(err, platform.ErrNotModified) {
 		return &config.PlatformRead{
-			Seq:       w.Seq,
-			Result:    config.ReadNotModified,
-			Confirmed: r.confirmedAt(asked, w),
+			Seq:         w.Seq,
+			Result:      config.ReadNotModified,
+			ConfirmedAt: r.confirmedAt(asked, w),
 		}
 	}
 	return r.outcome(ctx, w.Seq, e, err, asked)
@@ -139,7 +139,7 @@
 }
 
 func (r *Reader) outcome(ctx context.Context, seq uint64, e platform.Entry, err error, asked clock.Time) *config.PlatformRead {
-	ev := &config.PlatformRead{Seq: seq, Index: e.Index, Confirmed: asked}
+	ev := &config.PlatformRead{Seq: seq, Index: e.Index, ConfirmedAt: asked}
 	if errors.Is(err, platform.ErrNotFound) {
 		ev.Result = config.ReadNotFound
 		return ev
--- a/serve/store/store_test.go
+++ b/serve/store/store_test.go
@@ -509,7 +509,7 @@
 	is.Equal(ev.Result, config.ReadDocument)
 	is.Equal(ev.Catalogue.Revision, uint64(1))
 	is.Equal(len(ev.Lineage), 1)
-	is.Equal(ev.Confirmed, f.clock.Now())
+	is.Equal(ev.ConfirmedAt, f.clock.Now())
 	r.Perform(&config.Ready{Watch: []config.WatchPlatform{{Seq: 3, After: ev.Index, Wait: time.Minute}}})
 	_, err = f.writer.Change(t.Context(), putService(opID(2), "permit-file", 0))
 	is.NoErr(err)
@@ -519,7 +519,7 @@
 	r.Perform(&config.Ready{Watch: []config.WatchPlatform{{Seq: 4, After: ev.Index, Wait: time.Millisecond}}})
 	quiet := <-events
 	is.Equal(quiet.Result, config.ReadNotModified)
-	is.Equal(quiet.Confirmed, f.clock.Now()) // the fake clock did not move: not the end of the wait
+	is.Equal(quiet.ConfirmedAt, f.clock.Now()) // the fake clock did not move: not the end of the wait
 	is.NoErr(f.server.SetOutage(platform.Refusing))
 	is.Equal(fetch(5).Result, config.ReadFailed)
 	is.NoErr(f.server.SetOutage(platform.Up))
--- a/serve/store/wire_test.go
+++ b/serve/store/wire_test.go
@@ -133,7 +133,7 @@
 				c.Shifts = append(c.Shifts, s)
 			}
 			var d document
-			next, err := d.next(c, opID(1), config.Point{})
+			next, err := d.next(c, opID(1), config.Version{})
 			if err != nil {
 				b.Fatal(err)
 			}
--- a/serve/store/writer.go
+++ b/serve/store/writer.go
@@ -76,7 +76,7 @@
 
 // Event returns the event for config.State.
 func (a Accepted) Event() *config.Accepted {
-	return &config.Accepted{Catalogue: a.Catalogue, Confirmed: a.Confirmed}
+	return &config.Accepted{Catalogue: a.Catalogue, ConfirmedAt: a.Confirmed}
 }
 
 // Change applies op to the platform's catalogue. The error is either one of
@@ -131,8 +131,8 @@
 
 // unsettledWrite is a write that may have run.
 type unsettledWrite struct {
-	index uint64       // index that the write was conditioned on
-	base  config.Point // revision and hash of the head at that index
+	index uint64         // index that the write was conditioned on
+	base  config.Version // revision and hash of the head at that index
 }
 
 func (a *attempt) run(ctx context.Context) (Accepted, error) {
@@ -271,13 +271,13 @@
 // newerCatalogue returns the catalogue to build on. A platform with a lower
 // revision than the one in force came back with older data: building on that
 // would undo changes accepted since.
-func newerCatalogue(h head, base config.Base) (catalogue.Catalogue, config.Point, error) {
+func newerCatalogue(h head, base config.Base) (catalogue.Catalogue, config.Version, error) {
 	if base.Catalogue != nil && base.Catalogue.Revision > h.Revision {
 		hash, err := config.Hash(base.Catalogue)
-		return *base.Catalogue, config.Point{Revision: base.Catalogue.Revision, Hash: hash}, err
+		return *base.Catalogue, config.Version{Revision: base.Catalogue.Revision, Hash: hash}, err
 	}
 	if h.Catalogue == nil {
-		return catalogue.Catalogue{}, config.Point{}, nil
+		return catalogue.Catalogue{}, config.Version{}, nil
 	}
 	return *h.Catalogue, h.point(), nil
 }
@@ -373,7 +373,7 @@
 	if err != nil {
 		return Accepted{}, false, err
 	}
-	at := config.Point{Revision: c.Revision, Hash: hash}
+	at := config.Version{Revision: c.Revision, Hash: hash}
 	restored := *c
 	switch {
 	case h.Revision > c.Revision || h.point() == at:
--- a/standin/caller/bench_test.go
+++ b/standin/caller/bench_test.go
@@ -43,11 +43,11 @@
 	for b.Loop() {
 		c, s := directCaller(b)
 		run, err := caller.Load{
-			Callers: []*caller.Caller{c},
-			Kinds:   []caller.Kind{{Service: "s", Path: "x", Weight: 1, Idempotent: true}},
-			Rate:    rate,
-			For:     time.Second,
-			Seed:    1,
+			Callers:  []*caller.Caller{c},
+			Kinds:    []caller.Kind{{Service: "s", Path: "x", Weight: 1, Idempotent: true}},
+			Rate:     rate,
+			Duration: time.Second,
+			Seed:     1,
 		}.Start(context.Background())
 		if err != nil {
 			b.Fatal(err)
@@ -57,7 +57,7 @@
 		b.ReportMetric(float64(r.Dropped), "dropped")
 		b.ReportMetric(r.Quantile(50).Seconds()*1e3, "p50-ms")
 		b.ReportMetric(r.Quantile(99).Seconds()*1e3, "p99-ms")
-		if p := caller.Prove(r.Outcomes, s.Executions()); p != (caller.Proof{}) {
+		if p := caller.Audit(r.Outcomes, s.Executions()); p != (caller.AuditResult{}) {
 			b.Errorf("%+v", p)
 		}
 	}
--- a/standin/caller/caller.go
+++ b/standin/caller/caller.go
@@ -142,11 +142,11 @@
 	Wrong  bool
 	Status int // of the last answer; 0 without one
 
-	Sends     int
-	Lost      int // sends that ended with a lost connection or a cut answer
-	TimedOut  int // sends that timed out
-	Unmarked  int // error answers without a valid verdict
-	Duplicate bool
+	Sends           int
+	Lost            int // sends that ended with a lost connection or a cut answer
+	TimedOut        int // sends that timed out
+	MissingVerdicts int // error answers without a valid verdict
+	Duplicate       bool
 
 	EntryVM fleet.VMID // that received the last send
 	Region  fleet.Region
--- a/standin/caller/caller_test.go
+++ b/standin/caller/caller_test.go
@@ -157,7 +157,7 @@
 	o := c.Do(context.Background(), caller.Request{ID: "a", Service: "s"})
 	is.True(o.Answered && o.Wrong)
 	o = c.Do(context.Background(), caller.Request{ID: "b", Service: "s"})
-	is.Equal(o.Unmarked, 1)
+	is.Equal(o.MissingVerdicts, 1)
 	is.Equal(o.Verdict, verdict.MayHaveRun)
 }
 
@@ -211,7 +211,7 @@
 	is.Equal(r.WrongAnswers, uint64(0))
 	is.Equal(r.Services["table"].Requests+r.Services["permit"].Requests, r.Requests)
 	is.True(r.Quantile(50) > 0)
-	is.Equal(caller.Prove(r.Outcomes, s.Executions()), caller.Proof{})
+	is.Equal(caller.Audit(r.Outcomes, s.Executions()), caller.AuditResult{})
 }
 
 func TestLoadRequiresDurationOrCount(t *testing.T) {
@@ -236,7 +236,7 @@
 	executions := map[string]int{
 		"ran once": 1, "twice": 2, "twice, idempotent": 2, "false not-run": 1, "cut": 1, "never sent": 1,
 	}
-	is.Equal(caller.Prove(outcomes, executions), caller.Proof{
-		Repeated: 1, FalseNotRun: 1, NeverRan: 1, CutRan: 1, Unknown: 1,
+	is.Equal(caller.Audit(outcomes, executions), caller.AuditResult{
+		Repeated: 1, FalseNotRun: 1, NeverRan: 1, RanAnswerLost: 1, UnknownExecutions: 1,
 	})
 }
--- a/standin/caller/load.go
+++ b/standin/caller/load.go
@@ -36,9 +36,9 @@
 	Callers []*Caller // chosen at random for each request
 	Kinds   []Kind
 	Rate    float64 // requests per second
-	// For and Count limit the load; at least one must be set.
-	For   time.Duration
-	Count int
+	// Duration and Count limit the load; at least one must be set.
+	Duration time.Duration
+	Count    int
 	// MaxInFlight limits the requests in flight; zero means
 	// DefaultMaxInFlight. Arrivals beyond it are counted as dropped and not
 	// sent.
@@ -91,7 +91,7 @@
 		return fmt.Errorf("caller: load has %d callers and %d kinds, wants at least one of each", len(l.Callers), len(l.Kinds))
 	case l.Rate <= 0:
 		return fmt.Errorf("caller: load rate is %v, must be positive", l.Rate)
-	case l.For <= 0 && l.Count <= 0:
+	case l.Duration <= 0 && l.Count <= 0:
 		return fmt.Errorf("caller: load has neither a duration nor a count")
 	}
 	for _, k := range l.Kinds {
@@ -111,7 +111,7 @@
 	var at time.Duration
 	for i := 0; r.load.Count <= 0 || i < r.load.Count; i++ {
 		at += time.Duration(r.rand.ExpFloat64() / r.load.Rate * float64(time.Second))
-		if r.load.For > 0 && at > r.load.For {
+		if r.load.Duration > 0 && at > r.load.Duration {
 			return
 		}
 		arrival := start.Add(at)
--- a/standin/caller/progress.go
+++ b/standin/caller/progress.go
@@ -63,7 +63,7 @@
 		o.Reason = res.reason
 	}
 	if res.missingVerdict {
-		o.Unmarked++
+		o.MissingVerdicts++
 	}
 	switch res.fault {
 	case lost:
--- a/standin/caller/report.go
+++ b/standin/caller/report.go
@@ -18,17 +18,17 @@
 
 // Counts holds numbers of requests and sends by outcome.
 type Counts struct {
-	Requests     uint64
-	Answered     uint64 // complete answer received, with right or wrong content
-	WrongAnswers uint64 // answer seemed complete but had wrong content or belonged to another request
-	Failed       uint64 // ran, and the target answered with an error
-	NotRun       uint64
-	MayHaveRun   uint64
-	Lost         uint64 // sends that ended with a lost connection or a cut answer
-	TimedOut     uint64 // sends that timed out
-	Unmarked     uint64 // error answers without a valid verdict
-	Resent       uint64 // sends beyond the first of each request
-	Dropped      uint64 // arrivals not sent because of the load's MaxInFlight
+	Requests        uint64
+	Answered        uint64 // complete answer received, with right or wrong content
+	WrongAnswers    uint64 // answer seemed complete but had wrong content or belonged to another request
+	Failed          uint64 // ran, and the target answered with an error
+	NotRun          uint64
+	MayHaveRun      uint64
+	Lost            uint64 // sends that ended with a lost connection or a cut answer
+	TimedOut        uint64 // sends that timed out
+	MissingVerdicts uint64 // error answers without a valid verdict
+	Resent          uint64 // sends beyond the first of each request
+	Dropped         uint64 // arrivals not sent because of the load's MaxInFlight
 }
 
 func (c *Counts) add(o Outcome) {
@@ -48,7 +48,7 @@
 	}
 	c.Lost += uint64(o.Lost)
 	c.TimedOut += uint64(o.TimedOut)
-	c.Unmarked += uint64(o.Unmarked)
+	c.MissingVerdicts += uint64(o.MissingVerdicts)
 	c.Resent += uint64(max(o.Sends-1, 0))
 }
 
@@ -113,19 +113,19 @@
 	return time.Duration(h.ValueAtQuantile(q)) * time.Microsecond
 }
 
-// Proof holds the differences between the callers' and the targets' records.
-type Proof struct {
-	Repeated    uint64 // non-idempotent requests that ran more than once
-	FalseNotRun uint64 // requests with the verdict not-run that ran
-	NeverRan    uint64 // answered requests that never ran
-	CutRan      uint64 // requests that ran but lost their answer with the connection
-	Unknown     uint64 // executed request IDs that no caller sent
+// AuditResult holds the differences between the callers' and the targets' records.
+type AuditResult struct {
+	Repeated          uint64 // non-idempotent requests that ran more than once
+	FalseNotRun       uint64 // requests with the verdict not-run that ran
+	NeverRan          uint64 // answered requests that never ran
+	RanAnswerLost     uint64 // requests that ran but lost their answer with the connection
+	UnknownExecutions uint64 // executed request IDs that no caller sent
 }
 
-// Prove compares the callers' outcomes with the targets' executions, which are
+// Audit compares the callers' outcomes with the targets' executions, which are
 // counts by request ID, summed over all targets.
-func Prove(outcomes []Outcome, executions map[string]int) Proof {
-	var p Proof
+func Audit(outcomes []Outcome, executions map[string]int) AuditResult {
+	var p AuditResult
 	sent := make(map[string]bool, len(outcomes))
 	for _, o := range outcomes {
 		sent[o.ID] = true
@@ -140,12 +140,12 @@
 			p.NeverRan++
 		}
 		if ran > 0 && o.Lost > 0 && !o.Answered {
-			p.CutRan++
+			p.RanAnswerLost++
 		}
 	}
 	for id := range executions {
 		if !sent[id] {
-			p.Unknown++
+			p.UnknownExecutions++
 		}
 	}
 	return p
--- a/standin/caller/send.go
+++ b/standin/caller/send.go
@@ -154,7 +154,7 @@
 func readRefusal(resp *http.Response) result {
 	res := result{status: resp.StatusCode}
 	if resp.Header.Get(payload.RefusedHeader) == payload.RefusedNotRun {
-		res.verdict, res.reason = verdict.NotRun, verdict.ReasonShed
+		res.verdict, res.reason = verdict.NotRun, verdict.ReasonTargetRefused
 	}
 	return res
 }
--- a/standin/deployment/deployment_test.go
+++ b/standin/deployment/deployment_test.go
@@ -99,7 +99,7 @@
 	defer r.Close()
 	leaving := r.Targets[0]
 	r.Leave(leaving)
-	_, err = leaving.Drained(ctx)
+	_, err = leaving.WaitDrained(ctx)
 	is.NoErr(err)
 	l, err := r.Platform.Store().Machines(ctx, 0, 0)
 	is.NoErr(err)
@@ -131,6 +131,6 @@
 	is.NoErr(err)
 	report := run.Wait()
 	is.Equal(report.Answered+report.NotRun, uint64(100))
-	is.Equal(caller.Prove(report.Outcomes, r.Executions()), caller.Proof{})
+	is.Equal(caller.Audit(report.Outcomes, r.Executions()), caller.AuditResult{})
 	is.True(r.Totals().Started >= report.Answered)
 }
--- a/standin/deployment/running.go
+++ b/standin/deployment/running.go
@@ -231,7 +231,7 @@
 		sum.ArrivedAtCapacity += s.ArrivedAtCapacity
 		sum.PeakInFlight = max(sum.PeakInFlight, s.PeakInFlight)
 		sum.RefusedLeaving += s.RefusedLeaving
-		sum.LastArrival = max(sum.LastArrival, s.LastArrival)
+		sum.LastArrivalAfterLeave = max(sum.LastArrivalAfterLeave, s.LastArrivalAfterLeave)
 		sum.Cancelled += s.Cancelled
 		sum.Expired += s.Expired
 		sum.BrokenBodies += s.BrokenBodies
--- a/standin/platform/server.go
+++ b/standin/platform/server.go
@@ -128,7 +128,7 @@
 		case <-ctx.Done():
 			return
 		case <-t.C:
-			s.Tick()
+			s.ApplyDue()
 		}
 	}
 }
@@ -161,9 +161,9 @@
 	return errors.Join(errs...)
 }
 
-// Tick revokes expired leases and publishes machine lists whose lag has passed.
+// ApplyDue revokes expired leases and publishes machine lists whose lag has passed.
 // A started server does this periodically.
-func (s *Server) Tick() {
+func (s *Server) ApplyDue() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.applyDue()
--- a/standin/target/handler.go
+++ b/standin/target/handler.go
@@ -114,7 +114,7 @@
 	s.stats.Arrived++
 	if s.drained != nil {
 		s.stats.RefusedLeaving++
-		s.stats.LastArrival = time.Since(s.leaveStarted)
+		s.stats.LastArrivalAfterLeave = time.Since(s.leaveStarted)
 		return false
 	}
 	if s.inFlight >= s.options.Slots {
--- a/standin/target/target.go
+++ b/standin/target/target.go
@@ -48,8 +48,8 @@
 	ArrivedAtCapacity uint64 // arrived while all slots were in use; queued or shed
 	PeakInFlight      int    // most accepted requests at once
 
-	RefusedLeaving uint64        // refused because the target was leaving
-	LastArrival    time.Duration // time from Leave to the last request refused for it
+	RefusedLeaving        uint64        // refused because the target was leaving
+	LastArrivalAfterLeave time.Duration // time from Leave to the last request refused for it
 
 	Cancelled     uint64 // ended because the client disconnected
 	Expired       uint64 // ended because the deadline passed
@@ -152,9 +152,9 @@
 	s.signalIfDrained()
 }
 
-// Drained waits until a leaving target has finished all accepted requests. It
+// WaitDrained waits until a leaving target has finished all accepted requests. It
 // returns the time since Leave.
-func (s *Server) Drained(ctx context.Context) (time.Duration, error) {
+func (s *Server) WaitDrained(ctx context.Context) (time.Duration, error) {
 	s.mu.Lock()
 	idle, leftAt := s.drained, s.leaveStarted
 	s.mu.Unlock()
--- a/standin/target/target_test.go
+++ b/standin/target/target_test.go
@@ -141,7 +141,7 @@
 	is.NoErr(err)
 	is.Equal(resp.Header.Get(payload.RefusedHeader), payload.RefusedNotRun)
 	is.NoErr(<-answered)
-	_, err = s.Drained(context.Background())
+	_, err = s.WaitDrained(context.Background())
 	is.NoErr(err)
 	health, err := client().Get("http://" + s.Addr() + "/healthz")
 	is.NoErr(err)
