--- a/serve/daemon/attempt.go
+++ b/serve/daemon/attempt.go
@@ -135,13 +135,13 @@
 		return 0
 	}
 	if ms, err := strconv.ParseInt(a.Header.Get(headerRetryMs), 10, 64); err == nil && ms > 0 {
-		return time.Duration(min(ms, heads.MaxMillis.Milliseconds())) * time.Millisecond
+		return time.Duration(min(ms, heads.MaxDuration.Milliseconds())) * time.Millisecond
 	}
 	s, err := strconv.ParseInt(a.Header.Get(headerRetry), 10, 64)
 	if err != nil || s < 0 {
 		return 0
 	}
-	return time.Duration(min(s, int64(heads.MaxMillis/time.Second))) * time.Second
+	return time.Duration(min(s, int64(heads.MaxDuration/time.Second))) * time.Second
 }
 
 // parseLoad returns the load that a target may report with its answer.
--- a/serve/heads/wait_test.go
+++ b/serve/heads/wait_test.go
@@ -9,7 +9,7 @@
 
 func TestWait(t *testing.T) {
 	is := is.New(t)
-	for value, want := range map[string]time.Duration{"": 0, "0": 0, "1500": 1500 * time.Millisecond, "3600000": MaxMillis} {
+	for value, want := range map[string]time.Duration{"": 0, "0": 0, "1500": 1500 * time.Millisecond, "3600000": MaxDuration} {
 		d, ok := ParseMillis(value)
 		is.True(ok)
 		is.Equal(d, want)
