--- a/decide/catalogue/duration.go
+++ b/decide/catalogue/duration.go
@@ -22,7 +22,7 @@
 		return fmt.Errorf("catalogue: %w", err)
 	}
 	if v < 0 {
-		return fmt.Errorf("catalogue: duration %q is negative", b)
+		return fmt.Errorf("catalogue: negative duration %q", b)
 	}
 	*d = Duration(v)
 	return nil
--- a/serve/admin/changes.go
+++ b/serve/admin/changes.go
@@ -31,7 +31,7 @@
 func (q *request) decode(v any) error {
 	raw, err := io.ReadAll(io.LimitReader(q.Body, MaxBody+1))
 	if err != nil {
-		return newFailure(http.StatusBadRequest, CodeBadRequest, "the body could not be read completely")
+		return newFailure(http.StatusBadRequest, CodeBadRequest, "the body could not be read whole")
 	}
 	if len(raw) > MaxBody {
 		return newFailure(http.StatusRequestEntityTooLarge, CodeTooLarge, "the body is larger than 1 MiB")
@@ -55,7 +55,7 @@
 }
 
 func jsonFailure(err error) error {
-	f := &failure{http.StatusBadRequest, Error{Code: CodeBadRequest, Message: "the body is not valid JSON for this route: " + err.Error()}}
+	f := &failure{http.StatusBadRequest, Error{Code: CodeBadRequest, Message: "the body is not the JSON expected: " + err.Error()}}
 	f.body.Verdict = verdict.NotRun
 	var wrong *json.UnmarshalTypeError
 	if errors.As(err, &wrong) && wrong.Field != "" {
--- a/serve/admin/reads.go
+++ b/serve/admin/reads.go
@@ -113,7 +113,7 @@
 	case h.watches <- struct{}{}:
 		defer func() { <-h.watches }()
 	default:
-		return response{}, newFailure(http.StatusTooManyRequests, CodeTooManyWatches, "too many concurrent watches at this entry VM")
+		return response{}, newFailure(http.StatusTooManyRequests, CodeTooManyWatches, "too many watches wait here already")
 	}
 	changed := h.waitForRevision(q.Context(), after, wait)
 	s := h.cfg.Viewer.Status()
--- a/serve/daemon/admin.go
+++ b/serve/daemon/admin.go
@@ -60,7 +60,7 @@
 func (d *Daemon) serveVars(w http.ResponseWriter, _ *http.Request) {
 	b := []byte(d.metrics.vars.String())
 	if !json.Valid(b) {
-		http.Error(w, "metrics could not be encoded as JSON", http.StatusInternalServerError)
+		http.Error(w, "metrics are not readable", http.StatusInternalServerError)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json; charset=utf-8")
