--- a/decide/config/content.go
+++ b/decide/config/content.go
@@ -77,12 +77,12 @@
 func checkUnique(c *catalogue.Catalogue) error {
 	for i := 1; i < len(c.Services); i++ {
 		if c.Services[i].Name == c.Services[i-1].Name {
-			return fmt.Errorf("config: catalogue revision %d lists service %q twice", c.Revision, c.Services[i].Name)
+			return fmt.Errorf("config: service %q twice", c.Services[i].Name)
 		}
 	}
 	for i := 1; i < len(c.Shifts); i++ {
 		if c.Shifts[i].ID == c.Shifts[i-1].ID {
-			return fmt.Errorf("config: catalogue revision %d lists shift %q twice", c.Revision, c.Shifts[i].ID)
+			return fmt.Errorf("config: shift %q twice", c.Shifts[i].ID)
 		}
 	}
 	return nil
@@ -110,7 +110,7 @@
 func hashEntry(kind string, entry any) (uint64, error) {
 	b, err := json.Marshal(entry)
 	if err != nil {
-		return 0, fmt.Errorf("config: encode %s for hashing: %w", kind, err)
+		return 0, fmt.Errorf("config: %s: %w", kind, err)
 	}
 	var d xxhash.Digest
 	d.Reset()
--- a/serve/pack/pack.go
+++ b/serve/pack/pack.go
@@ -25,7 +25,7 @@
 	enc, err := zstd.NewWriter(nil, zstd.WithEncoderLevel(levels[l]), zstd.WithEncoderConcurrency(1),
 		zstd.WithLowerEncoderMem(true))
 	if err != nil {
-		return nil, fmt.Errorf("pack: create encoder: %w", err)
+		return nil, fmt.Errorf("pack: %w", err)
 	}
 	defer func() { _ = enc.Close() }() // EncodeAll leaves nothing buffered
 	packed := make([][]byte, len(parts))
@@ -41,12 +41,12 @@
 	dec, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true),
 		zstd.WithDecoderMaxMemory(limit))
 	if err != nil {
-		return nil, fmt.Errorf("pack: create decoder: %w", err)
+		return nil, fmt.Errorf("pack: %w", err)
 	}
 	defer dec.Close()
 	plain, err := dec.DecodeAll(packed, nil)
 	if err != nil {
-		return nil, fmt.Errorf("pack: decompress: %w", err)
+		return nil, fmt.Errorf("pack: %w", err)
 	}
 	return plain, nil
 }
--- a/serve/store/document.go
+++ b/serve/store/document.go
@@ -132,7 +132,7 @@
 func (d *document) encode() ([]byte, []chunk, error) {
 	body, err := json.Marshal(d.Catalogue)
 	if err != nil {
-		return nil, nil, fmt.Errorf("store: encode catalogue: %w", err)
+		return nil, nil, fmt.Errorf("store: %w", err)
 	}
 	if len(body) <= MaxPlain {
 		value, err := json.Marshal(d)
@@ -162,7 +162,7 @@
 func compress(body []byte) ([]byte, error) {
 	packed, err := pack.Compress(pack.Small, body)
 	if err != nil {
-		return nil, fmt.Errorf("store: compress catalogue: %w", err)
+		return nil, fmt.Errorf("store: %w", err)
 	}
 	return packed[0], nil
 }
@@ -178,7 +178,7 @@
 		packed = packed[n:]
 	}
 	if len(out) > maxChunks {
-		return nil, fmt.Errorf("store: compressed catalogue of %d bytes: %w", size, platform.ErrTooLarge)
+		return nil, fmt.Errorf("store: catalogue of %d bytes: %w", size, platform.ErrTooLarge)
 	}
 	return out, nil
 }
@@ -204,7 +204,7 @@
 		return head{}, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
 	if h.Format != config.Format {
-		return head{}, fmt.Errorf("%w: format %d, want %d", ErrMalformed, h.Format, config.Format)
+		return head{}, fmt.Errorf("%w: format %d", ErrMalformed, h.Format)
 	}
 	if err := h.loadCatalogue(ctx, s); err != nil {
 		return head{}, err
@@ -234,14 +234,14 @@
 		return fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
 	if d.Catalogue.Revision != d.Revision || hash != d.Hash {
-		return fmt.Errorf("%w: catalogue does not match revision %d and its hash", ErrMalformed, d.Revision)
+		return fmt.Errorf("%w: content of revision %d has another hash", ErrMalformed, d.Revision)
 	}
 	return nil
 }
 
 func readChunks(ctx context.Context, s platform.Store, keys []string) ([]byte, error) {
 	if len(keys) == 0 || len(keys) > maxChunks {
-		return nil, fmt.Errorf("%w: %d chunks, want 1 to %d", ErrMalformed, len(keys), maxChunks)
+		return nil, fmt.Errorf("%w: %d chunks", ErrMalformed, len(keys))
 	}
 	var packed []byte
 	for _, k := range keys {
--- a/serve/store/writer.go
+++ b/serve/store/writer.go
@@ -31,7 +31,7 @@
 var (
 	// ErrBehind means that a higher revision is known to exist whose content
 	// this daemon lacks, so that it has nothing to build a change on.
-	ErrBehind = errors.New("store: a higher revision exists that has not been fetched yet")
+	ErrBehind = errors.New("store: a higher revision is being fetched")
 	// errHeadChanged means that the head changed between read and write.
 	errHeadChanged = errors.New("store: head changed")
 )
@@ -243,14 +243,14 @@
 }
 
 // errRevisionsExhausted means that no higher revision is left.
-var errRevisionsExhausted = errors.New("store: highest possible revision reached")
+var errRevisionsExhausted = errors.New("store: revisions exhausted")
 
 // build applies the operation to the newer of the platform's catalogue and the
 // one in force.
 func (a *attempt) build(h head) (document, error) {
 	base, ok := a.w.o.Base()
 	if !ok {
-		return document{}, fmt.Errorf("%w: highest known revision is %d", ErrBehind, base.Floor)
+		return document{}, fmt.Errorf("%w: above %d", ErrBehind, base.Floor)
 	}
 	from, at, err := newerCatalogue(h, base)
 	if err != nil {
