--- a/decide/config/event.go
+++ b/decide/config/event.go
@@ -73,7 +73,7 @@
 	ConfirmedAt clock.Time
 }
 
-// Tick runs the timers that are due. The caller sends one at Ready.Wake.
+// Tick runs the timers that are due. The caller sends one at Ready.WakeAt.
 type Tick struct{}
 
 func (*Members) isEvent()      {}
--- a/decide/dispatch/doc.go
+++ b/decide/dispatch/doc.go
@@ -50,11 +50,11 @@
 //
 // The transport carries out Cancels before Sends and Forwards. It reports
 // verdict.NotRun only with proof. It reports a target's refusal as NotRun with
-// ReasonShed, or ReasonStopping when the target said that it is leaving, and a
-// remote entry VM's Reply with the verdict and reason stated there. It carries
-// a Forward's ExpectedWait to the receiver's Arrive. It has one request at a
-// time on a connection. It closes the connection of a cancelled attempt, opens
-// another when Replace is set, and then reports Failed. It opens a new
-// connection for a Send with NewConnection set. It calls Step with a Tick at
-// Ready.Wake, at the latest.
+// ReasonTargetRefused, or ReasonStopping when the target said that it is
+// leaving, and a remote entry VM's Reply with the verdict and reason stated
+// there. It carries a Forward's ExpectedWait to the receiver's Arrive. It has
+// one request at a time on a connection. It closes the connection of a cancelled
+// attempt, opens another when Replace is set, and then reports Failed. It opens
+// a new connection for a Send with NewConnection set. It calls Step with a Tick
+// at Ready.Wake, at the latest.
 package dispatch
--- a/decide/dispatch/event.go
+++ b/decide/dispatch/event.go
@@ -55,8 +55,8 @@
 	Req     RequestID
 	Attempt AttemptID
 	Verdict verdict.Verdict
-	// Reason is ReasonShed when the target refused for lack of capacity and
-	// ReasonStopping when it refused because it is leaving.
+	// Reason is ReasonTargetRefused when the target refused for lack of capacity
+	// and ReasonStopping when it refused because it is leaving.
 	Reason     verdict.Reason
 	RetryAfter time.Duration // 0 when not stated
 }
--- a/decide/ingress/doc.go
+++ b/decide/ingress/doc.go
@@ -33,7 +33,7 @@
 //
 // The entry VM that received the request sends it, to a target of another region
 // through an entry VM near that target (gatewayTo). Such a gateway only sends the
-// request once and returns the result (Carry).
+// request once and returns the result (ForwardRequest).
 //
 // The cost of a choice does not depend on the number of targets and entry VMs: the
 // required data is cached for each object (object), service (occupancy) and list
--- a/decide/ingress/event.go
+++ b/decide/ingress/event.go
@@ -97,8 +97,8 @@
 	// ConnectTime is the time that opening the connection took if this is its first
 	// answer, 0 otherwise.
 	ConnectTime time.Duration
-	// ConnectionWait is how long the request waited for a connection: less than Connect if
-	// another connection became free meanwhile.
+	// ConnectionWait is how long the request waited for a connection: less than
+	// ConnectTime if another connection became free meanwhile.
 	ConnectionWait time.Duration
 }
 
--- a/decide/ingress/options.go
+++ b/decide/ingress/options.go
@@ -30,8 +30,8 @@
 	// ColdSlack requests within a second.
 	ColdFactor float64
 	ColdSlack  float64
-	// The targets of a service may get at most RepeatRatio of its requests plus
-	// RepeatSlack as retries within RepeatWindow.
+	// The targets of a service may get at most RetryRatio of its requests plus
+	// RetrySlack as retries within RetryWindow.
 	RetryRatio  float64
 	RetrySlack  float64
 	RetryWindow time.Duration
--- a/decide/load/doc.go
+++ b/decide/load/doc.go
@@ -15,9 +15,9 @@
 // # Aggregation
 //
 // Each VM sends its own figures to the representative that collects from it
-// (member.ScopeOwn). Representatives of a domain exchange the sums of their
+// (member.ScopeCollector). Representatives of a domain exchange the sums of their
 // groups (ScopePeer); with other domains of the region and with other regions
-// they exchange the sums of domain and region (ScopeRegion, ScopeFar). Each
+// they exchange the sums of domain and region (ScopeRegion, ScopeOtherRegion). Each
 // answer to a VM carries the sums of the domain, of the other domains of the
 // region and, in rotation, of the remaining places (ScopeMember). Reports are
 // piggybacked on messages that package member sends anyway.
--- a/decide/machine/event.go
+++ b/decide/machine/event.go
@@ -5,14 +5,15 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// Event is an input of State.Step: *Read, *Unchanged, *Reading, *Members,
-// *PeerMessage or *Tick.
+// Event is an input of State.Step: *ListRead, *ListUnchanged, *ReaderRole,
+// *Members, *PeerMessage or *Tick.
 type Event interface{ isEvent() }
 
 // ListRead carries a list that was just read from the platform.
 type ListRead struct{ List fleet.List }
 
-// ListUnchanged reports that the platform still has the list of the last Read.
+// ListUnchanged reports that the platform still has the list of the last
+// ListRead.
 type ListUnchanged struct{}
 
 // ReaderRole sets whether this daemon is one of the readers of its domain.
--- a/decide/member/doc.go
+++ b/decide/member/doc.go
@@ -27,7 +27,7 @@
 // # Between failure domains
 //
 // The live VM with the lowest rank is the author of the domain's Row: counts
-// of live and leaving VMs and the addresses of at most RowVMs of them. A
+// of live and leaving VMs and the addresses of at most MaxRowVMs of them. A
 // changed row is pushed at once to two representatives of each domain of the
 // region and of each other region, which forward it. Each other domain of
 // the region, and each other region, is watched by one representative, which
--- a/decide/member/member_test.go
+++ b/decide/member/member_test.go
@@ -19,7 +19,7 @@
 	leavingWithin = time.Second
 )
 
-// fleetShapes have at most RowVMs members per domain, or a single domain,
+// fleetShapes have at most MaxRowVMs members per domain, or a single domain,
 // since a larger domain offers only some of its VMs to other domains.
 var fleetShapes = []struct{ regions, domains, members int }{
 	{1, 1, 2}, {3, 2, 1}, {3, 2, 2}, {2, 2, 8}, {1, 1, 43}, {4, 3, 6},
--- a/decide/member/row.go
+++ b/decide/member/row.go
@@ -236,8 +236,8 @@
 		Domain: s.self.vm.Domain,
 		Author: s.self.vm.ID,
 	}
-	// The sides of a partition share the RowVMs places, so that their rows list
-	// the same VMs.
+	// The sides of a partition share the MaxRowVMs places, so that their rows
+	// list the same VMs.
 	own := MaxRowVMs - min(len(s.merged), MaxRowVMs/2)
 	for _, r := range s.members {
 		switch r.vm.State {
--- a/decide/member/view.go
+++ b/decide/member/view.go
@@ -15,7 +15,7 @@
 	Live      int
 	Leaving   int
 	// VMs lists live entry VMs of the domain: all of the own domain, at most
-	// RowVMs of another one.
+	// MaxRowVMs of another one.
 	VMs []fleet.VM
 }
 
--- a/decide/shift/doc.go
+++ b/decide/shift/doc.go
@@ -39,8 +39,8 @@
 //
 // Runner is a state machine around Plan for all shifts: it takes events and
 // returns effects. A Write effect carries the entry revision that the plan was
-// based on, and the driver writes by compare-and-swap on it. The lease (Duty)
-// is not needed for correctness, it only avoids wasted work: the write of a
+// based on, and the driver writes by compare-and-swap on it. The lease is
+// not needed for correctness, it only avoids wasted work: the write of a
 // holder that was paused and lost its lease fails. While a write's outcome is
 // unknown, no other write is made for that shift. While the platform is
 // unreachable, every share stays unchanged.
--- a/decide/shift/event.go
+++ b/decide/shift/event.go
@@ -6,7 +6,7 @@
 	"github.com/azurethread/azurethread/decide/verdict"
 )
 
-// Event is an input of the Runner: Configured, Measured, Duty, Platform,
+// Event is an input of the Runner: Configured, Measured, Lease, Platform,
 // WriteResult or Tick.
 type Event interface{ event() }
 
--- a/decide/shift/runner.go
+++ b/decide/shift/runner.go
@@ -96,7 +96,7 @@
 }
 
 // holdsLease reports whether this process may write. A lease that has expired
-// by the local clock is not held, whatever the last Duty stated: the process
+// by the local clock is not held, whatever the last Lease stated: the process
 // may have been paused since.
 func (r *Runner) holdsLease() bool {
 	return r.duty.Held && r.now.Before(r.duty.Until)
--- a/decide/shift/table_test.go
+++ b/decide/shift/table_test.go
@@ -176,7 +176,7 @@
 	}
 }
 
-func BenchmarkServed(b *testing.B) {
+func BenchmarkRecordRequest(b *testing.B) {
 	c := &catalogue.Catalogue{Services: []catalogue.Service{{Name: worldService}}, Shifts: []catalogue.Shift{running("a", "attiki", "kriti", 3000)}}
 	k := NewCounter(0, c)
 	b.ReportAllocs()
--- a/decide/tally/bench_test.go
+++ b/decide/tally/bench_test.go
@@ -62,8 +62,8 @@
 	b.ReportMetric(float64(n.count().Missing), "missing")
 }
 
-// BenchmarkServed measures counting one request.
-func BenchmarkServed(b *testing.B) {
+// BenchmarkRecordRequest measures counting one request.
+func BenchmarkRecordRequest(b *testing.B) {
 	n := newNetwork(1, 2, 2)
 	b.ReportAllocs()
 	for b.Loop() {
@@ -71,8 +71,8 @@
 	}
 }
 
-// BenchmarkAnswered measures recording one answer.
-func BenchmarkAnswered(b *testing.B) {
+// BenchmarkRecordAnswer measures recording one answer.
+func BenchmarkRecordAnswer(b *testing.B) {
 	m := NewMeter(0)
 	for i := range 10 {
 		m.RecordAnswer(0, fleet.ServiceName(fmt.Sprint(i)), 0, true)
--- a/decide/tally/candidate.go
+++ b/decide/tally/candidate.go
@@ -25,7 +25,7 @@
 }
 
 // Candidates returns the n entry VMs of highest rank for running the shifts.
-// Of each domain only the first member.RowVMs are ranked, which every view
+// Of each domain only the first member.MaxRowVMs are ranked, which every view
 // holds. The view of the own domain holds more; ranking those too would make
 // each domain prefer its own.
 func Candidates(domains []member.DomainView, n int) []fleet.VMID {
--- a/decide/tally/event.go
+++ b/decide/tally/event.go
@@ -7,7 +7,7 @@
 	"github.com/azurethread/azurethread/decide/member"
 )
 
-// Event is an input of State.Step: *Configured, *Fleet, *Lead, *Measured,
+// Event is an input of State.Step: *Configured, *FleetChanged, *LeaseChanged, *Measured,
 // *PeerMessage or *Tick.
 type Event interface{ isEvent() }
 
--- a/decide/tally/state.go
+++ b/decide/tally/state.go
@@ -81,9 +81,10 @@
 // Meter returns the meter of this entry VM's services.
 func (s *State) Meter() *Meter { return s.meter }
 
-// RecordRequest counts one request for shifts; see shift.Counter.Served. The entry VM
-// that received a request from its caller calls it once, at the final answer.
-// It is not called for requests that another entry VM has forwarded.
+// RecordRequest counts one request for shifts; see shift.Counter.RecordRequest.
+// The entry VM that received a request from its caller calls it once, at the
+// final answer. It is not called for requests that another entry VM has
+// forwarded.
 func (s *State) RecordRequest(service fleet.ServiceName, home fleet.Region, block uint64, movedBy string, busy time.Duration) {
 	if s.local.counter != nil {
 		s.local.counter.RecordRequest(service, home, block, movedBy, busy)
--- a/serve/core/core_test.go
+++ b/serve/core/core_test.go
@@ -19,10 +19,10 @@
 
 // Guards against a data race on the variables that a page of the administration
 // interface is filled with, or a page that mixes two moments. A query waits
-// behind a step, the core is closed, Ask returns false, and then the step ends:
+// behind a step, the core is closed, Query returns false, and then the step ends:
 // a closed core must not run the queries in its queue, as their callers use the
 // variables again.
-func TestAskAfterClose(t *testing.T) {
+func TestQueryAfterClose(t *testing.T) {
 	is := is.New(t)
 	stepping, proceed, ended := make(chan struct{}), make(chan struct{}), make(chan struct{})
 	c := testCore(t, func() {})
--- a/serve/heads/failure.go
+++ b/serve/heads/failure.go
@@ -16,13 +16,13 @@
 	return &verdict.Error{Verdict: v, Reason: verdict.Reason(h.Get(verdict.HeaderReason))}
 }
 
-// SetFailure writes a verdict and reason that Failure can read.
+// SetFailure writes a verdict and reason that ParseFailure can read.
 func SetFailure(h http.Header, v verdict.Verdict, why verdict.Reason) {
 	h[verdict.Header] = []string{v.String()}
 	h[verdict.HeaderReason] = []string{string(why)}
 }
 
-// RemoveFailure removes the fields that Failure reads. In a target's answer they
+// RemoveFailure removes the fields that ParseFailure reads. In a target's answer they
 // would be mistaken for a verdict of an entry VM.
 func RemoveFailure(h http.Header) {
 	delete(h, verdict.Header)
--- a/serve/heads/wait.go
+++ b/serve/heads/wait.go
@@ -9,7 +9,7 @@
 const MaxDuration = time.Hour
 
 // ParseMillis parses a field that states a duration in whole milliseconds; an empty
-// field is 0. ok is false for anything else and for values above MaxWait.
+// field is 0. ok is false for anything else and for values above MaxDuration.
 func ParseMillis(value string) (d time.Duration, ok bool) {
 	if value == "" {
 		return 0, true
--- a/serve/inbound/exchange.go
+++ b/serve/inbound/exchange.go
@@ -99,8 +99,8 @@
 	x.bodyBytes = 0
 }
 
-// setCallerGone records that the caller has disconnected and calls the OnGone
-// callback.
+// setCallerGone records that the caller has disconnected and calls the
+// OnCallerGone callback.
 func (x *Exchange) setCallerGone() {
 	x.mu.Lock()
 	if x.callerGone || x.answered {
--- a/serve/inbound/server.go
+++ b/serve/inbound/server.go
@@ -34,8 +34,8 @@
 	IdleTimeout time.Duration // between requests on one connection
 }
 
-// Options configures a Server. MaxBodyBytes, HeldBytes, Pollers, Known and
-// Overlaps are optional.
+// Options configures a Server. MaxBodyBytes, MaxBufferedBodies, Pollers,
+// MayBeRepeat and Overlaps are optional.
 type Options struct {
 	Limits
 	// MaxBodyBytes is the largest body limit that SetLimits may set; 0:
@@ -125,7 +125,7 @@
 func (s *Server) limits() *Limits { return s.currentLimits.Load() }
 
 // reserveBody counts n more bytes of a body, and returns false if they exceed
-// HeldBytes. Each body is kept in memory as a whole; a few large ones at once
+// MaxBufferedBodies. Each body is kept in memory as a whole; a few large ones at once
 // could exhaust it and end the process.
 func (s *Server) reserveBody(n int64) bool {
 	if s.bodyBytes.Add(n) <= s.opts.MaxBufferedBodies || s.opts.MaxBufferedBodies == 0 {
--- a/serve/outbound/outbound_test.go
+++ b/serve/outbound/outbound_test.go
@@ -218,7 +218,7 @@
 // Guards against a second attempt that waits on a silent connection like the
 // first: a request asks for a new connection while one is idle, and the most
 // recently used one was taken all the same.
-func TestFreshConnection(t *testing.T) {
+func TestNewConnection(t *testing.T) {
 	is := is.New(t)
 	addr := receiver(t, func(n int, c net.Conn, r *bufio.Reader) {
 		for {
--- a/standin/caller/caller_test.go
+++ b/standin/caller/caller_test.go
@@ -221,7 +221,7 @@
 	is.True(err != nil)
 }
 
-func TestProveFindsDifferences(t *testing.T) {
+func TestAuditFindsDifferences(t *testing.T) {
 	is := is.New(t)
 	outcomes := []caller.Outcome{
 		{ID: "ran once", Verdict: verdict.Ran, Answered: true},
--- a/standin/caller/doc.go
+++ b/standin/caller/doc.go
@@ -22,7 +22,7 @@
 // # Records
 //
 // The load counts results as the callers see them and keeps the outcome of
-// every request. Prove compares the outcomes with the targets' records of
+// every request. Audit compares the outcomes with the targets' records of
 // executions. Neither record depends on the system under test.
 //
 // Latency is measured from the planned arrival of a request, not from its
--- a/standin/caller/load.go
+++ b/standin/caller/load.go
@@ -61,8 +61,8 @@
 	report   *Report
 }
 
-// Start starts the load. It generates requests until For or Count is reached or
-// ctx ends, and then waits for the requests in flight.
+// Start starts the load. It generates requests until Duration or Count is
+// reached or ctx ends, and then waits for the requests in flight.
 func (l Load) Start(ctx context.Context) (*Run, error) {
 	if err := l.validate(); err != nil {
 		return nil, err
--- a/standin/platform/doc.go
+++ b/standin/platform/doc.go
@@ -16,7 +16,7 @@
 //   - SetMachineLag: changes to the machine list become visible after a delay.
 //
 // Leases expire by the clock given in Options. A test that advances this clock
-// calls Tick to apply expired leases and due machine lists.
+// calls ApplyDue to apply expired leases and due machine lists.
 //
 // The server uses net/http deliberately: it shares no code with the nbhttp
 // engine of the daemon under test, so a fault in one can't hide a fault in the
--- a/standin/platform/server.go
+++ b/standin/platform/server.go
@@ -105,7 +105,7 @@
 }
 
 // Start opens the first endpoint on addr, such as "127.0.0.1:0", and starts
-// calling Tick periodically.
+// calling ApplyDue periodically.
 func (s *Server) Start(addr string) error {
 	if _, err := s.Endpoint(addr); err != nil {
 		return err
@@ -169,7 +169,7 @@
 	s.applyDue()
 }
 
-// applyDue does the work of Tick. The caller holds s.mu.
+// applyDue is ApplyDue for callers that hold s.mu.
 func (s *Server) applyDue() {
 	now := s.now()
 	changed := s.data.expire(now)
--- a/standin/target/target.go
+++ b/standin/target/target.go
@@ -201,7 +201,7 @@
 }
 
 // Close stops the target and cuts the requests in flight. Call Leave and
-// Drained first to let them finish.
+// WaitDrained first to let them finish.
 func (s *Server) Close() { s.Crash() }
 
 // Restart makes a crashed target listen on its old address again. It begins a
