--- a/decide/config/random_test.go
+++ b/decide/config/random_test.go
@@ -45,7 +45,7 @@
 // injectFault applies one random change or fault, and returns the data to which
 // a later rollback returns the platform.
 func (n *network) injectFault(t *rapid.T, i int, old platformStore) platformStore {
-	v := rapid.SampledFrom(n.daemons).Draw(t, "node")
+	v := rapid.SampledFrom(n.daemons).Draw(t, "daemon")
 	w := rapid.SampledFrom(n.daemons).Draw(t, "other")
 	switch what := rapid.IntRange(0, 11).Draw(t, "what"); what {
 	case 0, 1, 2, 3:
--- a/decide/engine/control.go
+++ b/decide/engine/control.go
@@ -45,8 +45,8 @@
 		out.Peers = append(out.Peers, PeerSend{To: s.To, Member: s.Msg, Load: e.loadReport(now, s.Scope)})
 	}
 	out.Superseded = out.Superseded || r.Superseded
-	changed, group := len(r.Changed) > 0, r.DutiesChanged
-	if !changed && !group {
+	changed, dutiesChanged := len(r.Changed) > 0, r.DutiesChanged
+	if !changed && !dutiesChanged {
 		return
 	}
 	domains := e.member.Domains(nil)
--- a/decide/ingress/crash_test.go
+++ b/decide/ingress/crash_test.go
@@ -194,10 +194,10 @@
 	t.Logf("queries of death crashed %d targets, %d harmless requests were refused", crashed, refused)
 }
 
-// maxInnocentRefusal is how long a harmless content that arrives continuously may
+// maxHarmlessRefusal is how long a harmless content that arrives continuously may
 // be refused: until its first trial is due, and until it arrives at the VM that
 // admits trials.
-const maxInnocentRefusal = 20 * time.Second
+const maxHarmlessRefusal = 20 * time.Second
 
 // Targets that crash for other reasons put harmless requests into quarantine,
 // because the same content is under way at each crash by chance.
@@ -222,7 +222,7 @@
 				}
 				s.run(s.now.Add(time.Duration(s.rng.IntN(30)) * time.Millisecond))
 			}
-			if s.contents.longestRefusal > maxInnocentRefusal {
+			if s.contents.longestRefusal > maxHarmlessRefusal {
 				t.Fatalf("a harmless content was refused for %v", s.contents.longestRefusal)
 			}
 			refused += s.contents.refused
--- a/decide/machine/machine_test.go
+++ b/decide/machine/machine_test.go
@@ -242,7 +242,7 @@
 }
 
 func (n *network) injectFault(t *rapid.T, i int, old *fleet.List) {
-	v := n.daemons[rapid.IntRange(0, len(n.daemons)-1).Draw(t, "node")]
+	v := n.daemons[rapid.IntRange(0, len(n.daemons)-1).Draw(t, "daemon")]
 	switch rapid.IntRange(0, 10).Draw(t, "what") {
 	case 0, 1:
 		n.change(addTarget(100 + i))
--- a/decide/mirror/mirror.go
+++ b/decide/mirror/mirror.go
@@ -3,7 +3,7 @@
 //
 // The copy is fed from three sources that may arrive in any order: full reads,
 // which may be served from an old replica; watches, whose answers may be
-// delivered late; and other entry VMs, which forward what they have while the
+// delivered late; and other entry VMs, which relay what they have while the
 // store refuses this one. All of them carry the store's revision, which only
 // rises. A source that is older than the copy is refused as a whole, so that a
 // configuration or a target that was replaced can't reappear.
--- a/decide/quarantine/doc.go
+++ b/decide/quarantine/doc.go
@@ -1,5 +1,6 @@
-// Package quarantine finds queries of death, requests that end the targets
-// that run them, and decides which requests are kept away from targets.
+// Package quarantine finds queries of death, requests that crash the targets
+// that run them, and puts them into quarantine, which keeps them away from
+// targets.
 //
 // A request is identified by the Fingerprint of its content, because each
 // attempt of its caller has an id of its own and may arrive at any entry VM.
@@ -28,5 +29,5 @@
 // From time to time, one entry VM of the fleet lets one request of a
 // quarantined fingerprint through as a trial. An answer clears the
 // fingerprint; another end prolongs the quarantine. Trials are few and counted
-// in the record, because each one may end a target.
+// in the record, because each one may crash a target.
 package quarantine
--- a/decide/quarantine/list_test.go
+++ b/decide/quarantine/list_test.go
@@ -139,7 +139,7 @@
 	is.Equal(l.Find(now.Add(quarantineRetention), f), nil)
 }
 
-// Guards against an innocent request that waits for two minutes although none
+// Guards against a harmless request that waits for two minutes although none
 // of its trials has ended a target: another attempt was in flight when its
 // fingerprint came into quarantine, and its target ended as well.
 func TestOnlyTrialsDelayTheNextTrial(t *testing.T) {
--- a/decide/quarantine/record.go
+++ b/decide/quarantine/record.go
@@ -36,7 +36,7 @@
 
 // trialDelays holds the times from the latest end or trial to the next trial,
 // by the number of trials that ended a target. The first one is short, because
-// an innocent fingerprint is answered then. One trial may give no result, for
+// a harmless fingerprint is answered then. One trial may give no result, for
 // example because its target is full; each further one without a result counts
 // like one that ended a target. There are at most as many trials as delays.
 var trialDelays = [...]time.Duration{8 * time.Second, 2 * time.Minute, 20 * time.Minute}
--- a/decide/reader/reader.go
+++ b/decide/reader/reader.go
@@ -10,7 +10,7 @@
 // A follower must be as up to date as a reader: the answer of a reader counts
 // only while that reader has recently heard from the store itself, and a
 // follower without such an answer reads the store until a reader can be polled
-// again. So a network partition between two VMs, a reader that has died or one
+// again. So a network partition between two VMs, a reader that has crashed or one
 // that the store refuses delays a change by PollTimeout at most, and costs
 // calls.
 package reader
--- a/decide/steer/lookup.go
+++ b/decide/steer/lookup.go
@@ -39,7 +39,7 @@
 type Answer struct {
 	N      int           // number of choices; 0 when no entry VM is live
 	TTL    time.Duration // how long the caller may keep the answer
-	Home   fleet.Region  // the client's own region
+	Home   fleet.Region  // the client's home region
 	Region fleet.Region  // the region of the first choice; empty when N is 0
 	// Block is the hash of the client's block, by which shares of traffic are
 	// counted.
@@ -67,22 +67,22 @@
 	row := v.row(service)
 	a := Answer{Home: c.home.name, Block: c.hash, Known: c.known, TTL: TTLSteady}
 
-	target, preferred := c.home.region, c.home.domains
-	if to, id, moved := v.shiftTarget(service, c, row); moved {
-		target, preferred = to, nil
+	region, preferred := c.home.region, c.home.domains
+	if to, id, moved := v.shiftRegion(service, c, row); moved {
+		region, preferred = to, nil
 		a.Moved, a.ShiftID = true, id
 	}
-	if target < 0 {
-		target = v.nextRegion(c, row, -1)
+	if region < 0 {
+		region = v.nextRegion(c, row, -1)
 		a.TTL = TTLMoving
 	}
-	if target < 0 || len(out) == 0 {
+	if region < 0 || len(out) == 0 {
 		return a
 	}
 	var r ranking
-	v.rank(&r, target, c.hash, row, preferred)
-	a.N = v.fillChoices(out, &r, c, row, target)
-	a.Region = v.regions[target].name
+	v.rank(&r, region, c.hash, row, preferred)
+	a.N = v.fillChoices(out, &r, c, row, region)
+	a.Region = v.regions[region].name
 	if v.shiftRunning(service, c.home.name) || v.weights[row][r.candidates[0].domain] <= NearlyFullWeight {
 		a.TTL = TTLMoving
 	}
@@ -108,11 +108,11 @@
 	return len(v.weights) - 1
 }
 
-// shiftTarget returns the region to which a traffic shift moves the client.
+// shiftRegion returns the region to which a traffic shift moves the client.
 //
 // A shift whose receiver has no live entry VM moves no clients: nothing could
 // serve them there, while their home region may still do so.
-func (v *View) shiftTarget(service fleet.ServiceName, c client, row int) (to int, id string, moved bool) {
+func (v *View) shiftRegion(service fleet.ServiceName, c client, row int) (to int, id string, moved bool) {
 	if v.shifts == nil {
 		return -1, "", false
 	}
@@ -144,7 +144,7 @@
 // second best of each. If the region has only one domain, the last choice is in
 // another region, so that the caller still has an entry VM if the domain is
 // lost.
-func (v *View) fillChoices(out []Choice, r *ranking, c client, row, target int) int {
+func (v *View) fillChoices(out []Choice, r *ranking, c client, row, region int) int {
 	local := out
 	if r.n == 1 && len(out) > 1 {
 		local = out[:len(out)-1]
@@ -153,8 +153,8 @@
 	if r.n > 1 || n == len(out) {
 		return n
 	}
-	other := v.nextRegion(c, row, target)
-	if other < 0 && c.home.region != target {
+	other := v.nextRegion(c, row, region)
+	if other < 0 && c.home.region != region {
 		// The client was moved and there is no third region. The home region
 		// is still better than choices in one domain only.
 		other = c.home.region
--- a/decide/tally/bench_test.go
+++ b/decide/tally/bench_test.go
@@ -32,7 +32,7 @@
 func BenchmarkIdleTraffic(b *testing.B) {
 	for range b.N {
 		n := newNetwork(1, 6, 8)
-		for _, v := range n.nodes {
+		for _, v := range n.vms {
 			empty := testCatalogue(2)
 			empty.Shifts = nil
 			n.step(v, &Configured{Catalogue: empty})
@@ -53,7 +53,7 @@
 		}
 	}
 	seconds := benchmarkTime.Seconds()
-	all := float64(len(n.nodes)) * seconds
+	all := float64(len(n.vms)) * seconds
 	b.ReportMetric(float64(n.messages)/all, "msgs/s/daemon")
 	b.ReportMetric(float64(n.bytes)/all, "B/s/daemon")
 	b.ReportMetric(float64(n.leaderMessages-lead)/seconds, "runner-msgs/s")
--- a/decide/tally/net_test.go
+++ b/decide/tally/net_test.go
@@ -15,10 +15,10 @@
 	"github.com/azurethread/azurethread/decide/tally/tallytest"
 )
 
-// node is one simulated entry VM, with its own clock.
-type node struct {
+// entryVM is one simulated entry VM, with its own clock.
+type entryVM struct {
 	vm            fleet.VM
-	state         *State // nil while the node is down
+	state         *State // nil while the entry VM is down
 	started       clock.Time
 	offset        time.Duration // of its clock from the network's
 	out           Ready
@@ -31,24 +31,24 @@
 }
 
 type delivery struct {
-	to    *node
+	to    *entryVM
 	state *State // the process that it is addressed to
 	event Event
 }
 
-// network connects nodes by delayed messages. The first node holds the lease.
+// network connects entry VMs by delayed messages. The first entry VM holds the lease.
 type network struct {
 	now            clock.Time
 	rng            *rand.Rand
-	nodes          []*node
-	byID           map[fleet.VMID]*node
+	vms            []*entryVM
+	byID           map[fleet.VMID]*entryVM
 	queue          clocktest.Queue[delivery]
 	loss           float64
 	repeat         bool                  // deliver each message twice
 	unreachable    map[fleet.Domain]bool // domains that are cut off from the others
 	catalogue      *catalogue.Catalogue
-	leader         *node
-	extraRequests  int            // additional requests with random blocks by each node every requestGap
+	leader         *entryVM
+	extraRequests  int            // additional requests with random blocks by each entry VM every requestGap
 	blocks         map[int]uint64 // a block for each position
 	messages       int
 	bytes          int
@@ -60,7 +60,7 @@
 const (
 	testService = fleet.ServiceName("calc-lookup")
 	testShift   = "drain-attiki"
-	requestGap  = 100 * time.Millisecond // between two requests of one node
+	requestGap  = 100 * time.Millisecond // between two requests of one entry VM
 )
 
 func testCatalogue(revision uint64) *catalogue.Catalogue {
@@ -81,7 +81,7 @@
 	n := &network{
 		now:         clock.Time(1000 * time.Hour),
 		rng:         rand.New(rand.NewPCG(seed, 1)),
-		byID:        map[fleet.VMID]*node{},
+		byID:        map[fleet.VMID]*entryVM{},
 		unreachable: map[fleet.Domain]bool{},
 		catalogue:   testCatalogue(1),
 
@@ -93,12 +93,12 @@
 	}
 	for d := range domainCount {
 		for i := range perDomain {
-			v := &node{slots: 3, vm: fleet.VM{
+			v := &entryVM{slots: 3, vm: fleet.VM{
 				ID:     fleet.VMID(fmt.Sprintf("vm-%02d-%02d", d, i)),
 				Region: fleet.Region(fmt.Sprintf("r%d", 2*d/perTwoRegions)),
 				Domain: fleet.Domain(fmt.Sprintf("d%02d", d)),
 			}}
-			n.nodes = append(n.nodes, v)
+			n.vms = append(n.vms, v)
 			n.byID[v.vm.ID] = v
 		}
 	}
@@ -108,46 +108,46 @@
 			n.blocks[at] = b
 		}
 	}
-	n.leader = n.nodes[0]
-	for _, v := range n.nodes {
-		n.now = n.now.Add(countIntervalLength / time.Duration(len(n.nodes))) // intervals of different nodes end at different times
+	n.leader = n.vms[0]
+	for _, v := range n.vms {
+		n.now = n.now.Add(countIntervalLength / time.Duration(len(n.vms))) // intervals of different entry VMs end at different times
 		n.startProcess(v)
 	}
 	n.announce()
 	return n
 }
 
-func (n *network) clockOf(v *node) clock.Time { return n.now.Add(v.offset) }
+func (n *network) clockOf(v *entryVM) clock.Time { return n.now.Add(v.offset) }
 
-func (n *network) startNode(v *node) {
+func (n *network) startVM(v *entryVM) {
 	n.startProcess(v)
 	n.announce()
 }
 
-func (n *network) startProcess(v *node) {
+func (n *network) startProcess(v *entryVM) {
 	v.state = New(n.clockOf(v), v.vm, Options{})
 	v.started = n.now
 	n.step(v, &Configured{Catalogue: n.catalogue})
 	n.step(v, &LeaseChanged{Held: v == n.leader})
 }
 
-func (n *network) stopNode(v *node) {
+func (n *network) stopVM(v *entryVM) {
 	v.state = nil
 	n.announce()
 }
 
-// announce updates the domain views of all nodes at the same instant.
+// announce updates the domain views of all entry VMs at the same instant.
 func (n *network) announce() {
-	for _, v := range n.nodes {
+	for _, v := range n.vms {
 		if v.state != nil {
 			n.step(v, &FleetChanged{Domains: n.views(v)})
 		}
 	}
 }
 
-func (n *network) views(of *node) []member.DomainView {
+func (n *network) views(of *entryVM) []member.DomainView {
 	var out []member.DomainView
-	for _, v := range n.nodes {
+	for _, v := range n.vms {
 		at := slices.IndexFunc(out, func(d member.DomainView) bool { return d.Domain == v.vm.Domain })
 		if at < 0 {
 			out = append(out, member.DomainView{Region: v.vm.Region, Domain: v.vm.Domain, Reachable: !n.disconnected(of, v)})
@@ -164,11 +164,11 @@
 	return out
 }
 
-func (n *network) disconnected(a, b *node) bool {
+func (n *network) disconnected(a, b *entryVM) bool {
 	return a.vm.Domain != b.vm.Domain && (n.unreachable[a.vm.Domain] || n.unreachable[b.vm.Domain])
 }
 
-func (n *network) step(v *node, ev Event) {
+func (n *network) step(v *entryVM, ev Event) {
 	v.state.Step(n.clockOf(v), ev, &v.out)
 	v.wake = clock.Never
 	if v.out.Wake != clock.Never {
@@ -183,7 +183,7 @@
 	}
 }
 
-func (n *network) send(from *node, s Send) {
+func (n *network) send(from *entryVM, s Send) {
 	n.messages++
 	size := tallytest.Size(NewBody(s.Msg))
 	n.bytes += size
@@ -206,7 +206,7 @@
 	}
 }
 
-func (n *network) push(at clock.Time, to *node, ev Event) {
+func (n *network) push(at clock.Time, to *entryVM, ev Event) {
 	n.queue.Push(at, delivery{to: to, state: to.state, event: ev})
 }
 
@@ -217,12 +217,12 @@
 	return int(t/clock.Time(time.Second)) * 37 % shift.Positions
 }
 
-// run advances the time by d. Each node serves a request and measures its load
+// run advances the time by d. Each entry VM serves a request and measures its load
 // every requestGap.
 func (n *network) run(d time.Duration) {
 	for until := n.now.Add(d); n.now < until; n.now = n.now.Add(requestGap) {
 		n.deliver(n.now.Add(requestGap))
-		for _, v := range n.nodes {
+		for _, v := range n.vms {
 			if v.state == nil {
 				continue
 			}
--- a/decide/tally/random_test.go
+++ b/decide/tally/random_test.go
@@ -36,7 +36,7 @@
 }
 
 func (n *network) injectFault(t *rapid.T) {
-	v := n.nodes[rapid.IntRange(0, len(n.nodes)-1).Draw(t, "node")]
+	v := n.vms[rapid.IntRange(0, len(n.vms)-1).Draw(t, "entry VM")]
 	switch rapid.IntRange(0, 6).Draw(t, "what") {
 	case 0:
 		n.repeat = rapid.Bool().Draw(t, "repeat")
@@ -45,11 +45,11 @@
 		v.sendDelay = rapid.SampledFrom([]time.Duration{0, 150, 600, 5000}).Draw(t, "slow") * time.Millisecond
 	case 2:
 		if v != n.leader {
-			n.stopNode(v)
+			n.stopVM(v)
 		}
 	case 3:
 		v.offset = time.Duration(rapid.IntRange(-9, 9).Draw(t, "offset")) * time.Hour
-		n.startNode(v)
+		n.startVM(v)
 	case 4:
 		n.unreachable[v.vm.Domain] = !n.unreachable[v.vm.Domain]
 		n.announce()
@@ -70,10 +70,10 @@
 func (n *network) endFaults() {
 	n.loss, n.repeat = 0, false
 	clear(n.unreachable)
-	for _, v := range n.nodes {
+	for _, v := range n.vms {
 		v.dropsIncoming, v.sendDelay = false, 0
 		if v.state == nil {
-			n.startNode(v)
+			n.startVM(v)
 		}
 		n.step(v, &Configured{Catalogue: n.catalogue})
 	}
@@ -92,7 +92,7 @@
 		return
 	}
 	var least, most [shift.Positions]uint64
-	for _, v := range n.nodes {
+	for _, v := range n.vms {
 		whole := v.state != nil && !n.disconnected(n.leader, v) && !n.unreachable[v.vm.Domain] && v.started < c.Since
 		for _, at := range v.served {
 			// Requests at the instant at which an interval ends may be
--- a/decide/tally/tally_test.go
+++ b/decide/tally/tally_test.go
@@ -24,7 +24,7 @@
 			is := is.New(t)
 			n := newNetwork(1, size[0], size[1])
 			n.run(settleTime)
-			vms := len(n.nodes)
+			vms := len(n.vms)
 			c := n.count()
 			is.Equal(c.Missing, 0)
 			is.True(c.Total >= uint64(99*vms)) // 10 requests a second for 10 s
@@ -47,7 +47,7 @@
 	is := is.New(t)
 	n := newNetwork(1, 4, 3)
 	n.catalogue = &catalogue.Catalogue{Revision: 2}
-	for _, v := range n.nodes {
+	for _, v := range n.vms {
 		n.step(v, &Configured{Catalogue: n.catalogue})
 	}
 	n.run(3 * time.Second)
@@ -65,7 +65,7 @@
 	is := is.New(t)
 	n := newNetwork(1, 6, 2)
 	n.run(settleTime)
-	n.nodes[9].dropsIncoming = true
+	n.vms[9].dropsIncoming = true
 	n.run(3 * time.Second)
 	is.Equal(n.plan().Action, shift.Advance)
 	n.run(5 * time.Second)
@@ -76,7 +76,7 @@
 		seen[n.count().Missing] = true
 	}
 	is.Equal(seen, map[int]bool{1: true, 2: true}) // 2 in rounds where it is the head of its domain of two
-	n.nodes[9].dropsIncoming = false
+	n.vms[9].dropsIncoming = false
 	n.run(3 * time.Second)
 	is.Equal(n.plan().Action, shift.Advance)
 }
@@ -102,7 +102,7 @@
 func TestVMWithOldCatalogueIsCountedMissing(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork(1, 4, 2)
-	late := n.nodes[5]
+	late := n.vms[5]
 	n.step(late, &Configured{Catalogue: &catalogue.Catalogue{Revision: 0}})
 	n.run(settleTime)
 	seen := map[[2]int]bool{}
@@ -125,9 +125,9 @@
 func TestClockOffsetsDoNotMatter(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork(1, 6, 2)
-	for i, v := range n.nodes {
+	for i, v := range n.vms {
 		v.offset = time.Duration(i%5-2) * time.Hour
-		n.startNode(v)
+		n.startVM(v)
 	}
 	n.run(settleTime)
 	is.Equal(n.count().Missing, 0)
@@ -143,7 +143,7 @@
 	n := newNetwork(1, 6, 1)
 	n.run(settleTime)
 	const slow = 600 * time.Millisecond
-	for _, v := range n.nodes[2:] {
+	for _, v := range n.vms[2:] {
 		v.sendDelay = slow
 		n.run(4 * time.Second)
 		c := n.count()
@@ -175,7 +175,7 @@
 	is.Equal(n.plan().Reason.Code, shift.StaleMeasurement)
 	n.run(3 * time.Second)
 	is.Equal(n.plan().Action, shift.Advance)
-	is.True(n.count().Total >= uint64(99*len(n.nodes)))
+	is.True(n.count().Total >= uint64(99*len(n.vms)))
 }
 
 // The whole receiver region is lost while a shift runs. Guards against a shift
@@ -185,7 +185,7 @@
 	is := is.New(t)
 	n := newNetwork(1, 6, 2)
 	n.run(settleTime)
-	for _, v := range n.nodes[4:8] {
+	for _, v := range n.vms[4:8] {
 		n.unreachable[v.vm.Domain] = true
 	}
 	n.announce()
@@ -204,8 +204,8 @@
 	is := is.New(t)
 	n := newNetwork(1, 4, 2)
 	n.run(settleTime)
-	watch := func(disturb func(i int, v *node)) {
-		for i, v := range n.nodes[4:] {
+	watch := func(disturb func(i int, v *entryVM)) {
+		for i, v := range n.vms[4:] {
 			disturb(i, v)
 		}
 		for range 20 {
@@ -214,11 +214,11 @@
 		}
 		is.Equal(n.plan().Reason.Code, shift.StaleMeasurement)
 	}
-	watch(func(_ int, v *node) {
+	watch(func(_ int, v *entryVM) {
 		v.reportsNoLoad = true
-		n.startNode(v)
+		n.startVM(v)
 	})
-	watch(func(i int, v *node) {
+	watch(func(i int, v *entryVM) {
 		v.reportsNoLoad, v.slots = i > 0, 0 // one reports that it has no capacity, the others nothing
 	})
 }
@@ -228,12 +228,12 @@
 func TestAllViewsAgreeOnCandidate(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork(1, 6, 20)
-	first := Candidates(n.views(n.nodes[0]), 2)
-	for _, v := range n.nodes {
+	first := Candidates(n.views(n.vms[0]), 2)
+	for _, v := range n.vms {
 		is.Equal(Candidate(n.views(v)), first[0])
 	}
-	n.stopNode(n.byID[first[0]])
-	for _, v := range n.nodes {
+	n.stopVM(n.byID[first[0]])
+	for _, v := range n.vms {
 		is.Equal(Candidate(n.views(v)), first[1])
 	}
 	is.Equal(Candidate([]member.DomainView{{Domain: "d0"}}), fleet.VMID(""))
@@ -335,7 +335,7 @@
 	n.run(settleTime)
 	total := n.count().Total
 	is.True(total > 0)
-	n.step(n.leader, &PeerMessage{From: n.nodes[5].vm.ID, Msg: &Ask{Runner: n.leader.vm.ID, Round: 1, Scope: ScopeVM}})
+	n.step(n.leader, &PeerMessage{From: n.vms[5].vm.ID, Msg: &Ask{Runner: n.leader.vm.ID, Round: 1, Scope: ScopeVM}})
 	is.Equal(n.count().Total, total)
 	is.Equal(n.count().Missing, 0)
 }
--- a/serve/core/core.go
+++ b/serve/core/core.go
@@ -143,8 +143,8 @@
 
 // Query runs f on the state between two steps and waits for it. It returns false
 // if the core has been closed; f is then never run, as its variables may be in
-// use again. Query must not be called while an effect is performed: it would wait
-// for itself.
+// use again. Query must not be called while an effect is performed: it would
+// wait for itself.
 func (c *Core[T]) Query(f func(now clock.Time, state T)) bool {
 	q := &query[T]{ask: f, done: make(chan struct{})}
 	c.Post(q)
--- a/serve/daemon/attempt.go
+++ b/serve/daemon/attempt.go
@@ -115,8 +115,8 @@
 // parseRefusal returns the error that an answer reports, or nil if the answer is
 // a result. A target marks a refused request with headerRefused; an entry VM
 // sends its verdict and reason.
-func parseRefusal(a *outbound.Answer, remote bool) *verdict.Error {
-	if remote {
+func parseRefusal(a *outbound.Answer, fromEntryVM bool) *verdict.Error {
+	if fromEntryVM {
 		return heads.ParseFailure(a.Header)
 	}
 	if a.Header.Get(headerRefused) != verdict.NotRun.String() {
--- a/standin/target/target.go
+++ b/standin/target/target.go
@@ -45,7 +45,7 @@
 	Started           uint64 // executions started
 	Completed         uint64 // executions that ended with an answer
 	Shed              uint64 // refused because the slots and the queue were full
-	ArrivedAtCapacity uint64 // arrived while all slots were in use; queued or shed
+	ArrivedAtCapacity uint64 // arrived while all slots were in use; queued or refused
 	PeakInFlight      int    // most accepted requests at once
 
 	RefusedLeaving        uint64        // refused because the target was leaving
