--- a/decide/tally/bench_test.go
+++ b/decide/tally/bench_test.go
@@ -32,7 +32,7 @@
 func BenchmarkIdleTraffic(b *testing.B) {
 	for range b.N {
 		n := newNetwork(1, 6, 8)
-		for _, v := range n.nodes {
+		for _, v := range n.vms {
 			empty := testCatalogue(2)
 			empty.Shifts = nil
 			n.step(v, &Configured{Catalogue: empty})
@@ -53,7 +53,7 @@
 		}
 	}
 	seconds := benchmarkTime.Seconds()
-	all := float64(len(n.nodes)) * seconds
+	all := float64(len(n.vms)) * seconds
 	b.ReportMetric(float64(n.messages)/all, "msgs/s/daemon")
 	b.ReportMetric(float64(n.bytes)/all, "B/s/daemon")
 	b.ReportMetric(float64(n.leaderMessages-lead)/seconds, "runner-msgs/s")
@@ -62,8 +62,8 @@
 	b.ReportMetric(float64(n.count().Missing), "missing")
 }
 
-// BenchmarkServed measures counting one request.
-func BenchmarkServed(b *testing.B) {
+// BenchmarkRecordRequest measures counting one request.
+func BenchmarkRecordRequest(b *testing.B) {
 	n := newNetwork(1, 2, 2)
 	b.ReportAllocs()
 	for b.Loop() {
@@ -71,8 +71,8 @@
 	}
 }
 
-// BenchmarkAnswered measures recording one answer.
-func BenchmarkAnswered(b *testing.B) {
+// BenchmarkRecordAnswer measures recording one answer.
+func BenchmarkRecordAnswer(b *testing.B) {
 	m := NewMeter(0)
 	for i := range 10 {
 		m.RecordAnswer(0, fleet.ServiceName(fmt.Sprint(i)), 0, true)
