--- a/decide/dispatch/golden_test.go
+++ b/decide/dispatch/golden_test.go
@@ -103,8 +103,8 @@
 	}
 	at := clock.Time(parseDuration(x.t, words[0]))
 	if words[1] == "until" {
-		for x.out.Wake <= at {
-			x.now = x.out.Wake
+		for x.out.WakeAt <= at {
+			x.now = x.out.WakeAt
 			x.step(&Tick{})
 		}
 		x.now = at
--- a/decide/dispatch/measure/simulation.go
+++ b/decide/dispatch/measure/simulation.go
@@ -321,8 +321,8 @@
 	for i := range v.out.Replies {
 		v.complete(v.out.Replies[i].Req, &v.out.Replies[i])
 	}
-	if v.out.Wake < v.tick {
-		v.tick = v.out.Wake
+	if v.out.WakeAt < v.tick {
+		v.tick = v.out.WakeAt
 		at := v.tick
 		v.sim.schedule(at, func() {
 			if v.tick == at {
--- a/decide/dispatch/random_test.go
+++ b/decide/dispatch/random_test.go
@@ -208,8 +208,8 @@
 		if run.now >= r.deadline {
 			run.fail("request %d still open after its deadline", id)
 		}
-		if run.out.Wake > r.deadline {
-			run.fail("wake at %d, but request %d has its deadline at %d", run.out.Wake, id, r.deadline)
+		if run.out.WakeAt > r.deadline {
+			run.fail("wake at %d, but request %d has its deadline at %d", run.out.WakeAt, id, r.deadline)
 		}
 	}
 }
@@ -221,8 +221,8 @@
 // randomEvent applies one random event.
 func (run *randomRun) randomEvent() {
 	run.now = run.now.Add(time.Duration(run.intn(4)*run.intn(4)*run.intn(4)) * time.Millisecond)
-	if run.out.Wake <= run.now {
-		run.now = max(run.out.Wake, run.now)
+	if run.out.WakeAt <= run.now {
+		run.now = max(run.out.WakeAt, run.now)
 		run.step(&Tick{})
 		return
 	}
--- a/decide/dispatch/ready.go
+++ b/decide/dispatch/ready.go
@@ -73,8 +73,8 @@
 	Cancels    []Cancel
 	Probes     []Probe
 	Violations []Violation
-	// Wake is when the next Tick is due; clock.Never when none is.
-	Wake clock.Time
+	// WakeAt is when the next Tick is due; clock.Never when none is.
+	WakeAt clock.Time
 }
 
 // Reset empties r but keeps its memory.
@@ -86,5 +86,5 @@
 	r.Cancels = r.Cancels[:0]
 	r.Probes = r.Probes[:0]
 	r.Violations = r.Violations[:0]
-	r.Wake = clock.Never
+	r.WakeAt = clock.Never
 }
--- a/decide/dispatch/state.go
+++ b/decide/dispatch/state.go
@@ -78,7 +78,7 @@
 	s.out = out
 	s.apply(ev)
 	s.runTimers()
-	out.Wake = s.nextWake()
+	out.WakeAt = s.nextWake()
 	if s.opts.Audit {
 		s.audit()
 	}
--- a/decide/engine/calls.go
+++ b/decide/engine/calls.go
@@ -119,7 +119,7 @@
 	sends, forwards := len(d.Sends), len(d.Forwards)
 	delivers, replies := len(d.Delivers), len(d.Replies)
 	e.dispatch.Step(now, ev, d)
-	e.wakeTimes.dispatch = d.Wake
+	e.wakeTimes.dispatch = d.WakeAt
 	for _, s := range d.Sends[sends:] {
 		e.markSent(s.Req)
 		e.recordSend(now, s.Req, true)
--- a/decide/engine/control.go
+++ b/decide/engine/control.go
@@ -40,7 +40,7 @@
 func (e *Engine) stepMember(now clock.Time, ev member.Event, out *Ready) {
 	r := &e.memberReady
 	e.member.Step(now, ev, r)
-	e.wakeTimes.member = r.Wake
+	e.wakeTimes.member = r.WakeAt
 	for _, s := range r.Sends {
 		out.Peers = append(out.Peers, PeerSend{To: s.To, Member: s.Msg, Load: e.loadReport(now, s.Scope)})
 	}
@@ -208,7 +208,7 @@
 func (e *Engine) stepMachine(now clock.Time, ev machine.Event, out *Ready) {
 	r := &e.machineReady
 	e.machine.Step(now, ev, r)
-	e.wakeTimes.machine = r.Wake
+	e.wakeTimes.machine = r.WakeAt
 	e.watchMachineList = r.Watch
 	for _, s := range r.Sends {
 		if vm, ok := e.findVM(s.To); ok {
--- a/decide/engine/shifts.go
+++ b/decide/engine/shifts.go
@@ -18,7 +18,7 @@
 func (e *Engine) stepTally(now clock.Time, ev tally.Event, out *Ready) {
 	r := &e.tallyReady
 	e.tally.Step(now, ev, r)
-	e.wakeTimes.tally = r.Wake
+	e.wakeTimes.tally = r.WakeAt
 	for _, s := range r.Sends {
 		// The recipient may be missing in this VM's membership. The answer
 		// then uses the connection that the recipient has opened.
--- a/decide/machine/event.go
+++ b/decide/machine/event.go
@@ -55,13 +55,13 @@
 	Apply *fleet.List
 	// Watch is true while this daemon should watch the platform's list.
 	Watch bool
-	// Wake is the instant at which the next Tick is due.
-	Wake clock.Time
+	// WakeAt is the instant at which the next Tick is due.
+	WakeAt clock.Time
 }
 
 func (r *Ready) reset() {
 	r.Sends = r.Sends[:0]
 	r.Apply = nil
 	r.Watch = false
-	r.Wake = clock.Never
+	r.WakeAt = clock.Never
 }
--- a/decide/machine/net_test.go
+++ b/decide/machine/net_test.go
@@ -120,7 +120,7 @@
 	}
 	v.state.Step(n.now, ev, &v.out)
 	n.checkStep(v)
-	v.wake = v.out.Wake
+	v.wake = v.out.WakeAt
 	n.push(v.wake, v, &Tick{})
 	for _, s := range v.out.Sends {
 		n.messages++
--- a/decide/machine/state.go
+++ b/decide/machine/state.go
@@ -158,7 +158,7 @@
 	if !out.Watch {
 		s.platform = platformView{lowerSince: clock.Never}
 	}
-	out.Wake = s.wake()
+	out.WakeAt = s.wake()
 }
 
 func (s *State) setMembers(ids []fleet.VMID, out *Ready) {
--- a/decide/member/event.go
+++ b/decide/member/event.go
@@ -76,8 +76,8 @@
 	// Superseded is true when another process with a higher incarnation runs
 	// under this VM's id. This process should stop.
 	Superseded bool
-	// Wake is the instant at which the next Tick is due.
-	Wake clock.Time
+	// WakeAt is the instant at which the next Tick is due.
+	WakeAt clock.Time
 }
 
 func (r *Ready) reset() {
--- a/decide/member/member_test.go
+++ b/decide/member/member_test.go
@@ -333,6 +333,6 @@
 	s := n.VMs[0].State
 	for range 3 {
 		s.Step(n.Now, &member.Tick{}, &out)
-		is.True(out.Wake > n.Now || out.Wake == clock.Never)
+		is.True(out.WakeAt > n.Now || out.WakeAt == clock.Never)
 	}
 }
--- a/decide/member/membertest/network.go
+++ b/decide/member/membertest/network.go
@@ -141,8 +141,8 @@
 	for i := range entry.out.Sends {
 		n.send(entry, &entry.out.Sends[i])
 	}
-	if entry.out.Wake != entry.wake {
-		entry.wake = entry.out.Wake
+	if entry.out.WakeAt != entry.wake {
+		entry.wake = entry.out.WakeAt
 		n.push(&delivery{at: max(entry.wake, n.Now), entry: entry, process: entry.process})
 	}
 }
--- a/decide/member/state.go
+++ b/decide/member/state.go
@@ -121,7 +121,7 @@
 	s.runDue(out)
 	s.reportChanges(out)
 	s.wake = s.nextWake()
-	out.Wake = s.wake
+	out.WakeAt = s.wake
 }
 
 // scheduleFirst schedules the periodic tasks at the first step, with jitter so
--- a/decide/tally/event.go
+++ b/decide/tally/event.go
@@ -62,13 +62,13 @@
 	Sends []Send
 	// Evidence reports that State.Evidence has changed.
 	Evidence bool
-	// Wake is when the next Tick is due; clock.Never while no shift moves
+	// WakeAt is when the next Tick is due; clock.Never while no shift moves
 	// traffic.
-	Wake clock.Time
+	WakeAt clock.Time
 }
 
 func (r *Ready) reset() {
 	r.Sends = r.Sends[:0]
 	r.Evidence = false
-	r.Wake = clock.Never
+	r.WakeAt = clock.Never
 }
--- a/decide/tally/net_test.go
+++ b/decide/tally/net_test.go
@@ -171,8 +171,8 @@
 func (n *network) step(v *entryVM, ev Event) {
 	v.state.Step(n.clockOf(v), ev, &v.out)
 	v.wake = clock.Never
-	if v.out.Wake != clock.Never {
-		v.wake = v.out.Wake.Add(-v.offset)
+	if v.out.WakeAt != clock.Never {
+		v.wake = v.out.WakeAt.Add(-v.offset)
 		n.push(v.wake, v, &Tick{})
 	}
 	if v == n.leader && v.out.Evidence {
--- a/decide/tally/state.go
+++ b/decide/tally/state.go
@@ -115,7 +115,7 @@
 	case *Tick:
 	}
 	s.runDue(out)
-	out.Wake = s.nextWake()
+	out.WakeAt = s.nextWake()
 }
 
 func (s *State) handleMessage(e *PeerMessage, out *Ready) {
--- a/decide/tally/tally_test.go
+++ b/decide/tally/tally_test.go
@@ -54,7 +54,7 @@
 	n.messages = 0
 	n.run(10 * time.Second)
 	is.Equal(n.messages, 0)
-	is.Equal(n.leader.out.Wake, clock.Never)
+	is.Equal(n.leader.out.WakeAt, clock.Never)
 }
 
 // An entry VM stops answering while membership still lists it as live. Guards
--- a/serve/store/writer.go
+++ b/serve/store/writer.go
@@ -67,8 +67,8 @@
 	Revision uint64
 	// Catalogue is the platform's newest catalogue, at Revision or above.
 	Catalogue *catalogue.Catalogue
-	// Confirmed is when Catalogue is known to have been the newest.
-	Confirmed clock.Time
+	// ConfirmedAt is when Catalogue is known to have been the newest.
+	ConfirmedAt clock.Time
 	// Repeated means that the operation had been accepted before this call, or
 	// by an earlier try whose answer was lost.
 	Repeated bool
@@ -76,7 +76,7 @@
 
 // Event returns the event for config.State.
 func (a Accepted) Event() *config.Accepted {
-	return &config.Accepted{Catalogue: a.Catalogue, ConfirmedAt: a.Confirmed}
+	return &config.Accepted{Catalogue: a.Catalogue, ConfirmedAt: a.ConfirmedAt}
 }
 
 // Change applies op to the platform's catalogue. The error is either one of
@@ -217,7 +217,7 @@
 	}
 	if o, found := h.find(a.op.ID); found {
 		a.unsettled = nil
-		return Accepted{Revision: o.Revision, Catalogue: h.Catalogue, Confirmed: asked, Repeated: true}, nil
+		return Accepted{Revision: o.Revision, Catalogue: h.Catalogue, ConfirmedAt: asked, Repeated: true}, nil
 	}
 	a.settle(h)
 	next, err := a.build(h)
@@ -229,7 +229,7 @@
 		return Accepted{}, err
 	}
 	a.unsettled = nil
-	return Accepted{Revision: next.Revision, Catalogue: next.Catalogue, Confirmed: asked}, nil
+	return Accepted{Revision: next.Revision, Catalogue: next.Catalogue, ConfirmedAt: asked}, nil
 }
 
 // settle decides whether the unsettled write, which h does not list, may have
@@ -389,5 +389,5 @@
 	if err := writeDocument(ctx, w.o.Store, h, next); err != nil {
 		return Accepted{}, false, err
 	}
-	return Accepted{Revision: next.Revision, Catalogue: &restored, Confirmed: asked}, true, nil
+	return Accepted{Revision: next.Revision, Catalogue: &restored, ConfirmedAt: asked}, true, nil
 }
