--- a/decide/dispatch/doc.go
+++ b/decide/dispatch/doc.go
@@ -56,5 +56,5 @@
 // one request at a time on a connection. It closes the connection of a cancelled
 // attempt, opens another when Replace is set, and then reports Failed. It opens
 // a new connection for a Send with NewConnection set. It calls Step with a Tick
-// at Ready.Wake, at the latest.
+// at Ready.WakeAt, at the latest.
 package dispatch
--- a/decide/dispatch/event.go
+++ b/decide/dispatch/event.go
@@ -64,7 +64,7 @@
 // CallerGone reports that the caller no longer waits for the request.
 type CallerGone struct{ Req RequestID }
 
-// Tick runs timers that are due; the transport sends it at Ready.Wake.
+// Tick runs timers that are due; the transport sends it at Ready.WakeAt.
 type Tick struct{}
 
 // Stop reports that this entry VM is leaving. New requests are refused and
--- a/decide/machine/event.go
+++ b/decide/machine/event.go
@@ -29,7 +29,7 @@
 	Msg  Message
 }
 
-// Tick runs the tasks that are due. It must be sent at Ready.Wake.
+// Tick runs the tasks that are due. It must be sent at Ready.WakeAt.
 type Tick struct{}
 
 func (*ListRead) isEvent()      {}
--- a/decide/member/event.go
+++ b/decide/member/event.go
@@ -24,7 +24,7 @@
 // dead.
 type SendFailed struct{ To fleet.VMID }
 
-// Tick runs the tasks that are due. It must be sent at Ready.Wake.
+// Tick runs the tasks that are due. It must be sent at Ready.WakeAt.
 type Tick struct{}
 
 // Leave announces that this process accepts no new work and is about to stop.
--- a/decide/member/member_test.go
+++ b/decide/member/member_test.go
@@ -318,7 +318,7 @@
 	is.True(withdrawnSince(n, counts, vms[0].ID) == 0)
 }
 
-// A Ready.Wake that has already passed would make the caller step in a busy
+// A Ready.WakeAt that has already passed would make the caller step in a busy
 // loop. Ticks at the same instant must ask for a later one.
 func TestNoBusyLoop(t *testing.T) {
 	is := is.New(t)
--- a/decide/tally/event.go
+++ b/decide/tally/event.go
@@ -39,7 +39,7 @@
 	Msg  Message
 }
 
-// Tick only advances the time; it is due at Ready.Wake.
+// Tick only advances the time; it is due at Ready.WakeAt.
 type Tick struct{}
 
 func (*Configured) isEvent()   {}
