--- a/decide/emulate/caller.go
+++ b/decide/emulate/caller.go
@@ -93,20 +93,21 @@
 const (
 	// connectRefusedDelay is how long a caller takes to detect that a VM is down.
 	connectRefusedDelay = 10 * time.Millisecond
-	// noVMDelay is how long a caller waits that could not connect to any VM.
+	// noVMDelay is how long a caller that could not connect to any VM waits before
+	// it tries again.
 	noVMDelay = 100 * time.Millisecond
 )
 
 // attempt sends the caller's request to an entry VM.
 func (sim *simulation) attempt(c *caller) {
-	way := millis(sim.pattern.Network.CallerMS)
+	oneWay := millis(sim.pattern.Network.CallerMS)
 	v := sim.chooseEntryVM(c)
 	if v == nil {
 		c.unreachable = nil
 		sim.after(noVMDelay, func() { sim.retryOrGiveUp(c) })
 		return
 	}
-	sim.after(way, func() {
+	sim.after(oneWay, func() {
 		if v.reducer == nil {
 			c.unreachable = append(c.unreachable, v)
 			sim.after(connectRefusedDelay, func() { sim.attempt(c) })
--- a/decide/emulate/deathquery.go
+++ b/decide/emulate/deathquery.go
@@ -23,7 +23,7 @@
 	Late int `json:"late"`
 	// Lost counts the requests of other callers that were lost in the crashes.
 	Lost int `json:"lost"`
-	// Asked counts the times that its callers started the request.
+	// Asked counts how often its callers started the request.
 	Asked int `json:"asked"`
 }
 
@@ -95,8 +95,8 @@
 	sim.after(d.repeatInterval(), func() { sim.sendDeathQuery(d) })
 }
 
-// crashTarget crashes t because of the query of death r, unless the process that
-// executed r has already ended.
+// crashTarget crashes t because of the query of death r, unless r was cancelled or
+// the process that executed it, which began at start, has already ended.
 func (sim *simulation) crashTarget(t *target, r *execution, start int64) {
 	if t.registered.StartedAt != start || t.down || r.ended {
 		return // the process has ended, or r was cancelled
--- a/decide/emulate/event.go
+++ b/decide/emulate/event.go
@@ -84,7 +84,7 @@
 			continue
 		}
 		v.reducer = nil
-		v.processNumber++ // ignores what the earlier process had in progress
+		v.processNumber++ // invalidates the pending events of the earlier process
 		sim.failOpenRequests(v)
 		sim.after(seconds(e.Duration), func() { sim.startVM(v) })
 	}
--- a/decide/emulate/fleet.go
+++ b/decide/emulate/fleet.go
@@ -122,8 +122,11 @@
 func (sim *simulation) schedule(at clock.Time, run func()) { sim.events.Push(max(at, sim.now), run) }
 func (sim *simulation) after(d time.Duration, run func())  { sim.schedule(sim.now.Add(d), run) }
 func (sim *simulation) loadSeconds() float64               { return sim.now.Sub(sim.loadStart).Seconds() }
-func (sim *simulation) selected(share float64, i, of int) bool {
-	return share == 0 || float64(i) < share*float64(of)
+
+// selected reports whether item i of n belongs to the share that an event applies
+// to; a share of 0 means all.
+func (sim *simulation) selected(share float64, i, n int) bool {
+	return share == 0 || float64(i) < share*float64(n)
 }
 
 func (sim *simulation) runUntil(until clock.Time) {
@@ -268,8 +271,8 @@
 	for _, p := range out.Probes {
 		sim.probe(v, p)
 	}
-	for _, tell := range out.Messages {
-		sim.sendMessage(v, tell)
+	for _, m := range out.Messages {
+		sim.sendMessage(v, m)
 	}
 	sim.setTickTimer(v, out.WakeAt)
 }
@@ -301,13 +304,13 @@
 	}
 }
 
-func (sim *simulation) sendMessage(from *vm, tell ingress.OutgoingMessage) {
-	to := sim.vmByID[tell.To]
+func (sim *simulation) sendMessage(from *vm, m ingress.OutgoingMessage) {
+	to := sim.vmByID[m.To]
 	if to == nil {
 		return
 	}
 	sim.after(sim.latency(from.self.Domain, to.self.Domain), func() {
-		sim.step(to, &ingress.IncomingMessage{From: from.self.ID, Message: tell.Message})
+		sim.step(to, &ingress.IncomingMessage{From: from.self.ID, Message: m.Message})
 	})
 }
 
@@ -377,13 +380,13 @@
 // probe reports to an entry VM whether a target is listening.
 func (sim *simulation) probe(v *vm, p ingress.Probe) {
 	t, process := sim.targets[p.Target], v.processNumber
-	way := sim.latency(v.self.Domain, t.registered.Domain)
-	sim.after(way, func() {
+	oneWay := sim.latency(v.self.Domain, t.registered.Domain)
+	sim.after(oneWay, func() {
 		found := ingress.ListeningYes
 		if t.down {
 			found = ingress.ListeningNo
 		}
-		sim.after(way, func() {
+		sim.after(oneWay, func() {
 			if v.processNumber == process {
 				sim.step(v, &ingress.Probed{Target: p.Target, StartedAt: p.StartedAt, Listening: found})
 			}
--- a/decide/emulate/gateway.go
+++ b/decide/emulate/gateway.go
@@ -10,16 +10,16 @@
 // sendToGateway sends a request to its gateway on its connection.
 func (sim *simulation) sendToGateway(s *targetSend) {
 	sim.recorder.recordConnected(s)
-	way, g := sim.latency(s.vm.self.Domain, s.gateway.self.Domain), s.gateway
-	sim.after(way, func() {
+	oneWay, g := sim.latency(s.vm.self.Domain, s.gateway.self.Domain), s.gateway
+	sim.after(oneWay, func() {
 		switch {
 		case s.ended:
 		case g.reducer == nil:
-			sim.after(way, func() {
+			sim.after(oneWay, func() {
 				sim.endSend(s, &ingress.Failed{Attempt: s.id, Verdict: verdict.NotRun, Reason: verdict.ReasonGateway})
 			})
 		default:
-			sim.after(way, func() { sim.confirmAtSender(s) })
+			sim.after(oneWay, func() { sim.confirmAtSender(s) })
 			sim.acceptAtGateway(s)
 		}
 	})
--- a/decide/emulate/ratelimit.go
+++ b/decide/emulate/ratelimit.go
@@ -79,8 +79,8 @@
 		return
 	}
 	l.total++
-	told, ok := l.knownSince[processID{v.self.ID, v.processNumber}]
-	if ok && now.Sub(told) >= minKnownTime && now.Sub(l.since) >= limitGrace {
+	since, ok := l.knownSince[processID{v.self.ID, v.processNumber}]
+	if ok && now.Sub(since) >= minKnownTime && now.Sub(l.since) >= limitGrace {
 		l.sends = append(l.sends, now)
 	}
 }
--- a/decide/ingress/attempt.go
+++ b/decide/ingress/attempt.go
@@ -143,7 +143,7 @@
 	switch rep.Result {
 	case ResultServed:
 		t.answeredAt = now
-		t.terminated = false // it only stopped listening for a moment
+		t.terminated = false // the instance is alive; it had only stopped listening for a moment
 		t.recordLoad(now, rep.Load)
 		r.recordLoadReport(now, t)
 		r.recordOutcome(now, t, true)
--- a/decide/ingress/coordinate.go
+++ b/decide/ingress/coordinate.go
@@ -19,9 +19,9 @@
 )
 
 // coordinator returns the entry VM that places requests for a service at the
-// targets of a region: the first of the region's strong VMs by rendezvous hashing.
-// It counts every request at a target, so that targets are neither overloaded nor
-// left idle. It returns "" if the region has no entry VM.
+// targets of a region: the first of the region's strong VMs by rendezvous hashing;
+// "" if the region has no entry VM. That VM knows every request in flight at the
+// targets, so that they are neither overloaded nor left idle.
 //
 // Weak VMs are excluded: a VM with a sixth of a core cannot handle the placement
 // requests of a region with a thousand requests per second. Its peers would time
@@ -73,8 +73,8 @@
 	return rank.Order(name, strong)
 }
 
-// strongMatching returns the strong ones among the live VMs for which fits returns
-// true.
+// strongMatching returns the strong VMs (fleet.Strong) among the live ones that
+// fits accepts.
 func (r *Reducer) strongMatching(fits func(*fleet.VM) bool) []fleet.VMID {
 	var all []fleet.VM
 	for i := range r.members {
--- a/decide/ingress/event.go
+++ b/decide/ingress/event.go
@@ -74,9 +74,9 @@
 // CallerGone reports that the caller of a request has closed its connection.
 type CallerGone struct{ Request RequestID }
 
-// ForwardRequest is a request that an entry VM of another region has placed at a target
-// near this VM, which acts as its gateway. The answer or refusal goes back to that
-// VM.
+// ForwardRequest is a request that an entry VM of another region has placed at a
+// target near this VM, which acts as its gateway. The answer or refusal goes back
+// to the other VM.
 type ForwardRequest struct {
 	Request  RequestID
 	Target   fleet.TargetID
@@ -228,8 +228,8 @@
 // Quarantine is a change of a quarantine, for the log and the store.
 type Quarantine struct {
 	Record quarantine.Record
-	// Keep requests that the record be saved in the store, Remove that the stored
-	// entry be deleted.
+	// Keep requests that the record be saved in the store. Remove requests that
+	// the stored entry be deleted.
 	Keep, Remove bool
 }
 
--- a/decide/ingress/gateway.go
+++ b/decide/ingress/gateway.go
@@ -82,8 +82,8 @@
 }
 
 // gatewayTimedOut handles a gateway that has not acknowledged a request in time.
-// An idempotent request is sent a second time; any other may already be on its
-// way.
+// An idempotent request is sent a second time. Any other request is not, because
+// the gateway may have sent it to the target already.
 func (r *Reducer) gatewayTimedOut(now clock.Time, q *request, id AttemptID) {
 	a, ok := r.attempts[id]
 	if !ok || a.gateway == "" || a.accepted {
--- a/decide/ingress/history.go
+++ b/decide/ingress/history.go
@@ -7,10 +7,10 @@
 )
 
 // shiftHistory counts the requests of the latest shiftWindow by the side where
-// they ran, in steps. It enforces the operators' limit. The setpoint and its bands
-// only say where requests should go: warm objects can move the actual share from
-// one edge of the bands to the other, which together with the movement of the
-// setpoint changed a third of a region's requests within two seconds.
+// they ran, in steps. It enforces the operators' limit, which the setpoint and its
+// bands alone do not: warm objects can move the actual share from one edge of the
+// bands to the other while the setpoint moves as well. Together this moved a third
+// of a region's requests to the other side within two seconds.
 type shiftHistory struct {
 	steps [historySteps]shiftCount
 	last  int64 // number of the latest step since time 0
@@ -59,8 +59,8 @@
 // The limits are the share of the window plus and minus half of the allowed change
 // from one window to the next. The middle of the window is half a window ago, so a
 // share that stays at one of the limits changes by twice as much in a whole
-// window. A comparison of whole windows would detect a change late and compensate
-// it long after, with all requests of half a second on one side and then all on
+// window. A comparison of whole windows would detect a change late and correct it
+// for too long: all requests of half a second would go to one side, and then all to
 // the other.
 //
 // With few requests, two windows differ by chance. The limits allow for this,
@@ -87,7 +87,7 @@
 	maxDebt = 16.0
 	// debtStep is the part of the objects that is forced to a side for each
 	// request that the side lacks. These are always the same objects, so that few
-	// of them start cold.
+	// objects start cold.
 	debtStep = 1.0 / maxDebt
 )
 
@@ -99,9 +99,9 @@
 	d.local = min(max(d.local+(1-high)*all-own, -maxDebt), maxDebt)
 }
 
-// forced returns the side to which a request of an object at hash must go, sideAny
-// if it may go to either. The lower the hash, the sooner the object is forced to
-// other regions.
+// forced returns the side to which a request for an object with the given hash must
+// go, sideAny if it may go to either. The lower the hash, the sooner the object is
+// forced to other regions.
 func (d *debts) forced(low, high, hash float64) side {
 	switch {
 	case d.remote >= 1 && hash < low+debtStep*d.remote:
--- a/decide/ingress/mechanism.go
+++ b/decide/ingress/mechanism.go
@@ -16,7 +16,7 @@
 const (
 	// LastTargets reports to the coordinator where a VM's own requests last ran.
 	LastTargets Mechanisms = 1 << iota
-	// Coordinators let one VM of a region place all requests for a service;
+	// Coordinators lets one VM of a region place all requests for a service;
 	// without it, each VM places its own requests with its own knowledge.
 	Coordinators
 	// Hedging sends an idempotent request again if its target is silent.
@@ -32,20 +32,21 @@
 	TransferCosts
 	// WaitAtTarget lets requests whose object is warm queue at its target.
 	WaitAtTarget
-	// FirstChoice assumes that an object with no known place is half warm at the
-	// first target of its order.
+	// FirstChoice expects, for an object that is warm nowhere, work halfway between
+	// warm and cold at the first target of its order.
 	FirstChoice
 	// NewTargets sends a first request to targets that have joined.
 	NewTargets
 	// Ejection stops using targets that fail.
 	Ejection
-	// SpareConnections keep one connection to targets of other regions free.
+	// SpareConnections keeps one connection to each used target of another region
+	// free.
 	SpareConnections
 	// Quarantining keeps requests that crash targets away from them.
 	Quarantining
-	// RateLimits keep within the rates that targets state.
+	// RateLimits keeps within the rates that targets state.
 	RateLimits
-	// Gateways forward requests to targets of other regions.
+	// Gateways sends requests for targets of other regions through gateways.
 	Gateways
 )
 
--- a/decide/ingress/occupancy.go
+++ b/decide/ingress/occupancy.go
@@ -58,8 +58,8 @@
 }
 
 // lacksHeadroom reports whether less than minHeadroom of the own region's slots is
-// free. A request that finds a free slot here is answered sooner here. Without
-// headroom, cost alone would fill the region to the last slot before the share
+// free. As long as a slot is free in the own region, the cost of a request is lower
+// there. So cost alone would fill the region to the last slot before the share
 // moves, and the share moves too slowly for a sudden rise in load.
 func (r *Reducer) lacksHeadroom(now clock.Time, s *service) bool {
 	c := &s.occupancy
--- a/decide/ingress/options.go
+++ b/decide/ingress/options.go
@@ -49,8 +49,8 @@
 	// was passed to the target: the target's own timeout answer may be on its way.
 	answerMargin = 100 * time.Millisecond
 	// maxWaitShare is the part of a route's aim that a request may wait for a free
-	// target. A caller that is refused early can still be served in time on its
-	// second try; with waits of half an aim, fewer of them were.
+	// target. A caller that is refused early can retry and still be served in
+	// time; with waits of up to half of the aim, fewer callers were.
 	maxWaitShare = 0.25
 	// defaultAim is the aim of a route that states none.
 	defaultAim = time.Second
@@ -73,13 +73,13 @@
 	remoteCandidates = 1
 	domainCandidates = 1
 	// queueLimitNoObject is how many requests beyond its slots may be at a target
-	// when a request without an object is sent there. The target then starts the
-	// next request without waiting a round trip.
+	// when a request without an object is sent there. When a slot becomes free, the
+	// target can start the waiting request without a round trip.
 	queueLimitNoObject = 1
 	// minHeadroom is the part of a region's slots that is kept free as long as
 	// other regions have room: the share that runs there rises while less is free.
-	// With it, more requests of the worst-served failure domain and of the
-	// worst-served kind were in time.
+	// This let more requests of the worst-served failure domain and of the
+	// worst-served kind meet their aim.
 	minHeadroom = 0.2
 	// largeBody is the body size in bytes above which a request stays in its
 	// region. A larger body exceeds the ten segments that TCP sends initially and
--- a/decide/ingress/place.go
+++ b/decide/ingress/place.go
@@ -167,11 +167,11 @@
 //
 // A warm object is worth waiting for at its target: everywhere else its request
 // would start cold, miss its aim and occupy a slot meanwhile. As many requests as
-// there are slots may wait there, which is one round. A cold request gains nothing
-// by queueing at a target and delays those behind it.
+// there are slots may wait there, so each waits for about one other request. A cold
+// request gains nothing by queueing at a target and delays those behind it.
 //
-// Limits of one request for all classes, or of two and one, made more requests
-// miss their aim.
+// With a limit of one request for all classes, or with limits of two and one, more
+// requests missed their aim.
 func (r *Reducer) queueLimit(class workClass, slots int) int {
 	switch class {
 	case objectWarm:
--- a/decide/ingress/placement_stats.go
+++ b/decide/ingress/placement_stats.go
@@ -13,13 +13,14 @@
 type PlacementStats struct {
 	Service  fleet.ServiceName
 	ByRegion map[fleet.Region]int // requests, by the region of their target
-	// RemoteByReason counts the requests placed in other regions by reason, and
-	// RemoteSlower those of them that the own region's best target was expected to
-	// answer sooner.
+	// RemoteByReason counts the requests placed in other regions by reason.
+	// RemoteSlower counts those of them that the own region's best target was
+	// expected to answer sooner.
 	RemoteByReason map[RegionReason]int
 	RemoteSlower   int
-	// Share is the share of other regions in force, and WantedShare the one with
-	// which requests would be answered soonest.
+	// Share is the present setpoint of the share of requests that run in other
+	// regions. WantedShare is the share with which requests would be answered
+	// soonest.
 	Share, WantedShare float64
 }
 
--- a/decide/ingress/quarantine.go
+++ b/decide/ingress/quarantine.go
@@ -48,7 +48,8 @@
 	return slices.Contains(r.arbitersOf(f), r.opts.Self)
 }
 
-// admitsTrials reports whether this VM is the one that admits trials.
+// admitsTrials reports whether this VM is the one that admits trials of a
+// fingerprint: requests that are let through although it is in quarantine.
 func (r *Reducer) admitsTrials(f quarantine.Fingerprint) bool {
 	order := r.arbitersOf(f)
 	return len(order) > 0 && order[0] == r.opts.Self
@@ -98,9 +99,9 @@
 	return r.on(Quarantining) && (q.lostConnections > 0 || r.quarantine.Ends(now, q.fingerprint) > 0)
 }
 
-// mayRiskTarget reports whether another target may be put at risk for q after a
-// send has ended. Its caller may retry at any VM; by then all VMs know what the
-// earlier sends have shown.
+// mayRiskTarget reports whether q may be sent to another target, which it may
+// crash, after a send has ended. If not, its caller may retry at any VM; by then
+// all VMs know of the crashes so far.
 func (r *Reducer) mayRiskTarget(now clock.Time, q *request) bool {
 	switch {
 	case !r.on(Quarantining):
--- a/decide/ingress/ratelimit.go
+++ b/decide/ingress/ratelimit.go
@@ -32,15 +32,15 @@
 	// probe for its end, sends nothing there after the limit was last stated.
 	limitBackoff = 30 * time.Second
 	// limitShare is the part of a limit used by the VM that enforces it: half of
-	// the operators' allowance, which exceeds the limit itself, because a second
-	// VM may consider itself responsible as well.
+	// the operators' allowance, which exceeds the limit itself. The other half is
+	// for a second VM that may enforce the limit at the same time.
 	limitShare = 0.75
 	// limitWindow is the time over which sends to a target with a limit are
 	// counted.
 	limitWindow = 2 * time.Second
-	// limitMaxInterval is the time between two requests to a target whose limit
-	// allows fewer: without requests, the target could not report the end of its
-	// limit.
+	// limitMaxInterval is the longest time between two requests to a target, even
+	// if its limit allows fewer: without requests, the target could not report the
+	// end of its limit.
 	limitMaxInterval = 5 * time.Second
 	// limitProbeInterval is the time between two requests of another region's
 	// coordinator.
--- a/decide/ingress/request.go
+++ b/decide/ingress/request.go
@@ -252,9 +252,10 @@
 	r.finish(now, q)
 }
 
-// retryAfter returns when the caller of a refused request should retry: at the
-// time room is expected, plus a random delay of up to the same length, so that
-// callers refused together return spread over the time in which room becomes free.
+// retryAfter returns when the caller of a refused request should retry: when a
+// target is expected to have room, plus a random delay of up to the same length, so
+// that the retries of callers refused together are spread over the time in which
+// room becomes free.
 func (r *Reducer) retryAfter(q *request) time.Duration {
 	aim := float64(q.aim())
 	delay := min(max(float64(q.freeAfter), minRetryAfter*aim), maxRetryAfter*aim)
--- a/decide/ingress/shift.go
+++ b/decide/ingress/shift.go
@@ -48,8 +48,8 @@
 const (
 	// shiftWindow is the time over which operators limit the change of the share,
 	// and shiftBoundShare the part of their limit that is used. The rest is for
-	// random variation of arrivals: its deviation is at most 0.035 for constant
-	// shares with 400 requests or more of all services in a window.
+	// random variation of arrivals: with a constant share and at least 400 requests
+	// of all services in a window, its standard deviation is at most 0.035.
 	shiftWindow     = 2 * time.Second
 	shiftBoundShare = 0.8
 	// minShareSamples is the number of requests in a window below which its share
@@ -92,10 +92,10 @@
 
 // adjust moves the setpoint towards the wanted share, by at most the used part of
 // the limit, and not beyond the band around the actual share. Objects stay where
-// they are warm, so a setpoint that moved further than the actual share forced
-// requests back into a full region: in a region with a tenth of the slots, 3 in
-// 100 of its requests were refused while targets of other regions were free. The
-// band alone never moves the setpoint away from the wanted share.
+// they are warm, so the actual share may lag behind the setpoint. Without the band,
+// that forced requests back into a full region: in a region with a tenth of the
+// slots, 3 in 100 of its requests were refused while targets of other regions were
+// free. The band alone never moves the setpoint away from the wanted share.
 func (s *regionShare) adjust(now clock.Time, remote bool) {
 	sample := 0.0
 	if remote {
--- a/decide/ingress/standby.go
+++ b/decide/ingress/standby.go
@@ -6,16 +6,16 @@
 )
 
 // A coordinator that has crashed stays a member until its lease ends. Entry VMs
-// that find it silent use the next VM in the order of coordinators as standby, the
-// same one at all of them. If each placed its own requests instead, as it does
+// that find it silent use the next VM in the order of coordinators as standby, and
+// all of them use the same one. If each placed its own requests instead, as it does
 // when no VM is left to ask, none would count the requests of the others.
 
 // silentVM is the state of a coordinator or gateway that did not answer in time.
 type silentVM struct {
 	retryAt clock.Time // it is not asked before
 	// probe is the single request that checks whether the VM answers again; 0:
-	// none is under way. If all requests were sent to it, those of a third of a
-	// second would wait for a dead VM once a second.
+	// none is under way. If all requests were sent to a dead VM again after each
+	// avoidPeriod, those of a third of a second would wait for it each time.
 	probe probeID
 }
 
--- a/decide/ingress/status.go
+++ b/decide/ingress/status.go
@@ -13,8 +13,9 @@
 	Placements int                                 `json:"asks"`     // requests not answered by coordinators
 	Timers     int                                 `json:"timers"`
 	Services   map[fleet.ServiceName]ServiceStatus `json:"services"`
-	// Suspects is the number of fingerprints known to have been under way at a
-	// target that crashed, and Quarantined that of those kept away from targets.
+	// Suspects is the number of fingerprints whose requests are known to have been
+	// under way at a target that crashed; Quarantined is the number of those that
+	// are kept away from targets.
 	Suspects    int `json:"suspects"`
 	Quarantined int `json:"quarantined"`
 }
--- a/decide/ingress/termination.go
+++ b/decide/ingress/termination.go
@@ -23,8 +23,8 @@
 }
 
 const (
-	// maxLostRequests limits the lost requests kept per target: more than run and
-	// wait at one.
+	// maxLostRequests limits the lost requests kept per target. Fewer requests run
+	// and wait at a target at once.
 	maxLostRequests = 128
 	// lostRequestTTL is how long a lost request waits for proof that its target
 	// has terminated. The registration of a terminated target disappears within
--- a/decide/ingress/work.go
+++ b/decide/ingress/work.go
@@ -35,8 +35,7 @@
 const referenceSpeed = time.Second
 
 // maxSpeedRatio limits the effect of one answer on a target's speed: the work of a
-// single request may differ much from the usual without any influence of the
-// target.
+// single request may differ much from the usual, whichever target runs it.
 const maxSpeedRatio = 8
 
 // quickSampleEvery is the sampling interval of looksWarm.
@@ -111,9 +110,9 @@
 	s := r.routeOf(j.Route)
 	work := s.expected(class)
 	if class == objectCold && r.on(FirstChoice) && !j.obj.isWarmAnywhere(now) && r.firstLocal(j) == t {
-		// Prefer the first choice if nothing speaks against it: a newly started
-		// coordinator knows no object's place, and its predecessor put most
-		// objects at their first choice.
+		// Prefer the first target in the object's order: a newly started
+		// coordinator does not know where objects are warm, and its predecessor
+		// placed most objects at their first target.
 		work = (work + s.expected(objectWarm)) / 2
 	}
 	return work * t.speed.At(now, float64(referenceSpeed)) / float64(referenceSpeed)
@@ -131,7 +130,7 @@
 	if j.class == objectCold && s.looksWarm(work) {
 		return
 	}
-	if m := &s.work[j.class]; m.Known() { // a ratio to an assumed value means nothing
+	if m := &s.work[j.class]; m.Known() { // a ratio to an assumed latency says nothing about the target
 		t.observeSpeed(now, j.class, float64(work)/m.Value(0))
 	}
 	s.work[j.class].Observe(now, work)
--- a/decide/limit/window.go
+++ b/decide/limit/window.go
@@ -39,7 +39,7 @@
 	maxRefusalPause  = time.Second
 	minProbeHeadroom = 0.5 // reported headroom from which one forward may be tried
 	maxPauseRTTs     = 16  // longest pause, in round trips
-	nearProbes       = 2   // forwards in flight at once that are allowed near by whatever the report says
+	nearProbes       = 2   // forwards to a nearby VM that may be in flight at once, whatever its report says
 )
 
 // Report records the headroom stated at the instant at, with inFlight own
@@ -84,8 +84,8 @@
 
 // Room returns how many forwards may be sent in addition to the inFlight own
 // ones. A report that is as old as the horizon or older allows none. If near
-// is set, a few forwards are allowed whatever the report says, as a refusal
-// costs next to nothing.
+// is set, a few forwards are allowed whatever the report says, because a refusal
+// by a nearby VM takes hardly any time.
 func (w *Window) Room(now clock.Time, inFlight int, horizon time.Duration, near bool) float64 {
 	if !w.known || now < w.pausedUntil {
 		return 0
--- a/decide/load/load.go
+++ b/decide/load/load.go
@@ -83,7 +83,7 @@
 type Row struct {
 	Place  Place  `json:"place"`
 	Age    uint32 `json:"age"`  // ms since the oldest part was measured
-	SumAge uint32 `json:"made"` // ms since it was summed up; of two rows the one summed later counts
+	SumAge uint32 `json:"made"` // ms since it was summed up; of two rows for a place, the later sum counts
 	// ServiceBits has bit i set if Values holds figures of Report.Services[i].
 	ServiceBits uint64   `json:"has"`
 	Values      []uint32 `json:"values"`
--- a/decide/load/state.go
+++ b/decide/load/state.go
@@ -43,7 +43,7 @@
 type placeLoad struct {
 	place Place
 	aggregate
-	receivedAt clock.Time // when it came from outside the domain, so that other members lack it; 0: it did not
+	receivedAt clock.Time // when it came from outside the domain, so that other representatives may lack it; 0: from inside
 }
 
 // State is the load as one entry VM knows it. It isn't safe for concurrent
--- a/decide/quarantine/doc.go
+++ b/decide/quarantine/doc.go
@@ -7,15 +7,16 @@
 //
 // # Evidence
 //
-// A Record lists the starts of targets that ended while a request with its
-// fingerprint was in flight there. All other requests in flight at those
-// targets get a record too. The difference is that a query of death is never
-// answered. So a complete answer clears all ends known by then, and several
-// ends in a row without an answer put the fingerprint into quarantine.
-//
-// Ends are counted per start of a target, not per request, so the count does
-// not depend on how many attempts were in flight there or how many entry VMs
-// saw the end.
+// An End is the unplanned end of a target's process while a request was in
+// flight there; a Start identifies the process. A Record lists the ends for one
+// fingerprint. All other requests in flight at the target get a record too. The
+// difference is that a query of death is never answered. So a complete answer
+// clears all ends known by then, and several ends in a row without an answer put
+// the fingerprint into quarantine.
+//
+// Ends are counted per process, not per request, so the count does not depend
+// on how many attempts were in flight there or how many entry VMs observed the
+// end.
 //
 // # Merging
 //
--- a/decide/quarantine/record.go
+++ b/decide/quarantine/record.go
@@ -9,9 +9,10 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// QuarantineThreshold is the number of ends in a row, without an answer, that put a
-// fingerprint into quarantine. A lower number would also quarantine requests
-// that were in flight beside a query of death twice, or at two crashes.
+// QuarantineThreshold is the number of ends in a row, without an answer, that put
+// a fingerprint into quarantine. With a lower number, a harmless request that was
+// twice in flight beside a query of death, or at two other crashes, would be
+// quarantined too.
 const QuarantineThreshold = 3
 
 // SuspectThreshold is the number of ends from which a record is sent to all entry
@@ -26,8 +27,8 @@
 	// clearedRetention is how long a cleared record is kept, so that an end
 	// that is reported late stays cleared.
 	clearedRetention = 30 * time.Second
-	// endsRetention is how long ends count that do not suffice for a
-	// quarantine. A query of death that is sent less often ends at most one
+	// endsRetention is how long ends count while there are too few for a
+	// quarantine. A query of death that is sent less often crashes at most one
 	// target in five minutes.
 	endsRetention = 5 * time.Minute
 	// quarantineRetention is how long a quarantine lasts after its last trial.
@@ -41,13 +42,13 @@
 // like one that ended a target. There are at most as many trials as delays.
 var trialDelays = [...]time.Duration{8 * time.Second, 2 * time.Minute, 20 * time.Minute}
 
-// Start identifies one start of a target.
+// Start identifies one process of a target by its start.
 type Start struct {
 	Target fleet.TargetID
 	Born   int64 // start time as registered, in Unix ms; 0: not stated
 }
 
-// End is the end of a target while a request was in flight there.
+// End is the end of a target's process while a request was in flight there.
 type End struct {
 	Start
 	Sent clock.Time // when the request was sent there
--- a/decide/reader/reader.go
+++ b/decide/reader/reader.go
@@ -10,9 +10,9 @@
 // A follower must be as up to date as a reader: the answer of a reader counts
 // only while that reader has recently heard from the store itself, and a
 // follower without such an answer reads the store until a reader can be polled
-// again. So a network partition between two VMs, a reader that has crashed or one
-// that the store refuses delays a change by PollTimeout at most, and costs
-// calls.
+// again. So a network partition between two VMs, a reader that has crashed or a
+// reader that the store refuses delays a change by PollTimeout at most, at the
+// cost of more calls to the store.
 package reader
 
 import (
@@ -30,7 +30,7 @@
 	// down and another cut off.
 	readersPerRegion = 3
 	// maxVMsAllReading is the number of VMs of a region up to which all read
-	// the store: the calls saved there are worth less than the shorter path.
+	// the store: polling readers would save few calls and delay every change.
 	maxVMsAllReading = 2 * readersPerRegion
 	// PollInterval is the time between two polls. It equals the pause that a
 	// reader makes after a change.
--- a/decide/retry/budget.go
+++ b/decide/retry/budget.go
@@ -12,12 +12,12 @@
 	ratio      float64
 	burst      float64
 	tokens     float64
-	refilledAt clock.Time // until when elapsed time is credited
+	refilledAt clock.Time // elapsed time is credited up to here
 }
 
 // refillInterval is the time that pays for one retry if the bucket holds less
-// than one token. With little traffic the ratio alone pays for none, and a
-// single caller whose connection went silent would wait for its deadline.
+// than one token. With little traffic, the ratio alone would pay for no retry,
+// and a single caller whose connection went silent would wait until its deadline.
 const refillInterval = 10 * time.Second
 
 // NewBudget returns a full bucket. The ratio is the part of first attempts
--- a/decide/route/route.go
+++ b/decide/route/route.go
@@ -101,8 +101,8 @@
 
 // DisableInvalidRoutes makes invalid routes refuse their requests and returns
 // what is wrong with them. The requests would otherwise go to a service that
-// does not exist, or for longer or more often than the operators want. The
-// other routes stay in force.
+// does not exist, or be sent for longer or more often than the operators want.
+// The other routes stay in force.
 func (c *Config) DisableInvalidRoutes() []error {
 	var defects []error
 	for i := range c.Routes {
