--- a/decide/emulate/emulate_test.go
+++ b/decide/emulate/emulate_test.go
@@ -88,12 +88,12 @@
 			Event{Kind: KillVMs, Start: 3, Duration: 1, Share: 0.5},
 			Event{Kind: RestartTargets, Start: 5, Duration: 1, Share: 0.3})
 	})
-	play := func() string {
+	run := func() string {
 		b, err := json.Marshal(Run(p, Variant{Seed: 7}))
 		is.NoErr(err)
 		return string(b)
 	}
-	is.Equal(play(), play())
+	is.Equal(run(), run())
 }
 
 // Each request must have exactly one outcome, under every kind of event.
@@ -165,26 +165,26 @@
 			p.Events = append(p.Events, Event{Kind: KillVMs, Start: 4 + 3*float64(i), Duration: 1, Share: 0.5, Domain: domain})
 		}
 	})
-	with, without := runSeeds(p, recallSeeds, 0), runSeeds(p, recallSeeds, ingress.LastTargets)
+	with, without := runSeeds(p, lastTargetSeeds, 0), runSeeds(p, lastTargetSeeds, ingress.LastTargets)
 	var gains []siteWorth
 	for i := range with {
 		gains = append(gains, siteWorth{with: with[i].All.Worth(), without: without[i].All.Worth()})
 	}
-	gain, deviation := meanGain(gains)
-	t.Logf("worth %+.5f (standard error %.5f)", gain, deviation)
+	gain, stdErr := meanGain(gains)
+	t.Logf("worth %+.5f (standard error %.5f)", gain, stdErr)
 	const confidence = 3 // standard errors: one useless mechanism in 700 exceeds this by chance
-	is.True(gain > confidence*deviation)
+	is.True(gain > confidence*stdErr)
 }
 
-// recallSeeds is the number of runs needed to distinguish the gain of recall from
-// chance. Two runs with the same seed diverge at the first request that is placed
+// lastTargetSeeds is the number of runs needed to distinguish the gain of
+// ingress.LastTargets from chance. Two runs with the same seed diverge at the first request that is placed
 // differently, and the resulting random differences are as large as the gain.
-const recallSeeds = 24
+const lastTargetSeeds = 24
 
 // Guards against targets that execute requests for uncached objects and refuse
 // requests while others are idle, which happens if each entry VM counts only its
-// own requests at a target. The pattern has the load of an ordinary day, under
-// which the caches are warm after some seconds.
+// own requests at a target. The pattern has an ordinary load, under which the
+// caches are warm after some seconds.
 func TestCoordinatorPlacesForItsRegion(t *testing.T) {
 	is := is.New(t)
 	p := smallRegion(t, func(p *Pattern) { p.Events, p.Seconds = nil, 12 })
@@ -209,8 +209,8 @@
 	}
 }
 
-// Guards against requests to other regions whose answers take two crossings
-// longer than necessary. This happens if connections are opened only when
+// Guards against requests to other regions whose answers take a round trip longer
+// than necessary. This happens if connections are opened only when
 // requests wait for them: the connection to a target is in use when the next
 // request arrives, and a new one has to be opened. In far-region.json three
 // regions have equal load, one has a tenth of the slots and sends two of three
@@ -228,8 +228,8 @@
 // Guards against a share of a region's requests that changes the region in which
 // they reach targets within two seconds by more than operators allow. The shares
 // are limited where requests are placed; requests that are longer in transit,
-// wait or fail could make the arrivals at targets differ from that. The patterns
-// are the one above, and one with an evacuated failure domain and a burst.
+// wait or fail could make the arrivals at targets differ from that. small-region
+// has an evacuated failure domain and a burst.
 func TestArrivalsChangeRegionSlowly(t *testing.T) {
 	is := is.New(t)
 	const confidence = 3 // standard deviations: one window in 700 exceeds this by chance
@@ -258,15 +258,15 @@
 	// fast as operators allow.
 	bound := p.RegionShift * window.Seconds() / ShareWindow.Seconds()
 	parallel(fewSeeds, func(i int) {
-		f := newSimulation(p, Variant{Seed: uint64(i) + 1})
-		f.runUntil(f.endTime())
-		reached := f.recorder.arrivals[region]
+		sim := newSimulation(p, Variant{Seed: uint64(i) + 1})
+		sim.runUntil(sim.endTime())
+		reached := sim.recorder.arrivals[region]
 		for at := first; at < seconds(p.Seconds)-2*window; at += window / 2 {
-			from := f.loadStart.Add(at)
+			from := sim.loadStart.Add(at)
 			s := ShareChange{Region: region, Second: at.Seconds()}
 			s.Before, s.After = countArrivals(reached, from, from.Add(window)), countArrivals(reached, from.Add(window), from.Add(2*window))
 			if s.Change() > bound+chance*s.standardDeviation() {
-				t.Errorf("seed %d: the share changes by %.3f at %.2f s", f.variant.Seed, s.Change(), s.Second)
+				t.Errorf("seed %d: the share changes by %.3f at %.2f s", sim.variant.Seed, s.Change(), s.Second)
 				return
 			}
 		}
@@ -274,8 +274,8 @@
 }
 
 // Guards against requests to other regions that wait for new connections, which
-// take two crossings to open.
-func TestRequestsToOtherRegionsTakeOneCrossing(t *testing.T) {
+// take a round trip to open.
+func TestRequestsToOtherRegionsDoNotWaitForConnections(t *testing.T) {
 	is := is.New(t)
 	for _, name := range []string{"requests-end", "far-region", "lost-region"} {
 		p := readPattern(t, name, nil)
--- a/decide/emulate/ratelimit_test.go
+++ b/decide/emulate/ratelimit_test.go
@@ -25,7 +25,7 @@
 		"a limit of 0":   func(p *Pattern) { p.Events[0].Value = 0 },
 		"a high limit":   func(p *Pattern) { p.Events[0].Value = 20 },
 		"a small region": func(p *Pattern) { p.Events[0].Domain, p.Events[0].Share = "b1", 1 },
-		"a crowd": func(p *Pattern) {
+		"a burst": func(p *Pattern) {
 			p.Events = append(p.Events, Event{Kind: Burst, Start: 8, Duration: 8, Value: 2})
 		},
 		"entry VMs are restarted in turn": func(p *Pattern) {
--- a/decide/emulate/sites_test.go
+++ b/decide/emulate/sites_test.go
@@ -198,10 +198,10 @@
 			for i, without := range meanWorths(sites, mechanism) {
 				all = append(all, siteWorth{with: with[i], without: without})
 			}
-			gain, deviation := meanGain(worstTenth(all))
-			everywhere, of := meanGain(all)
-			t.Logf("worth of the worst tenth %+.4f (standard error %.4f), of all %+.4f (%.4f)", gain, deviation, everywhere, of)
-			is.True(gain >= -confidence*deviation)
+			gain, stdErr := meanGain(worstTenth(all))
+			gainOfAll, stdErrOfAll := meanGain(all)
+			t.Logf("worth of the worst tenth %+.4f (standard error %.4f), of all %+.4f (%.4f)", gain, stdErr, gainOfAll, stdErrOfAll)
+			is.True(gain >= -confidence*stdErr)
 		})
 	}
 }
--- a/decide/ingress/bench_test.go
+++ b/decide/ingress/bench_test.go
@@ -130,8 +130,8 @@
 	}
 }
 
-// BenchmarkCrowdedCoordinator measures the same while all targets are full and a
-// thousand requests wait: one request ends, a waiting one takes its place, and a
+// BenchmarkCrowdedCoordinator measures the coordinator while all targets are full
+// and a thousand requests wait: one request ends, a waiting one is placed, and a
 // new one arrives.
 func BenchmarkCrowdedCoordinator(b *testing.B) {
 	for _, size := range fleetSizes {
--- a/decide/ingress/crash_test.go
+++ b/decide/ingress/crash_test.go
@@ -24,9 +24,9 @@
 	// knownPerMille have one of the known contents, which repeat.
 	crashingPerMille, knownPerMille, known int
 
-	terminations     int
-	thirdTermination clock.Time // when the third target crashed; 0: not yet
-	lateSends        int        // sends of the query of death after the grace period
+	crashes    int
+	thirdCrash clock.Time // when the third target crashed; 0: not yet
+	lateSends  int        // sends of the query of death after the grace period
 	// refusedSince is when a harmless content was first refused for quarantine
 	// since its latest answer.
 	refusedSince   map[quarantine.Fingerprint]clock.Time
@@ -85,7 +85,7 @@
 // countReached counts sends of the query of death that reach a target too late.
 func (s *fleetSim) countReached(q *simRequest, t *simTarget) {
 	c := &s.contents
-	if q.content == c.crashing && c.thirdTermination != 0 && s.now.After(c.thirdTermination.Add(quarantineGrace)) {
+	if q.content == c.crashing && c.thirdCrash != 0 && s.now.After(c.thirdCrash.Add(quarantineGrace)) {
 		c.lateSends++
 	}
 }
@@ -98,8 +98,8 @@
 	}
 	c := &s.contents
 	if crashed {
-		if c.terminations++; c.terminations == quarantine.QuarantineThreshold {
-			c.thirdTermination = s.now
+		if c.crashes++; c.crashes == quarantine.QuarantineThreshold {
+			c.thirdCrash = s.now
 		}
 	}
 	t.down, t.running = true, 0
@@ -157,7 +157,7 @@
 // checkQuarantine checks the limit on late sends of the query of death.
 func (s *fleetSim) checkQuarantine() {
 	if c := &s.contents; c.lateSends > maxSendsAfterGrace {
-		s.t.Fatalf("the query of death reached targets %d times later than %[2]v after the third crash; it crashed %[3]d targets", c.lateSends, quarantineGrace, c.terminations)
+		s.t.Fatalf("the query of death reached targets %d times later than %[2]v after the third crash; it crashed %[3]d targets", c.lateSends, quarantineGrace, c.crashes)
 	}
 }
 
@@ -184,9 +184,9 @@
 			}
 			s.run(s.now.Add(20 * time.Second))
 			s.checkQuarantine()
-			crashed += s.contents.terminations
+			crashed += s.contents.crashes
 			refused += s.contents.refused
-			if s.contents.terminations == 0 {
+			if s.contents.crashes == 0 {
 				t.Fatal("the query of death has crashed no target")
 			}
 		})
@@ -201,7 +201,7 @@
 
 // Targets that crash for other reasons put harmless requests into quarantine,
 // because the same content is under way at each crash by chance.
-func TestInnocentRequestsLeaveQuarantine(t *testing.T) {
+func TestHarmlessRequestsLeaveQuarantine(t *testing.T) {
 	refused := 0
 	for seed := range uint64(30) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
--- a/decide/ingress/gateway_test.go
+++ b/decide/ingress/gateway_test.go
@@ -72,12 +72,12 @@
 		is := is.New(t)
 		s := gatewayHarness(t, idempotent)
 		e := s.arriveAndSend(100)
-		repeats := s.r.services["svc"].retryBudget.tokens
+		tokens := s.r.services["svc"].retryBudget.tokens
 		out := s.step(&Failed{Attempt: e.Attempt, Verdict: verdict.NotRun, Reason: verdict.ReasonGateway})
 		is.Equal(len(out.Sends), 1)
 		is.Equal(out.Sends[0].Target, e.Target)
 		is.Equal(out.Sends[0].Gateway, fleet.VMID(""))
-		is.Equal(s.r.services["svc"].retryBudget.tokens, repeats)
+		is.Equal(s.r.services["svc"].retryBudget.tokens, tokens)
 		is.True(s.arriveAndSend(101).Gateway != e.Gateway) // the other one, for a while
 		out = s.step(&Answered{Attempt: out.Sends[0].Attempt, Outcome: Served})
 		is.Equal(len(out.Delivers), 1)
--- a/decide/ingress/reducer_test.go
+++ b/decide/ingress/reducer_test.go
@@ -167,8 +167,8 @@
 	is.Equal(len(out.Sends), 1) // it isn't asked again for a while
 }
 
-// Guards against slots that stay taken after an entry VM crashed with places
-// granted by a coordinator, which only its reports freed.
+// Guards against slots that stay taken after an entry VM has crashed: the places
+// that a coordinator had granted to it were freed only by its reports.
 func TestPlacesOfALostVM(t *testing.T) {
 	is := is.New(t)
 	s := newHarness(t, Bounds{}, selfVM, otherVM)
@@ -215,9 +215,9 @@
 	is.Equal(s.r.TargetCount(), 0) // it has not returned
 }
 
-// Guards against requests to a leaving target until it stops serving. Its
-// registration disappears while the store is in trouble, and targets serve for one
-// more second only.
+// Guards against using a leaving target up to the moment at which it stops serving.
+// Its registration disappears while the store is in trouble, and after that the
+// target serves for one second only.
 func TestLapseEndsBeforeTheDrain(t *testing.T) {
 	is := is.New(t)
 	s := newHarness(t, Bounds{}, selfVM)
@@ -263,8 +263,8 @@
 	is.Equal(len(s.step(&Arrive{Request: 100, Host: "h", Path: "/a/x"}).Sends), 0)
 }
 
-// Guards against new targets that get no requests under high load. An object's
-// place changes only when it is full, and no object has a place at a new target.
+// Guards against new targets that get no requests under high load. An object is
+// moved only when its target is full, and no object is at a new target yet.
 func TestJoinedTargetsAreTried(t *testing.T) {
 	is := is.New(t)
 	s := newHarness(t, Bounds{ColdFactor: 1, ColdSlack: 4}, selfVM)
--- a/decide/ingress/restart_test.go
+++ b/decide/ingress/restart_test.go
@@ -18,9 +18,9 @@
 }
 
 // Guards against applying the state of a target's earlier instance after a restart
-// under the same ID: the new one was considered full, ejected and warm, and
-// callers waited for answers that could not come. This VM was cut off from the
-// target while it crashed and restarted.
+// under the same ID, while this VM was cut off from the target: the new instance
+// was considered full, ejected and warm, and callers waited for answers that could
+// not come.
 func TestARestartedTargetHasFreshState(t *testing.T) {
 	is := is.New(t)
 	s := newHarness(t, Bounds{ColdFactor: 1, ColdSlack: 50}, selfVM)
@@ -113,16 +113,17 @@
 	}
 	for _, vm := range s.vms {
 		s.after(time.Duration(s.rng.Int64N(int64(maxLearnTime))), func() {
-			s.step(vm, &TargetsChanged{Updated: []Target{t.Target}}) // the latest state: copies never go back
+			s.step(vm, &TargetsChanged{Updated: []Target{t.Target}}) // the latest state: a VM never returns to an older one
 		})
 	}
 }
 
 // Checks the invariants of the simulated fleet while targets restart under their
-// IDs, at times twice in a row, and entry VMs learn of it one after the other: a
-// request that is not idempotent is sent again although it may have run, is said
-// not to have run, or never ends; a place stays taken; retries exceed their limit.
-// The seed reproduces a failure.
+// IDs, at times twice in a row, and entry VMs learn of it one after the other.
+// Guards against requests that are not idempotent and are sent again although they
+// may have run, against requests that never end or are wrongly said not to have
+// run, against places that stay taken, and against retries above their limit. The
+// seed reproduces a failure.
 func TestRandomRestarts(t *testing.T) {
 	for seed := range uint64(30) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
--- a/decide/ingress/retryafter_test.go
+++ b/decide/ingress/retryafter_test.go
@@ -15,7 +15,7 @@
 // return together and be refused again.
 func TestRetryAfterFollowsExpectedRoom(t *testing.T) {
 	is := is.New(t)
-	returns := func(work time.Duration) (least, most time.Duration) {
+	delays := func(work time.Duration) (least, most time.Duration) {
 		s := newHarness(t, Bounds{}, selfVM)
 		rt := idempotentRoute("a")
 		rt.Aim = 400 * time.Millisecond
@@ -35,9 +35,9 @@
 		}
 		return least, most
 	}
-	least, most := returns(15 * time.Millisecond)
+	least, most := delays(15 * time.Millisecond)
 	is.True(least >= 40*time.Millisecond && most <= 80*time.Millisecond) // a tenth of the aim, at least
 	is.True(most-least > 10*time.Millisecond)                            // spread over time
-	least, most = returns(120 * time.Millisecond)                        // two to four rounds
+	least, most = delays(120 * time.Millisecond)                         // room after a wait of two to four times the work
 	is.True(least >= 150*time.Millisecond && most <= 600*time.Millisecond)
 }
--- a/decide/ingress/standby_test.go
+++ b/decide/ingress/standby_test.go
@@ -48,8 +48,8 @@
 }
 
 // Guards against refusals and cold work at some targets beside idle ones until the
-// lease of a crashed coordinator ends. Every entry VM of the region found out for
-// itself and placed its own requests, so none counted what the others had placed.
+// lease of a crashed coordinator ends. Each entry VM of the region that found it
+// silent placed its own requests, so none counted what the others had placed.
 func TestStandbyReplacesASilentCoordinator(t *testing.T) {
 	is := is.New(t)
 	s, first, second := standbyHarness(t)
@@ -63,8 +63,8 @@
 }
 
 // Guards against a part of a region's requests waiting for a crashed coordinator
-// every second: after a while it was probed with all requests, which waited until
-// the first of them timed out, and not with one.
+// every second: after avoidPeriod all requests were sent to it instead of a single
+// one, and waited until the first of them timed out.
 func TestASilentCoordinatorIsProbedWithOneRequest(t *testing.T) {
 	is := is.New(t)
 	s, first, second := standbyHarness(t)
--- a/decide/ingress/work_test.go
+++ b/decide/ingress/work_test.go
@@ -37,9 +37,8 @@
 
 // Guards against cold starts of objects at three targets while those where they
 // are warm are idle. Requests without an object, or of a route with little work,
-// are answered within milliseconds. All requests were measured together, so a
-// usual one seemed a hundred times too slow and its target that much slower than
-// the others.
+// are answered within milliseconds. All requests were measured together, so an
+// ordinary request seemed a hundred times too slow, and so did its target.
 func TestQuickRequestsMakeNoTargetSlow(t *testing.T) {
 	cases := map[string]struct{ path, object string }{
 		"no object":     {path: "/a/x"},
@@ -130,11 +129,11 @@
 func TestWarmRequestsWaitForAFullTarget(t *testing.T) {
 	is := is.New(t)
 	s := newPlacementHarness(t)
-	for id := RequestID(100); id < 104; id++ { // two slots and one round
+	for id := RequestID(100); id < 104; id++ { // two in the slots and two waiting
 		is.Equal(s.arriveOnce(id, "/a/x", "o0").Target, fleet.TargetID("t1"))
 	}
 	out := s.step(&Arrive{Request: 104, Host: "h", Path: "/a/x", Object: "o0"})
-	is.Equal(len(out.Sends), 0) // waits: another round is shorter than a cold start
+	is.Equal(len(out.Sends), 0) // waits in the queue, which takes less time than a cold start
 }
 
 // Guards against requests with warm objects that wait behind cold starts: requests
--- a/decide/mirror/mirror_test.go
+++ b/decide/mirror/mirror_test.go
@@ -75,19 +75,19 @@
 	return Change{Item: Item{Key: key, Revision: rev}, Removed: true}
 }
 
-// follower holds the keys that remain when a receiver processes all removals
-// of a step before all writes.
-type follower map[string]bool
+// receiver holds the keys that remain when all removals of a step are processed
+// before all writes.
+type receiver map[string]bool
 
-func (f follower) apply(changes []Change) {
+func (r receiver) apply(changes []Change) {
 	for _, c := range changes {
 		if c.Removed {
-			delete(f, c.Key)
+			delete(r, c.Key)
 		}
 	}
 	for _, c := range changes {
 		if !c.Removed {
-			f[c.Key] = true
+			r[c.Key] = true
 		}
 	}
 }
@@ -101,7 +101,7 @@
 		var m Mirror
 		store := map[string]Item{}
 		var log []Change
-		derived := follower{}
+		derived := receiver{}
 		rev := Revision(1)
 		type source func()
 		var late []source
--- a/decide/reader/reader_test.go
+++ b/decide/reader/reader_test.go
@@ -21,7 +21,7 @@
 }
 
 // In a region of twenty VMs three read the store, and the others poll them in
-// about equal parts: 29 watches a second of 59 VMs become 5.
+// about equal parts. This reduces the 29 watches a second of 59 VMs to 5.
 func TestFewReadInALargeRegion(t *testing.T) {
 	is := is.New(t)
 	vms := append(region(20), fleet.VM{ID: "far", Region: "r2"})
@@ -55,8 +55,8 @@
 }
 
 // Guards against a VM keeping an old configuration although it can reach the
-// store: the readers that it polls die or are cut off, one after the other,
-// and it waits for their answers.
+// store: the readers that it polls terminate or are cut off, one after the
+// other, and it waits for their answers.
 func TestFollowerWithoutReaderReadsStore(t *testing.T) {
 	is := is.New(t)
 	vms := region(20)
