--- a/decide/emulate/connection.go
+++ b/decide/emulate/connection.go
@@ -43,13 +43,13 @@
 	lastUsed clock.Time // when a send last requested a connection; 0 if never
 }
 
-func (l connectionPools) pool(e connectionEnd) *connectionPool {
-	k, ok := l[e]
+func (c connectionPools) pool(e connectionEnd) *connectionPool {
+	p, ok := c[e]
 	if !ok {
-		k = new(connectionPool)
-		l[e] = k
+		p = new(connectionPool)
+		c[e] = p
 	}
-	return k
+	return p
 }
 
 // gatewayIdle is how long idle connections between entry VMs are kept.
@@ -66,20 +66,20 @@
 	if s.gateway != nil {
 		idle = gatewayIdle
 	}
-	k := s.vm.connections.pool(s.connectionEnd())
-	s.firstUse = k.lastUsed == 0 || sim.now.Sub(k.lastUsed) >= idle
-	k.lastUsed = sim.now
-	k.free = slices.DeleteFunc(k.free, func(since clock.Time) bool { return sim.now.Sub(since) >= idle })
-	if n := len(k.free); n > 0 {
-		k.free = k.free[:n-1]
-		if spare && n == 1 && k.opening == 0 {
+	p := s.vm.connections.pool(s.connectionEnd())
+	s.firstUse = p.lastUsed == 0 || sim.now.Sub(p.lastUsed) >= idle
+	p.lastUsed = sim.now
+	p.free = slices.DeleteFunc(p.free, func(since clock.Time) bool { return sim.now.Sub(since) >= idle })
+	if n := len(p.free); n > 0 {
+		p.free = p.free[:n-1]
+		if spare && n == 1 && p.opening == 0 {
 			sim.openConnection(s, false)
 		}
 		s.transmit()
 		return
 	}
 	s.waitStart = sim.now
-	k.waiting = append(k.waiting, s)
+	p.waiting = append(p.waiting, s)
 	sim.openConnection(s, true)
 }
 
@@ -87,17 +87,17 @@
 // trip. If waits is set, s waits for the connection; otherwise it is a spare one.
 func (sim *simulation) openConnection(s *targetSend, waits bool) {
 	v := s.vm
-	k, process := v.connections.pool(s.connectionEnd()), v.processNumber
+	p, process := v.connections.pool(s.connectionEnd()), v.processNumber
 	took := 2 * sim.latency(v.self.Domain, s.domain())
-	k.opening++
+	p.opening++
 	sim.recorder.result.Opened++
 	sim.after(took, func() {
 		if v.processNumber != process {
 			return
 		}
-		k.opening--
-		if at := slices.Index(k.waiting, s); waits && at >= 0 && !s.ended {
-			k.waiting = slices.Delete(k.waiting, at, at+1)
+		p.opening--
+		if at := slices.Index(p.waiting, s); waits && at >= 0 && !s.ended {
+			p.waiting = slices.Delete(p.waiting, at, at+1)
 			s.connectTime = took
 			s.useConnection(sim.now)
 			return
@@ -109,16 +109,16 @@
 // releaseConnection gives the connection of s to the send that has waited longest
 // for one to the same end, or keeps it as idle.
 func (sim *simulation) releaseConnection(s *targetSend) {
-	k := s.vm.connections.pool(s.connectionEnd())
-	for len(k.waiting) > 0 {
-		s := k.waiting[0]
-		k.waiting = k.waiting[1:]
+	p := s.vm.connections.pool(s.connectionEnd())
+	for len(p.waiting) > 0 {
+		s := p.waiting[0]
+		p.waiting = p.waiting[1:]
 		if !s.ended {
 			s.useConnection(sim.now)
 			return
 		}
 	}
-	k.free = append(k.free, sim.now)
+	p.free = append(p.free, sim.now)
 }
 
 // useConnection sends s on the connection that it has waited for.
@@ -133,11 +133,11 @@
 	sum time.Duration
 }
 
-func (m *durations) meanMS() float64 {
-	if m.n == 0 {
+func (d *durations) meanMS() float64 {
+	if d.n == 0 {
 		return 0
 	}
-	return m.sum.Seconds() * 1000 / float64(m.n)
+	return d.sum.Seconds() * 1000 / float64(d.n)
 }
 
 // recordFarDelay records how long a request to another region was delayed beyond
--- a/decide/emulate/target.go
+++ b/decide/emulate/target.go
@@ -115,22 +115,22 @@
 }
 
 // touch reports whether the object was cached, and caches it.
-func (m *objectCache) touch(object string, capacity int) bool {
+func (c *objectCache) touch(object string, capacity int) bool {
 	if object == "" || capacity == 0 {
 		return false
 	}
-	if m.at == nil {
-		m.at = make(map[string]*list.Element)
+	if c.at == nil {
+		c.at = make(map[string]*list.Element)
 	}
-	if e, ok := m.at[object]; ok {
-		m.order.MoveToFront(e)
+	if e, ok := c.at[object]; ok {
+		c.order.MoveToFront(e)
 		return true
 	}
-	m.at[object] = m.order.PushFront(object)
-	if m.order.Len() > capacity {
-		last := m.order.Back()
-		m.order.Remove(last)
-		delete(m.at, last.Value.(string))
+	c.at[object] = c.order.PushFront(object)
+	if c.order.Len() > capacity {
+		last := c.order.Back()
+		c.order.Remove(last)
+		delete(c.at, last.Value.(string))
 	}
 	return false
 }
--- a/decide/ingress/bench_test.go
+++ b/decide/ingress/bench_test.go
@@ -34,13 +34,13 @@
 		regions[d] = fleet.Region(fmt.Sprint("r", i%3))
 		domains = append(domains, d)
 	}
-	l := &fleetMember{size: size, now: clock.Time(time.Hour)}
-	l.r = ingress.New(ingress.Options{Self: fleet.VMID(self), Domain: "d0", Regions: regions, Seed: 1,
+	m := &fleetMember{size: size, now: clock.Time(time.Hour)}
+	m.r = ingress.New(ingress.Options{Self: fleet.VMID(self), Domain: "d0", Regions: regions, Seed: 1,
 		Bounds: ingress.Bounds{RegionShift: 0.15, ColdFactor: 1.5, ColdSlack: 10}})
 	cfg := &route.Config{Version: 1, Services: map[fleet.ServiceName]route.Service{"svc": {Name: "svc", ColdRate: 2.6, ColdTime: 3 * time.Second}},
 		Routes: []route.Route{{Name: "a", Host: "h", Prefix: "/a/", Idempotent: true, Attempts: 3, Aim: 600 * time.Millisecond,
 			Parts: []route.Part{{Service: "svc", Weight: 1}}}}}
-	l.step(&ingress.Configured{Table: route.NewTable(cfg)})
+	m.step(&ingress.Configured{Table: route.NewTable(cfg)})
 	var vms []fleet.VM
 	for i := range size.vms {
 		d := domains[i%9]
@@ -52,34 +52,34 @@
 			vms[i].State = fleet.Leaving // self coordinates every service
 		}
 	}
-	l.step(&ingress.MembersChanged{VMs: vms})
+	m.step(&ingress.MembersChanged{VMs: vms})
 	var targets []ingress.Target
 	for i := range size.targets {
 		targets = append(targets, ingress.Target{ID: fleet.TargetID(fmt.Sprint("t", i)), Service: "svc", Domain: domains[i%9], Slots: 3})
 	}
-	l.step(&ingress.TargetsChanged{Updated: targets})
-	return l
+	m.step(&ingress.TargetsChanged{Updated: targets})
+	return m
 }
 
-func (l *fleetMember) step(ev ingress.Event) {
-	l.out.Reset()
-	l.r.Step(l.now, ev, &l.out)
+func (m *fleetMember) step(ev ingress.Event) {
+	m.out.Reset()
+	m.r.Step(m.now, ev, &m.out)
 }
 
 // requestPlacement passes in a placement request of another entry VM and returns
 // its number if it was granted, 0 if it waits.
-func (l *fleetMember) requestPlacement(object string, wait time.Duration) ingress.PlacementID {
-	l.next++
-	id := ingress.PlacementID(l.next)
-	l.step(&ingress.IncomingMessage{From: "vm0", Message: &ingress.PlacementRequest{ID: id, Service: "svc", Route: "a", Object: object, Domain: "d3", MaxWait: wait, TimeLeft: 4 * time.Second}})
-	if len(l.out.Messages) == 0 {
+func (m *fleetMember) requestPlacement(object string, wait time.Duration) ingress.PlacementID {
+	m.next++
+	id := ingress.PlacementID(m.next)
+	m.step(&ingress.IncomingMessage{From: "vm0", Message: &ingress.PlacementRequest{ID: id, Service: "svc", Route: "a", Object: object, Domain: "d3", MaxWait: wait, TimeLeft: 4 * time.Second}})
+	if len(m.out.Messages) == 0 {
 		return 0
 	}
 	return id
 }
 
-func (l *fleetMember) report(id ingress.PlacementID) {
-	l.step(&ingress.IncomingMessage{From: "vm0", Message: &ingress.Report{ID: id, Result: ingress.ResultServed, Took: 250 * time.Millisecond,
+func (m *fleetMember) report(id ingress.PlacementID) {
+	m.step(&ingress.IncomingMessage{From: "vm0", Message: &ingress.Report{ID: id, Result: ingress.ResultServed, Took: 250 * time.Millisecond,
 		Load: ingress.Load{Known: true, Running: 1, Slots: 3}}})
 }
 
@@ -90,17 +90,17 @@
 	for _, size := range fleetSizes {
 		for _, cold := range []bool{false, true} {
 			b.Run(fmt.Sprintf("vms=%d/targets=%d/cold=%v", size.vms, size.targets, cold), func(b *testing.B) {
-				l := newFleetMember(size, "self")
+				m := newFleetMember(size, "self")
 				names := objectNames(size.objects)
 				var open []ingress.PlacementID
-				l.serve(names, &open, size.targets/10, 3*size.objects)
+				m.serve(names, &open, size.targets/10, 3*size.objects)
 				b.ReportAllocs()
 				b.ResetTimer()
 				for i := range b.N {
 					if cold && i%size.objects == 0 { // all objects become cold
-						l.now = l.now.Add(31 * time.Second)
+						m.now = m.now.Add(31 * time.Second)
 					}
-					l.serve(names, &open, size.targets/10, 1)
+					m.serve(names, &open, size.targets/10, 1)
 				}
 			})
 		}
@@ -117,14 +117,14 @@
 
 // serve places n requests, and ends the oldest ones while more than held are under
 // way.
-func (l *fleetMember) serve(names []string, open *[]ingress.PlacementID, held, n int) {
+func (m *fleetMember) serve(names []string, open *[]ingress.PlacementID, held, n int) {
 	for range n {
-		l.now = l.now.Add(100 * time.Microsecond)
-		if id := l.requestPlacement(names[int(l.next)%len(names)], 0); id != 0 {
+		m.now = m.now.Add(100 * time.Microsecond)
+		if id := m.requestPlacement(names[int(m.next)%len(names)], 0); id != 0 {
 			*open = append(*open, id)
 		}
 		if len(*open) > held {
-			l.report((*open)[0])
+			m.report((*open)[0])
 			*open = (*open)[1:]
 		}
 	}
@@ -136,12 +136,12 @@
 func BenchmarkCrowdedCoordinator(b *testing.B) {
 	for _, size := range fleetSizes {
 		b.Run(fmt.Sprintf("vms=%d/targets=%d", size.vms, size.targets), func(b *testing.B) {
-			l := newFleetMember(size, "self")
+			m := newFleetMember(size, "self")
 			names := objectNames(size.objects)
 			var open []ingress.PlacementID
 			waiting := 0
 			for n := 0; waiting < 1000; n++ {
-				if id := l.requestPlacement(names[n%len(names)], time.Hour); id != 0 {
+				if id := m.requestPlacement(names[n%len(names)], time.Hour); id != 0 {
 					open = append(open, id)
 				} else {
 					waiting++
@@ -150,15 +150,15 @@
 			b.ReportAllocs()
 			b.ResetTimer()
 			for i := range b.N {
-				l.now = l.now.Add(100 * time.Microsecond)
-				l.report(open[0])
+				m.now = m.now.Add(100 * time.Microsecond)
+				m.report(open[0])
 				open = open[1:]
-				for _, t := range l.out.Messages {
+				for _, t := range m.out.Messages {
 					if g, ok := t.Message.(*ingress.Grant); ok {
 						open = append(open, g.ID)
 					}
 				}
-				if id := l.requestPlacement(names[i%len(names)], time.Hour); id != 0 {
+				if id := m.requestPlacement(names[i%len(names)], time.Hour); id != 0 {
 					open = append(open, id)
 				}
 				if len(open) == 0 {
@@ -173,20 +173,20 @@
 func BenchmarkAsker(b *testing.B) {
 	for _, size := range fleetSizes {
 		b.Run(fmt.Sprintf("vms=%d/targets=%d", size.vms, size.targets), func(b *testing.B) {
-			l := newFleetMember(size, "vm3")
+			m := newFleetMember(size, "vm3")
 			names := objectNames(size.objects)
 			b.ReportAllocs()
 			b.ResetTimer()
 			for i := range b.N {
-				l.now = l.now.Add(100 * time.Microsecond)
-				l.next++
-				l.step(&ingress.Arrive{Request: l.next, Host: "h", Path: "/a/x", Object: names[i%len(names)], Timeout: 4 * time.Second})
-				if len(l.out.Messages) != 1 {
+				m.now = m.now.Add(100 * time.Microsecond)
+				m.next++
+				m.step(&ingress.Arrive{Request: m.next, Host: "h", Path: "/a/x", Object: names[i%len(names)], Timeout: 4 * time.Second})
+				if len(m.out.Messages) != 1 {
 					b.Fatal("no placement request is sent")
 				}
-				msg := l.out.Messages[0]
-				l.step(&ingress.IncomingMessage{From: msg.To, Message: &ingress.Grant{ID: msg.Message.(*ingress.PlacementRequest).ID, Target: fleet.TargetID(fmt.Sprint("t", i%size.targets))}})
-				l.step(&ingress.Answered{Attempt: l.out.Sends[0].Attempt, Outcome: ingress.Served})
+				msg := m.out.Messages[0]
+				m.step(&ingress.IncomingMessage{From: msg.To, Message: &ingress.Grant{ID: msg.Message.(*ingress.PlacementRequest).ID, Target: fleet.TargetID(fmt.Sprint("t", i%size.targets))}})
+				m.step(&ingress.Answered{Attempt: m.out.Sends[0].Attempt, Outcome: ingress.Served})
 			}
 		})
 	}
@@ -197,20 +197,20 @@
 func BenchmarkJoin(b *testing.B) {
 	for _, size := range fleetSizes {
 		b.Run(fmt.Sprintf("vms=%d/targets=%d", size.vms, size.targets), func(b *testing.B) {
-			l := newFleetMember(size, "self")
+			m := newFleetMember(size, "self")
 			names := objectNames(size.objects)
 			var open []ingress.PlacementID
-			l.serve(names, &open, size.targets/10, 3*size.objects)
+			m.serve(names, &open, size.targets/10, 3*size.objects)
 			b.ReportAllocs()
 			b.ResetTimer()
 			for i := range b.N {
 				id := fleet.TargetID(fmt.Sprint("t", i/2%size.targets))
 				if i%2 == 0 {
-					l.step(&ingress.TargetsChanged{Removed: []fleet.TargetID{id}})
+					m.step(&ingress.TargetsChanged{Removed: []fleet.TargetID{id}})
 				} else {
-					l.step(&ingress.TargetsChanged{Updated: []ingress.Target{{ID: id, Service: "svc", Domain: fleet.Domain(fmt.Sprint("d", i/2%9)), Slots: 3}}})
+					m.step(&ingress.TargetsChanged{Updated: []ingress.Target{{ID: id, Service: "svc", Domain: fleet.Domain(fmt.Sprint("d", i/2%9)), Slots: 3}}})
 				}
-				l.serve(names, &open, size.targets/10, 1)
+				m.serve(names, &open, size.targets/10, 1)
 			}
 		})
 	}
--- a/decide/ingress/coordinate.go
+++ b/decide/ingress/coordinate.go
@@ -93,7 +93,7 @@
 // findTarget starts the search for a target for the next send of q.
 func (r *Reducer) findTarget(now clock.Time, q *request) {
 	r.nextPlacement++
-	a := PlacementRequest{
+	p := PlacementRequest{
 		ID: r.nextPlacement, Service: q.svc.name, Route: q.route.Name, Object: q.object,
 		Domain: r.opts.Domain, Priority: q.route.Priority, Large: r.isLarge(q), AllowedRegions: q.route.Homes,
 		MayCrashTarget: r.mayCrashTarget(now, q), Tried: q.tried, LastTarget: r.lastTargetFor(now, q.svc, q.object),
@@ -102,19 +102,19 @@
 	}
 	to := r.activeCoordinator(now, q.svc.name)
 	if to == "" || to == r.opts.Self || !r.on(Coordinators) {
-		r.placeLocally(now, q, a)
+		r.placeLocally(now, q, p)
 		return
 	}
-	q.pending = &pendingPlacement{request: a, coordinator: to}
-	r.placements[a.ID] = q
-	r.startProbe(to, probeID(a.ID))
-	r.sendMessage(to, &a)
-	r.timers.add(timer{at: now.Add(a.MaxWait + placementTimeout), purpose: duePlacement, request: q.id, placement: a.ID})
+	q.pending = &pendingPlacement{request: p, coordinator: to}
+	r.placements[p.ID] = q
+	r.startProbe(to, probeID(p.ID))
+	r.sendMessage(to, &p)
+	r.timers.add(timer{at: now.Add(p.MaxWait + placementTimeout), purpose: duePlacement, request: q.id, placement: p.ID})
 }
 
 // placeLocally searches for a target with the knowledge of this entry VM.
-func (r *Reducer) placeLocally(now clock.Time, q *request, a PlacementRequest) {
-	j := r.newJob(now, jobKey{vm: r.opts.Self, id: a.ID}, a)
+func (r *Reducer) placeLocally(now clock.Time, q *request, p PlacementRequest) {
+	j := r.newJob(now, jobKey{vm: r.opts.Self, id: p.ID}, p)
 	j.req = q
 	q.job = j
 	r.place(now, j)
@@ -125,15 +125,15 @@
 	if q.pending == nil || q.pending.request.ID != id {
 		return
 	}
-	a, to := q.pending.request, q.pending.coordinator
+	p, to := q.pending.request, q.pending.coordinator
 	r.cancelPlacement(q)
 	r.markSilent(now, to)
 	if !now.Before(q.deadline) {
 		return // the process was stalled; the request is about to end
 	}
-	a.MaxWait = 0
-	a.TimeLeft = q.deadline.Sub(now)
-	r.placeLocally(now, q, a)
+	p.MaxWait = 0
+	p.TimeLeft = q.deadline.Sub(now)
+	r.placeLocally(now, q, p)
 }
 
 // cancelPlacement withdraws q's pending placement request, if there is one.
@@ -197,12 +197,12 @@
 		return
 	}
 	q.svc.share.adopt(now, m.Share)
-	a := q.pending.request
+	p := q.pending.request
 	t, known := r.targets[m.Target]
 	if !known || t.Draining || r.evacuated[t.Domain] {
 		r.cancelPlacement(q)
-		a.MaxWait = 0
-		r.placeLocally(now, q, a)
+		p.MaxWait = 0
+		r.placeLocally(now, q, p)
 		return
 	}
 	delete(r.placements, m.ID)
--- a/decide/ingress/gateway.go
+++ b/decide/ingress/gateway.go
@@ -138,57 +138,57 @@
 		return
 	}
 	r.nextAttempt++
-	c := &forwarded{request: ev.Request, attempt: r.nextAttempt}
-	r.forwards[c.request] = c
-	r.forwardsByAttempt[c.attempt] = c
+	f := &forwarded{request: ev.Request, attempt: r.nextAttempt}
+	r.forwards[f.request] = f
+	r.forwardsByAttempt[f.attempt] = f
 	r.out.Sends = append(r.out.Sends, Send{
-		Attempt: c.attempt, Request: c.request, Target: t.ID, Domain: t.Domain, Addr: t.Addr,
+		Attempt: f.attempt, Request: f.request, Target: t.ID, Domain: t.Domain, Addr: t.Addr,
 		TimeLeft: ev.TimeLeft, ConnectTimeout: r.connectTimeout(t),
 	})
-	r.timers.add(timer{at: now.Add(ev.TimeLeft + answerMargin), purpose: dueForward, request: c.request})
+	r.timers.add(timer{at: now.Add(ev.TimeLeft + answerMargin), purpose: dueForward, request: f.request})
 }
 
 // forwardAnswered returns the answer to a forwarded request. Its own entry VM
 // evaluates it.
 func (r *Reducer) forwardAnswered(ev *Answered) {
-	if c, ok := r.forwardsByAttempt[ev.Attempt]; ok {
-		r.removeForward(c)
-		r.out.Delivers = append(r.out.Delivers, Deliver{Request: c.request, Attempt: c.attempt})
+	if f, ok := r.forwardsByAttempt[ev.Attempt]; ok {
+		r.removeForward(f)
+		r.out.Delivers = append(r.out.Delivers, Deliver{Request: f.request, Attempt: f.attempt})
 	}
 }
 
 // forwardFailed returns the failure of a forwarded request.
 func (r *Reducer) forwardFailed(ev *Failed) {
-	if c, ok := r.forwardsByAttempt[ev.Attempt]; ok {
-		r.removeForward(c)
-		r.out.Refusals = append(r.out.Refusals, Refusal{Request: c.request, Verdict: ev.Verdict, Reason: ev.Reason})
+	if f, ok := r.forwardsByAttempt[ev.Attempt]; ok {
+		r.removeForward(f)
+		r.out.Refusals = append(r.out.Refusals, Refusal{Request: f.request, Verdict: ev.Verdict, Reason: ev.Reason})
 	}
 }
 
 // forwardTimedOut gives up a forwarded request whose time is over.
 func (r *Reducer) forwardTimedOut(id RequestID) {
-	if c, ok := r.forwards[id]; ok {
-		r.cancelForward(c)
+	if f, ok := r.forwards[id]; ok {
+		r.cancelForward(f)
 		r.out.Refusals = append(r.out.Refusals, Refusal{
-			Request: c.request, Verdict: verdict.MayHaveRun, Reason: verdict.ReasonDeadline,
+			Request: f.request, Verdict: verdict.MayHaveRun, Reason: verdict.ReasonDeadline,
 		})
 	}
 }
 
 // forwardAbandoned ends a forwarded request that its entry VM has given up.
 func (r *Reducer) forwardAbandoned(id RequestID) {
-	if c, ok := r.forwards[id]; ok {
-		r.cancelForward(c)
-		r.out.Abandoned = append(r.out.Abandoned, c.request)
+	if f, ok := r.forwards[id]; ok {
+		r.cancelForward(f)
+		r.out.Abandoned = append(r.out.Abandoned, f.request)
 	}
 }
 
-func (r *Reducer) cancelForward(c *forwarded) {
-	r.removeForward(c)
-	r.out.Cancels = append(r.out.Cancels, Cancel{Request: c.request, Attempt: c.attempt})
+func (r *Reducer) cancelForward(f *forwarded) {
+	r.removeForward(f)
+	r.out.Cancels = append(r.out.Cancels, Cancel{Request: f.request, Attempt: f.attempt})
 }
 
-func (r *Reducer) removeForward(c *forwarded) {
-	delete(r.forwards, c.request)
-	delete(r.forwardsByAttempt, c.attempt)
+func (r *Reducer) removeForward(f *forwarded) {
+	delete(r.forwards, f.request)
+	delete(r.forwardsByAttempt, f.attempt)
 }
--- a/decide/ingress/job.go
+++ b/decide/ingress/job.go
@@ -19,7 +19,8 @@
 }
 
 // job is the search for a target for one send of a request, and then the place
-// that it takes there. The request may belong to another entry VM.
+// that the request takes there, in a slot or in the target's queue. The request may
+// belong to another entry VM.
 type job struct {
 	key jobKey
 	PlacementRequest
@@ -63,14 +64,14 @@
 // counts as taken if its entry VM reports nothing, for example because it crashed.
 const expiryMargin = 500 * time.Millisecond
 
-func (r *Reducer) newJob(now clock.Time, key jobKey, a PlacementRequest) *job {
-	j := &job{key: key, PlacementRequest: a, svc: r.serviceOf(a.Service), arrived: now}
+func (r *Reducer) newJob(now clock.Time, key jobKey, p PlacementRequest) *job {
+	j := &job{key: key, PlacementRequest: p, svc: r.serviceOf(p.Service), arrived: now}
 	if j.Object != "" {
 		j.obj = j.svc.objects.get(j.Object)
 	}
 	j.node.Item = j
-	j.waitUntil = now.Add(min(a.MaxWait, a.TimeLeft))
-	j.expiresAt = now.Add(a.TimeLeft + expiryMargin)
+	j.waitUntil = now.Add(min(p.MaxWait, p.TimeLeft))
+	j.expiresAt = now.Add(p.TimeLeft + expiryMargin)
 	r.jobs[key] = j
 	r.useLastTarget(now, j)
 	return j
--- a/decide/ingress/lasttarget.go
+++ b/decide/ingress/lasttarget.go
@@ -38,11 +38,11 @@
 // lastTargetFor returns the target at which an object is assumed to be warm, "" if
 // there is none.
 func (r *Reducer) lastTargetFor(now clock.Time, s *service, object string) fleet.TargetID {
-	p, ok := s.lastTargets[object]
-	if !ok || now.Sub(p.at) >= warmTTL || r.targets[p.target.ID] != p.target {
+	last, ok := s.lastTargets[object]
+	if !ok || now.Sub(last.at) >= warmTTL || r.targets[last.target.ID] != last.target {
 		return "" // unknown, too old, or the target has restarted or left
 	}
-	return p.target.ID
+	return last.target.ID
 }
 
 // useLastTarget marks the object of j as warm at the target named by another entry
--- a/decide/ingress/occupancy.go
+++ b/decide/ingress/occupancy.go
@@ -30,9 +30,9 @@
 		slots = t.effectiveSlots()
 		load = min(t.load(now), slots)
 	}
-	c := &t.svc.occupancy
-	c.load += load - t.countedLoad
-	c.slots += slots - t.countedSlots
+	o := &t.svc.occupancy
+	o.load += load - t.countedLoad
+	o.slots += slots - t.countedSlots
 	t.countedLoad, t.countedSlots = load, slots
 }
 
@@ -46,14 +46,14 @@
 }
 
 // expireReports updates the occupancy for targets whose reports have expired.
-func (r *Reducer) expireReports(now clock.Time, c *occupancy) {
-	for c.next < len(c.reports) && now.Sub(c.reports[c.next].at) >= loadReportTTL {
-		r.updateOccupancy(now, c.reports[c.next].target)
-		c.next++
+func (r *Reducer) expireReports(now clock.Time, o *occupancy) {
+	for o.next < len(o.reports) && now.Sub(o.reports[o.next].at) >= loadReportTTL {
+		r.updateOccupancy(now, o.reports[o.next].target)
+		o.next++
 	}
-	if c.next > len(c.reports)/2 {
-		c.reports = append(c.reports[:0], c.reports[c.next:]...)
-		c.next = 0
+	if o.next > len(o.reports)/2 {
+		o.reports = append(o.reports[:0], o.reports[o.next:]...)
+		o.next = 0
 	}
 }
 
@@ -62,7 +62,7 @@
 // there. So cost alone would fill the region to the last slot before the share
 // moves, and the share moves too slowly for a sudden rise in load.
 func (r *Reducer) lacksHeadroom(now clock.Time, s *service) bool {
-	c := &s.occupancy
-	r.expireReports(now, c)
-	return float64(c.slots-c.load) < minHeadroom*float64(c.slots)
+	o := &s.occupancy
+	r.expireReports(now, o)
+	return float64(o.slots-o.load) < minHeadroom*float64(o.slots)
 }
