--- a/decide/ingress/bench_test.go
+++ b/decide/ingress/bench_test.go
@@ -169,8 +169,9 @@
 	}
 }
 
-// BenchmarkAsker measures one request at an entry VM that asks a coordinator.
-func BenchmarkAsker(b *testing.B) {
+// BenchmarkReceivingVM measures one request at an entry VM that asks a coordinator
+// for its target.
+func BenchmarkReceivingVM(b *testing.B) {
 	for _, size := range fleetSizes {
 		b.Run(fmt.Sprintf("vms=%d/targets=%d", size.vms, size.targets), func(b *testing.B) {
 			m := newFleetMember(size, "vm3")
--- a/decide/ingress/message.go
+++ b/decide/ingress/message.go
@@ -52,8 +52,8 @@
 
 // RemoteShare is a coordinator's current share of its service's requests that run
 // in other regions. A successor, or a VM that gets no answer from the coordinator,
-// starts from this share: one that started from a guess moved a third of a
-// region's requests at once.
+// starts from this share: one that started from a share estimated by slots moved a
+// third of a region's requests at once.
 type RemoteShare struct {
 	Known bool
 	Share float64 // 0 to 1
--- a/decide/reader/reader.go
+++ b/decide/reader/reader.go
@@ -8,7 +8,7 @@
 // the followers, poll the readers.
 //
 // A follower must be as up to date as a reader: the answer of a reader counts
-// only while that reader has recently heard from the store itself, and a
+// only if that reader has recently had an answer from the store itself, and a
 // follower without such an answer reads the store until a reader can be polled
 // again. So a network partition between two VMs, a reader that has crashed or a
 // reader that the store refuses delays a change by PollTimeout at most, at the
@@ -38,7 +38,7 @@
 	// PollTimeout is how long a reader may take to answer: inside a region it
 	// takes a few milliseconds.
 	PollTimeout = 300 * time.Millisecond
-	// maxStoreAge is how long ago a reader may have heard from the store. A
+	// maxStoreAge is how old a reader's last answer from the store may be. A
 	// watch without a change takes 2 s.
 	maxStoreAge = 2700 * time.Millisecond
 	// avoidTime is how long a reader that gave no fresh answer is not polled.
@@ -117,8 +117,8 @@
 
 func vmName(vm fleet.VM) string { return string(vm.ID) }
 
-// Fresh reports whether an answer of a reader that heard from the store age
-// ago may be used.
+// Fresh reports whether an answer of a reader may be used whose own last answer
+// from the store is of the given age.
 func Fresh(age time.Duration) bool { return age <= maxStoreAge }
 
 // Failed records that a reader gave no fresh answer.
--- a/decide/verdict/verdict.go
+++ b/decide/verdict/verdict.go
@@ -1,8 +1,8 @@
 // Package verdict states what is known about the execution of a request.
 //
 // A caller that sees an error must decide whether a retry could run a permit
-// submission or a fee posting twice. A status code can't tell, so every error
-// carries a Verdict end to end: in the decision code, on the wire between
+// submission or a fee posting twice. A status code doesn't say this, so every
+// error carries a Verdict end to end: in the decision code, on the wire between
 // entry VMs, and in the answer to the caller.
 package verdict
 
