--- a/decide/dispatch/choose.go
+++ b/decide/dispatch/choose.go
@@ -88,8 +88,9 @@
 }
 
 // fasterToWait reports whether waiting for a slot of a busy target is expected
-// to give an answer before a slow target does.
-func (s *State) fasterToWait(svc *service, slow, mean float64) bool {
+// to give an answer sooner than a free target with slowLatency does. Latencies
+// are in ns.
+func (s *State) fasterToWait(svc *service, slowLatency, mean float64) bool {
 	busySlots := 0
 	for _, t := range svc.targets {
 		if t.capacity > 0 && t.inFlight >= t.capacity {
@@ -100,7 +101,7 @@
 		return false
 	}
 	ahead := float64(svc.queue.Len() + 1)
-	return mean+mean*ahead/float64(busySlots) < slow
+	return mean+mean*ahead/float64(busySlots) < slowLatency
 }
 
 // borrowTarget returns a target that has reported free slots beyond this entry
--- a/decide/dispatch/doc.go
+++ b/decide/dispatch/doc.go
@@ -49,7 +49,7 @@
 // # Requirements on the transport
 //
 // The transport carries out Cancels before Sends and Forwards. It reports
-// verdict.NotRun only with proof. It reports a target's refusal as NotRun with
+// verdict.NotRun only if the request provably didn't run. It reports a target's refusal as NotRun with
 // ReasonTargetRefused, or ReasonStopping when the target said that it is
 // leaving, and a remote entry VM's Reply with the verdict and reason stated
 // there. It carries a Forward's ExpectedWait to the receiver's Arrive. It has
--- a/decide/dispatch/ejection.go
+++ b/decide/dispatch/ejection.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// ejectedShareDivisor limits ejections that ignore the load:
-	// 1/ejectedShareDivisor of a service's targets, and at least one, may
-	// always be ejected.
+	// ejectedShareDivisor limits ejections that disregard the load:
+	// 1/ejectedShareDivisor of a service's targets, and at least one, may be
+	// ejected even if the other targets can't carry the load.
 	ejectedShareDivisor = 3
 	// briefEjectionTime is the time between tests of a target that fails but
 	// may not be ejected for longer.
@@ -57,8 +57,8 @@
 	remaining := svc.capacity - t.capacity
 	if remaining <= 0 && (svc.idempotent || t.answeredAt == s.now) {
 		// This is the last target in use: without it all requests are refused.
-		// Where a test may end with an unknown outcome, the target must at
-		// least be answering.
+		// In a non-idempotent service, a failed test is a request with an
+		// unknown outcome, so there the target must at least be answering.
 		return false
 	}
 	ejected := 1
--- a/decide/dispatch/expire.go
+++ b/decide/dispatch/expire.go
@@ -72,8 +72,8 @@
 
 // shouldAbandon reports whether a is to be abandoned: it is silent, and its
 // request can be sent elsewhere, for which a repeat is taken from the budget.
-// If the budget doesn't allow that, a is checked again later. So is a
-// non-idempotent request as long as it may only be slow.
+// If the budget doesn't allow that, a is checked again later. An attempt of a
+// non-idempotent request is checked again as long as it may be merely slow.
 func (s *State) shouldAbandon(r *request, a *attempt) bool {
 	if !s.isSilent(a) {
 		return false
--- a/decide/dispatch/load_test.go
+++ b/decide/dispatch/load_test.go
@@ -10,10 +10,10 @@
 	"github.com/matryer/is"
 )
 
-// A traffic shift must not be judged harmful while the caches that it needs
-// fill. The load therefore has to report a cold start, during which answers are
-// slow and slots are missing. Here a2 appears while a1 is in use, and answers
-// until it has all its slots.
+// While the caches of a new target fill, its answers are slow and some of its
+// slots are not used. If the load didn't report this, a traffic shift that adds
+// such targets would appear harmful. Here a2 appears while a1 is in use, and
+// answers until it has all its slots.
 func TestWarming(t *testing.T) {
 	is := is.New(t)
 	s := New(Options{VM: "self", PanicOnViolation: true, Audit: true})
--- a/decide/dispatch/measure/measure_test.go
+++ b/decide/dispatch/measure/measure_test.go
@@ -95,8 +95,8 @@
 
 func ms(d time.Duration) float64 { return float64(d) / 1e6 }
 
-// measureGoal measures one variant on the sizes of the first user.
-func measureGoal(t *testing.T, variant string, load float64, f Fault) Result {
+// measureVariant measures one variant in the deployment Statikos.
+func measureVariant(t *testing.T, variant string, load float64, f Fault) Result {
 	t.Helper()
 	for _, v := range Variants() {
 		if v.Name == variant {
@@ -109,21 +109,21 @@
 
 func TestGoodputUnderOverload(t *testing.T) {
 	is := is.New(t)
-	full := measureGoal(t, "azurethread", 1, NoFault)
+	full := measureVariant(t, "azurethread", 1, NoFault)
 	for _, load := range []float64{2, 4} {
-		r := measureGoal(t, "azurethread", load, NoFault)
+		r := measureVariant(t, "azurethread", load, NoFault)
 		is.True(r.Goodput >= 0.95*full.Goodput)
 		is.True(r.Amplification <= 1.1)
 		is.True(r.Headroom >= 0) // no request waits at a target
 	}
 }
 
-// Requests in flight at a crashing target are lost, and new ones meet a closed
-// port until it is ejected. Retries within the budget must answer all but 0.1%
+// Requests in flight at a crashing target are lost, and connections for new ones
+// are refused until it is ejected. Retries within the budget must answer all but 0.1%
 // of the look-ups.
 func TestTargetCrash(t *testing.T) {
 	is := is.New(t)
-	r := measureGoal(t, "azurethread", 0.8, TargetCrash)
+	r := measureVariant(t, "azurethread", 0.8, TargetCrash)
 	is.True(r.CrashFailed < 0.001)
 	is.True(r.Amplification <= 1.1)
 	is.True(r.Headroom >= 0)
@@ -134,9 +134,9 @@
 func TestTailAgainstBaselines(t *testing.T) {
 	is := is.New(t)
 	for _, f := range []Fault{SlowTarget, EvenCallers} {
-		r := measureGoal(t, "azurethread", 0.8, f)
+		r := measureVariant(t, "azurethread", 0.8, f)
 		for _, b := range []string{"plain round-robin", "plain random", "plain least-in-flight", "plain two-choices"} {
-			base := measureGoal(t, b, 0.8, f)
+			base := measureVariant(t, b, 0.8, f)
 			is.True(float64(r.P99All) <= 0.7*float64(base.P99All))
 		}
 		is.True(r.Headroom >= 0)
--- a/decide/dispatch/measure/setup.go
+++ b/decide/dispatch/measure/setup.go
@@ -40,9 +40,9 @@
 	backlogPerSlot     = 8 // requests that a target queues per slot
 	reportEvery        = time.Second
 	reportLag          = time.Second
-	coldTime           = 3 * time.Second
-	coldFactor         = 3
-	slowFactor         = 5
+	coldTime           = 3 * time.Second // after a restart
+	coldFactor         = 3               // multiplies service times while a target is cold
+	slowFactor         = 5               // multiplies service times of a slow target
 )
 
 // Statikos is the deployment of the first user. Mean times and deadlines are
@@ -74,8 +74,8 @@
 	}
 }
 
-// Crowded has many entry VMs for each target, as expected of a fleet two years
-// from now: the share of an entry VM is two or three slots of a domain's 48.
+// Crowded is a fleet of the size expected in two years, with many entry VMs for
+// each target: the share of an entry VM is two or three of a domain's 48 slots.
 func Crowded() Setup {
 	return Setup{
 		Name: "crowded",
--- a/decide/dispatch/outcome.go
+++ b/decide/dispatch/outcome.go
@@ -15,8 +15,10 @@
 	// leaving gets no requests, because the lagging list may still contain it
 	// as live.
 	leavingPause = 30 * time.Second
-	minShedPause = 10 * time.Millisecond
-	maxShedPause = time.Second
+	// minRefusalPause and maxRefusalPause bound the pause of a target that has
+	// refused a request for lack of capacity.
+	minRefusalPause = 10 * time.Millisecond
+	maxRefusalPause = time.Second
 )
 
 // handleAnswered handles a complete answer. If its attempt is no longer current
@@ -135,7 +137,7 @@
 	case verdict.ReasonTargetRefused, verdict.ReasonOverload, verdict.ReasonQueueFull, verdict.ReasonNotReady:
 		t.limit.Refused()
 		t.borrow.Refused(s.now)
-		s.pause(t, min(max(e.RetryAfter, minShedPause), maxShedPause))
+		s.pause(t, min(max(e.RetryAfter, minRefusalPause), maxRefusalPause))
 	case verdict.ReasonStopping:
 		s.pause(t, leavingPause)
 	case verdict.ReasonSilent:
--- a/decide/dispatch/random_test.go
+++ b/decide/dispatch/random_test.go
@@ -89,7 +89,7 @@
 	return run
 }
 
-// setServices replaces the catalogue with bulk randomly idempotent or not.
+// setServices replaces the catalogue; the service bulk is idempotent at random.
 func (run *randomRun) setServices() {
 	run.idempotent["bulk"] = run.intn(2) == 0
 	run.step(&Services{List: []catalogue.Service{
--- a/decide/dispatch/remote.go
+++ b/decide/dispatch/remote.go
@@ -22,7 +22,7 @@
 	costTolerance = 3 * time.Millisecond
 	// maxRegionRTT is the longest round trip within a region.
 	maxRegionRTT = 10 * time.Millisecond
-	// minHeadroom is the least headroom of a receiver.
+	// minHeadroom is the least headroom of a receiver of forwards.
 	minHeadroom = 1
 )
 
@@ -264,8 +264,7 @@
 }
 
 // recordRemoteFailure records that an entry VM didn't answer and ejects it if
-// it is an outlier. Other reasons are caused by a target behind it and are not
-// recorded.
+// it is an outlier. Failures that a target behind it caused are not recorded.
 func (s *State) recordRemoteFailure(rs *remoteService) {
 	if rs.vm.outlier.Failed() && s.now >= rs.vm.outlier.Until() {
 		rs.vm.outlier.Eject(s.now, s.rng)
--- a/decide/dispatch/service.go
+++ b/decide/dispatch/service.go
@@ -90,18 +90,19 @@
 	openConnections     int        // according to Connection events
 }
 
-// computeCapacity returns the value for capacity.
+// computeCapacity returns how many requests this entry VM may have in flight at
+// t without borrowing.
 func (t *targetState) computeCapacity(now clock.Time, plainBalancer bool) int {
 	if t.leaving || !t.listed || now < t.pausedUntil {
 		return 0
 	}
-	standing := t.outlier.State()
+	state := t.outlier.State()
 	switch {
-	case standing == target.Ejected:
+	case state == target.Ejected:
 		return 0
 	case plainBalancer:
 		return max(t.connectionShare, 1)
-	case standing == target.Testing:
+	case state == target.Testing:
 		return min(t.share, 1)
 	default:
 		return min(t.limit.Limit(), t.connectionShare)
--- a/decide/dispatch/silence.go
+++ b/decide/dispatch/silence.go
@@ -19,7 +19,7 @@
 	// minBoundWithoutP99 is the least bound while there are too few answers for
 	// a p99, where the longest latency is used instead.
 	minBoundWithoutP99 = time.Second
-	// minP99Factor keeps the bound above that latency even where
+	// minP99Factor keeps the bound above the p99 or longest latency even where
 	// maxSilenceBound is lower: a service that takes longer is slow, not
 	// silent.
 	minP99Factor = 1.5
@@ -66,8 +66,9 @@
 	// instead of cutting off ever more requests that would have been answered.
 	tail target.Quantiles
 	// longestLatency is the longest latency, including forwards. Abandoned
-	// attempts are excluded: of several lost together, the first would multiply
-	// the bound of the others.
+	// attempts are excluded: when several are lost at the same time, the
+	// duration of the first one abandoned would multiply the bound of the
+	// others.
 	longestLatency time.Duration
 	// timeout is phi's bound while it has too few samples.
 	timeout time.Duration
@@ -171,8 +172,8 @@
 	}
 }
 
-// tailAt returns when the p99 rule suspects a according to current knowledge,
-// which includes answers received after a was sent.
+// tailAt returns when the p99 rule suspects a by the current bound, which takes
+// into account answers received after a was sent.
 func (s *State) tailAt(a *attempt) clock.Time {
 	d, known := a.svc.silence.bound()
 	if !known {
@@ -240,8 +241,8 @@
 }
 
 // recordSuspicion counts a silent attempt once as a failure of its receiver,
-// unless the receiver has answered another attempt since. The attempt
-// continues.
+// unless the receiver is a target that has answered another attempt since. The
+// attempt continues.
 func (s *State) recordSuspicion(a *attempt) {
 	if a.suspected {
 		return
