--- a/decide/machine/list.go
+++ b/decide/machine/list.go
@@ -111,8 +111,8 @@
 }
 
 // apply returns the result of applying d to l. It returns false if l is not
-// the base of d or the result doesn't have the stated hash, as with a damaged
-// entry.
+// the base of d or the result doesn't have the stated hash, for example because
+// an entry is damaged.
 func (l *domainList) apply(d *Delta) (*domainList, bool) {
 	if l.version != d.From {
 		return nil, false
--- a/decide/machine/machine_test.go
+++ b/decide/machine/machine_test.go
@@ -154,7 +154,7 @@
 }
 
 // Both readers are cut off, and no other daemon has become a reader. The
-// others must notice the silence and watch the platform themselves, or the
+// others must detect the silence and watch the platform themselves, or the
 // domain's list is no longer updated.
 func TestReadersCutOff(t *testing.T) {
 	is := is.New(t)
--- a/decide/machine/platform.go
+++ b/decide/machine/platform.go
@@ -35,11 +35,11 @@
 }
 
 // checkLowerVersion starts a new epoch if the platform has shown lower
-// versions throughout LowerVersionFor and the list in force to no reader
-// meanwhile. A single lower version doesn't prove that the platform was
-// restored: a paused reader or a delayed answer shows one too. Nor do lower
-// versions at one reader: a stalled replica of the platform shows them
-// permanently, while other readers see newer ones.
+// versions throughout LowerVersionFor and meanwhile has not shown the list in
+// force to any reader. A single lower version doesn't prove that the platform
+// was restored: a paused reader or a delayed answer causes one too. Lower
+// versions at one reader don't prove it either: a stalled replica of the
+// platform shows them permanently, while other readers get newer ones.
 func (s *State) checkLowerVersion(held ListVersion) {
 	p := &s.platform
 	gap := s.now.Sub(p.lastLowerAt)
@@ -90,8 +90,8 @@
 	s.retained = slices.DeleteFunc(s.retained, func(r retainedTarget) bool { return l.hasReplacement(&r.target) })
 }
 
-// hasReplacement reports whether l lists a target, or another one at its
-// address.
+// hasReplacement reports whether l lists t, or another target at the address of
+// t.
 func (l *domainList) hasReplacement(t *fleet.Target) bool {
 	return slices.ContainsFunc(l.targets, func(n fleet.Target) bool {
 		return n.ID == t.ID || n.Addr == t.Addr
--- a/decide/machine/state.go
+++ b/decide/machine/state.go
@@ -37,8 +37,8 @@
 	SilenceTimeout = 20 * time.Second
 	// JoinTimeout is the same for a daemon that has no list yet.
 	JoinTimeout = 2 * time.Second
-	// RankStagger is added to that time for each rank, so that a failure that
-	// affects all daemons doesn't make all of them watch.
+	// RankStagger is added to SilenceTimeout and JoinTimeout for each rank, so
+	// that a failure that affects all daemons doesn't make all of them watch.
 	RankStagger = time.Second
 )
 
@@ -226,9 +226,9 @@
 func (s *State) shouldWatch() bool { return s.isReader || s.isolatedAt() <= s.now }
 
 // isolatedAt returns the instant from which this daemon watches the platform
-// without being a reader. Otherwise a daemon that is missing from the other
-// members' views would keep a stale list, or never get one, although it can
-// reach the platform.
+// without being a reader. If only readers watched, a daemon that is missing
+// from the other members' views would keep a stale list, or never get one,
+// although it can reach the platform.
 func (s *State) isolatedAt() clock.Time {
 	wait := SilenceTimeout
 	if s.held == nil {
--- a/decide/member/partition_test.go
+++ b/decide/member/partition_test.go
@@ -12,8 +12,8 @@
 )
 
 // The answers of a VM no longer reach one other member, while all other links
-// work. To that member the broken one-way link looks like a death; the indirect
-// probes must keep it from declaring the live VM dead.
+// work. That member can't distinguish the broken one-way link from a death; the
+// indirect probes must keep it from declaring the live VM dead.
 func TestOneWayLink(t *testing.T) {
 	for _, members := range []int{3, 8, 43} {
 		is := is.New(t)
@@ -45,8 +45,8 @@
 }
 
 // One domain is cut off for a minute, longer than records of dead VMs are
-// kept, and then returns. Both sides have recorded the other as gone. They
-// must contact each other again, and then not drop each other repeatedly.
+// kept, and then returns. Each side has recorded the other as unreachable.
+// They must contact each other again, and then not drop each other repeatedly.
 func TestPartitionBetweenDomainsHeals(t *testing.T) {
 	for _, c := range fleetShapes[1:4] {
 		is := is.New(t)
--- a/decide/member/protocol_test.go
+++ b/decide/member/protocol_test.go
@@ -66,7 +66,7 @@
 // After a partition heals, the other side sends the fact that a VM is dead
 // from which this VM has just received a message. The fact is older than the
 // message, but has the same incarnation and refutation count. Applied at once,
-// it would drop a VM for a moment that everybody reaches.
+// it would drop, for a moment, a VM that all others reach.
 func TestRecentMessageOverridesDeath(t *testing.T) {
 	is := is.New(t)
 	s, peer, step := newStateWithPeer(t)
