--- a/decide/block/build.go
+++ b/decide/block/build.go
@@ -126,15 +126,15 @@
 	return entries, nil
 }
 
-func checksumOf[K key](t *pages[K], homes []uint64) uint64 {
+func checksumOf[K key](t *pages[K], homeHashes []uint64) uint64 {
 	var sum uint64
 	t.all(func(e *entry[K]) bool {
-		sum += e.checksum(homes)
+		sum += e.checksum(homeHashes)
 		return true
 	})
 	return sum
 }
 
-func (e *entry[K]) checksum(homes []uint64) uint64 {
-	return blockChecksum(widthOf[K](), uint64(e.start), e.bits, homes[e.home])
+func (e *entry[K]) checksum(homeHashes []uint64) uint64 {
+	return blockChecksum(widthOf[K](), uint64(e.start), e.bits, homeHashes[e.home])
 }
--- a/decide/block/chunk.go
+++ b/decide/block/chunk.go
@@ -217,15 +217,15 @@
 		return err
 	}
 	var last uint64
-	last6 := false
+	inIPv6 := false
 	for len(r.rest) > 0 {
 		b.line++
 		length, home, step := r.readByte(), r.readUvarint(), r.readUvarint()
 		if r.failed || home >= uint64(len(ids)) {
 			return &SourceError{Line: b.line, Err: fmt.Errorf("%w: chunk ends early or refers to an unknown home", ErrSyntax)}
 		}
-		if length >= ipv6LengthOffset && !last6 {
-			last, last6 = 0, true
+		if length >= ipv6LengthOffset && !inIPv6 {
+			last, inIPv6 = 0, true
 		}
 		last += step
 		p, err := unpackPrefix(last, length)
@@ -263,7 +263,7 @@
 	return ids, nil
 }
 
-// unpackPrefix is the inverse of packed.
+// unpackPrefix is the inverse of packPrefix.
 func unpackPrefix(start uint64, length byte) (netip.Prefix, error) {
 	if length >= ipv6LengthOffset {
 		return prefix6(start, length-ipv6LengthOffset), nil
--- a/decide/block/errors.go
+++ b/decide/block/errors.go
@@ -14,17 +14,18 @@
 	// ErrPrefix means that a prefix is malformed, has host bits set, or is an
 	// IPv6 prefix longer than /64.
 	ErrPrefix = errors.New("invalid prefix")
-	// ErrConflict means that one prefix has two different homes.
+	// ErrConflict means that one prefix has two different homes, or that a delta
+	// lists it twice.
 	ErrConflict = errors.New("prefix with two different homes")
 	// ErrUnknownName means that a region or failure domain is not in the Topology.
 	ErrUnknownName = errors.New("unknown region or failure domain")
 	// ErrSyntax means that a line or chunk cannot be decoded.
 	ErrSyntax = errors.New("malformed source")
 	// ErrTruncated means that a source ends early, lacks chunks, or does not
-	// match the count or checksum that it states.
+	// match the count or checksum that it states, or that a delta does not.
 	ErrTruncated = errors.New("source is truncated or altered")
-	// ErrTooLarge means that a source exceeds the maximum number of blocks or
-	// homes of a table, or that a block does not fit in a chunk.
+	// ErrTooLarge means that a source or delta exceeds the maximum number of
+	// blocks or homes of a table, or that a block does not fit in a chunk.
 	ErrTooLarge = errors.New("source is too large")
 	// ErrBase means that a delta was made for another table.
 	ErrBase = errors.New("delta does not fit this table")
--- a/decide/block/home.go
+++ b/decide/block/home.go
@@ -47,7 +47,7 @@
 // homeSet assigns HomeIDs to homes in the order in which they are first seen.
 type homeSet struct {
 	homes  []Home
-	hashes []uint64 // checksum of each home, by HomeID
+	hashes []uint64 // hash of each home, by HomeID
 	ids    map[string]HomeID
 }
 
--- a/decide/block/pages.go
+++ b/decide/block/pages.go
@@ -5,7 +5,7 @@
 	start  K
 	home   HomeID
 	bits   uint8
-	parent uint8 // index in the page of the enclosing entry, or outside
+	parent uint8 // index in the page of the enclosing entry, or noParent
 }
 
 // noParent marks an entry with no enclosing entry in its page. A block of an
@@ -153,7 +153,7 @@
 	return lo
 }
 
-// linkParents sets the up of every entry of the page.
+// linkParents sets the parent of every entry of the page.
 func (p *page[K]) linkParents() {
 	for i := range p.entries {
 		p.entries[i].parent = p.findParent(i)
--- a/decide/block/patch.go
+++ b/decide/block/patch.go
@@ -117,7 +117,7 @@
 
 // patchPages applies sorted changes to t and updates the checksum sum.
 func patchPages[K key](
-	t *pages[K], changes []change[K], homes []uint64, sum *uint64, prefix func(K, uint8) netip.Prefix,
+	t *pages[K], changes []change[K], homeHashes []uint64, sum *uint64, prefix func(K, uint8) netip.Prefix,
 ) (pages[K], error) {
 	if len(changes) == 0 {
 		return *t, nil
@@ -133,14 +133,14 @@
 			list = append(list, t.pages[i])
 			continue
 		}
-		entries, err := merge(t.pages[i].entries, pageChanges, homes, sum, prefix)
+		entries, err := merge(t.pages[i].entries, pageChanges, homeHashes, sum, prefix)
 		if err != nil {
 			return pages[K]{}, err
 		}
 		list = appendPages(list, entries)
 	}
 	if len(t.pages) == 0 {
-		entries, err := merge(nil, changes, homes, sum, prefix)
+		entries, err := merge(nil, changes, homeHashes, sum, prefix)
 		if err != nil {
 			return pages[K]{}, err
 		}
@@ -161,7 +161,7 @@
 // merge returns a copy of entries with the sorted changes applied, and updates the
 // checksum sum.
 func merge[K key](
-	entries []entry[K], changes []change[K], homes []uint64, sum *uint64, prefix func(K, uint8) netip.Prefix,
+	entries []entry[K], changes []change[K], homeHashes []uint64, sum *uint64, prefix func(K, uint8) netip.Prefix,
 ) ([]entry[K], error) {
 	out := make([]entry[K], 0, len(entries)+len(changes))
 	for _, c := range changes {
@@ -171,12 +171,12 @@
 		}
 		present := len(entries) > 0 && entries[0].samePrefix(&c.entry)
 		if present {
-			*sum -= entries[0].checksum(homes)
+			*sum -= entries[0].checksum(homeHashes)
 			entries = entries[1:]
 		}
 		switch {
 		case !c.remove:
-			*sum += c.entry.checksum(homes)
+			*sum += c.entry.checksum(homeHashes)
 			out = append(out, c.entry)
 		case !present:
 			return nil, fmt.Errorf("%w: delta removes %s, which is not in the table", ErrBase, prefix(c.entry.start, c.entry.bits))
--- a/decide/block/source_test.go
+++ b/decide/block/source_test.go
@@ -146,8 +146,8 @@
 		}
 		is.NoErr(with.Add(x.Prefix, x.Home))
 	}
-	before := manifestOf(is, without)
-	after := manifestOf(is, with)
+	before := chunkKeysOf(is, without)
+	after := chunkKeysOf(is, with)
 	is.True(len(after) >= 4)
 	known := make(map[uint64]bool)
 	for _, k := range before {
@@ -162,7 +162,7 @@
 	is.True(written <= 2)
 }
 
-func manifestOf(is *is.I, b *block.Builder) []uint64 {
+func chunkKeysOf(is *is.I, b *block.Builder) []uint64 {
 	t, err := b.Build()
 	is.NoErr(err)
 	_, m, err := block.EncodeChunks(t, block.MaxChunk)
--- a/decide/block/table.go
+++ b/decide/block/table.go
@@ -12,7 +12,7 @@
 	v4         pages[uint32]
 	v6         pages[uint64]
 	homes      []Home
-	homeHashes []uint64 // hash of each home
+	homeHashes []uint64 // hash of each home, by HomeID
 	checksum   uint64
 }
 
--- a/decide/config/bench_test.go
+++ b/decide/config/bench_test.go
@@ -46,10 +46,10 @@
 // simulated time, with a delay of 1-2 ms within domains and 55 ms more between
 // domains and to the platform. Messages and bytes per change exclude those at
 // rest; platform calls per change are all calls in the 3 s after it.
-func benchmarkSpread(b *testing.B, domains, per int) {
+func benchmarkSpread(b *testing.B, domains, perDomain int) {
 	const rest, changes = 60, 20
 	for b.Loop() {
-		n := newNetwork(1, domains, per)
+		n := newNetwork(1, domains, perDomain)
 		n.maxDelay = 2 * time.Millisecond
 		n.crossDomainDelay = 55 * time.Millisecond
 		n.sizeOf = jsonSize
@@ -62,7 +62,7 @@
 			}
 		})
 		burst := n.measure(func() { n.writeBurst(b, burstSpan) })
-		daemons := float64(domains * per)
+		daemons := float64(domains * perDomain)
 		perChange := func(busy, quiet int) float64 {
 			return (float64(busy) - float64(quiet)*changes*changeSpan.Seconds()/rest) / changes
 		}
@@ -122,14 +122,14 @@
 }
 
 func BenchmarkOneDomain(b *testing.B) {
-	for _, per := range []int{8, 32, 128, 256} {
-		b.Run(fmt.Sprint(per), func(b *testing.B) { benchmarkSpread(b, 1, per) })
+	for _, perDomain := range []int{8, 32, 128, 256} {
+		b.Run(fmt.Sprint(perDomain), func(b *testing.B) { benchmarkSpread(b, 1, perDomain) })
 	}
 }
 
 func BenchmarkFleet(b *testing.B) {
-	for _, per := range []int{4, 43} {
-		b.Run(fmt.Sprint("77x", per), func(b *testing.B) { benchmarkSpread(b, 77, per) })
+	for _, perDomain := range []int{4, 43} {
+		b.Run(fmt.Sprint("77x", perDomain), func(b *testing.B) { benchmarkSpread(b, 77, perDomain) })
 	}
 }
 
--- a/decide/config/net_test.go
+++ b/decide/config/net_test.go
@@ -31,7 +31,7 @@
 	platformDown           bool
 	reorder                bool
 	platform               platformStore
-	platformCalls          int // platform calls
+	platformCalls          int
 	messages               int
 	sizeOf                 func(Message) int // nil: bytes are not counted
 	bytes                  int
