--- a/decide/detect/compare_test.go
+++ b/decide/detect/compare_test.go
@@ -47,8 +47,7 @@
 
 // p99Multiple suspects a member that is silent for a multiple of the group's p99
 // latency, between 200 ms (at a factor of 3) and 5 s, if a sibling was heard
-// since. Otherwise it waits for the bound once more. decide/dispatch used this
-// rule before package detect; it is scored for comparison.
+// since. Otherwise it waits for the bound once more. It is scored for comparison.
 type p99Multiple struct {
 	factor    int
 	quantiles target.Quantiles
--- a/decide/detect/default.go
+++ b/decide/detect/default.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// The settings that measured best; docs/design/detection.md has the figures.
+// The default settings; docs/design/detection.md has the measurements.
 const (
 	// answerPhi is the suspicion level at which a silence is improbable enough.
 	answerPhi = 8
@@ -12,8 +12,8 @@
 	answerMinSilence = 20 * time.Millisecond
 
 	// heartbeatBound and heartbeatBoundMax are numbers of missed rounds. With
-	// a tenth of the heartbeats lost, the first is exceeded by chance once in
-	// 10,000.
+	// a tenth of the heartbeats lost, the first is exceeded by chance, by four
+	// losses in a row, once in 10,000 heartbeats.
 	heartbeatBound    = 3
 	heartbeatBoundMax = 8
 	// heartbeatMaxIntervals bounds a silence during which no peer was heard.
--- a/decide/detect/detect.go
+++ b/decide/detect/detect.go
@@ -75,8 +75,8 @@
 	return now.Sub(m.silentSince)
 }
 
-// lag returns how far the logical clock, now at tick, is ahead of id.
-func (g *group) lag(tick int64, id ID) int64 {
+// lag returns how far id is behind the logical clock, which reads logicalTime.
+func (g *group) lag(logicalTime int64, id ID) int64 {
 	if int(id) >= len(g.members) {
 		return 0
 	}
@@ -84,7 +84,7 @@
 	if m.owed == 0 {
 		return m.accumulatedLag
 	}
-	return max(0, tick-m.lagStart)
+	return max(0, logicalTime-m.lagStart)
 }
 
 // owesAnswer reports whether id owes an answer.
@@ -92,33 +92,33 @@
 	return int(id) < len(g.members) && g.members[id].owed > 0
 }
 
-// addOwed adds one answer owed. If id owed none, its lag counts from mark, less
-// the lag accumulated before.
-func (g *group) addOwed(now clock.Time, id ID, mark int64) {
+// addOwed adds one answer owed. If id owed none, its lag counts from lagStart,
+// less the lag accumulated before.
+func (g *group) addOwed(now clock.Time, id ID, lagStart int64) {
 	m := g.member(id)
 	if m.owed == 0 {
 		m.silentSince = now.Add(-m.accumulatedSilence)
-		m.lagStart = mark - m.accumulatedLag
+		m.lagStart = lagStart - m.accumulatedLag
 	}
 	m.owed++
 	g.owed++
 }
 
-// endSilence ends the silence of id; its lag counts from mark.
-func (g *group) endSilence(now clock.Time, id ID, mark int64) {
+// endSilence ends the silence of id; its lag counts from lagStart.
+func (g *group) endSilence(now clock.Time, id ID, lagStart int64) {
 	m := g.member(id)
 	m.silentSince, m.accumulatedSilence = now, 0
-	m.lagStart, m.accumulatedLag = mark, 0
+	m.lagStart, m.accumulatedLag = lagStart, 0
 }
 
 // removeOwed subtracts one answer from those that id owes. Silence and lag are
 // kept.
-func (g *group) removeOwed(now clock.Time, id ID, tick int64) {
+func (g *group) removeOwed(now clock.Time, id ID, logicalTime int64) {
 	m := g.member(id)
 	if m.owed == 0 {
 		return
 	}
-	silent, lag := g.silence(now, id), g.lag(tick, id)
+	silent, lag := g.silence(now, id), g.lag(logicalTime, id)
 	m.owed--
 	g.owed--
 	if m.owed == 0 {
--- a/decide/detect/doc.go
+++ b/decide/detect/doc.go
@@ -32,9 +32,9 @@
 // Relative-Speed Model over Causal Blocks". The minimum length of a round is an
 // addition: it keeps a burst of delayed heartbeats from counting as many rounds.
 //
-// For answers, lag counted in answers measured worse than phi accrual fitted to
-// long tails: at many requests a second, hundreds of answers overtake a single
-// long one. There the clock counts the time in which the group shows signs of
+// For answers, a lag counted in answers is less accurate than phi accrual fitted
+// to long tails: at many requests a second, hundreds of answers overtake a
+// single long one. There the clock counts the time in which the group shows signs of
 // life, and a member is suspected when its silence on that clock is improbable.
 //
 // # Errors that need no detector
--- a/decide/detect/phi.go
+++ b/decide/detect/phi.go
@@ -24,8 +24,8 @@
 // With a Gate, silence is counted on a clock that runs only while the group
 // shows signs of life: the time between two of them counts for at most the
 // bound divided by Gate. A pause or a slowdown of the whole group then causes
-// no suspicion before MaxSilence; nor does its end, for a member that answers
-// a little after its siblings. Without a Gate, the first answers that are late
+// no suspicion before MaxSilence, and when it ends, a member that answers a
+// little after its siblings isn't suspected either. Without a Gate, the first answers that are late
 // for a common reason would make many members suspected at the same time, and
 // their requests would be sent again when capacity is lowest.
 type Phi struct {
--- a/decide/tally/bench_test.go
+++ b/decide/tally/bench_test.go
@@ -20,7 +20,7 @@
 		b.Run(fmt.Sprintf("domains=%d/members=%d", size[0], size[1]), func(b *testing.B) {
 			for range b.N {
 				n := newNetwork(1, size[0], size[1])
-				n.extraRequests = 9 // with the one that run serves, 100 requests/s
+				n.extraRequests = 9 // and one request by network.run: 100 requests/s
 				n.run(settleTime)
 				n.measure(b)
 			}
--- a/decide/tally/random_test.go
+++ b/decide/tally/random_test.go
@@ -13,7 +13,7 @@
 // TestRandomFaults injects random lost, repeated and slow messages, restarts,
 // unreachable domains, clock offsets and changes of the catalogue. After each
 // fault it compares the evidence with the requests that were made: a complete
-// count must neither lack nor repeat requests, nor be older than it claims.
+// count must neither lack nor repeat requests, nor be older than it states.
 func TestRandomFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		domains := rapid.SampledFrom([]int{1, 2, 3, 6, smallFleet + 2}).Draw(t, "domains")
--- a/decide/tally/tally_test.go
+++ b/decide/tally/tally_test.go
@@ -98,7 +98,7 @@
 // One entry VM gets the catalogue with a new shift late. Guards against taking
 // its missing rows for no requests and no capacity, which would let the first
 // step pass the cap. As the head of its domain it also leaves out the other
-// VM's rows, since it doesn't know the flow.
+// VM's rows, since its catalogue lacks the flow.
 func TestVMWithOldCatalogueIsCountedMissing(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork(1, 4, 2)
@@ -137,7 +137,7 @@
 
 // Messages from one entry VM are delayed by 600 ms. Guards against dating
 // figures by their arrival instead of their measurement, so that a step would
-// be judged by figures from before it.
+// be evaluated on figures from before it.
 func TestAgesIncludeTransitTime(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork(1, 6, 1)
