--- a/decide/config/join_test.go
+++ b/decide/config/join_test.go
@@ -52,8 +52,9 @@
 	is.Equal(b.revision, n.platform.cat.Revision)
 }
 
-// Guards against the same failure if the platform was restored from older data
-// and answers before the peers do. The joining daemon must also ask peers.
+// Guards against the failure of TestJoinerMeetsStalePeer if the platform was
+// restored from older data and answers before the peers do. The joining daemon
+// must also ask peers.
 func TestJoinerMeetsStalePlatform(t *testing.T) {
 	is := is.New(t)
 	n := convergedNetwork(is, 2, 2)
--- a/decide/config/platform_test.go
+++ b/decide/config/platform_test.go
@@ -41,8 +41,8 @@
 	}
 	n.platformCalls++
 	v.watch = &w
-	quiet := &PlatformRead{Seq: w.Seq, Result: ReadNotModified, ConfirmedAt: n.now.Add(w.Wait)}
-	n.deliver(v, quiet, w.Wait+n.delay())
+	notModified := &PlatformRead{Seq: w.Seq, Result: ReadNotModified, ConfirmedAt: n.now.Add(w.Wait)}
+	n.deliver(v, notModified, w.Wait+n.delay())
 }
 
 // storeDocument stores a new document on the platform and answers the watches.
--- a/decide/config/random_test.go
+++ b/decide/config/random_test.go
@@ -24,8 +24,8 @@
 func TestRandomFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		domains := rapid.IntRange(1, 4).Draw(t, "domains")
-		per := rapid.IntRange((5+domains-1)/domains, 12/domains).Draw(t, "per")
-		n := newNetwork(rapid.Uint64().Draw(t, "seed"), domains, per)
+		perDomain := rapid.IntRange((5+domains-1)/domains, 12/domains).Draw(t, "per domain")
+		n := newNetwork(rapid.Uint64().Draw(t, "seed"), domains, perDomain)
 		n.maxDelay = rapid.SampledFrom([]time.Duration{2, 60, 300}).Draw(t, "delay") * time.Millisecond
 		n.run(3 * time.Second)
 		n.reorder = true
--- a/decide/config/session_test.go
+++ b/decide/config/session_test.go
@@ -30,10 +30,10 @@
 func (s *session) run(t *testing.T, d *datadriven.TestData) string {
 	switch d.Cmd {
 	case "start":
-		var domains, per int
+		var domains, perDomain int
 		d.ScanArgs(t, "domains", &domains)
-		d.ScanArgs(t, "per", &per)
-		s.n = newNetwork(1, domains, per)
+		d.ScanArgs(t, "per", &perDomain)
+		s.n = newNetwork(1, domains, perDomain)
 		s.nameRevision()
 		return s.runAndShow(10 * time.Second)
 	case "run":
--- a/decide/detect/detecttest/score.go
+++ b/decide/detect/detecttest/score.go
@@ -46,7 +46,7 @@
 }
 
 type memberState struct {
-	waiting   int
+	owed      int
 	suspected bool
 	stopped   bool
 	replaced  bool
@@ -78,7 +78,7 @@
 // of the trace.
 func (s *scorer) countUndetected(end clock.Time) {
 	for _, m := range s.members {
-		if m.stopped && m.waiting > 0 && !m.replaced {
+		if m.stopped && m.owed > 0 && !m.replaced {
 			s.result.Undetected++
 			s.result.LongestUndetected = max(s.result.LongestUndetected, end.Sub(m.owedSince))
 		}
@@ -97,11 +97,11 @@
 	switch e.Kind {
 	case Sent:
 		s.detector.Sent(e.At, e.ID)
-		if m.waiting == 0 {
+		if m.owed == 0 {
 			m.owedSince = max(m.owedSince, e.At)
 			s.owing = append(s.owing, e.ID)
 		}
-		m.waiting++
+		m.owed++
 		s.result.Sent++
 	case Heard:
 		s.countIfRefuted(m)
@@ -110,8 +110,8 @@
 	case Done:
 		s.countIfRefuted(m)
 		s.detector.Done(e.At, e.ID)
-		m.waiting--
-		if m.waiting == 0 {
+		m.owed--
+		if m.owed == 0 {
 			s.removeOwing(e.ID)
 		}
 	case Stop:
--- a/decide/detect/record_test.go
+++ b/decide/detect/record_test.go
@@ -34,7 +34,7 @@
 const (
 	recordConnections = 24
 	recordLength      = 10 * time.Second
-	recordGap         = 6 * time.Millisecond
+	recordGap         = 6 * time.Millisecond // between two requests
 )
 
 func (s *loopbackTarget) serve(c net.Conn, rng *rand.Rand) {
@@ -44,9 +44,10 @@
 			return
 		}
 		s.mu.RLock()
-		slow := s.latencyFactor
+		factor := s.latencyFactor
 		s.mu.RUnlock()
-		time.Sleep(time.Duration(slow * 8e6 * math.Exp(0.6*rng.NormFloat64())))
+		// Log-normal with a median of 8 ms.
+		time.Sleep(time.Duration(factor * 8e6 * math.Exp(0.6*rng.NormFloat64())))
 		s.mu.RLock()
 		if !s.connectionLost[b[0]] {
 			c.Write(b[:])
--- a/decide/dispatch/measure/measure.go
+++ b/decide/dispatch/measure/measure.go
@@ -24,8 +24,8 @@
 	Forwards            int     // to other entry VMs
 	InterRegionForwards int     // to other regions
 	InterRegionRefused  int     // refused by other regions
-	// CrashFailed is the failed share of idempotent requests that arrived in
-	// the second after the fault.
+	// CrashFailed is the failed share of the requests to the first service that
+	// arrived between 100 ms before the fault and 1 s after it.
 	CrashFailed float64
 	Services    []ServiceResult
 }
@@ -257,7 +257,7 @@
 	r.Amplification = float64(s.sends) / float64(max(s.sentRequests, 1))
 	first := run.Setup.Services[0]
 	perSecond := float64(first.Targets*first.Slots) / first.Mean.Seconds() * run.Load
-	r.CrashFailed = float64(s.afterFault.failed) / (1.1 * perSecond)
+	r.CrashFailed = float64(s.afterFault.failed) / (1.1 * perSecond) // 1.1 s of requests
 	return r
 }
 
--- a/decide/dispatch/measure/measure_test.go
+++ b/decide/dispatch/measure/measure_test.go
@@ -119,8 +119,8 @@
 }
 
 // Requests in flight at a crashing target are lost, and connections for new ones
-// are refused until it is ejected. Retries within the budget must answer all but 0.1%
-// of the look-ups.
+// are refused until it is ejected. Retries within the budget must answer all but
+// 0.1% of the look-ups.
 func TestTargetCrash(t *testing.T) {
 	is := is.New(t)
 	r := measureVariant(t, "azurethread", 0.8, TargetCrash)
--- a/decide/dispatch/random_test.go
+++ b/decide/dispatch/random_test.go
@@ -371,14 +371,14 @@
 }
 
 func TestRandomLong(t *testing.T) {
-	const each = 20_000
+	const eventsPerSeed = 20_000
 	for seed, n := *randomSeed, 0; n < *randomEvents; seed++ {
 		rng := rand.New(rand.NewPCG(seed, 7))
 		run := newRandomRun(seed, rng.IntN, func(f string, args ...any) {
 			t.Helper()
 			t.Fatalf("seed %d: "+f, append([]any{seed}, args...)...)
 		})
-		for run.events < each {
+		for run.events < eventsPerSeed {
 			run.randomEvent()
 		}
 		n += run.events
--- a/decide/machine/machine_test.go
+++ b/decide/machine/machine_test.go
@@ -34,7 +34,7 @@
 
 // A daemon restarts while the platform is down, and the first member that it
 // asks for the list may be dead but still listed. It must ask another one, or
-// it serves nothing for seconds.
+// it can't serve requests for seconds.
 func TestJoinWithDeadMember(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork(1, 8, 600, 50)
@@ -75,7 +75,7 @@
 
 // One reader is connected to a stalled replica of the platform, while the list
 // doesn't change for a long time. If the lower version that this reader keeps
-// seeing counted as a restored platform, the domain would alternate between two
+// getting counted as a restored platform, the domain would alternate between two
 // lists.
 func TestStalledReplica(t *testing.T) {
 	is := is.New(t)
--- a/decide/machine/net_test.go
+++ b/decide/machine/net_test.go
@@ -45,8 +45,8 @@
 	queue        clocktest.Queue[delivery]
 	lossRate     float64
 	list         fleet.List // of the platform
-	platformDown bool       // whether the platform is down
-	restored     bool       // whether the platform was ever restored from older data
+	platformDown bool
+	restored     bool // whether the platform was ever restored from older data
 	messages     int
 	bytes        int
 	violations   []string
--- a/decide/member/protocol_test.go
+++ b/decide/member/protocol_test.go
@@ -63,10 +63,10 @@
 	is.Equal(stateOf(t, s, peer.ID), fleet.Live)
 }
 
-// After a partition heals, the other side sends the fact that a VM is dead
-// from which this VM has just received a message. The fact is older than the
-// message, but has the same incarnation and refutation count. Applied at once,
-// it would drop, for a moment, a VM that all others reach.
+// After a partition heals, the other side sends the fact that a VM is dead,
+// although this VM has just received a message from it. The fact is older than
+// the message, but has the same incarnation and refutation count. Applied at
+// once, it would drop, for a moment, a VM that all others reach.
 func TestRecentMessageOverridesDeath(t *testing.T) {
 	is := is.New(t)
 	s, peer, step := newStateWithPeer(t)
--- a/decide/member/random_test.go
+++ b/decide/member/random_test.go
@@ -37,7 +37,7 @@
 	links       map[[2]fleet.VMID]bool
 	isolated    func(vm *fleet.VM) bool // VMs that are cut off from all others
 	lossPercent int
-	lossRandom  uint64
+	lossRandom  uint64 // state of the random numbers that decide on losses
 }
 
 func newFaultyNetwork(t *rapid.T) *faultyNetwork {
@@ -72,7 +72,7 @@
 func (f *faultyNetwork) injectFault(t *rapid.T, paused map[fleet.VMID]bool) {
 	vm := rapid.SampledFrom(f.vms).Draw(t, "vm")
 	entry := f.VM(vm.ID)
-	switch rapid.SampledFrom([]string{"stop", "start", "leave", "link", "island", "domain", "loss", "heal", "pause"}).Draw(t, "act") {
+	switch rapid.SampledFrom([]string{"stop", "start", "leave", "link", "isolate", "domain", "loss", "heal", "pause"}).Draw(t, "fault") {
 	case "stop":
 		f.Stop(vm.ID)
 		delete(paused, vm.ID)
@@ -86,8 +86,8 @@
 	case "link":
 		to := rapid.SampledFrom(f.vms).Draw(t, "to")
 		f.links[[2]fleet.VMID{vm.ID, to.ID}] = true
-	case "island":
-		bits := rapid.Uint64().Draw(t, "island")
+	case "isolate":
+		bits := rapid.Uint64().Draw(t, "isolated")
 		f.isolated = func(v *fleet.VM) bool {
 			at := slices.IndexFunc(f.vms, func(o fleet.VM) bool { return o.ID == v.ID })
 			return bits>>at&1 == 1
@@ -126,7 +126,7 @@
 		f := newFaultyNetwork(t)
 		startAndSettle(f.Network, f.vms)
 		paused := make(map[fleet.VMID]bool)
-		for range rapid.IntRange(1, 15).Draw(t, "acts") {
+		for range rapid.IntRange(1, 15).Draw(t, "faults") {
 			f.injectFault(t, paused)
 		}
 		f.resume(paused)
--- a/decide/tally/random_test.go
+++ b/decide/tally/random_test.go
@@ -17,7 +17,7 @@
 func TestRandomFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		domains := rapid.SampledFrom([]int{1, 2, 3, 6, smallFleet + 2}).Draw(t, "domains")
-		n := newNetwork(rapid.Uint64().Draw(t, "seed"), domains, rapid.IntRange(1, max(1, 12/domains)).Draw(t, "per"))
+		n := newNetwork(rapid.Uint64().Draw(t, "seed"), domains, rapid.IntRange(1, max(1, 12/domains)).Draw(t, "per domain"))
 		n.run(settleTime)
 		for range rapid.IntRange(3, 12).Draw(t, "steps") {
 			n.injectFault(t)
--- a/decide/tally/tally_test.go
+++ b/decide/tally/tally_test.go
@@ -142,15 +142,15 @@
 	is := is.New(t)
 	n := newNetwork(1, 6, 1)
 	n.run(settleTime)
-	const slow = 600 * time.Millisecond
+	const delay = 600 * time.Millisecond
 	for _, v := range n.vms[2:] {
-		v.sendDelay = slow
+		v.sendDelay = delay
 		n.run(4 * time.Second)
 		c := n.count()
 		is.Equal(c.Missing, 0)
 		sent := clock.Time(0) // end of the last window that v can have sent
 		for _, s := range v.state.local.flows[0].intervals {
-			if s.Until <= n.roundEnded.Add(-slow) {
+			if s.Until <= n.roundEnded.Add(-delay) {
 				sent = s.Until
 			}
 		}
@@ -204,7 +204,7 @@
 	is := is.New(t)
 	n := newNetwork(1, 4, 2)
 	n.run(settleTime)
-	watch := func(disturb func(i int, v *entryVM)) {
+	requireNoRecede := func(disturb func(i int, v *entryVM)) {
 		for i, v := range n.vms[4:] {
 			disturb(i, v)
 		}
@@ -214,11 +214,11 @@
 		}
 		is.Equal(n.plan().Reason.Code, shift.StaleMeasurement)
 	}
-	watch(func(_ int, v *entryVM) {
+	requireNoRecede(func(_ int, v *entryVM) {
 		v.reportsNoLoad = true
 		n.startVM(v)
 	})
-	watch(func(i int, v *entryVM) {
+	requireNoRecede(func(i int, v *entryVM) {
 		v.reportsNoLoad, v.slots = i > 0, 0 // one reports that it has no capacity, the others nothing
 	})
 }
@@ -248,16 +248,16 @@
 		}
 	}
 	bad := map[string]func(*Sum){
-		"runner":    func(s *Sum) { s.Runner = "" },
-		"loaded":    func(s *Sum) { s.Loads[0].VMs = 2 },
-		"window":    func(s *Sum) { s.CountStartAge = 0 },
-		"old":       func(s *Sum) { s.CountStartAge = maxAge + 1 },
-		"counts":    func(s *Sum) { s.Counts = make([]CountRow, MaxCounts+1) },
-		"vms":       func(s *Sum) { s.Counts[0].VMs = 2 },
-		"moved":     func(s *Sum) { s.Counts[0].Moved = 4 },
-		"positions": func(s *Sum) { s.Counts[0].Positions = []byte{0, 99, 3} },
-		"sum":       func(s *Sum) { s.Counts[0].Positions = []byte{2} },
-		"run": func(s *Sum) {
+		"runner":         func(s *Sum) { s.Runner = "" },
+		"VMs of a load":  func(s *Sum) { s.Loads[0].VMs = 2 },
+		"window":         func(s *Sum) { s.CountStartAge = 0 },
+		"window age":     func(s *Sum) { s.CountStartAge = maxAge + 1 },
+		"counts":         func(s *Sum) { s.Counts = make([]CountRow, MaxCounts+1) },
+		"VMs of a count": func(s *Sum) { s.Counts[0].VMs = 2 },
+		"moved":          func(s *Sum) { s.Counts[0].Moved = 4 },
+		"positions":      func(s *Sum) { s.Counts[0].Positions = []byte{0, 99, 3} },
+		"total":          func(s *Sum) { s.Counts[0].Positions = []byte{2} },
+		"run of zeros": func(s *Sum) {
 			s.Counts[0].Positions = []byte{0, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 1, 3}
 		},
 		"failed":    func(s *Sum) { s.Loads[0].Failed = 3 },
--- a/decide/tally/tallytest/size.go
+++ b/decide/tally/tallytest/size.go
@@ -37,7 +37,7 @@
 	if v.IsNil() {
 		return 1
 	}
-	if v.Type().Elem().Kind() == reflect.Uint8 {
+	if v.Type().Elem().Kind() == reflect.Uint8 { // the shortest header of bytes has 2 bytes
 		return max(2, textHeaderSize(v.Len())) + v.Len()
 	}
 	n := headerSize(v.Len())
