--- a/decide/config/catchup.go
+++ b/decide/config/catchup.go
@@ -25,28 +25,28 @@
 	version Version
 }
 
-// supersedes reports whether p takes precedence over q: the higher revision
+// supersedes reports whether v takes precedence over o: the higher revision
 // does, and under the same revision the greater hash.
-func (p Version) supersedes(q Version) bool {
-	if p.Revision != q.Revision {
-		return p.Revision > q.Revision
+func (v Version) supersedes(o Version) bool {
+	if v.Revision != o.Revision {
+		return v.Revision > o.Revision
 	}
-	return p.Hash > q.Hash
+	return v.Hash > o.Hash
 }
 
-// addCandidate records that a peer has p, unless p is no newer than the content
+// addCandidate records that a peer has v, unless v is no newer than the content
 // in force.
-func (s *State) addCandidate(from fleet.VMID, p Version) {
+func (s *State) addCandidate(from fleet.VMID, v Version) {
 	c := &s.catchUp
 	current := s.currentVersion()
-	if !p.supersedes(current) {
+	if !v.supersedes(current) {
 		return
 	}
-	if p.Revision > c.highestKnown {
-		c.highestKnown = p.Revision
+	if v.Revision > c.highestKnown {
+		c.highestKnown = v.Revision
 		c.highestKnownSince = s.now
 	}
-	if s.current != nil && p.Revision == current.Revision {
+	if s.current != nil && v.Revision == current.Revision {
 		c.wantSnapshot = true
 	}
 	if len(c.candidates) == 0 {
@@ -59,14 +59,14 @@
 	if len(c.candidates) == maxCandidates {
 		c.candidates = slices.Delete(c.candidates, 0, 1)
 	}
-	c.candidates = append(c.candidates, candidate{id: from, version: p})
+	c.candidates = append(c.candidates, candidate{id: from, version: v})
 }
 
-// prune drops the candidates whose content does not supersede p, and ends the
+// prune drops the candidates whose content does not supersede v, and ends the
 // current request.
-func (c *catchUp) prune(p Version) {
-	c.candidates = slices.DeleteFunc(c.candidates, func(x candidate) bool { return !x.version.supersedes(p) })
-	c.highestKnown = max(c.highestKnown, p.Revision)
+func (c *catchUp) prune(v Version) {
+	c.candidates = slices.DeleteFunc(c.candidates, func(x candidate) bool { return !x.version.supersedes(v) })
+	c.highestKnown = max(c.highestKnown, v.Revision)
 	c.askedPeer = ""
 	c.wantSnapshot = false
 }
@@ -156,14 +156,14 @@
 // handleDelta applies a Delta if it fits the content in force, and otherwise
 // records the sender as a candidate.
 func (s *State) handleDelta(from fleet.VMID, d *Delta, out *Ready) {
-	p := Version{Revision: d.To, Hash: d.Hash}
+	v := Version{Revision: d.To, Hash: d.Hash}
 	if s.current == nil || d.From > s.current.cat.Revision {
-		s.addCandidate(from, p)
+		s.addCandidate(from, v)
 		s.catchUp.askAfter = s.now
 		return
 	}
 	if d.To <= s.current.cat.Revision {
-		s.compareWithPeer(from, p, d.Age)
+		s.compareWithPeer(from, v, d.Age)
 		return
 	}
 	c, err := s.current.apply(d)
@@ -171,21 +171,21 @@
 		// The base differs from the sender's, or the delta is damaged:
 		// request a snapshot instead.
 		s.countRejected(err)
-		s.addCandidate(from, p)
+		s.addCandidate(from, v)
 		s.catchUp.askAfter = s.now
 		s.catchUp.wantSnapshot = true
 		return
 	}
 	s.installFromPeer(from, c, out)
-	s.confirmByPeer(p, d.Age)
+	s.confirmByPeer(v, d.Age)
 }
 
 // handleSnapshot takes one part of a Snapshot, and installs the content once
 // all parts have arrived.
 func (s *State) handleSnapshot(from fleet.VMID, m *Snapshot, out *Ready) {
-	p := Version{Revision: m.Revision, Hash: m.Hash}
-	if !p.supersedes(s.currentVersion()) {
-		s.compareWithPeer(from, p, m.Age)
+	v := Version{Revision: m.Revision, Hash: m.Hash}
+	if !v.supersedes(s.currentVersion()) {
+		s.compareWithPeer(from, v, m.Age)
 		return
 	}
 	c, err := s.assembly.add(m)
@@ -202,20 +202,20 @@
 		return
 	}
 	s.installFromPeer(from, c, out)
-	s.confirmByPeer(p, m.Age)
+	s.confirmByPeer(v, m.Age)
 }
 
-// compareWithPeer compares p, the content of a peer, with the content in force:
+// compareWithPeer compares v, the content of a peer, with the content in force:
 // it records a confirmation, a divergence, or a candidate for newer content.
-func (s *State) compareWithPeer(from fleet.VMID, p Version, age Age) {
+func (s *State) compareWithPeer(from fleet.VMID, v Version, age Age) {
 	current := s.currentVersion()
 	switch {
-	case p == current:
-		s.confirmByPeer(p, age)
-	case p.Revision == current.Revision && p.Revision > 0:
+	case v == current:
+		s.confirmByPeer(v, age)
+	case v.Revision == current.Revision && v.Revision > 0:
 		s.counters.Diverged++
-		s.addCandidate(from, p)
+		s.addCandidate(from, v)
 	default:
-		s.addCandidate(from, p)
+		s.addCandidate(from, v)
 	}
 }
--- a/decide/config/confirm.go
+++ b/decide/config/confirm.go
@@ -23,10 +23,10 @@
 	return c.readAt.Add(CutOffAfter + 1)
 }
 
-// confirmCurrent records that p was the platform's newest content at the given
-// time, if p is in force.
-func (s *State) confirmCurrent(p Version, at clock.Time) {
-	if s.current == nil || p != s.current.version() {
+// confirmCurrent records that v was the platform's newest content at the given
+// time, if v is in force.
+func (s *State) confirmCurrent(v Version, at clock.Time) {
+	if s.current == nil || v != s.current.version() {
 		return
 	}
 	if !s.confirmation.known || at.After(s.confirmation.readAt) {
@@ -35,12 +35,12 @@
 	}
 }
 
-// confirmByPeer records a confirmation of p that a peer has reported.
-func (s *State) confirmByPeer(p Version, age Age) {
+// confirmByPeer records a confirmation of v that a peer has reported.
+func (s *State) confirmByPeer(v Version, age Age) {
 	if age == Unknown || s.now.Before(s.confirmation.ignorePeersUntil) {
 		return
 	}
-	s.confirmCurrent(p, s.now.Add(-age.Duration()))
+	s.confirmCurrent(v, s.now.Add(-age.Duration()))
 }
 
 // messageAge returns the age of the confirmation for messages.
--- a/decide/config/gossip.go
+++ b/decide/config/gossip.go
@@ -83,11 +83,11 @@
 }
 
 func (s *State) makeDigest() *Digest {
-	p := s.currentVersion()
+	v := s.currentVersion()
 	return &Digest{
 		Format:   Format,
-		Revision: p.Revision,
-		Hash:     p.Hash,
+		Revision: v.Revision,
+		Hash:     v.Hash,
 		Age:      s.messageAge(),
 		ReadAge:  s.reader.age(s.now),
 	}
@@ -174,19 +174,19 @@
 		s.send(from, s.makeDigest(), out)
 		return
 	}
-	p := Version{Revision: m.Revision, Hash: m.Hash}
-	s.compareWithPeer(from, p, m.Age)
-	if from == s.catchUp.askedPeer && !p.supersedes(s.currentVersion()) {
+	v := Version{Revision: m.Revision, Hash: m.Hash}
+	s.compareWithPeer(from, v, m.Age)
+	if from == s.catchUp.askedPeer && !v.supersedes(s.currentVersion()) {
 		s.dropCandidate(from) // it has no newer content yet
 	}
 	if m.Root != "" && m.Root != from {
-		s.compareWithPeer(m.Root, p, m.Age)
+		s.compareWithPeer(m.Root, v, m.Age)
 		return
 	}
 	switch {
-	case s.currentVersion().supersedes(p):
-		s.updatePeer(from, p, out)
-	case s.currentVersion() == p && s.shouldSendConfirmation(m.Age):
+	case s.currentVersion().supersedes(v):
+		s.updatePeer(from, v, out)
+	case s.currentVersion() == v && s.shouldSendConfirmation(m.Age):
 		s.send(from, s.makeDigest(), out)
 	}
 }
@@ -222,9 +222,9 @@
 
 // updatePeer sends a peer that is behind a delta or, if none is available, a
 // digest, upon which the peer sends an UpdateRequest.
-func (s *State) updatePeer(to fleet.VMID, p Version, out *Ready) {
-	if p.Revision < s.current.cat.Revision && p.Revision > 0 {
-		if d, ok := s.history.deltaSince(p.Revision, s.current, MaxPushEntries); ok {
+func (s *State) updatePeer(to fleet.VMID, v Version, out *Ready) {
+	if v.Revision < s.current.cat.Revision && v.Revision > 0 {
+		if d, ok := s.history.deltaSince(v.Revision, s.current, MaxPushEntries); ok {
 			d.Age = s.messageAge()
 			s.send(to, d, out)
 			return
--- a/decide/config/history.go
+++ b/decide/config/history.go
@@ -114,9 +114,9 @@
 // add adds one part, and returns the content once all parts are present. A part
 // of a different snapshot discards the parts collected so far.
 func (a *snapshotAssembly) add(s *Snapshot) (*content, error) {
-	p := Version{Revision: s.Revision, Hash: s.Hash}
-	if a.version != p || len(a.parts) != s.Parts {
-		*a = snapshotAssembly{version: p, parts: make([]*Snapshot, s.Parts), missing: s.Parts}
+	v := Version{Revision: s.Revision, Hash: s.Hash}
+	if a.version != v || len(a.parts) != s.Parts {
+		*a = snapshotAssembly{version: v, parts: make([]*Snapshot, s.Parts), missing: s.Parts}
 	}
 	if a.parts[s.Part] == nil {
 		a.parts[s.Part] = s
--- a/decide/config/read.go
+++ b/decide/config/read.go
@@ -277,21 +277,21 @@
 		return false
 	}
 	r := &s.reader
-	p := c.version()
-	r.index, r.version, r.indexKnown = ev.Index, p, true
+	v := c.version()
+	r.index, r.version, r.indexKnown = ev.Index, v, true
 	if s.current == nil {
 		s.addJoinOffer(joinOffer{content: c, confirmed: true, confirmedAt: ev.ConfirmedAt}, out)
 		return true
 	}
-	s.checkLineage(p, ev.Lineage)
+	s.checkLineage(v, ev.Lineage)
 	before := s.current
 	if s.install(c, out) {
 		s.schedulePush(before, s.isFirstReader())
-	} else if p == s.current.version() {
+	} else if v == s.current.version() {
 		s.announceCurrent()
 	}
-	s.confirmCurrent(p, ev.ConfirmedAt)
-	s.checkBehind(p, ev.ConfirmedAt, out)
+	s.confirmCurrent(v, ev.ConfirmedAt)
+	s.checkBehind(v, ev.ConfirmedAt, out)
 	return true
 }
 
@@ -313,9 +313,9 @@
 
 // checkLineage detects a platform that was restored from older data and has
 // accepted writes since: the content in force here is missing from its lineage.
-func (s *State) checkLineage(p Version, lineage []Version) {
+func (s *State) checkLineage(v Version, lineage []Version) {
 	current := s.current.version()
-	if p.Revision <= current.Revision || len(lineage) == 0 {
+	if v.Revision <= current.Revision || len(lineage) == 0 {
 		return
 	}
 	oldest := lineage[0].Revision
@@ -334,9 +334,9 @@
 // force, in an answer to a read that was sent after that came into force. If this
 // persists for RestoreDelay times the position in the ranking (from 1), it requests
 // that the platform be restored.
-func (s *State) checkBehind(p Version, asked clock.Time, out *Ready) {
+func (s *State) checkBehind(v Version, asked clock.Time, out *Ready) {
 	r := &s.reader
-	if !s.current.version().supersedes(p) {
+	if !s.current.version().supersedes(v) {
 		r.platformBehind = false
 		return
 	}
--- a/decide/config/state.go
+++ b/decide/config/state.go
@@ -276,14 +276,14 @@
 
 // Status returns the status at now.
 func (s *State) Status(now clock.Time) Status {
-	p := s.currentVersion()
+	v := s.currentVersion()
 	return Status{
 		Ready:          s.Ready(),
 		CutOff:         s.CutOff(now),
 		PlatformBehind: s.reader.platformBehind,
 		Reading:        s.reader.working(now),
-		Revision:       p.Revision,
-		Hash:           p.Hash,
+		Revision:       v.Revision,
+		Hash:           v.Hash,
 	}
 }
 
