--- a/decide/change/apply_test.go
+++ b/decide/change/apply_test.go
@@ -21,10 +21,10 @@
 // sampleCatalogue returns a catalogue with a service in use, an unused one, and
 // shifts in the states that the tests below need.
 func sampleCatalogue() catalogue.Catalogue {
-	shift := func(id string, st catalogue.ShiftState, from, to fleet.Region, most catalogue.Share) catalogue.Shift {
+	shift := func(id string, st catalogue.ShiftState, from, to fleet.Region, maxShare catalogue.Share) catalogue.Shift {
 		return catalogue.Shift{
 			ID: id, Owner: "team", Author: "ana", Class: catalogue.Rehearsal, Service: "lookup",
-			From: from, To: to, Limits: catalogue.Limits{MaxShare: most}, State: st, Revision: 5,
+			From: from, To: to, Limits: catalogue.Limits{MaxShare: maxShare}, State: st, Revision: 5,
 		}
 	}
 	ended := shift("ended", catalogue.Approved, "hye", "", 100)
--- a/decide/change/errors.go
+++ b/decide/change/errors.go
@@ -31,9 +31,9 @@
 }
 
 // Conflict reports that the entry is not at the revision on which the operation
-// was based. Only the pair of fields for the entry's type is set. In it, Your is
-// nil for an operation without content, and Current for an entry that doesn't
-// exist.
+// was based. Only the pair of fields for the entry's type is set: the Your field,
+// unless the operation has no content, and the Current field, unless the entry
+// doesn't exist.
 type Conflict struct {
 	Kind    Kind   `json:"kind"`
 	Subject string `json:"subject"`
--- a/decide/change/validate.go
+++ b/decide/change/validate.go
@@ -39,9 +39,9 @@
 	}
 }
 
-func (f *fieldErrors) checkDuration(path string, d catalogue.Duration, most time.Duration) {
-	if d < 0 || time.Duration(d) > most {
-		f.add(path, "must be between 0s and %s", most)
+func (f *fieldErrors) checkDuration(path string, d catalogue.Duration, maximum time.Duration) {
+	if d < 0 || time.Duration(d) > maximum {
+		f.add(path, "must be between 0s and %s", maximum)
 	}
 }
 
@@ -146,34 +146,34 @@
 }
 
 func (f *fieldErrors) checkPayload(o Operation) {
-	set := 0
+	payloads := 0
 	for _, b := range []bool{
 		o.PutService != nil, o.RemoveService != nil, o.AddShift != nil,
 		o.ChangeShift != nil, o.Shift != nil, o.Advance != nil,
 	} {
 		if b {
-			set++
+			payloads++
 		}
 	}
-	right := false
+	matches := false
 	switch o.Kind {
 	case KindPutService:
-		right = o.PutService != nil
+		matches = o.PutService != nil
 	case KindRemoveService:
-		right = o.RemoveService != nil
+		matches = o.RemoveService != nil
 	case KindAddShift:
-		right = o.AddShift != nil
+		matches = o.AddShift != nil
 	case KindChangeShift:
-		right = o.ChangeShift != nil
+		matches = o.ChangeShift != nil
 	case KindApprove, KindStart, KindPause, KindResume, KindRollBack, KindRemove:
-		right = o.Shift != nil
+		matches = o.Shift != nil
 	case KindAdvance:
-		right = o.Advance != nil
+		matches = o.Advance != nil
 	default:
 		f.add("kind", "unknown kind %q", o.Kind)
 		return
 	}
-	if !right || set != 1 {
+	if !matches || payloads != 1 {
 		f.add("kind", "%q needs its own payload and no other", o.Kind)
 	}
 }
--- a/decide/shift/counter.go
+++ b/decide/shift/counter.go
@@ -49,9 +49,9 @@
 	return names
 }
 
-// RecordRequest counts one request of clients at home in the given region. movedBy is
-// the shift that moved it to another region, or empty; busy is how long it
-// occupied a target's slot.
+// RecordRequest counts one request of a client at home in the given region.
+// movedBy is the shift that moved it to another region, or empty; busy is how
+// long it occupied a target's slot.
 func (k *Counter) RecordRequest(service fleet.ServiceName, home fleet.Region, block uint64, movedBy string, busy time.Duration) {
 	for i := range k.counters {
 		t := &k.counters[i]
--- a/decide/shift/drain_test.go
+++ b/decide/shift/drain_test.go
@@ -8,7 +8,8 @@
 	"github.com/azurethread/azurethread/decide/catalogue"
 )
 
-// drainPolicy advances the share of a drain. The baselines use no figures.
+// drainPolicy advances the share of a drain. The policies with which the Runner
+// is compared use no figures.
 type drainPolicy struct {
 	name  string
 	share func(since, interval time.Duration) catalogue.Share // nil: the Runner decides
@@ -28,7 +29,7 @@
 // BenchmarkDrain drains one region of three in the world model, in virtual
 // time: run it with -benchtime 1x. Metrics: the highest load of a receiver in
 // percent of its capacity, the part of the region's load that is moved after
-// 20 minutes, and the time until all of that part but 1% had moved.
+// 20 minutes, and the time until that part, less 1% of the load, had moved.
 func BenchmarkDrain(b *testing.B) {
 	for _, d := range drainCases() {
 		for _, p := range drainPolicies {
--- a/decide/shift/flow.go
+++ b/decide/shift/flow.go
@@ -67,11 +67,10 @@
 }
 
 // maxSlots returns the largest number of additional slots that the flow may
-// occupy in other regions if the share rises from low to high. Blocks between
-// the two that carry more than their proportional part of the requests count
-// with the counted part. Blocks that carry less may carry more later, so they
-// count with their proportional part. Moved clients meet cold caches, hence
-// ColdFactor.
+// occupy in other regions if the share rises from low to high. It assumes the
+// larger of two parts of the requests: the one counted for the blocks between
+// low and high, and their proportional one, because blocks with few requests now
+// may have more later. ColdFactor covers the cold caches that moved clients meet.
 func (f *flow) maxSlots(o Options, low, high catalogue.Share) float64 {
 	if low >= high || f.count.Total == 0 {
 		return 0
@@ -89,9 +88,9 @@
 }
 
 // forecastFraction returns the fraction of requests that would be moved at
-// share high if the share is now. Requests that are moved beyond the count by
-// position, such as by callers that still use old answers, are assumed to
-// remain.
+// share high if the share is now. If more requests are moved than the positions
+// below now account for, for example because callers still use old answers, the
+// excess is assumed to remain.
 func (f *flow) forecastFraction(now, high catalogue.Share) float64 {
 	excess := math.Max(0, f.movedFraction()-f.count.fractionBelow(now))
 	return math.Min(1, f.count.fractionBelow(high)+excess)
--- a/decide/shift/invariant.go
+++ b/decide/shift/invariant.go
@@ -122,9 +122,9 @@
 // checkHeadroom assumes the proportional part of the warm load, which is the
 // least that the step is expected to add.
 func (c *checker) checkHeadroom(f *flow, r receiver, to catalogue.Share) {
-	held, _ := reservedSlots(c.in.Reserved, r.region, f.service)
+	reserved, _ := reservedSlots(c.in.Reserved, r.region, f.service)
 	need := f.count.Demand() * fractionOf(to-c.in.Shift.Share) * r.fraction
-	after := r.load.InFlight + held + need
+	after := r.load.InFlight + reserved + need
 	bound := r.load.Capacity * (1 - fractionOf(c.limits.MinHeadroom))
 	const rounding = 1e-6
 	c.expect(after <= bound+rounding, RuleHeadroom, "%s would have %.2f slots busy, bound %.2f", r.region, after, bound)
--- a/decide/shift/lower.go
+++ b/decide/shift/lower.go
@@ -89,8 +89,8 @@
 	return nil
 }
 
-// TrackErrors returns the progress updated from the evidence of in: since when
-// errors have been over their bound. Figures that are not fresh neither extend
+// TrackErrors returns in.Progress with BreachSince and BreachUntil updated from
+// the evidence. Figures that are not fresh neither extend
 // a breach nor end it.
 func TrackErrors(o Options, in Input) Progress {
 	p := newPlan(o, in)
@@ -179,8 +179,8 @@
 	if reason := p.missingSenderProof(); reason.Code != None {
 		return now, reason
 	}
-	most := min(int(now), int(p.limits.Step)*p.opts.BackSteps)
-	d := p.largestAllowed(catalogue.Share(most), func(d catalogue.Share) Reason { return p.senderLimitReached(now - d) })
+	maxFall := min(int(now), int(p.limits.Step)*p.opts.BackSteps)
+	d := p.largestAllowed(catalogue.Share(maxFall), func(d catalogue.Share) Reason { return p.senderLimitReached(now - d) })
 	if d == 0 {
 		return now, p.senderLimitReached(now - 1)
 	}
--- a/decide/shift/plan.go
+++ b/decide/shift/plan.go
@@ -18,7 +18,7 @@
 	Advance                // raise the share
 	Recede                 // lower the share; the shift stays in its state
 	RollBack               // lower the share; at 0 the shift is rolled back
-	Finish                 // the cap is reached and its load proven
+	Finish                 // the cap is reached, and figures prove that the receivers absorb it
 )
 
 var actionNames = [...]string{
@@ -221,9 +221,9 @@
 func overlaps(a, b fleet.ServiceName) bool { return a == "" || b == "" || a == b }
 
 // withinInterval holds the shift until Limits.Interval has passed since the
-// last step. Both the instant in the catalogue, from the clock of the VM that
-// wrote it, and the instant at which this process saw the step count: a clock
-// that is behind must not shorten the wait.
+// last step. The time of the step is the later of the instant in the catalogue,
+// by the clock of the VM that wrote it, and the instant at which this process saw
+// the step: a clock that is behind must not shorten the wait.
 func (p *plan) withinInterval() Reason {
 	stepped := max(p.Progress.SteppedAt, clock.Time(p.Shift.SteppedAt))
 	if stepped == 0 {
@@ -296,10 +296,9 @@
 	return p.missingWindowProof(l.Span, l.Missing, reason, after)
 }
 
-// missingWindowProof returns why figures of the window s are no proof. Without
-// the second test a step would be judged by figures from before it, which show
-// none of its load, and further steps would follow until the receiver is over
-// its capacity.
+// missingWindowProof returns why figures of the window s are no proof. Figures
+// from before the last step show none of its load: if they were accepted, further
+// steps would follow until the receiver is over its capacity.
 func (p *plan) missingWindowProof(s Span, missing int, reason Reason, after clock.Time) Reason {
 	switch {
 	case missing > 0 || !s.fresh(p.Now, p.opts.MaxAge):
@@ -340,22 +339,22 @@
 // advance takes the largest step that the limits allow.
 func (p *plan) advance() Decision {
 	now := p.Shift.Share
-	most := min(p.limits.Step, p.limits.MaxShare-now)
-	d := p.largestAllowed(most, func(d catalogue.Share) Reason { return p.limitReached(now + d) })
-	if d == most {
+	maxRise := min(p.limits.Step, p.limits.MaxShare-now)
+	d := p.largestAllowed(maxRise, func(d catalogue.Share) Reason { return p.limitReached(now + d) })
+	if d == maxRise {
 		return Decision{Action: Advance, Share: now + d}
 	}
 	reason := p.limitReached(now + d + 1)
-	if d < min(p.opts.MinStep, most) {
+	if d < min(p.opts.MinStep, maxRise) {
 		return p.hold(reason)
 	}
 	return Decision{Action: Advance, Share: now + d, Reason: reason}
 }
 
-// largestAllowed returns the largest of 0..most for which limit returns no
+// largestAllowed returns the largest of 0..maximum for which limit returns no
 // reason. 0 is always allowed, and limit is not called for it.
-func (p *plan) largestAllowed(most catalogue.Share, limit func(catalogue.Share) Reason) catalogue.Share {
-	n := sort.Search(int(most), func(i int) bool {
+func (p *plan) largestAllowed(maximum catalogue.Share, limit func(catalogue.Share) Reason) catalogue.Share {
+	n := sort.Search(int(maximum), func(i int) bool {
 		return limit(catalogue.Share(i+1)).Code != None
 	})
 	return catalogue.Share(n)
@@ -391,16 +390,16 @@
 // headroomReached returns a reason if need more slots, on top of those that
 // other shifts have reserved, would leave a region less than MinHeadroom.
 func (p *plan) headroomReached(l *Load, need float64) Reason {
-	held, holder := reservedSlots(p.Reserved, l.Region, l.Service)
-	unreserved := l.Capacity*(1-fractionOf(p.limits.MinHeadroom)) - l.InFlight
-	free := unreserved - held
+	reserved, reservedBy := reservedSlots(p.Reserved, l.Region, l.Service)
+	beyondHeadroom := l.Capacity*(1-fractionOf(p.limits.MinHeadroom)) - l.InFlight
+	free := beyondHeadroom - reserved
 	if need <= free {
 		return Reason{}
 	}
 	reason := Reason{Code: NoHeadroom, Region: l.Region, Service: l.Service, SlotsNeeded: need, SlotsFree: max(0, free)}
-	if need <= unreserved {
+	if need <= beyondHeadroom {
 		reason.Code = SharedHeadroom
-		reason.OtherShift = holder
+		reason.OtherShift = reservedBy
 	}
 	return reason
 }
--- a/decide/shift/reserve.go
+++ b/decide/shift/reserve.go
@@ -24,7 +24,7 @@
 	Services    []fleet.ServiceName
 	Low, High   catalogue.Share
 	Rise        bool       // from Low to High, otherwise from High to Low
-	VisibleFrom clock.Time // from when on figures include it; Never while it is being written
+	VisibleFrom clock.Time // instant from which figures include it; Never while it is being written
 }
 
 // appendReservations appends the reservations of a pending step. Receivers
@@ -62,17 +62,17 @@
 
 // reservedSlots returns the slots reserved at a region and the shift that has
 // reserved the most.
-func reservedSlots(all []Reservation, r fleet.Region, s fleet.ServiceName) (slots float64, holder string) {
-	most := 0.0
+func reservedSlots(all []Reservation, r fleet.Region, s fleet.ServiceName) (slots float64, shiftID string) {
+	largest := 0.0
 	for i := range all {
 		v := &all[i]
 		if v.Region != r || v.Service != s {
 			continue
 		}
 		slots += v.Slots
-		if v.Slots > most {
-			most, holder = v.Slots, v.Shift
+		if v.Slots > largest {
+			largest, shiftID = v.Slots, v.Shift
 		}
 	}
-	return slots, holder
+	return slots, shiftID
 }
--- a/decide/shift/runner.go
+++ b/decide/shift/runner.go
@@ -14,7 +14,7 @@
 	now            clock.Time // latest instant seen
 	catalogue      *catalogue.Catalogue
 	evidence       Evidence
-	duty           Lease
+	lease          Lease
 	reachable      bool
 	entries        []*entry // moving shifts, in the order of their ids
 	writes         uint64   // last Write.ID
@@ -61,7 +61,7 @@
 		r.evidence = e.Evidence
 		r.trackErrors()
 	case Lease:
-		r.duty = e
+		r.lease = e
 	case Platform:
 		r.reachable = e.Reachable
 	case WriteResult:
@@ -99,7 +99,7 @@
 // by the local clock is not held, whatever the last Lease stated: the process
 // may have been paused since.
 func (r *Runner) holdsLease() bool {
-	return r.duty.Held && r.now.Before(r.duty.Until)
+	return r.lease.Held && r.now.Before(r.lease.Until)
 }
 
 // configure puts a catalogue in force if it is newer than the present one.
@@ -169,7 +169,8 @@
 	}
 }
 
-// trackErrors updates how long error bounds have been exceeded.
+// trackErrors updates, for all shifts, since when errors have exceeded their
+// bound.
 func (r *Runner) trackErrors() {
 	for i, e := range r.entries {
 		e.progress = TrackErrors(r.opts, r.input(i, nil))
@@ -194,9 +195,9 @@
 
 // evaluate plans all shifts in the order of their ids.
 func (r *Runner) evaluate(out []Effect) []Effect {
-	held := r.reservations()
+	reserved := r.reservations()
 	for i, e := range r.entries {
-		in := r.input(i, held)
+		in := r.input(i, reserved)
 		d := Plan(r.opts, in)
 		if broken := CheckInvariants(r.opts, in, d); len(broken) > 0 {
 			r.violationCount += uint64(len(broken))
@@ -206,7 +207,7 @@
 		e.setDecision(r.now, d)
 		if w, ok := r.startWrite(e); ok {
 			out = append(out, w)
-			held = appendReservations(r.opts, r.pendingStepOf(e), &r.evidence, held)
+			reserved = appendReservations(r.opts, r.pendingStepOf(e), &r.evidence, reserved)
 		}
 	}
 	return out
@@ -222,7 +223,7 @@
 }
 
 // input returns the input of the plan for entry i.
-func (r *Runner) input(i int, held []Reservation) Input {
+func (r *Runner) input(i int, reserved []Reservation) Input {
 	e := r.entries[i]
 	in := Input{
 		Now:      r.now,
@@ -232,7 +233,7 @@
 		Evidence: &r.evidence,
 		CutOff:   !r.reachable,
 	}
-	for _, v := range held {
+	for _, v := range reserved {
 		if v.Shift != e.shift.ID {
 			in.Reserved = append(in.Reserved, v)
 		}
@@ -248,20 +249,20 @@
 // reservations returns the headroom reserved by steps that the figures don't
 // include yet: those that came into force lately and those being written.
 func (r *Runner) reservations() []Reservation {
-	var held []Reservation
+	var reserved []Reservation
 	for _, e := range r.entries {
 		if e.lastStep.High > e.lastStep.Low {
 			st := e.lastStep
 			st.Shift = e.shift
 			st.Services = servicesOf(r.catalogue, &e.shift)
 			st.VisibleFrom = e.progress.provenAfter(r.opts, e.shift.State)
-			held = appendReservations(r.opts, st, &r.evidence, held)
+			reserved = appendReservations(r.opts, st, &r.evidence, reserved)
 		}
 		if e.write.id != 0 {
-			held = appendReservations(r.opts, r.pendingStepOf(e), &r.evidence, held)
+			reserved = appendReservations(r.opts, r.pendingStepOf(e), &r.evidence, reserved)
 		}
 	}
-	return held
+	return reserved
 }
 
 // pendingStepOf returns the step of an outstanding write.
--- a/decide/shift/session_test.go
+++ b/decide/shift/session_test.go
@@ -80,15 +80,15 @@
 
 func (s *session) shift(t *testing.T, d *datadriven.TestData) {
 	var id, from, to string
-	most, step, headroom := catalogue.ShareUnit, 1000, 0
+	maxShare, step, headroom := catalogue.ShareUnit, 1000, 0
 	d.ScanArgs(t, "id", &id)
 	d.ScanArgs(t, "from", &from)
 	d.MaybeScanArgs(t, "to", &to)
-	d.MaybeScanArgs(t, "cap", &most)
+	d.MaybeScanArgs(t, "cap", &maxShare)
 	d.MaybeScanArgs(t, "step", &step)
 	d.MaybeScanArgs(t, "headroom", &headroom)
 	s.w.startShift(catalogue.Shift{ID: id, From: fleet.Region(from), To: fleet.Region(to), Limits: catalogue.Limits{
-		MaxShare: catalogue.Share(most), Step: catalogue.Share(step), MinHeadroom: catalogue.Share(headroom),
+		MaxShare: catalogue.Share(maxShare), Step: catalogue.Share(step), MinHeadroom: catalogue.Share(headroom),
 	}})
 }
 
--- a/decide/shift/stopped_test.go
+++ b/decide/shift/stopped_test.go
@@ -9,10 +9,10 @@
 	"github.com/azurethread/azurethread/decide/change"
 )
 
-// A shift stops at its cap, a client that it has moved grows, and the count
-// exceeds the cap. If the catalogue accepted steps of running shifts only, a
-// paused or done shift would stay over its cap and the runner's write would be
-// refused every two seconds.
+// Guards against a paused or done shift that stays over its cap. The traffic of a
+// client that it has moved grows, and the count exceeds the cap. If the catalogue
+// accepted steps of running shifts only, it would refuse the runner's write every
+// two seconds.
 func TestCountOverCapLowersStoppedShift(t *testing.T) {
 	for _, state := range []catalogue.ShiftState{catalogue.Paused, catalogue.Done} {
 		is := is.New(t)
--- a/decide/shift/world_test.go
+++ b/decide/shift/world_test.go
@@ -20,8 +20,8 @@
 	worldService         = fleet.ServiceName("calc-lookup")
 	worldTTL             = 5 * time.Second  // time to live of look-up answers while a shift is running
 	worldSteadyTTL       = 20 * time.Second // time to live of other look-up answers
-	worldSpread          = 2 * time.Second  // until a catalogue is in force everywhere
-	worldWarmUp          = 20 * time.Second // for which a moved block costs more
+	worldPropagation     = 2 * time.Second  // time until a catalogue is in force everywhere
+	worldWarmUp          = 20 * time.Second // time for which a moved block costs more
 	worldReportWindow    = 2 * time.Second  // measurement window of reports
 	worldBlocksPerRegion = 600
 )
@@ -114,8 +114,8 @@
 			w.blocks = append(w.blocks, &worldBlock{
 				hash: xxhash.Sum64String(fmt.Sprint(seed, i, b)), home: i, at: i,
 				weight:     load * capacity / float64(blocks),
-				delay:      worldSpread + time.Duration(w.rng.Int64N(int64(worldTTL))),
-				firstDelay: worldSpread + time.Duration(w.rng.Int64N(int64(worldSteadyTTL))),
+				delay:      worldPropagation + time.Duration(w.rng.Int64N(int64(worldTTL))),
+				firstDelay: worldPropagation + time.Duration(w.rng.Int64N(int64(worldSteadyTTL))),
 			})
 		}
 	}
@@ -152,7 +152,7 @@
 	return w.runners[name]
 }
 
-// run advances the world by d in steps of one second.
+// run advances the world by d, one second at a time.
 func (w *world) run(d time.Duration) {
 	for end := w.now.Add(d); w.now < end; {
 		w.now = w.now.Add(time.Second)
@@ -192,8 +192,8 @@
 func (w *world) regionOf(b *worldBlock) int {
 	t := w.inForce[0].table
 	for i := len(w.inForce) - 1; i > 0; i-- {
-		asks := max(w.inForce[i].at.Add(b.delay), w.regions[b.home].started.Add(b.firstDelay))
-		if asks <= w.now {
+		lookupAt := max(w.inForce[i].at.Add(b.delay), w.regions[b.home].started.Add(b.firstDelay))
+		if lookupAt <= w.now {
 			t = w.inForce[i].table
 			break
 		}
@@ -239,7 +239,7 @@
 	}
 }
 
-// evidence returns what reports of the age w.lag show.
+// evidence returns the evidence from reports of the age w.lag.
 func (w *world) evidence() Evidence {
 	var e Evidence
 	until := w.now.Add(-w.lag)
@@ -327,7 +327,8 @@
 	}
 }
 
-// isLogged is false for the waits of a normal advance.
+// isLogged reports whether a hold is logged. The waits of a normal advance are
+// not.
 func isLogged(c Code) bool { return c != AwaitingProof && c != WaitingInterval }
 
 // carryOut applies due writes to the catalogue, as the driver does.
--- a/decide/token/ledger.go
+++ b/decide/token/ledger.go
@@ -94,10 +94,10 @@
 
 // The defaults of Options, and the values of Admission.RetryAfter.
 const (
-	DefaultCapacity  = 1 << 18
-	DefaultRetention = 2 * time.Minute
-	fullRetryAfter   = time.Second
-	pendingAskAfter  = 250 * time.Millisecond
+	DefaultCapacity   = 1 << 18
+	DefaultRetention  = 2 * time.Minute
+	fullRetryAfter    = time.Second
+	pendingRetryAfter = 250 * time.Millisecond
 )
 
 // maxDropsPerCall bounds the records dropped by one call, so that a call after a
@@ -266,7 +266,7 @@
 	a := Admission{Status: Duplicate, ID: r.id, Verdict: r.verdict, Answer: int(r.answer)}
 	if !r.finished {
 		a.Pending = true // an unfinished record has the zero verdict, MayHaveRun
-		a.RetryAfter = pendingAskAfter
+		a.RetryAfter = pendingRetryAfter
 	}
 	return a
 }
--- a/decide/token/ledger_test.go
+++ b/decide/token/ledger_test.go
@@ -24,8 +24,8 @@
 
 // Two sends of one token are in transit; the second is read first and refused,
 // then the first is read. Guards against a token that can be admitted again
-// after NotRun: a permit would run after its caller was told that it did not,
-// and again under a fresh token.
+// after NotRun: a permit request would run although its caller got NotRun, and
+// again with a fresh token.
 func TestNotRunSpendsToken(t *testing.T) {
 	is := is.New(t)
 	l := NewLedger(testKey, "vm-1", 1, Options{})
@@ -123,13 +123,13 @@
 
 // tokenModel is the expected state of one token in the randomised test.
 type tokenModel struct {
-	text       string
-	vm         int
-	inc        fleet.Incarnation
-	id         ID
-	ran        bool // whether its work ran; drawn when the token is admitted
-	admissions int  // times admitted, over all processes
-	toldNotRun bool // a caller was told NotRun
+	text           string
+	vm             int
+	inc            fleet.Incarnation
+	id             ID
+	ran            bool // whether its work ran; drawn when the token is admitted
+	admissions     int  // times admitted, over all processes
+	answeredNotRun bool // a caller got NotRun
 }
 
 // TestTokenRunsAtMostOnce runs random sends, refusals, finishes, forward and
@@ -147,7 +147,7 @@
 			if a.Status == New || a.Verdict != verdict.NotRun {
 				return
 			}
-			m.toldNotRun = true
+			m.answeredNotRun = true
 			if m.ran {
 				t.Fatalf("status %v with verdict not-run for a token that ran", a.Status)
 			}
@@ -180,8 +180,8 @@
 				}
 				m.admissions++
 				admitted++
-				if m.admissions > 1 || m.toldNotRun {
-					t.Fatalf("token admitted %d times; answered with not-run before: %v", m.admissions, m.toldNotRun)
+				if m.admissions > 1 || m.answeredNotRun {
+					t.Fatalf("token admitted %d times; answered with not-run before: %v", m.admissions, m.answeredNotRun)
 				}
 				m.id = a.ID
 				m.ran = rapid.Bool().Draw(t, "ran")
