--- a/decide/engine/control.go
+++ b/decide/engine/control.go
@@ -231,8 +231,8 @@
 	e.stepMember(now, &member.PlatformList{List: *l}, out)
 }
 
-// updateReading tells the distribution of the machine list whether this
-// process reads the platform for its failure domain.
+// updateReading reports to the distribution of the machine list when this
+// process starts or stops reading the platform for its failure domain.
 func (e *Engine) updateReading(now clock.Time, out *Ready) {
 	on := e.config.Status(now).Reading
 	if on == e.reading {
--- a/decide/engine/enginetest/caller.go
+++ b/decide/engine/enginetest/caller.go
@@ -74,7 +74,7 @@
 	return c
 }
 
-// task is one work that a caller is having done.
+// task is the state of one Work at its caller.
 type task struct {
 	c          *Caller
 	work       *Work
@@ -311,7 +311,7 @@
 	case verdict.ReasonConnectionLost:
 		t.resend(callerRetryDelay)
 	default:
-		// The entry VM itself does not know, so another send would not help.
+		// The entry VM does not know the outcome, so another send would not help.
 		t.maybeRan = true
 		t.finish(verdict.MayHaveRun)
 	}
@@ -370,7 +370,7 @@
 	}
 }
 
-// queryOutcome asks the entry VM that the token is for about its outcome.
+// queryOutcome queries the outcome of the token at the entry VM that it is for.
 func (t *task) queryOutcome() {
 	if !t.c.AsksOutcome || t.token == "" || t.submission == nil {
 		return
--- a/decide/engine/enginetest/checker.go
+++ b/decide/engine/enginetest/checker.go
@@ -12,7 +12,7 @@
 	"github.com/azurethread/azurethread/decide/verdict"
 )
 
-// Work is one thing that a caller wants done, in any number of sends.
+// Work is one unit of work of a caller, whatever the number of sends.
 type Work struct {
 	Name       string
 	Service    fleet.ServiceName
@@ -194,8 +194,8 @@
 	}
 }
 
-// minSendsPerShed is the minimum number of sends per send that a target refuses
-// for lack of a slot.
+// minSendsPerShed is the minimum number of sends for each one that a target
+// refuses for lack of a slot.
 const minSendsPerShed = 100
 
 // checkShed checks the share of sends that targets refused for lack of a slot.
@@ -205,7 +205,7 @@
 	}
 }
 
-// minSendsChecked is the minimum number of sends for checkShed.
+// minSendsChecked is the number of sends below which checkShed checks nothing.
 const minSendsChecked = 1000
 
 // checkForwarded checks the number of forwarded requests that a domain holds.
@@ -217,7 +217,7 @@
 	if !ok {
 		return
 	}
-	slots, held, vms := 0, 0, 0
+	slots, forwarded, vms := 0, 0, 0
 	for _, t := range ck.w.Targets {
 		if t.Location == d && t.Service == s {
 			slots += t.Slots
@@ -228,12 +228,12 @@
 			continue
 		}
 		vms++
-		held += v.countForwarded(s, since)
+		forwarded += v.countForwarded(s, since)
 	}
-	over := held - slots
+	over := forwarded - slots
 	ck.Counts.ForwardedOver = max(ck.Counts.ForwardedOver, over)
 	if over > slots/2+vms && ck.stillAgreed(d.Domain) {
-		ck.reportViolation("%s holds %d forwarded requests of %s with %d slots", d.Domain, held, s, slots)
+		ck.reportViolation("%s holds %d forwarded requests of %s with %d slots", d.Domain, forwarded, s, slots)
 	}
 }
 
@@ -269,7 +269,7 @@
 }
 
 // checkOpen checks that no request is unanswered. It is called when all callers
-// have been silent for longer than any deadline.
+// have sent nothing for longer than any deadline.
 func (ck *Checker) checkOpen() {
 	ck.checkShed()
 	for _, v := range ck.w.VMs {
--- a/decide/engine/enginetest/doc.go
+++ b/decide/engine/enginetest/doc.go
@@ -17,7 +17,7 @@
 // # Submissions
 //
 // The Checker keeps its own records and shares no code with the engine. A Work
-// is one thing that a caller wants done. A Submission is the unit that a
+// is one unit of work of a caller. A Submission is the unit that a
 // verdict applies to: all sends with one token, or one send without a token.
 // Each forward has its own Submission, whose parent is the forwarded one. A run
 // at a target counts for its Submission and all parents. It is a violation if a
--- a/decide/engine/enginetest/effects.go
+++ b/decide/engine/enginetest/effects.go
@@ -85,8 +85,8 @@
 	})
 }
 
-// execute executes effects as the daemon does. Events that an effect causes
-// immediately are posted after all effects, because their steps reuse the Ready.
+// execute executes effects as the daemon does. An event that an effect causes
+// immediately is posted only after all effects, because its step reuses r.
 func (v *VM) execute(r *engine.Ready) {
 	v.traceEffects(r)
 	v.updateState(r)
--- a/decide/engine/enginetest/operator.go
+++ b/decide/engine/enginetest/operator.go
@@ -30,8 +30,8 @@
 )
 
 // Operate sends an operation to an entry VM. While the outcome is unknown, it is
-// sent with the same ID to other VMs. Not-run applies to one send only, so the
-// operation counts as not-run when all sends have been answered so.
+// sent with the same ID to other VMs. A not-run answer applies to one send only,
+// so the operation counts as not-run only when every send was answered not-run.
 func (w *World) Operate(v *VM, op change.Operation) *OperatorRequest {
 	w.Checker.Counts.Operations++
 	if op.ID == "" {
@@ -52,7 +52,7 @@
 		return
 	}
 	current, at := o.tries, o.vm
-	settled := func(r Result) {
+	handleResult := func(r Result) {
 		if o.Done {
 			return
 		}
@@ -69,7 +69,7 @@
 	if o.vm.Up {
 		o.sends++
 		o.w.trace("%s gives %s, %s %s, to %s", o.Op.Operator, o.Op.ID, o.Op.Kind, o.Op.Subject(), o.vm.Self.ID)
-		o.vm.Change(o.Op, func(r Result) { o.w.After(delayCaller, func() { settled(r) }) })
+		o.vm.Change(o.Op, func(r Result) { o.w.After(delayCaller, func() { handleResult(r) }) })
 	}
 	o.w.After(operatorTimeout, func() {
 		if o.tries == current && !o.Done {
--- a/decide/engine/enginetest/platform.go
+++ b/decide/engine/enginetest/platform.go
@@ -74,7 +74,7 @@
 	shownLists  []shownList // the current one and those that become visible later
 }
 
-// Times and limits of the platform.
+// Delays of the platform, and the number of earlier documents that it keeps.
 const (
 	listLag         = time.Second
 	failedReadDelay = time.Second
@@ -201,7 +201,7 @@
 }
 
 // readResult returns the event for a read of the current document.
-func (p *Platform) readResult(v *VM, seq uint64, asked clock.Time) *config.PlatformRead {
+func (p *Platform) readResult(v *VM, seq uint64, requestedAt clock.Time) *config.PlatformRead {
 	if !p.reachableFrom(v) {
 		return &config.PlatformRead{Seq: seq}
 	}
@@ -211,7 +211,7 @@
 		Catalogue:   p.doc.catalogue,
 		Lineage:     p.doc.lineage,
 		Index:       p.doc.index,
-		ConfirmedAt: asked,
+		ConfirmedAt: requestedAt,
 	}
 }
 
@@ -234,9 +234,9 @@
 }
 
 func (p *Platform) fetch(v *VM, seq uint64) {
-	asked := v.now()
+	requestedAt := v.now()
 	p.call(v, func() func() {
-		ev := p.readResult(v, seq, asked)
+		ev := p.readResult(v, seq, requestedAt)
 		return func() { v.step(ev) }
 	}, func() { v.step(&config.PlatformRead{Seq: seq}) })
 }
@@ -248,14 +248,14 @@
 	}
 	current := &watch{seq: w.Seq}
 	v.watch = current
-	quiet := &config.PlatformRead{Seq: w.Seq, Result: config.ReadNotModified, ConfirmedAt: v.now().Add(w.Wait)}
+	result := &config.PlatformRead{Seq: w.Seq, Result: config.ReadNotModified, ConfirmedAt: v.now().Add(w.Wait)}
 	v.after(w.Wait+p.delay(), func() {
 		if v.watch == current {
 			v.watch = nil
 			if !p.reachableFrom(v) {
-				quiet = &config.PlatformRead{Seq: w.Seq}
+				result = &config.PlatformRead{Seq: w.Seq}
 			}
-			v.step(quiet)
+			v.step(result)
 		}
 	})
 }
@@ -312,8 +312,8 @@
 	v.postAfter(p.delay(), &engine.MachineListRead{List: l})
 }
 
-// currentList returns the machine list for the current state. The platform knows
-// machines, not processes, so the list has no incarnations.
+// currentList returns the machine list for the current state. The platform lists
+// machines, not processes, so its entries have no incarnations.
 func (p *Platform) currentList() fleet.List {
 	l := fleet.List{Version: p.listVersion}
 	for _, v := range p.w.VMs {
--- a/decide/engine/enginetest/vm.go
+++ b/decide/engine/enginetest/vm.go
@@ -47,8 +47,8 @@
 	lookups         map[shiftService]moveCounts // answered since gate came into force
 	catalogue       *catalogue.Catalogue
 	revision        uint64
-	targetsLeaving  map[fleet.TargetID]clock.Time // when the machine list first showed it
-	targetsStopping map[fleet.TargetID]clock.Time // when the target last reported it
+	targetsLeaving  map[fleet.TargetID]clock.Time // when the machine list first showed the target as leaving
+	targetsStopping map[fleet.TargetID]clock.Time // when the target last answered that it is stopping
 	watch           *watch
 	shiftLease      leaseView
 	machineList     *fleet.List // in force; nil if none
--- a/decide/engine/enginetest/world.go
+++ b/decide/engine/enginetest/world.go
@@ -31,7 +31,7 @@
 	VMs      []Location // one entry VM in each
 	Targets  []TargetOptions
 	Services []catalogue.Service
-	// Trace, if set, receives one line for each thing that happens.
+	// Trace, if set, receives one line for each traced event, effect or action.
 	Trace func(at time.Duration, line string)
 }
 
@@ -56,8 +56,8 @@
 	lastNumber int
 }
 
-// worldStream separates the World's random numbers from others drawn with the
-// same seed.
+// worldStream is the stream of the World's random numbers, so that they are
+// independent of others drawn with the same seed.
 const worldStream = 0x776f726c64
 
 // New returns a World in which the entry VMs have just started and the platform
--- a/decide/engine/enginetest/writer.go
+++ b/decide/engine/enginetest/writer.go
@@ -50,8 +50,8 @@
 
 func (w *write) try() {
 	w.tries++
-	asked := w.vm.now()
-	w.vm.w.Platform.get(w.vm, func(d document) { w.handleRead(d, asked) }, func() { w.retry(errUnreachable) })
+	requestedAt := w.vm.now()
+	w.vm.w.Platform.get(w.vm, func(d document) { w.handleRead(d, requestedAt) }, func() { w.retry(errUnreachable) })
 }
 
 var (
@@ -78,9 +78,9 @@
 	w.done(Result{Verdict: v, Err: err})
 }
 
-func (w *write) handleRead(d document, asked clock.Time) {
+func (w *write) handleRead(d document, requestedAt clock.Time) {
 	if r, found := d.operations[w.op.ID]; found {
-		w.handleAccepted(d, r, asked)
+		w.handleAccepted(d, r, requestedAt)
 		return
 	}
 	if w.unknown && d.index != w.unknownIndex {
@@ -95,13 +95,13 @@
 		w.fail(err)
 		return
 	}
-	asked = w.vm.now()
+	requestedAt = w.vm.now()
 	w.vm.w.Platform.compareAndSwap(w.vm, d.index, next, w.op.Operator+" "+string(w.op.Kind)+" "+w.op.Subject(), func(ok bool) {
 		if !ok {
 			w.retry(errConflict)
 			return
 		}
-		w.handleAccepted(next, next.catalogue.Revision, asked)
+		w.handleAccepted(next, next.catalogue.Revision, requestedAt)
 	}, func() {
 		w.unknown, w.unknownIndex = true, d.index
 		w.retry(errUnreachable)
@@ -132,15 +132,15 @@
 	return n, nil
 }
 
-func (w *write) handleAccepted(d document, revision uint64, asked clock.Time) {
+func (w *write) handleAccepted(d document, revision uint64, requestedAt clock.Time) {
 	w.vm.w.Checker.recordOperation(w, verdict.Ran)
-	w.vm.step(&config.Accepted{Catalogue: d.catalogue, ConfirmedAt: asked})
+	w.vm.step(&config.Accepted{Catalogue: d.catalogue, ConfirmedAt: requestedAt})
 	w.done(Result{Verdict: verdict.Ran, Revision: revision})
 }
 
 // restore writes the catalogue in force to a platform that holds an older one.
 func (p *Platform) restore(v *VM, c *catalogue.Catalogue) {
-	asked := v.now()
+	requestedAt := v.now()
 	p.get(v, func(d document) {
 		if d.catalogue.Revision >= c.Revision {
 			return
@@ -148,7 +148,7 @@
 		next := d.successor(c, "")
 		p.compareAndSwap(v, d.index, next, "restored by "+string(v.Self.ID), func(ok bool) {
 			if ok {
-				v.step(&config.Accepted{Catalogue: c, ConfirmedAt: asked})
+				v.step(&config.Accepted{Catalogue: c, ConfirmedAt: requestedAt})
 			}
 		}, func() {})
 	}, func() {})
@@ -216,7 +216,7 @@
 
 func (v *VM) acquireShiftLease() {
 	p := v.w.Platform
-	asked := v.now()
+	requestedAt := v.now()
 	process := v.processNumber
 	p.call(v, func() func() {
 		free := v.w.Now >= p.shiftLease.until || (p.shiftLease.holder == v && p.shiftLease.processNumber == process)
@@ -224,7 +224,7 @@
 			return func() {}
 		}
 		p.shiftLease = lease{holder: v, processNumber: process, until: v.w.Now.Add(leaseTTL)}
-		return func() { v.shiftLease.until = asked.Add(leaseTTL - leaseMargin) }
+		return func() { v.shiftLease.until = requestedAt.Add(leaseTTL - leaseMargin) }
 	}, func() {})
 }
 
--- a/decide/engine/meter_test.go
+++ b/decide/engine/meter_test.go
@@ -15,8 +15,8 @@
 
 // Guards against a shift that is held because of errors at a region whose
 // callers all get answers. Entry VMs elsewhere forward requests to the region,
-// which has no free slot and refuses them, and they are served elsewhere. These
-// refused forwards were counted as failed answers.
+// which has no free slot and refuses them, and they are served elsewhere. Such a
+// refused forward must not count as a failed answer.
 func TestRefusedForwardIsNoError(t *testing.T) {
 	for _, c := range []struct {
 		hops   uint8
--- a/decide/engine/refresh.go
+++ b/decide/engine/refresh.go
@@ -60,8 +60,8 @@
 // different entry VMs choose different ones.
 const maxRemotesPerDomain = 2
 
-// updateRemotes tells the dispatcher which entry VMs of other domains could
-// take requests. A domain's free capacity is divided evenly among its entry VMs,
+// updateRemotes passes to the dispatcher the entry VMs of other domains that
+// requests can be forwarded to. A domain's free capacity is divided evenly among its entry VMs,
 // because the actual division is known only to them; the receiver decides about
 // each request on arrival.
 func (e *Engine) updateRemotes(now clock.Time, domains []member.DomainView, out *Ready) {
--- a/decide/engine/shifts.go
+++ b/decide/engine/shifts.go
@@ -126,7 +126,7 @@
 		e.tally.RecordRequest(s.service, s.home, s.block, s.movedBy, busy)
 	}
 	// A refused forward is not a failed answer, because its sender tries
-	// another VM. Counting it held shifts back wherever requests were
+	// another VM. If it counted, shifts would hold wherever requests are
 	// forwarded to a busy region.
 	refused := !ok && s.sent == 0 && s.hops == 0
 	if s.local || refused {
--- a/decide/steer/slopes_moves_test.go
+++ b/decide/steer/slopes_moves_test.go
@@ -70,7 +70,7 @@
 
 // measureSiteLoss removes each of a sample of sites in turn.
 func (m *moveMeasurement) measureSiteLoss() {
-	const lost = 47 // every 20th site
+	const lost = 47 // sites, one in 20
 	moved, others := 0.0, 0.0
 	vms := m.in.VMs
 	for i := range lost {
