--- a/decide/engine/engine.go
+++ b/decide/engine/engine.go
@@ -57,7 +57,7 @@
 	records    map[dispatch.RequestID]requestRecord
 	evidence   shift.Evidence
 	runsShifts bool // holds the lease of the shift runner
-	// watchMachineList says whether the platform's machine list is to be watched.
+	// watchMachineList is true if the platform's machine list is to be watched.
 	watchMachineList bool
 	reading          bool // reads the platform for its failure domain
 
@@ -84,7 +84,7 @@
 	return clock.Min(w1, w2)
 }
 
-// New returns the engine of an entry VM that knows only itself.
+// New returns the engine of an entry VM whose membership holds only itself.
 func New(o Options) *Engine {
 	o.Dispatch.VM = o.Self.ID
 	o.Dispatch.Domain = o.Self.Domain
--- a/decide/engine/enginetest/caller.go
+++ b/decide/engine/enginetest/caller.go
@@ -35,9 +35,9 @@
 	// CancelProbability is the probability that it closes the connections of the
 	// earlier sends before it resends.
 	CancelProbability float64
-	// Stopped says that GenerateLoad starts no more work.
+	// Stopped is true if GenerateLoad must start no more work.
 	Stopped bool
-	// AsksOutcome says that it queries the outcome of work that ended as
+	// AsksOutcome is true if the caller queries the outcome of work that ended as
 	// may-have-run.
 	AsksOutcome bool
 
--- a/decide/engine/enginetest/checker.go
+++ b/decide/engine/enginetest/checker.go
@@ -45,7 +45,7 @@
 	// Steps counts the events that the engines have processed.
 	Steps  uint64
 	Counts Counts
-	// EvenLoad says that all callers send at the same rate. Then the moved share
+	// EvenLoad is true if all callers send at the same rate. Then the moved share
 	// of a shift can be checked over the answered requests.
 	EvenLoad bool
 
@@ -168,7 +168,7 @@
 
 // checkSlots counts the requests of all entry VMs that are in flight at a
 // target. It counts only requests sent since the entry VMs agree on the live
-// members, because a VM that knows no others may use all slots. Forwarded
+// members, because a VM without other live members may use all slots. Forwarded
 // requests are limited to each VM's part of the slots, so together they must not
 // exceed the slots. Other requests may use slots that the target reported as
 // free, and two entry VMs may take the same one. The target refuses such
--- a/decide/engine/enginetest/lookups.go
+++ b/decide/engine/enginetest/lookups.go
@@ -12,8 +12,8 @@
 // tokenLifetime is how long a token from a look-up is valid.
 const tokenLifetime = time.Minute
 
-// mint makes a token for an entry VM, for the process that this VM knows there.
-// It returns "" if it knows none.
+// mint returns a token for an entry VM, bound to its incarnation in the list of
+// known VMs, or "" if the list has none.
 func (v *VM) mint(id fleet.VMID) string {
 	vm, ok := v.knownVMs[id]
 	if !ok || vm.Incarnation == 0 {
--- a/decide/engine/enginetest/operator.go
+++ b/decide/engine/enginetest/operator.go
@@ -13,7 +13,7 @@
 	Op     change.Operation
 	Result Result
 	Done   bool
-	// MustPersist says that the operation was accepted and must not get lost.
+	// MustPersist is true if the operation was accepted and must not get lost.
 	MustPersist bool
 
 	w       *World
@@ -110,8 +110,8 @@
 
 // checkWritten checks a document that the platform has just stored. An entry VM
 // may answer not-run only if no write of that send can still take effect.
-// Another send of the same operation may still run, because the entry VMs do not
-// know of each other's sends.
+// Another send of the same operation may still run, because an entry VM has
+// no record of the sends to others.
 func (ck *Checker) checkWritten(w *write) {
 	if w.refused {
 		ck.reportViolation("operation %s was stored after %s answered not-run", w.op.ID, w.vm.Self.ID)
--- a/decide/engine/enginetest/target.go
+++ b/decide/engine/enginetest/target.go
@@ -34,15 +34,15 @@
 type Target struct {
 	TargetOptions
 	Up bool
-	// Leaving says that the machine list shows the target as leaving.
-	// RefusesWhileLeaving says that it also refuses new requests then.
+	// Leaving is true if the machine list shows the target as leaving.
+	// RefusesWhileLeaving is true if it also refuses new requests then.
 	Leaving, RefusesWhileLeaving bool
-	// Failing says that every answer is an error. FalseHealth says that the
+	// Failing is true if every answer is an error. FalseHealth is true if the
 	// target reports itself as healthy and idle, whatever its state.
 	Failing, FalseHealth bool
 	// SlowFactor multiplies the time of a request; 0 means 1.
 	SlowFactor int
-	// Stuck says that the target answers no request but reports itself as healthy.
+	// Stuck is true if the target answers no request but reports itself as healthy.
 	Stuck bool
 	// Runs counts the requests started, Shed those refused for lack of a slot.
 	Runs, Shed int
--- a/decide/engine/enginetest/vm.go
+++ b/decide/engine/enginetest/vm.go
@@ -19,9 +19,10 @@
 	Location Location
 	Self     fleet.VM
 	Up       bool
-	// Paused says that the process is paused; it gets its events when it resumes.
+	// Paused is true while the process is paused; it gets its events when it
+	// resumes.
 	Paused bool
-	// Leaving says that the process is shutting down; it ends when no request is
+	// Leaving is true while the process shuts down; it ends when no request is
 	// in flight.
 	Leaving bool
 	// Skew is how far the VM's clock is ahead of the World's.
@@ -182,7 +183,7 @@
 }
 
 // leaveDelay is how long a leaving process refuses new requests before it ends,
-// so that other VMs learn that it is leaving.
+// so that other VMs' membership shows it as leaving.
 const leaveDelay = 2 * time.Second
 
 // finishLeaving ends the process when no request is in flight.
--- a/decide/engine/event.go
+++ b/decide/engine/event.go
@@ -68,7 +68,7 @@
 // Refusal is the final error answer to a request that was not dispatched.
 type Refusal struct {
 	dispatch.Reply
-	// AskVM is the entry VM that knows the outcome of the token; empty if none.
+	// AskVM is the entry VM to ask for the outcome of the token; empty if none.
 	AskVM fleet.VMID
 	// EarlierStatus is the HTTP status with which an earlier send of the token
 	// was answered; 0 if none.
--- a/decide/engine/ready.go
+++ b/decide/engine/ready.go
@@ -51,7 +51,7 @@
 	Unshifted *steer.View
 	// Gate limits the share of look-ups that are moved; nil if unchanged.
 	Gate *shift.Gate
-	// EligibleForLease says whether this process should try to acquire the lease
+	// EligibleForLease is true if this process should try to acquire the lease
 	// of the shift runner; set together with VMs.
 	EligibleForLease bool
 	// VMs are all known entry VMs; nil if unchanged.
@@ -59,10 +59,10 @@
 	// MachineList is the machine list that has come into force: the targets of
 	// the VM's own failure domain and all entry VMs; nil if unchanged.
 	MachineList *fleet.List
-	// WatchMachineList says whether this process should watch the platform's
+	// WatchMachineList is true if this process should watch the platform's
 	// machine list.
 	WatchMachineList bool
-	// Superseded says that another process runs under this VM's ID, so this one
+	// Superseded is true if another process runs under this VM's ID, so this one
 	// must stop.
 	Superseded bool
 
--- a/decide/engine/refresh.go
+++ b/decide/engine/refresh.go
@@ -61,9 +61,9 @@
 const maxRemotesPerDomain = 2
 
 // updateRemotes passes to the dispatcher the entry VMs of other domains that
-// requests can be forwarded to. A domain's free capacity is divided evenly among its entry VMs,
-// because the actual division is known only to them; the receiver decides about
-// each request on arrival.
+// requests can be forwarded to. A domain's free capacity is divided evenly among
+// its entry VMs, because only they have the actual division; the receiver accepts
+// or refuses each request on arrival.
 func (e *Engine) updateRemotes(now clock.Time, domains []member.DomainView, out *Ready) {
 	ev := &dispatch.RemoteLoads{}
 	if e.catalogue == nil {
--- a/decide/engine/shifts.go
+++ b/decide/engine/shifts.go
@@ -135,7 +135,7 @@
 }
 
 // MovedShare returns the share of a shift's traffic that was moved, according to
-// the latest evidence. Only the process that runs the shifts knows it.
+// the latest evidence. Only the process that runs the shifts has it.
 func (e *Engine) MovedShare(id string) catalogue.Share {
 	var total, moved uint64
 	for i := range e.evidence.Counts {
--- a/decide/shift/event.go
+++ b/decide/shift/event.go
@@ -48,12 +48,12 @@
 // Effect is an output of the Runner: Write or Wake.
 type Effect interface{ effect() }
 
-// Write tells the driver to change an entry by compare-and-swap on its
+// Write requests that the driver change an entry by compare-and-swap on its
 // revision. Share and Hold go into an Advance operation, with Done if State is
 // catalogue.Done; State catalogue.RolledBack is a RollBack operation. The share
 // of a paused or done shift is lowered if its count is over the cap. The driver
-// responds with a WriteResult of the same ID. If the outcome is unknown it does
-// so at once, and again when the outcome is known.
+// responds with a WriteResult of the same ID. If the outcome is unknown, it does
+// so immediately, and again when the outcome is known.
 type Write struct {
 	ID        uint64 // unique in this process
 	Shift     string
--- a/decide/shift/options.go
+++ b/decide/shift/options.go
@@ -34,8 +34,8 @@
 	// MinStep is the smallest advance that is written; if the limits allow
 	// less, the shift holds.
 	MinStep catalogue.Share
-	// BackSteps is the largest number of steps by which the share is lowered
-	// at once.
+	// BackSteps is the largest number of steps (Limits.Step) by which one
+	// change lowers the share.
 	BackSteps int
 	// CheckInterval is the time between two evaluations without events.
 	CheckInterval time.Duration
--- a/decide/shift/plan_test.go
+++ b/decide/shift/plan_test.go
@@ -241,7 +241,7 @@
 }
 
 // TestTakeoverWaitsWholeInterval guards against two steps within one interval
-// when a runner dies just after a step and a newly started process takes over.
+// when a runner ends just after a step and a newly started process takes over.
 // The new process can't know when the step was taken and must assume that it
 // was taken now.
 func TestTakeoverWaitsWholeInterval(t *testing.T) {
@@ -267,7 +267,7 @@
 }
 
 // TestFailedWriteIsRetriedAfterDelay guards against hundreds of writes a second
-// when a write is refused without effect and repeated at once, without a wait.
+// when a write that failed without effect is repeated without a wait.
 func TestFailedWriteIsRetriedAfterDelay(t *testing.T) {
 	is := is.New(t)
 	r := newPlanRunner(planNow, 0)
