--- a/decide/engine/enginetest/operator.go
+++ b/decide/engine/enginetest/operator.go
@@ -13,7 +13,7 @@
 	Op     change.Operation
 	Result Result
 	Done   bool
-	// MustPersist says that the operation was accepted and must not get lost.
+	// MustPersist is true if the operation was accepted and must not get lost.
 	MustPersist bool
 
 	w       *World
@@ -30,8 +30,8 @@
 )
 
 // Operate sends an operation to an entry VM. While the outcome is unknown, it is
-// sent with the same ID to other VMs. Not-run applies to one send only, so the
-// operation counts as not-run when all sends have been answered so.
+// sent with the same ID to other VMs. A not-run answer applies to one send only,
+// so the operation counts as not-run only when every send was answered not-run.
 func (w *World) Operate(v *VM, op change.Operation) *OperatorRequest {
 	w.Checker.Counts.Operations++
 	if op.ID == "" {
@@ -52,7 +52,7 @@
 		return
 	}
 	current, at := o.tries, o.vm
-	settled := func(r Result) {
+	handleResult := func(r Result) {
 		if o.Done {
 			return
 		}
@@ -69,7 +69,7 @@
 	if o.vm.Up {
 		o.sends++
 		o.w.trace("%s gives %s, %s %s, to %s", o.Op.Operator, o.Op.ID, o.Op.Kind, o.Op.Subject(), o.vm.Self.ID)
-		o.vm.Change(o.Op, func(r Result) { o.w.After(delayCaller, func() { settled(r) }) })
+		o.vm.Change(o.Op, func(r Result) { o.w.After(delayCaller, func() { handleResult(r) }) })
 	}
 	o.w.After(operatorTimeout, func() {
 		if o.tries == current && !o.Done {
@@ -110,8 +110,8 @@
 
 // checkWritten checks a document that the platform has just stored. An entry VM
 // may answer not-run only if no write of that send can still take effect.
-// Another send of the same operation may still run, because the entry VMs do not
-// know of each other's sends.
+// Another send of the same operation may still run, because an entry VM has
+// no record of the sends to others.
 func (ck *Checker) checkWritten(w *write) {
 	if w.refused {
 		ck.reportViolation("operation %s was stored after %s answered not-run", w.op.ID, w.vm.Self.ID)
--- a/decide/engine/shifts.go
+++ b/decide/engine/shifts.go
@@ -126,7 +126,7 @@
 		e.tally.RecordRequest(s.service, s.home, s.block, s.movedBy, busy)
 	}
 	// A refused forward is not a failed answer, because its sender tries
-	// another VM. Counting it held shifts back wherever requests were
+	// another VM. If it counted, shifts would hold wherever requests are
 	// forwarded to a busy region.
 	refused := !ok && s.sent == 0 && s.hops == 0
 	if s.local || refused {
@@ -135,7 +135,7 @@
 }
 
 // MovedShare returns the share of a shift's traffic that was moved, according to
-// the latest evidence. Only the process that runs the shifts knows it.
+// the latest evidence. Only the process that runs the shifts has it.
 func (e *Engine) MovedShare(id string) catalogue.Share {
 	var total, moved uint64
 	for i := range e.evidence.Counts {
