--- a/serve/store/document.go
+++ b/serve/store/document.go
@@ -38,8 +38,8 @@
 // ErrMalformed means that the platform does not hold a valid document.
 var ErrMalformed = errors.New("store: malformed document")
 
-// operation is one accepted write. Its point also tells readers which revisions
-// the document was built on.
+// operation is one accepted write. The versions of all operations tell readers
+// which revisions the document was built on.
 type operation struct {
 	ID string `json:"id,omitempty"` // empty for a catalogue restored by the fleet
 	config.Version
@@ -74,9 +74,9 @@
 	return operation{}, false
 }
 
-// remembers reports whether every operation accepted after p is still listed,
-// so that a missing one was certainly not accepted.
-func (d *document) remembers(p config.Version) bool {
+// listsSince reports whether every operation accepted after p is still listed, so
+// that one that is missing was certainly not accepted.
+func (d *document) listsSince(p config.Version) bool {
 	if p == (config.Version{}) {
 		return len(d.Operations) < MaxOperations
 	}
@@ -88,8 +88,8 @@
 	return false
 }
 
-// point returns the document's revision and hash.
-func (d *document) point() config.Version {
+// version returns the document's revision and hash.
+func (d *document) version() config.Version {
 	return config.Version{Revision: d.Revision, Hash: d.Hash}
 }
 
@@ -112,10 +112,10 @@
 	}
 	n := document{Format: config.Format, Revision: c.Revision, Hash: hash, Catalogue: c, Obsolete: d.Chunks}
 	n.Operations = append(n.Operations, d.Operations...)
-	if base != d.point() && base.Revision > 0 {
+	if base != d.version() && base.Revision > 0 {
 		n.Operations = append(n.Operations, operation{Version: base})
 	}
-	if at := n.point(); id != "" || at != base {
+	if at := n.version(); id != "" || at != base {
 		n.Operations = append(n.Operations, operation{ID: id, Version: at})
 	}
 	n.Operations = n.Operations[max(0, len(n.Operations)-MaxOperations):]
@@ -138,24 +138,24 @@
 		value, err := json.Marshal(d)
 		return value, nil, err
 	}
-	outside := *d
-	outside.Catalogue = nil
-	outside.Packed, err = compress(body)
+	stored := *d
+	stored.Catalogue = nil
+	stored.Packed, err = compress(body)
 	if err != nil {
 		return nil, nil, err
 	}
 	var chunks []chunk
-	if len(outside.Packed) > MaxInline {
-		chunks, err = splitChunks(outside.Packed, d.point())
-		outside.Packed = nil
+	if len(stored.Packed) > MaxInline {
+		chunks, err = splitChunks(stored.Packed, d.version())
+		stored.Packed = nil
 	}
 	for _, c := range chunks {
-		outside.Chunks = append(outside.Chunks, c.key)
+		stored.Chunks = append(stored.Chunks, c.key)
 	}
 	if err != nil {
 		return nil, nil, err
 	}
-	value, err := json.Marshal(&outside)
+	value, err := json.Marshal(&stored)
 	return value, chunks, err
 }
 
--- a/serve/store/writer.go
+++ b/serve/store/writer.go
@@ -237,7 +237,7 @@
 // index and still lists all operations since then.
 func (a *attempt) settle(h head) {
 	u := a.unsettled
-	if u != nil && h.index != u.index && h.remembers(u.base) {
+	if u != nil && h.index != u.index && h.listsSince(u.base) {
 		a.unsettled = nil
 	}
 }
@@ -279,19 +279,19 @@
 	if h.Catalogue == nil {
 		return catalogue.Catalogue{}, config.Version{}, nil
 	}
-	return *h.Catalogue, h.point(), nil
+	return *h.Catalogue, h.version(), nil
 }
 
 // write replaces h with next.
 func (a *attempt) write(ctx context.Context, h head, next document) error {
 	err := writeDocument(ctx, a.w.o.Store, h, next)
 	if mayHaveRun(err) {
-		a.unsettled = &unsettledWrite{index: h.index, base: h.point()}
+		a.unsettled = &unsettledWrite{index: h.index, base: h.version()}
 	}
 	return err
 }
 
-// mayHaveRun reports whether err leaves open if the head was written.
+// mayHaveRun reports whether the head may have been written despite err.
 func mayHaveRun(err error) bool {
 	var s *swapError
 	if !errors.As(err, &s) {
@@ -376,7 +376,7 @@
 	at := config.Version{Revision: c.Revision, Hash: hash}
 	restored := *c
 	switch {
-	case h.Revision > c.Revision || h.point() == at:
+	case h.Revision > c.Revision || h.version() == at:
 		return Accepted{}, false, nil
 	case h.Revision == c.Revision:
 		restored.Revision = w.nextRevision(c.Revision)
