--- a/serve/ingress/apply.go
+++ b/serve/ingress/apply.go
@@ -46,9 +46,9 @@
 }
 
 // maxTargetLines is the number of changed registrations up to which each is
-// logged on its own line. All of them change when a VM starts, and some dozens
-// per second during a release; logging each of them on every VM cost more than
-// reading them.
+// logged on its own line. A VM that starts reads all of them at once, and during
+// a release some dozens change per second; logging each of them on every VM cost
+// more than reading them.
 const maxTargetLines = 4
 
 // logTargets logs changed registrations.
--- a/serve/ingress/doc.go
+++ b/serve/ingress/doc.go
@@ -2,8 +2,8 @@
 // callers' requests, sends them to targets, answers look-ups, and keeps a copy
 // of the metadata store.
 //
-// Package decide/ingress makes the decisions. This package turns bytes into its
-// events and its effects into bytes. Everything specific to the users' platform,
+// Package decide/ingress makes the decisions. This package translates input from
+// the network into events for it, and its effects into output. Everything specific to the users' platform,
 // such as the names of header fields and the format of a configuration, is
 // supplied through Settings.
 //
--- a/serve/ingress/follow.go
+++ b/serve/ingress/follow.go
@@ -174,8 +174,8 @@
 	}
 	// The first copy may come from an outdated replica: the watch that follows
 	// returns what is missing. A later full read may not, as the copy would reject
-	// it as too old. With about 1,900 keys, reading any replica saves three to four
-	// whole calls at each start of a VM.
+	// it as too old. With about 1,900 keys, reading from any replica saves three to
+	// four calls at full price at each start of a VM.
 	from := kv.Any
 	if valid {
 		from = kv.Latest
--- a/serve/ingress/gateway.go
+++ b/serve/ingress/gateway.go
@@ -32,8 +32,9 @@
 	// gatewayIdleMargin how much longer the gateway keeps it open.
 	gatewayIdleTimeout = 30 * time.Second
 	gatewayIdleMargin  = 15 * time.Second
-	// gatewayBodyMemoryDivisor is the divisor that gives the part of the memory for
-	// bodies of forwarded requests, in addition to the bodies of callers' requests.
+	// gatewayBodyMemoryDivisor: the bodies of forwarded requests may use
+	// 1/gatewayBodyMemoryDivisor of the memory, in addition to the bodies of callers'
+	// requests.
 	gatewayBodyMemoryDivisor = 16
 )
 
--- a/serve/ingress/lookup_test.go
+++ b/serve/ingress/lookup_test.go
@@ -10,9 +10,11 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-func vmsOf(places ...string) []fleet.VM {
+// vmsOf returns one VM for each of the failure domains. The region of a domain is
+// the first letter of its name.
+func vmsOf(domains ...string) []fleet.VM {
 	var vms []fleet.VM
-	for i, d := range places {
+	for i, d := range domains {
 		vms = append(vms, fleet.VM{
 			ID: fleet.VMID(fmt.Sprint("vm", i)), Domain: fleet.Domain(d), Region: fleet.Region(d[:1]),
 		})
@@ -91,11 +93,11 @@
 
 // BenchmarkNearest measures a look-up among 85 entry VMs of three regions.
 func BenchmarkNearest(b *testing.B) {
-	var places []string
+	var domains []string
 	for i := range 85 {
-		places = append(places, fmt.Sprint([]string{"a", "b", "c"}[i%3], i%9))
+		domains = append(domains, fmt.Sprint([]string{"a", "b", "c"}[i%3], i%9))
 	}
-	vms := vmsOf(places...)
+	vms := vmsOf(domains...)
 	for b.Loop() {
 		nearest(vms, Lookup{Domain: "a3", Region: "a"})
 	}
--- a/serve/ingress/metrics.go
+++ b/serve/ingress/metrics.go
@@ -56,7 +56,7 @@
 	latencyDigits = 2
 )
 
-func newLatency() *latencyHistogram {
+func newLatencyHistogram() *latencyHistogram {
 	return &latencyHistogram{h: hdrhistogram.New(latencyMin, latencyMax, latencyDigits)}
 }
 
@@ -85,7 +85,7 @@
 		vars: new(expvar.Map).Init(), answersByStatus: new(expvar.Map).Init(), refusalsByReason: new(expvar.Map).Init(),
 		refusalsByVerdict: new(expvar.Map).Init(), sends: new(expvar.Int), sendsByDomain: new(expvar.Map).Init(),
 		connWaits: new(expvar.Map).Init(), connWaitMS: new(expvar.Map).Init(), sendsByOutcome: new(expvar.Map).Init(), forwarded: new(expvar.Int), silentGateways: new(expvar.Int),
-		callersGone: new(expvar.Int), probes: new(expvar.Int), unreadLimits: new(expvar.Int), targetStateChanges: new(expvar.Map).Init(), answerLatency: newLatency(), refusalLatency: newLatency(),
+		callersGone: new(expvar.Int), probes: new(expvar.Int), unreadLimits: new(expvar.Int), targetStateChanges: new(expvar.Map).Init(), answerLatency: newLatencyHistogram(), refusalLatency: newLatencyHistogram(),
 	}
 	m.vars.Set("answers_by_status", m.answersByStatus)
 	m.vars.Set("refusals_by_reason", m.refusalsByReason)
--- a/serve/ingress/peers.go
+++ b/serve/ingress/peers.go
@@ -100,7 +100,8 @@
 }
 
 // sendMessage executes an OutgoingMessage. A message that cannot be sent is
-// dropped, just as it may be lost in the network: the sender of a request has a timeout.
+// dropped, just as it may be lost in the network: the sender of a request has a
+// timeout.
 func (s *Server) sendMessage(t *ingress.OutgoingMessage) {
 	var kind peer.Kind
 	switch t.Message.(type) {
--- a/serve/ingress/quarantine.go
+++ b/serve/ingress/quarantine.go
@@ -101,7 +101,7 @@
 		return
 	}
 	line.WithField("route", rec.Route).WithField("ends", rec.Ended).WithField("trials", rec.Trials).
-		WithField("until", rec.TrialAt()).Warn("request is kept away from targets, as it ends them")
+		WithField("until", rec.TrialAt()).Warn("request quarantined: it is not sent to targets because it crashes them")
 }
 
 // writeQuarantines writes changes of quarantines to the store.
--- a/serve/ingress/quarantine_test.go
+++ b/serve/ingress/quarantine_test.go
@@ -84,9 +84,9 @@
 func TestQueryOfDeathIsKeptAwayByAllEntryVMs(t *testing.T) {
 	is := is.New(t)
 	w := newTestEnv(t, catchAllRoute(true))
-	var ends atomic.Int32
+	var crashes atomic.Int32
 	for n := range 8 {
-		w.startCrashingTarget(fmt.Sprintf("t%d", n), &ends)
+		w.startCrashingTarget(fmt.Sprintf("t%d", n), &crashes)
 	}
 	log := new(logBuffer)
 	w.log = log
@@ -96,7 +96,7 @@
 	}
 	for n := 0; vms[0].quarantineCount() == 0; n++ {
 		if n == 10 {
-			t.Fatalf("%d targets have crashed and no request is in quarantine", ends.Load())
+			t.Fatalf("%d targets have crashed and no request is in quarantine", crashes.Load())
 		}
 		res, _ := doRequest(t, vms[n%len(vms)], http.MethodGet, crashPath, "deadly-"+strconv.Itoa(n))
 		is.True(res.StatusCode >= http.StatusInternalServerError)
@@ -104,8 +104,8 @@
 	for _, s := range vms {
 		w.eventually("all entry VMs have it in quarantine", func() bool { return s.quarantineCount() == 1 })
 	}
-	ended := ends.Load()
-	is.True(ended <= quarantine.QuarantineThreshold+1) // one more may have been in flight
+	crashed := crashes.Load()
+	is.True(crashed <= quarantine.QuarantineThreshold+1) // one more may have been in flight
 
 	for n, s := range vms {
 		id := "late-" + strconv.Itoa(n)
@@ -116,7 +116,7 @@
 		res, _ = doRequest(t, s, http.MethodGet, "/other", "other-"+strconv.Itoa(n))
 		is.Equal(res.StatusCode, http.StatusOK)
 	}
-	is.Equal(ends.Load(), ended)
+	is.Equal(crashes.Load(), crashed)
 }
 
 // Guards against an entry VM that sends a quarantined request to targets because
@@ -125,9 +125,9 @@
 func TestQuarantineIsReadFromTheStore(t *testing.T) {
 	is := is.New(t)
 	w := newTestEnv(t, catchAllRoute(true))
-	var ends atomic.Int32
+	var crashes atomic.Int32
 	for n := range 8 {
-		w.startCrashingTarget(fmt.Sprintf("t%d", n), &ends)
+		w.startCrashingTarget(fmt.Sprintf("t%d", n), &crashes)
 	}
 	first := w.startListed("vm-1")
 	for n := 0; first.quarantineCount() == 0 && n < 10; n++ {
--- a/serve/ingress/relaypage.go
+++ b/serve/ingress/relaypage.go
@@ -56,8 +56,8 @@
 func changeBytes(c *mirror.Change) int { return len(c.Key) + len(c.Value) }
 
 // relayAssembler assembles relays from pages. Pages of one sender arrive in
-// order, but if a VM is slow the oldest ones waiting for it are dropped. A relay
-// that lacks a page is dropped as a whole, and requested again.
+// order, but the sender drops the oldest messages queued for a slow receiver. A
+// relay that lacks a page is dropped as a whole, and requested again.
 type relayAssembler struct {
 	mu   sync.Mutex
 	from map[fleet.VMID]*partialRelay
--- a/serve/ingress/reload.go
+++ b/serve/ingress/reload.go
@@ -37,8 +37,8 @@
 }
 
 // changedFixed returns the names of the settings that differ between s and old
-// but take effect only at the next start: they identify or place the VM, or
-// something was sized or opened with them.
+// but take effect only at the next start: they identify or locate the VM, or
+// listeners, limits and intervals are set up from them at the start.
 func (s *Settings) changedFixed(old *Settings) []string {
 	return differingNames([]difference{
 		{"id", s.Self.ID != old.Self.ID},
--- a/serve/ingress/server.go
+++ b/serve/ingress/server.go
@@ -99,9 +99,9 @@
 	// maxBodyBytes limits the body of a request, which is buffered completely,
 	// whatever the configuration allows.
 	maxBodyBytes = 64 << 20
-	// bodyMemoryDivisor is the divisor that gives the part of the memory for bodies
-	// of requests. A body is in memory twice while it is read, and once more while
-	// it is sent.
+	// bodyMemoryDivisor: the bodies of requests may use 1/bodyMemoryDivisor of the
+	// memory. A body is in memory twice while it is read, and once more while it is
+	// sent.
 	bodyMemoryDivisor = 8
 	// targetIdleTimeout is how long an idle connection to a target is kept.
 	targetIdleTimeout = 8 * time.Second
--- a/serve/ingress/stop_test.go
+++ b/serve/ingress/stop_test.go
@@ -13,9 +13,9 @@
 )
 
 // Guards against requests that are interrupted by a planned stop, with an
-// unknown outcome: callers keep sending to the leaving VM on new and open
-// connections until its time is up, and the listener stays open until no request
-// is in flight, which never happens.
+// unknown outcome: the listener stays open until no request is in flight, which
+// never happens because callers keep sending to the leaving VM on new and open
+// connections until the stop times out.
 func TestStopUnderLoad(t *testing.T) {
 	is := is.New(t)
 	w := newTestEnv(t, catchAllRoute(false))
--- a/serve/ingress/store_test.go
+++ b/serve/ingress/store_test.go
@@ -98,9 +98,9 @@
 	is := is.New(t)
 	w := newTestEnv(t, catchAllRoute(true))
 	a, b := w.startListed("vm-1"), w.startListed("vm-2")
-	w.eventually("both are named", func() bool { return len(b.lookup(Lookup{Domain: "d1"})) == 2 })
+	w.eventually("the look-up returns both", func() bool { return len(b.lookup(Lookup{Domain: "d1"})) == 2 })
 	is.NoErr(a.Stop())
-	w.eventually("one is named", func() bool { return len(b.lookup(Lookup{Domain: "d1"})) == 1 })
+	w.eventually("the look-up returns one", func() bool { return len(b.lookup(Lookup{Domain: "d1"})) == 1 })
 	is.Equal(b.lookup(Lookup{Domain: "d1"})[0], b.settings.Self.CallAddr)
 }
 
