--- a/serve/core/core_test.go
+++ b/serve/core/core_test.go
@@ -17,11 +17,11 @@
 	return c
 }
 
-// Guards against a data race on the variables that a page of the administration
-// interface is filled with, or a page that mixes two moments. A query waits
-// behind a step, the core is closed, Query returns false, and then the step ends:
-// a closed core must not run the queries in its queue, as their callers use the
-// variables again.
+// Guards against a data race on the variables that a query fills for a page of
+// the administration interface, or a page with values from two points in time. A
+// query waits behind a step, the core is closed, Query returns false, and then
+// the step ends: a closed core must not run the queries in its queue, as their
+// callers use the variables again.
 func TestQueryAfterClose(t *testing.T) {
 	is := is.New(t)
 	stepping, proceed, ended := make(chan struct{}), make(chan struct{}), make(chan struct{})
--- a/serve/daemon/calls.go
+++ b/serve/daemon/calls.go
@@ -189,9 +189,9 @@
 
 // clientOf returns where a request comes from. The header that a look-up gave
 // the caller takes precedence over the address of the connection, which is not
-// the client's behind a relay or between entry VMs. The header is not
-// authenticated: the result is only used to count traffic by shift and grants no
-// access.
+// the client's if a relay or another entry VM has forwarded the request. The
+// header is not authenticated: the result is only used to count traffic by shift
+// and grants no access.
 func (d *Daemon) clientOf(x *inbound.Exchange) client {
 	if v := x.Header.Get(headerClient); v != "" {
 		if c, ok := parseClient(v); ok {
--- a/serve/daemon/shifts.go
+++ b/serve/daemon/shifts.go
@@ -44,14 +44,14 @@
 			return
 		case <-t.C:
 		}
-		now := duty.Held()
-		if now == held && !held {
+		heldNow := duty.Held()
+		if heldNow == held && !held {
 			continue
 		}
-		if now != held {
-			d.log.WithField("held", now).Info("lease of the shift runner changed")
+		if heldNow != held {
+			d.log.WithField("held", heldNow).Info("lease of the shift runner changed")
 		}
-		held = now
+		held = heldNow
 		d.core.Post(shift.Platform{Reachable: held})
 		d.core.Post(shift.Lease{Held: held, Until: d.now().Add(leaseValidity)})
 	}
--- a/serve/heads/failure_test.go
+++ b/serve/heads/failure_test.go
@@ -9,7 +9,7 @@
 	"github.com/azurethread/azurethread/decide/verdict"
 )
 
-func TestFailureIsReadAsItIsStated(t *testing.T) {
+func TestFailureRoundTrip(t *testing.T) {
 	is := is.New(t)
 	h := make(http.Header)
 	is.True(ParseFailure(h) == nil)
--- a/serve/heads/wait_test.go
+++ b/serve/heads/wait_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-func TestWait(t *testing.T) {
+func TestParseMillis(t *testing.T) {
 	is := is.New(t)
 	for value, want := range map[string]time.Duration{"": 0, "0": 0, "1500": 1500 * time.Millisecond, "3600000": MaxDuration} {
 		d, ok := ParseMillis(value)
--- a/serve/inbound/conn.go
+++ b/serve/inbound/conn.go
@@ -293,8 +293,8 @@
 func (c *conn) refusedExchange(status int) *Exchange {
 	x := &Exchange{c: c}
 	x.close = true
-	known := c.s.opts.MayBeRepeat
-	if c.req == nil || known == nil || !known(c.req.Header) {
+	mayBeRepeat := c.s.opts.MayBeRepeat
+	if c.req == nil || mayBeRepeat == nil || !mayBeRepeat(c.req.Header) {
 		return x
 	}
 	x.Request = c.req.Request
@@ -409,7 +409,7 @@
 // only if the caller does not. nbio finds connections by file descriptor: if a
 // goroutine other than the poller's closes one, the descriptor can belong to a
 // new connection by the time the poller handles an event of the old one, and
-// the new connection is reset. This was seen by one of some thousand callers.
+// the new connection is reset. One of some thousand callers was affected.
 func (c *conn) close() {
 	c.mu.Lock()
 	c.closed = true
--- a/serve/inbound/inbound_test.go
+++ b/serve/inbound/inbound_test.go
@@ -118,7 +118,7 @@
 // Guards against a request that runs with half its body, or a connection held
 // without end, when a caller crashes or an attacker stops sending in the middle
 // of the head or the body.
-func TestCutRequests(t *testing.T) {
+func TestIncompleteRequestTimesOut(t *testing.T) {
 	for _, send := range []string{
 		"GET / HTTP/1.1\r\nHost: a\r\nX: ",
 		"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 10\r\n\r\nabc",
@@ -138,7 +138,7 @@
 
 // Guards against answers swapped between a slow and a fast pipelined request,
 // if answers were written as they come and not in the order of the requests.
-func TestPipelined(t *testing.T) {
+func TestPipelinedAnswersKeepRequestOrder(t *testing.T) {
 	is := is.New(t)
 	s := listen(t, func(x *Exchange) {
 		if x.URI == "/slow" {
@@ -189,7 +189,7 @@
 // Guards against a planned stop that aborts requests in flight: nbhttp's
 // Shutdown closes connections with requests in flight. One request is in flight
 // and another connection is idle when the stop begins.
-func TestStopWaits(t *testing.T) {
+func TestStopWaitsForRequestsInFlight(t *testing.T) {
 	is := is.New(t)
 	release := make(chan struct{})
 	began := make(chan struct{})
@@ -226,7 +226,7 @@
 }
 
 // Statuses without a standard text are passed on; nbhttp sends 200 for them.
-func TestStatuses(t *testing.T) {
+func TestNonStandardStatusIsPassedOn(t *testing.T) {
 	is := is.New(t)
 	status := http.StatusOK
 	s := listen(t, func(x *Exchange) { x.Respond(status, http.Header{"X-A": {"1", "2"}}, []byte("b")) })
--- a/serve/inbound/server.go
+++ b/serve/inbound/server.go
@@ -297,9 +297,9 @@
 	_ = s.Stop(ended) // the error only says what was aborted
 }
 
-// StopAccepting closes the listener and all idle connections. Otherwise callers that
-// keep opening or reusing connections would keep a leaving VM busy until it
-// ends and breaks their requests off.
+// StopAccepting closes the listener and all idle connections. Otherwise callers
+// that keep opening or reusing connections would keep a leaving VM busy until it
+// ends, which interrupts their requests.
 func (s *Server) StopAccepting() {
 	s.closeListener()
 	s.mu.Lock()
--- a/serve/kv/kv.go
+++ b/serve/kv/kv.go
@@ -19,11 +19,11 @@
 type Replica uint8
 
 const (
-	// Latest reads include every write acknowledged before the read.
+	// Latest makes a read include every write acknowledged before it.
 	Latest Replica = iota
-	// Any reads may be seconds behind, at a tenth of the price, and do not
-	// count against the limits on calls. A watch from the returned revision
-	// brings a copy up to date.
+	// Any lets a read be seconds behind. Such a read has a tenth of the price
+	// and does not count against the limits on calls. A watch from the returned
+	// revision brings a copy up to date.
 	Any
 )
 
--- a/serve/outbound/lifecycle_test.go
+++ b/serve/outbound/lifecycle_test.go
@@ -82,8 +82,8 @@
 	is.Equal(pe.idleCount(), 0)
 }
 
-// Guards against a request that fails at once although its receiver is well,
-// with the failure counted against the receiver. A call is cancelled while the
+// Guards against a request that fails at once although its receiver works, with
+// the failure counted against the receiver. A call is cancelled while the
 // last bytes of its answer are read; the close of the connection is handled
 // before the end of the answer, which then added the closed connection to the
 // idle ones.
--- a/serve/outbound/outbound_test.go
+++ b/serve/outbound/outbound_test.go
@@ -90,7 +90,7 @@
 // Guards against a truncated answer passed to a caller as complete, and against
 // a request that ran reported as not run, when a receiver crashes, closes after
 // an answer without a length, or sends a malformed answer.
-func TestAnswers(t *testing.T) {
+func TestAnswerVerdicts(t *testing.T) {
 	for name, c := range map[string]struct {
 		raw    string
 		status int // 0: an error
@@ -218,7 +218,7 @@
 // Guards against a second attempt that waits on a silent connection like the
 // first: a request asks for a new connection while one is idle, and the most
 // recently used one was taken all the same.
-func TestNewConnection(t *testing.T) {
+func TestRequestedNewConnectionIsOpened(t *testing.T) {
 	is := is.New(t)
 	addr := receiver(t, func(n int, c net.Conn, r *bufio.Reader) {
 		for {
--- a/serve/outbound/waiting_test.go
+++ b/serve/outbound/waiting_test.go
@@ -58,10 +58,10 @@
 }
 
 // Guards against requests to other regions that wait two one-way delays longer
-// than they need to; at the end of a load, nearly all requests that still reach
-// targets are such waiting ones. A second request has a connection opened while
-// a first is in flight, and the first is answered long before that connection
-// is open: the waiting request must use the freed one.
+// than they need to; when a load ends, nearly all requests that still reach
+// targets have waited like this. A connection is being opened for a second
+// request while the first is in flight, and the first is answered long before
+// that connection is open: the waiting request must use the freed one.
 func TestWaitingRequestUsesFreedConnection(t *testing.T) {
 	is := is.New(t)
 	answer := make(chan struct{}, 2)
--- a/serve/pack/pack_test.go
+++ b/serve/pack/pack_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-func TestOpenReturnsWhatWasPacked(t *testing.T) {
+func TestCompressRoundTrip(t *testing.T) {
 	for _, l := range []Level{Fast, Small} {
 		is := is.New(t)
 		parts := [][]byte{nil, []byte("a"), bytes.Repeat([]byte("ab"), 10_000)}
@@ -23,7 +23,7 @@
 }
 
 // Guards against a few bytes that decompress to more than fits into memory.
-func TestOpenIsBounded(t *testing.T) {
+func TestDecompressIsBounded(t *testing.T) {
 	is := is.New(t)
 	packed, err := Compress(Small, make([]byte, 1<<20))
 	is.NoErr(err)
