--- a/serve/heads/failure.go
+++ b/serve/heads/failure.go
@@ -22,8 +22,8 @@
 	h[verdict.HeaderReason] = []string{string(why)}
 }
 
-// RemoveFailure removes the fields that ParseFailure reads. In a target's answer they
-// would be mistaken for a verdict of an entry VM.
+// RemoveFailure removes the fields that ParseFailure reads. In a target's answer
+// they would be mistaken for a verdict of an entry VM.
 func RemoveFailure(h http.Header) {
 	delete(h, verdict.Header)
 	delete(h, verdict.HeaderReason)
--- a/serve/inbound/server.go
+++ b/serve/inbound/server.go
@@ -125,8 +125,8 @@
 func (s *Server) limits() *Limits { return s.currentLimits.Load() }
 
 // reserveBody counts n more bytes of a body, and returns false if they exceed
-// MaxBufferedBodies. Each body is kept in memory as a whole; a few large ones at once
-// could exhaust it and end the process.
+// MaxBufferedBodies. Each body is kept in memory as a whole; a few large ones at
+// once could exhaust it and end the process.
 func (s *Server) reserveBody(n int64) bool {
 	if s.bodyBytes.Add(n) <= s.opts.MaxBufferedBodies || s.opts.MaxBufferedBodies == 0 {
 		return true
--- a/serve/inbound/standard.go
+++ b/serve/inbound/standard.go
@@ -7,9 +7,9 @@
 	"net/url"
 )
 
-// FromHTTPHandler adapts a net/http handler whose work may block: each request runs on
-// its own goroutine. The answer is sent when the handler returns, so its size
-// must be bounded. A panic of the handler gives status 500 and is passed to
+// FromHTTPHandler adapts a net/http handler whose work may block: each request
+// runs on its own goroutine. The answer is sent when the handler returns, so its
+// size must be bounded. A panic of the handler gives status 500 and is passed to
 // onPanic: a defect of one page must not end a process that serves callers.
 func FromHTTPHandler(h http.Handler, onPanic func(v any)) Handler { return httpHandler{h, onPanic} }
 
--- a/serve/pack/pack.go
+++ b/serve/pack/pack.go
@@ -35,8 +35,8 @@
 	return packed, nil
 }
 
-// Decompress decompresses packed. It fails if the result exceeds limit bytes, so that
-// damaged data cannot exhaust the memory.
+// Decompress decompresses packed. It fails if the result exceeds limit bytes, so
+// that damaged data cannot exhaust the memory.
 func Decompress(packed []byte, limit uint64) ([]byte, error) {
 	dec, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true),
 		zstd.WithDecoderMaxMemory(limit))
--- a/serve/peer/dial.go
+++ b/serve/peer/dial.go
@@ -11,8 +11,8 @@
 // addressPrefix marks an id that stands for whichever VM is at an address.
 const addressPrefix = "@"
 
-// AtAddress returns a VM to pass to Send for the entry VM at addr, a host:port, whose id
-// is not known. Its answers arrive under the id of that placeholder.
+// AtAddress returns a placeholder to pass to Send for the entry VM at addr, a
+// host:port, whose id is not known. Answers arrive under the placeholder's id.
 func AtAddress(addr string) fleet.VM {
 	return fleet.VM{ID: fleet.VMID(addressPrefix + addr), PeerAddr: addr}
 }
