--- a/serve/inbound/server.go
+++ b/serve/inbound/server.go
@@ -125,8 +125,8 @@
 func (s *Server) limits() *Limits { return s.currentLimits.Load() }
 
 // reserveBody counts n more bytes of a body, and returns false if they exceed
-// MaxBufferedBodies. Each body is kept in memory as a whole; a few large ones at once
-// could exhaust it and end the process.
+// MaxBufferedBodies. Each body is kept in memory as a whole; a few large ones at
+// once could exhaust it and end the process.
 func (s *Server) reserveBody(n int64) bool {
 	if s.bodyBytes.Add(n) <= s.opts.MaxBufferedBodies || s.opts.MaxBufferedBodies == 0 {
 		return true
@@ -297,9 +297,9 @@
 	_ = s.Stop(ended) // the error only says what was aborted
 }
 
-// StopAccepting closes the listener and all idle connections. Otherwise callers that
-// keep opening or reusing connections would keep a leaving VM busy until it
-// ends and breaks their requests off.
+// StopAccepting closes the listener and all idle connections. Otherwise callers
+// that keep opening or reusing connections would keep a leaving VM busy until it
+// ends, which interrupts their requests.
 func (s *Server) StopAccepting() {
 	s.closeListener()
 	s.mu.Lock()
