--- a/operate/explain/explain_test.go
+++ b/operate/explain/explain_test.go
@@ -62,8 +62,8 @@
 // report must include the line about it.
 func TestReadIncludesQuarantineOfRefusedRequest(t *testing.T) {
 	is := is.New(t)
-	logs := `vm-a {"event":"quarantine","level":"warning","msg":"request is kept away from targets, as it ends them","fingerprint":"f1","route":"r","time":"2026-01-01T00:00:01Z"}
-vm-a {"event":"quarantine","level":"warning","msg":"request is kept away from targets, as it ends them","fingerprint":"f2","route":"r","time":"2026-01-01T00:00:01Z"}
+	logs := `vm-a {"event":"quarantine","level":"warning","msg":"request quarantined: it is not sent to targets because it crashes them","fingerprint":"f1","route":"r","time":"2026-01-01T00:00:01Z"}
+vm-a {"event":"quarantine","level":"warning","msg":"request quarantined: it is not sent to targets because it crashes them","fingerprint":"f2","route":"r","time":"2026-01-01T00:00:01Z"}
 vm-b {"event":"request","request":"r1","vm":"vm-b","msg":"answered by this entry VM","status":503,"verdict":"not-run","reason":"quarantined","fingerprint":"f1","sends":null,"time":"2026-01-01T05:00:00Z"}
 `
 	r, err := Read("r1", strings.NewReader(logs))
--- a/serve/platform/store.go
+++ b/serve/platform/store.go
@@ -79,7 +79,7 @@
 		return Entry{}, err
 	}
 	if len(es) != 1 || es[0].Key != key {
-		err := fmt.Errorf("platform: answer to a read of key %q is not its single entry (%d entries)", key, len(es))
+		err := fmt.Errorf("platform: asked for key %q, answered with %d others", key, len(es))
 		return Entry{}, failure(verdict.MayHaveRun, verdict.ReasonInternal, err)
 	}
 	return es[0], nil
