--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,5 @@
-# Two commands matter: make demo and make test. Both install what they need.
+# The main targets are demo and test. They need Go, and test also gcc; Go
+# downloads the modules.
 GO ?= go
 MODULES := decide serve platform standin operate cmd
 BIN := bin
@@ -10,23 +11,23 @@
 build:
 	$(GO) build -o $(BIN)/ ./cmd/...
 
-# A whole deployment on loopback, with a region drained in the middle.
+# Runs a whole deployment on loopback and drains a region during the run.
 demo: build
 	$(BIN)/azurethread demo --deployment statikos --for 45s --load 0.4 --fault region-drain
 
-# Tests that KNOWN-RED.txt lists by name, at the beginning of a line, are passed
-# over; CI prints the file.
+# Tests named at the beginning of a line of KNOWN-RED.txt are skipped; CI prints
+# the file.
 KNOWN_RED := $(shell sed -n 's/^\(Test[A-Za-z0-9_]*\) .*/\1/p' KNOWN-RED.txt 2>/dev/null | paste -sd'|' -)
 SKIP := $(if $(KNOWN_RED),-skip '^($(KNOWN_RED))$$')
 
-# The emulator's plays take five minutes with the race detector on a busy machine.
+# The emulator's tests take five minutes with the race detector on a busy machine.
 TEST_TIMEOUT := 20m
 
 # Every test of every module, with the race detector.
 test:
 	@set -e; for m in $(MODULES); do (cd $$m && $(GO) test -race -timeout $(TEST_TIMEOUT) $(SKIP) ./...); done
 
-# The same without the race detector, for use while editing.
+# The same tests without the race detector, for use while editing.
 fast:
 	@set -e; for m in $(MODULES); do (cd $$m && $(GO) test $(SKIP) ./...); done
 
@@ -47,7 +48,8 @@
 tidy:
 	@set -e; for m in $(MODULES) tools; do (cd $$m && GOWORK=off $(GO) mod tidy); done
 
-# Benchmarks of the decisions and of the path. Timings belong here, not in tests.
+# Benchmarks of the decision packages and of the request path. Timings are
+# measured here, not in tests.
 bench:
 	$(GO) test -run '^$$' -bench . -benchtime 1s ./decide/... ./operate/e2e
 
