--- a/cmd/script_test.go
+++ b/cmd/script_test.go
@@ -54,7 +54,7 @@
 
 const testFleetKey = "a key for tests only, not a secret"
 
-// Services and operators of the scripts. An operator's token is the name.
+// The services of the scripts.
 const (
 	idempotent    = "calc-lookup"
 	nonIdempotent = "fee-posting"
@@ -119,6 +119,7 @@
 	if err != nil {
 		return err
 	}
+	// The token of an operator is the operator's name.
 	operators := fmt.Sprintf("ana=%s,ben=%s", admin.HashToken("ana"), admin.HashToken("ben"))
 	env.Setenv("PATH", programsDir+string(os.PathListSeparator)+env.Getenv("PATH"))
 	for k, v := range map[string]string{
--- a/operate/capacity/bench.go
+++ b/operate/capacity/bench.go
@@ -143,7 +143,8 @@
 }
 
 // variedSize returns the size that a benchmark varies and its value. It returns
-// "" for benchmarks that the model does not use.
+// "" for benchmarks that the model does not use. "letter" stands for the fleet of
+// the planned sizes.
 func variedSize(group, arg string) (varied string, x float64, label string) {
 	if group == stepGroup {
 		return "once", 1, "event"
--- a/operate/capacity/control.go
+++ b/operate/capacity/control.go
@@ -71,6 +71,8 @@
 	return out
 }
 
+// varied returns the size that a point varies, and its label. The point
+// "letter" is the fleet of the planned sizes.
 func (p *fleetPoint) varied() (x float64, label string) {
 	switch p.Name {
 	case "letter":
--- a/operate/capacity/http_test.go
+++ b/operate/capacity/http_test.go
@@ -167,9 +167,9 @@
 	for _, a := range clients {
 		urls = append(urls, "http://"+addr+"/v1/lookup?service=calc&client="+a.String())
 	}
-	rest := processCPU(t, pid)
+	atStart := processCPU(t, pid)
 	time.Sleep(httpDuration)
-	idle := processCPU(t, pid) - rest
+	idle := processCPU(t, pid) - atStart
 
 	var all []float64
 	for range httpRuns {
--- a/operate/capacity/plot.go
+++ b/operate/capacity/plot.go
@@ -34,12 +34,12 @@
 
 // plot writes the plots for which a series was fitted.
 func (m *model) plot(folder string) error {
-	for _, f := range plotSpecs {
+	for _, spec := range plotSpecs {
 		p := plot.New()
-		p.Title.Text = f.title
+		p.Title.Text = spec.title
 		p.Legend.Top, p.Legend.Left = true, true
 		drawn := 0
-		for i, name := range f.series {
+		for i, name := range spec.series {
 			if line, ok := m.fits[name]; ok {
 				if err := draw(p, line, i); err != nil {
 					return err
@@ -51,7 +51,7 @@
 			continue
 		}
 		p.Y.Max *= legendMargin
-		if err := render.SVG(p, filepath.Join(folder, f.file)); err != nil {
+		if err := render.SVG(p, filepath.Join(folder, spec.file)); err != nil {
 			return err
 		}
 	}
--- a/operate/capacity/roles.go
+++ b/operate/capacity/roles.go
@@ -1,6 +1,7 @@
 package capacity
 
-// The bounds set by the users, and the goals set by the project.
+// The bounds set by the users, and the goals set by the project. Control is all
+// work of a daemon except look-ups and callers' requests.
 const (
 	boundCore    = 0.048 // of a core, for the control of a daemon
 	boundMemory  = 256e6 // bytes, for the control of a daemon
@@ -43,20 +44,20 @@
 	f := m.atSinglePoint(kind+"/letter", measuredMembers)
 	s := m.sizes
 	for _, d := range []struct {
-		name      string
-		asked, at float64
+		name                string
+		requested, measured float64
 	}{
 		{"members", s.vmsPerDomain(), measuredMembers},
 		{"domains", float64(s.Domains), measuredDomains},
 		{"regions", float64(s.Regions), measuredRegions},
 	} {
 		// The planned sizes have 42.86 members in a domain, the measured fleet 43.
-		if diff := d.asked - d.at; f.basis == notMeasured || diff > -1 && diff < 1 {
+		if diff := d.requested - d.measured; f.basis == notMeasured || diff > -1 && diff < 1 {
 			continue
 		}
 		f.basis = weakerBasis(extrapolated, f.basis)
 		if _, ok := m.fits[kind+"/"+d.name]; ok {
-			f.value += m.at(kind+"/"+d.name, d.asked).value - m.at(kind+"/"+d.name, d.at).value
+			f.value += m.at(kind+"/"+d.name, d.requested).value - m.at(kind+"/"+d.name, d.measured).value
 		}
 	}
 	return f
@@ -168,9 +169,9 @@
 func (m *model) lookupDuration() figure {
 	f := m.at("lookup/blocks", float64(m.sizes.Blocks))
 	if m.sizes.Sites != PlannedSizes.Sites {
-		there := m.at("lookup/sites", float64(m.sizes.Sites))
-		f.value += there.value - m.at("lookup/sites", float64(PlannedSizes.Sites)).value
-		f.basis = weakerBasis(f.basis, there.basis)
+		atSites := m.at("lookup/sites", float64(m.sizes.Sites))
+		f.value += atSites.value - m.at("lookup/sites", float64(PlannedSizes.Sites)).value
+		f.basis = weakerBasis(f.basis, atSites.basis)
 	}
 	return f.scaled(1e-9)
 }
--- a/operate/demo/command.go
+++ b/operate/demo/command.go
@@ -14,13 +14,13 @@
 
 // ErrGuaranteeBroken means that the run broke a guarantee, which has been
 // printed.
-var ErrGuaranteeBroken = errors.New("a promise was broken")
+var ErrGuaranteeBroken = errors.New("a guarantee was broken")
 
 const longHelp = `demo runs a whole deployment in this process on loopback: stand-ins for the
 platform and the targets, an entry VM daemon for each entry VM, and callers.
 
 The last line on standard output is one JSON object with what the stand-ins and
-the callers counted. The exit code is 1 where a promise was broken.
+the callers counted. The exit code is 1 if a guarantee was broken.
 
 Faults come after a third of the run: target-crash, target-leave, silent
 (connections to a target go silent), platform-down, entry-stop (graceful),
--- a/operate/demo/result.go
+++ b/operate/demo/result.go
@@ -59,15 +59,15 @@
 			out = append(out, fmt.Sprintf("%d %s", n, what))
 		}
 	}
-	broken(r.WrongAnswers, "answers not whole or another's")
+	broken(r.WrongAnswers, "answers that were incomplete or belonged to another request")
 	broken(r.Repeated, "non-idempotent requests repeated")
-	broken(r.FalseNotRun, "requests told not-run that ran")
+	broken(r.FalseNotRun, "requests that ran with the verdict not-run")
 	broken(r.Cut, "requests cut by a planned stop")
-	broken(r.OverCap, "parts in 10,000 moved over the cap")
-	broken(r.Overloaded, "seconds of an overloaded region")
+	broken(r.OverCap, "parts in 10,000 moved in excess of the cap")
+	broken(r.Overloaded, "seconds in which a region was overloaded")
 	broken(r.Unmarked, "error answers without a verdict")
 	broken(r.LateArrivals, "requests sent to a leaving target after 2 s")
-	broken(uint64(r.Violations), "invariants broken")
+	broken(uint64(r.Violations), "invariant violations")
 	if r.Requests == 0 || r.Answered == 0 {
 		out = append(out, "no request was answered")
 	}
--- a/operate/demo/watch.go
+++ b/operate/demo/watch.go
@@ -37,8 +37,8 @@
 // targetCounts are the counters of one region's targets since the start.
 type targetCounts struct{ arrived, shed uint64 }
 
-// overloadShare is the fraction of a second's requests, refused for lack of
-// capacity, above which the region counts as overloaded.
+// overloadShare is the fraction of requests refused for lack of capacity above
+// which a region counts as overloaded in that second.
 const overloadShare = 0.05
 
 // minOverloadRefusals is the least number of refusals in an overloaded second,
@@ -93,7 +93,7 @@
 // result combines the records of the callers and the targets.
 func (r *run) result() *Result {
 	rep := r.load.Wait()
-	proof := caller.Audit(rep.Outcomes, r.dep.Executions())
+	audit := caller.Audit(rep.Outcomes, r.dep.Executions())
 	res := &Result{
 		Deployment:   r.options.Deployment,
 		Fault:        r.options.Fault,
@@ -101,9 +101,9 @@
 		Load:         r.options.Load,
 		Requests:     rep.Requests,
 		Answered:     rep.Answered,
-		WrongAnswers: rep.WrongAnswers + proof.NeverRan,
-		Repeated:     proof.Repeated,
-		FalseNotRun:  proof.FalseNotRun,
+		WrongAnswers: rep.WrongAnswers + audit.NeverRan,
+		Repeated:     audit.Repeated,
+		FalseNotRun:  audit.FalseNotRun,
 		Overloaded:   r.watch.overloaded,
 		NotRun:       rep.NotRun,
 		MayHaveRun:   rep.MayHaveRun,
@@ -114,7 +114,7 @@
 		DrainSeconds: r.longestDrain.Seconds(),
 	}
 	if r.options.Fault == EntryStop || r.options.Fault == TargetLeave || r.options.Fault == RegionDrain {
-		res.Cut = proof.RanAnswerLost
+		res.Cut = audit.RanAnswerLost
 	}
 	for _, t := range r.dep.Targets {
 		if t.Stats().LastArrivalAfterLeave > leaveGrace {
--- a/operate/e2e/admin_test.go
+++ b/operate/e2e/admin_test.go
@@ -65,8 +65,8 @@
 
 // A client that closes its connection after each answer must receive every
 // answer. Some are lost if the server closes the connection before the kernel
-// has taken the answer; then a change ends with "outcome unknown" without
-// need, or a reader of metrics misses a value.
+// has taken the answer; then a change ends with an unknown outcome
+// although it was answered, or a reader of metrics misses a value.
 func TestAdministrationAnswersArrive(t *testing.T) {
 	const requests = 5000
 	sys := newTestSystem(t, testServices())
--- a/operate/e2e/join_bench_test.go
+++ b/operate/e2e/join_bench_test.go
@@ -70,8 +70,8 @@
 }
 
 // An entry VM that starts while the platform is down, with one neighbour in its
-// settings, must become ready. It never did when the catalogue and the machine
-// list were read from the platform only.
+// settings, must become ready. It can't if the catalogue and the machine list are
+// read from the platform only.
 func TestJoinWithoutPlatform(t *testing.T) {
 	is := is.New(t)
 	p, seed := startJoinFleet(t)
--- a/operate/e2e/refused_token_test.go
+++ b/operate/e2e/refused_token_test.go
@@ -11,9 +11,9 @@
 )
 
 // A caller that lost the answer to a posted fee sends the token again, in a
-// request whose body or header exceeds a limit. The verdict must be "ran". It
-// was "not-run" when such requests were refused before the token was looked
-// up.
+// request whose body or header exceeds a limit. The verdict must be "ran". An
+// entry VM that refuses such a request before it looks up the token answers
+// "not-run".
 func TestTokenOfRefusedMessage(t *testing.T) {
 	is := is.New(t)
 	sys := newTestSystem(t, testServices())
--- a/operate/e2e/request_test.go
+++ b/operate/e2e/request_test.go
@@ -92,9 +92,9 @@
 	})
 }
 
-// A lost or hostile caller may send its request slowly, or stop inside the head
-// or the body. Its connection must be closed, or it would hold buffers
-// indefinitely, and an incomplete request must not run.
+// A caller that is hostile or has lost its network may send its request slowly,
+// or stop inside the head or the body. Its connection must be closed, or it would
+// hold buffers indefinitely, and an incomplete request must not run.
 func TestSlowAndCutRequests(t *testing.T) {
 	sys := newTestSystem(t, testServices())
 	s := sys.startTarget("attiki-1", target.Options{Service: calc, ID: "t1", Slots: 3})
--- a/operate/e2e/token_test.go
+++ b/operate/e2e/token_test.go
@@ -129,7 +129,7 @@
 // A caller whose timeout is shorter than the work sends its request again while
 // the first one is in progress, and queries the outcome. The second request
 // must not run.
-func TestTokenOfRequestAtWork(t *testing.T) {
+func TestTokenOfRequestInProgress(t *testing.T) {
 	is := is.New(t)
 	sys := newTestSystem(t, testServices())
 	release := make(chan struct{})
--- a/operate/experiment/command.go
+++ b/operate/experiment/command.go
@@ -33,12 +33,12 @@
 	var s settings
 	c := &cobra.Command{
 		Use:   "experiment PATTERN...",
-		Short: "Play patterns of load and faults in the emulator and compare variants",
-		Long: `Experiment plays each pattern, a JSON file, with seeds 1 to N against the
-decisions of a whole fleet of entry VMs, on a clock of its own and without a
-network, once complete and once for each variant. The same seed gives the same
-play. The table holds the mean of the seeds and, for the worth, the distance
-between the largest and the smallest.
+		Short: "Run patterns of load and faults in the emulator and compare variants",
+		Long: `Experiment runs each pattern, a JSON file, with seeds 1 to N in the emulator: the
+decision code of a whole fleet of entry VMs, in simulated time and without a
+network. Each pattern is run once with all mechanisms and once for each variant.
+The same seed gives the same run. The table holds the mean over the seeds and,
+for the worth, the difference between the largest and the smallest value.
 
 Mechanisms: ` + strings.Join(ingress.MechanismNames(), ", ") + ".",
 		Args: cobra.MinimumNArgs(1),
@@ -51,9 +51,9 @@
 		},
 	}
 	f := c.Flags()
-	f.IntVar(&s.seeds, "seeds", 3, "seeds by which each variant is played")
-	f.IntVar(&s.jobs, "jobs", runtime.NumCPU()/2, "plays at a time")
-	f.StringSliceVar(&s.without, "without", nil, `mechanisms to switch off, one variant apiece; "each" for all`)
+	f.IntVar(&s.seeds, "seeds", 3, "number of seeds for each variant")
+	f.IntVar(&s.jobs, "jobs", runtime.NumCPU()/2, "runs at a time")
+	f.StringSliceVar(&s.without, "without", nil, `mechanisms to switch off, one variant each; "each" for all`)
 	f.StringVar(&s.json, "json", "", "file to write all results to")
 	f.StringVar(&s.svg, "svg", "", "file to write a plot of the worth over time to, of the first pattern")
 	return c
@@ -61,7 +61,7 @@
 
 func (s *settings) run(c *cobra.Command, p *plan) error {
 	outcomes := p.run(s.jobs, func(done, all int) {
-		fmt.Fprintf(c.ErrOrStderr(), "\r%d of %d plays", done, all)
+		fmt.Fprintf(c.ErrOrStderr(), "\r%d of %d runs", done, all)
 	})
 	fmt.Fprintln(c.ErrOrStderr())
 	printTable(c.OutOrStdout(), outcomes)
@@ -78,15 +78,15 @@
 
 func printTable(w io.Writer, outcomes []*outcome) {
 	header := []any{"PATTERN", "VARIANT", "SPREAD"}
-	for _, f := range columns {
-		header = append(header, strings.ToUpper(f.title))
+	for _, c := range columns {
+		header = append(header, strings.ToUpper(c.title))
 	}
 	t := render.NewTable(w, header...)
 	for _, o := range outcomes {
 		_, spread := o.meanAndSpread(columns[0])
 		row := []any{o.Pattern, o.Variant, fmt.Sprintf("%.4f", spread)}
-		for _, f := range columns {
-			mean, _ := o.meanAndSpread(f)
+		for _, c := range columns {
+			mean, _ := o.meanAndSpread(c)
 			row = append(row, fmt.Sprintf("%.4f", mean))
 		}
 		t.AppendRow(row)
--- a/operate/experiment/experiment.go
+++ b/operate/experiment/experiment.go
@@ -85,25 +85,25 @@
 // each.
 func (p *plan) run(jobs int, report func(done, all int)) []*outcome {
 	var outcomes []*outcome
-	type play struct {
+	type emulatorRun struct {
 		pattern *emulate.Pattern
 		variant emulate.Variant
 		result  **emulate.Result
 	}
-	var plays []play
+	var runs []emulatorRun
 	for _, pattern := range p.patterns {
 		for _, v := range p.variants {
 			o := &outcome{Pattern: pattern.Name, Variant: v.name, Plays: make([]*emulate.Result, p.seeds)}
 			outcomes = append(outcomes, o)
 			for seed := range p.seeds {
-				plays = append(plays, play{
+				runs = append(runs, emulatorRun{
 					pattern: pattern, result: &o.Plays[seed],
 					variant: emulate.Variant{Seed: uint64(seed) + 1, Disabled: v.without},
 				})
 			}
 		}
 	}
-	queue := make(chan play)
+	queue := make(chan emulatorRun)
 	var workers sync.WaitGroup
 	var mu sync.Mutex
 	done := 0
@@ -113,12 +113,12 @@
 				*x.result = emulate.Run(x.pattern, x.variant)
 				mu.Lock()
 				done++
-				report(done, len(plays))
+				report(done, len(runs))
 				mu.Unlock()
 			}
 		})
 	}
-	for _, x := range plays {
+	for _, x := range runs {
 		queue <- x
 	}
 	close(queue)
@@ -146,10 +146,10 @@
 
 // meanAndSpread returns the mean of a column over the seeds, and the difference
 // between its largest and smallest value.
-func (o *outcome) meanAndSpread(f column) (mean, spread float64) {
-	least, most := f.value(o.Plays[0]), f.value(o.Plays[0])
+func (o *outcome) meanAndSpread(c column) (mean, spread float64) {
+	least, most := c.value(o.Plays[0]), c.value(o.Plays[0])
 	for _, r := range o.Plays {
-		v := f.value(r)
+		v := c.value(r)
 		mean += v / float64(len(o.Plays))
 		least, most = min(least, v), max(most, v)
 	}
--- a/operate/explain/explain.go
+++ b/operate/explain/explain.go
@@ -183,17 +183,17 @@
 	case why == "" && v == "ran":
 		return "A target answered."
 	case why == "caller-gone":
-		return fmt.Sprintf("The caller left; %d sends were under way or over.", n)
+		return fmt.Sprintf("The caller disconnected; %d sends were in progress or had ended.", n)
 	case why == "not-ready":
-		return "The entry VM knew no configuration yet; nothing was sent."
+		return "The entry VM had no configuration yet; nothing was sent."
 	case why == "unknown-service":
 		return "No route of the configuration in force matches; nothing was sent."
 	case n == 0:
 		return fmt.Sprintf("Refused without a send (%s): it has not run.", why)
 	case v == "not-run":
-		return fmt.Sprintf("Every one of %d sends was refused or never left (%s): it has not run.", n, why)
+		return fmt.Sprintf("Each of %d sends was refused or could not be sent (%s): it has not run.", n, why)
 	case why == "deadline":
-		return fmt.Sprintf("%d sends, and no answer in the time that caller and route allow: it may have run.", n)
+		return fmt.Sprintf("%d sends, and no answer within the time limits of the caller and the route: it may have run.", n)
 	default:
 		return fmt.Sprintf("%d sends; the last ended with %s: it may have run.", n, why)
 	}
--- a/operate/explain/explain_test.go
+++ b/operate/explain/explain_test.go
@@ -47,8 +47,8 @@
 }
 
 // When many targets leave at once, one line names all of them. It must be part
-// of the report on a request that was lost with one of these targets; it was
-// missed when lines were matched by their single target field only.
+// of the report on a request that was lost with one of these targets. Matching
+// only a line's single target field would miss it.
 func TestReadIncludesLineAboutManyTargets(t *testing.T) {
 	is := is.New(t)
 	logs := strings.Replace(testLogs, `{"event":"target","level":"info","msg":"ejected","target":"t9"`,
--- a/standin/caller/load.go
+++ b/standin/caller/load.go
@@ -88,7 +88,7 @@
 func (l Load) validate() error {
 	switch {
 	case len(l.Callers) == 0 || len(l.Kinds) == 0:
-		return fmt.Errorf("caller: load has %d callers and %d kinds, wants at least one of each", len(l.Callers), len(l.Kinds))
+		return fmt.Errorf("caller: load has %d callers and %d kinds, must have at least one of each", len(l.Callers), len(l.Kinds))
 	case l.Rate <= 0:
 		return fmt.Errorf("caller: load rate is %v, must be positive", l.Rate)
 	case l.Duration <= 0 && l.Count <= 0:
--- a/standin/caller/report.go
+++ b/standin/caller/report.go
@@ -125,28 +125,28 @@
 // Audit compares the callers' outcomes with the targets' executions, which are
 // counts by request ID, summed over all targets.
 func Audit(outcomes []Outcome, executions map[string]int) AuditResult {
-	var p AuditResult
+	var res AuditResult
 	sent := make(map[string]bool, len(outcomes))
 	for _, o := range outcomes {
 		sent[o.ID] = true
 		ran := executions[o.ID]
 		if ran > 1 && !o.Idempotent {
-			p.Repeated++
+			res.Repeated++
 		}
 		if ran > 0 && o.Verdict == verdict.NotRun {
-			p.FalseNotRun++
+			res.FalseNotRun++
 		}
 		if ran == 0 && o.Answered {
-			p.NeverRan++
+			res.NeverRan++
 		}
 		if ran > 0 && o.Lost > 0 && !o.Answered {
-			p.RanAnswerLost++
+			res.RanAnswerLost++
 		}
 	}
 	for id := range executions {
 		if !sent[id] {
-			p.UnknownExecutions++
+			res.UnknownExecutions++
 		}
 	}
-	return p
+	return res
 }
--- a/standin/deployment/description.go
+++ b/standin/deployment/description.go
@@ -169,31 +169,31 @@
 // locations returns all failure domains, alternating between the regions, so
 // that the remainder of an uneven division is spread over different regions.
 func (d Description) locations() []location {
-	var ps []location
+	var all []location
 	for i := 0; ; i++ {
-		before := len(ps)
+		before := len(all)
 		for _, r := range d.Regions {
 			if i < len(r.Domains) {
-				ps = append(ps, location{region: r.Name, domain: r.Domains[i]})
+				all = append(all, location{region: r.Name, domain: r.Domains[i]})
 			}
 		}
-		if len(ps) == before {
-			return ps
+		if len(all) == before {
+			return all
 		}
 	}
 }
 
 // VMs returns the entry VMs, without addresses.
 func (d Description) VMs() []fleet.VM {
-	ps := d.locations()
+	locations := d.locations()
 	var vms []fleet.VM
 	for i := range d.EntryVMs {
-		p := ps[i%len(ps)]
+		l := locations[i%len(locations)]
 		vms = append(vms, fleet.VM{
-			ID:          fleet.VMID(fmt.Sprintf("%s-vm-%d", p.domain, i/len(ps)+1)),
-			Region:      p.region,
-			Domain:      p.domain,
-			Site:        fleet.Site(p.domain),
+			ID:          fleet.VMID(fmt.Sprintf("%s-vm-%d", l.domain, i/len(locations)+1)),
+			Region:      l.region,
+			Domain:      l.domain,
+			Site:        fleet.Site(l.domain),
 			Incarnation: 1,
 		})
 	}
@@ -204,17 +204,17 @@
 // starts at the failure domain after the last one of the service before, so
 // that the total numbers of targets per failure domain differ by at most one.
 func (d Description) targets() []fleet.Target {
-	ps := d.locations()
+	locations := d.locations()
 	var ts []fleet.Target
 	for _, s := range d.Services {
 		for i := range s.Targets {
-			p := ps[len(ts)%len(ps)]
+			l := locations[len(ts)%len(locations)]
 			ts = append(ts, fleet.Target{
-				ID:          fleet.TargetID(fmt.Sprintf("%s-%s-%d", p.domain, s.Name, i/len(ps)+1)),
+				ID:          fleet.TargetID(fmt.Sprintf("%s-%s-%d", l.domain, s.Name, i/len(locations)+1)),
 				Service:     s.Name,
-				Region:      p.region,
-				Domain:      p.domain,
-				Site:        fleet.Site(p.domain),
+				Region:      l.region,
+				Domain:      l.domain,
+				Site:        fleet.Site(l.domain),
 				Slots:       s.Slots,
 				Connections: targetConnections,
 			})
--- a/standin/link/link.go
+++ b/standin/link/link.go
@@ -60,8 +60,8 @@
 }
 
 // conn is a connection with latency. A read deadline applies to the underlying
-// connection, so the reader sees it take effect later by the latency; a net/http
-// client sets none.
+// connection, so Read returns its error only after the latency; a net/http client
+// sets no read deadline.
 type conn struct {
 	net.Conn
 	latency            time.Duration
@@ -94,8 +94,8 @@
 	defer c.Conn.Close()
 	for {
 		select {
-		case p := <-c.outgoing:
-			if !c.deliver(p) {
+		case s := <-c.outgoing:
+			if !c.deliver(s) {
 				return
 			}
 		case <-c.closing:
@@ -108,8 +108,8 @@
 func (c *conn) flush() {
 	for {
 		select {
-		case p := <-c.outgoing:
-			if !c.deliver(p) {
+		case s := <-c.outgoing:
+			if !c.deliver(s) {
 				return
 			}
 		default:
@@ -118,9 +118,9 @@
 	}
 }
 
-func (c *conn) deliver(p segment) bool {
-	time.Sleep(time.Until(p.deliverAt))
-	_, err := c.Conn.Write(p.data)
+func (c *conn) deliver(s segment) bool {
+	time.Sleep(time.Until(s.deliverAt))
+	_, err := c.Conn.Write(s.data)
 	return err == nil
 }
 
@@ -129,9 +129,9 @@
 	for {
 		b := make([]byte, maxSegmentSize)
 		n, err := c.Conn.Read(b)
-		p := segment{deliverAt: time.Now().Add(c.latency), data: b[:n], err: err}
+		s := segment{deliverAt: time.Now().Add(c.latency), data: b[:n], err: err}
 		select {
-		case c.incoming <- p:
+		case c.incoming <- s:
 		case <-c.closing:
 			return
 		}
@@ -149,9 +149,9 @@
 		return 0, net.ErrClosed
 	default:
 	}
-	p := segment{deliverAt: time.Now().Add(c.latency), data: append([]byte(nil), b...)}
+	s := segment{deliverAt: time.Now().Add(c.latency), data: append([]byte(nil), b...)}
 	select {
-	case c.outgoing <- p:
+	case c.outgoing <- s:
 		return len(b), nil
 	case <-c.closing:
 		return 0, net.ErrClosed
--- a/standin/platform/endpoint.go
+++ b/standin/platform/endpoint.go
@@ -253,8 +253,8 @@
 	if q.Has("acquire") {
 		next, err = e.server.acquire(r.Context(), e, key, value, api.LeaseID(q.Get("acquire")))
 	} else {
-		index, bad := strconv.ParseUint(q.Get("cas"), 10, 64)
-		if bad != nil {
+		index, parseErr := strconv.ParseUint(q.Get("cas"), 10, 64)
+		if parseErr != nil {
 			http.Error(w, "invalid cas", http.StatusBadRequest)
 			return
 		}
--- a/standin/target/handler.go
+++ b/standin/target/handler.go
@@ -230,6 +230,7 @@
 	s.signalIfDrained()
 }
 
+// takeAnswerCut reports whether to cut the answer, and counts it if so.
 func (s *Server) takeAnswerCut() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/standin/target/target.go
+++ b/standin/target/target.go
@@ -156,14 +156,14 @@
 // returns the time since Leave.
 func (s *Server) WaitDrained(ctx context.Context) (time.Duration, error) {
 	s.mu.Lock()
-	idle, leftAt := s.drained, s.leaveStarted
+	drained, leaveStarted := s.drained, s.leaveStarted
 	s.mu.Unlock()
-	if idle == nil {
+	if drained == nil {
 		return 0, errors.New("standin target: wait for drain: target is not leaving")
 	}
 	select {
-	case <-idle:
-		return time.Since(leftAt), nil
+	case <-drained:
+		return time.Since(leaveStarted), nil
 	case <-ctx.Done():
 		return 0, fmt.Errorf("standin target: wait for drain: %w", ctx.Err())
 	}
