--- a/operate/client/client.go
+++ b/operate/client/client.go
@@ -172,7 +172,7 @@
 	return get[catalogue.Shift](ctx, c, admin.Prefix+"shifts/"+url.PathEscape(id))
 }
 
-// Status returns the state of the system as the entry VM knows it.
+// Status returns the state of the system as seen by the entry VM.
 func (c *Client) Status(ctx context.Context) (admin.Status, error) {
 	return get[admin.Status](ctx, c, admin.Prefix+"status")
 }
--- a/operate/command/command.go
+++ b/operate/command/command.go
@@ -67,7 +67,7 @@
 func (s *settings) registerFlags(f *pflag.FlagSet) {
 	f.StringVar(&s.addr, "addr", "127.0.0.1:7102", "administration address of an entry VM, host:port or URL ["+EnvPrefix+"ADDR]")
 	f.StringVar(&s.callAddr, "call-addr", "127.0.0.1:7100", "callers' address of an entry VM, for lookup ["+EnvPrefix+"CALL_ADDR]")
-	f.StringVar(&s.token, "token", "", "operator's bearer token; better given as ["+EnvPrefix+"TOKEN], as others can see arguments")
+	f.StringVar(&s.token, "token", "", "operator's bearer token; prefer the variable, because other users can see arguments ["+EnvPrefix+"TOKEN]")
 	f.StringVar(&s.output, "output", outputTable, "output form, table or json ["+EnvPrefix+"OUTPUT]")
 	f.DurationVar(&s.timeout, "timeout", 10*time.Second, "longest time for one request ["+EnvPrefix+"TIMEOUT]")
 	f.DurationVar(&s.wait, "wait", 5*time.Second, "longest wait, after a change, for its outcome and for it to be in force ["+EnvPrefix+"WAIT]")
@@ -101,9 +101,9 @@
 	case s.output != outputTable && s.output != outputJSON:
 		return fmt.Errorf("output: %q is neither %q nor %q", s.output, outputTable, outputJSON)
 	case s.timeout <= 0:
-		return fmt.Errorf("timeout: must be above zero, not %s", s.timeout)
+		return fmt.Errorf("timeout: must be above zero, got %s", s.timeout)
 	case s.wait < 0:
-		return fmt.Errorf("wait: must not be negative, not %s", s.wait)
+		return fmt.Errorf("wait: must not be negative, got %s", s.wait)
 	}
 	return nil
 }
--- a/operate/command/observe.go
+++ b/operate/command/observe.go
@@ -18,7 +18,7 @@
 func (s *settings) statusCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "status",
-		Short: "Show what an entry VM knows: revision, members, load of each region, shifts",
+		Short: "Show the state as seen by an entry VM: revision, members, load of each region, shifts",
 		Args:  exactArgs(0),
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			c, err := s.client()
@@ -89,7 +89,7 @@
 func (s *settings) lookupCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "lookup SERVICE CLIENT",
-		Short: "Ask which entry VMs a client, an address or a block, is steered to",
+		Short: "Look up the entry VMs to which a client, an address or a block, is steered",
 		Args:  exactArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			c, err := client.New(s.callAddr, "", s.timeout)
@@ -108,7 +108,7 @@
 func (s *settings) operationCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "operation ID",
-		Short: "Ask what became of a change whose outcome was unknown",
+		Short: "Query the outcome of a change that ended with an unknown outcome",
 		Args:  exactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			c, err := s.client()
@@ -137,7 +137,7 @@
 		Use:   "check FILE",
 		Short: "Check an entry file without an entry VM, reporting every error",
 		Long: "Check an entry file without an entry VM, reporting every error with its line and field.\n" +
-			"Services that the file does not hold are taken to exist in the catalogue.",
+			"Services that the file does not hold are assumed to exist in the catalogue.",
 		Args: exactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			raw, err := readFile(cmd, args[0])
--- a/operate/demo/demo.go
+++ b/operate/demo/demo.go
@@ -180,8 +180,8 @@
 // readyTimeout is the longest time for all entry VMs to start.
 const readyTimeout = 20 * time.Second
 
-// waitReady waits until every entry VM has its configuration and knows the
-// others.
+// waitReady waits until every entry VM has its configuration and has discovered
+// the others.
 func (r *run) waitReady(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
--- a/operate/e2e/entry_test.go
+++ b/operate/e2e/entry_test.go
@@ -180,7 +180,7 @@
 }
 
 // startEntryVM starts an entry VM and waits until it has a configuration in
-// force and knows the targets of its failure domain.
+// force and has received the targets of its failure domain.
 func (sys *testSystem) startEntryVM(id fleet.VMID, domain fleet.Domain, flags ...string) *entryVM {
 	sys.tb.Helper()
 	e := sys.startEntryVMNoWait(id, domain, flags...)
@@ -189,7 +189,8 @@
 	return e
 }
 
-// awaitTargets waits until an entry VM knows the targets of its failure domain.
+// awaitTargets waits until an entry VM has received the targets of its failure
+// domain.
 func (sys *testSystem) awaitTargets(e *entryVM) {
 	sys.tb.Helper()
 	sys.mu.Lock()
--- a/operate/entryfile/file.go
+++ b/operate/entryfile/file.go
@@ -56,7 +56,7 @@
 
 // Parse parses a file and validates its content. Shifts may refer to services
 // of the file and to those for which known returns true; if known is nil, every
-// service is taken to exist. The error is an Errors.
+// service is assumed to exist. The error is an Errors.
 func Parse(data []byte, known change.ServiceExists) (File, error) {
 	var d decoder
 	f := d.decodeFile(data)
--- a/operate/render/render.go
+++ b/operate/render/render.go
@@ -124,7 +124,7 @@
 	t.Render()
 }
 
-// Status prints the state of the system as one entry VM knows it.
+// Status prints the state of the system as seen by one entry VM.
 func Status(w io.Writer, s admin.Status) {
 	t := NewTable(w)
 	t.AppendRows([]table.Row{
