--- a/cmd/script_test.go
+++ b/cmd/script_test.go
@@ -160,7 +160,8 @@
 
 func fixtureOf(ts *testscript.TestScript) *fixture { return ts.Value(fixtureKey{}).(*fixture) }
 
-// freeAddrs returns addresses that are currently free.
+// freeAddrs returns addresses that are currently free. Another process may still
+// take a port before the daemon listens on it.
 func freeAddrs(n int) ([]string, error) {
 	var addrs []string
 	for range n {
--- a/operate/e2e/entry_test.go
+++ b/operate/e2e/entry_test.go
@@ -256,7 +256,8 @@
 }
 
 // freeAddrs returns addresses that are currently free. All listeners stay open
-// until the last address is known, so that no address is returned twice.
+// until the last address is known, so that no address is returned twice. Another
+// process or a parallel test may still take a port before the daemon listens on it.
 func freeAddrs(tb testing.TB, n int) []string {
 	tb.Helper()
 	var addrs []string
