--- a/operate/e2e/entry_test.go
+++ b/operate/e2e/entry_test.go
@@ -180,7 +180,7 @@
 }
 
 // startEntryVM starts an entry VM and waits until it has a configuration in
-// force and knows the targets of its failure domain.
+// force and has received the targets of its failure domain.
 func (sys *testSystem) startEntryVM(id fleet.VMID, domain fleet.Domain, flags ...string) *entryVM {
 	sys.tb.Helper()
 	e := sys.startEntryVMNoWait(id, domain, flags...)
@@ -189,7 +189,8 @@
 	return e
 }
 
-// awaitTargets waits until an entry VM knows the targets of its failure domain.
+// awaitTargets waits until an entry VM has received the targets of its failure
+// domain.
 func (sys *testSystem) awaitTargets(e *entryVM) {
 	sys.tb.Helper()
 	sys.mu.Lock()
@@ -255,7 +256,8 @@
 }
 
 // freeAddrs returns addresses that are currently free. All listeners stay open
-// until the last address is known, so that no address is returned twice.
+// until the last address is known, so that no address is returned twice. Another
+// process or a parallel test may still take a port before the daemon listens on it.
 func freeAddrs(tb testing.TB, n int) []string {
 	tb.Helper()
 	var addrs []string
