--- a/decide/engine/engine.go
+++ b/decide/engine/engine.go
@@ -19,72 +19,72 @@
 	"github.com/azurethread/azurethread/decide/token"
 )
 
-// Options of an Engine.
+// Options configure an Engine.
 type Options struct {
 	Self     fleet.VM
 	FleetKey []byte
 	Seed     uint64
-	Now      clock.Time       // instant of the start
-	Dispatch dispatch.Options // VM, Domain, Region and Seed are filled in
+	Now      clock.Time       // start of the process
+	Dispatch dispatch.Options // New sets VM, Domain, Region and Seed
 	Member   member.Options
 	Shift    shift.Options
-	// NearRTT and FarRTT are the round trips to entry VMs of other failure
-	// domains inside the region, and in other regions.
+	// NearRTT is the round-trip time to entry VMs in other failure domains of
+	// the same region, FarRTT the one to entry VMs in other regions.
 	NearRTT, FarRTT time.Duration
 }
 
-// Engine is the state of one entry VM.
+// Engine holds the state of one entry VM.
 type Engine struct {
-	self     fleet.VM
-	opts     Options
-	dispatch *dispatch.State
-	ledger   *token.Ledger
-	member   *member.State
-	loads    *load.State
-	config   *config.State
-	damper   steer.Damper
-	machine  *machine.State
-	tally    *tally.State
-	runner   *shift.Runner
-
-	services  map[fleet.ServiceName]catalogue.Service
-	open      map[dispatch.RequestID]openToken
-	catalogue *catalogue.Catalogue
-	table     *shift.Table
-	blocks    *block.Table
-	vms       []fleet.VM // of all domains, by id
-	weights   map[steer.DomainService]steer.Weight
-	records   map[dispatch.RequestID]served
-	evidence  shift.Evidence
-	leads     bool // holds the lease of the shift runner
-	// watchMachines is what the spread of the machine list last asked for.
-	watchMachines bool
-	reading       bool // reads the platform for its failure domain
-
-	wakes       wakes
-	memberReady member.Ready
-	configReady config.Ready
-	tallyReady  tally.Ready
-	listReady   machine.Ready
-	effects     []shift.Effect
-	arrival     dispatch.Arrive
-	loadsOf     []dispatch.ServiceLoad
-	samples     []load.Sample
-	tallied     []tally.Sample
+	self        fleet.VM
+	opts        Options
+	dispatch    *dispatch.State
+	ledger      *token.Ledger
+	member      *member.State
+	loads       *load.State
+	config      *config.State
+	damper      steer.Damper
+	machine     *machine.State
+	tally       *tally.State
+	shiftRunner *shift.Runner
+
+	services   map[fleet.ServiceName]catalogue.Service
+	openTokens map[dispatch.RequestID]openToken
+	catalogue  *catalogue.Catalogue
+	table      *shift.Table
+	blocks     *block.Table
+	vms        []fleet.VM // of all domains, sorted by ID
+	weights    map[steer.DomainService]steer.Weight
+	records    map[dispatch.RequestID]requestRecord
+	evidence   shift.Evidence
+	runsShifts bool // holds the lease of the shift runner
+	// watchMachineList is true if the platform's machine list is to be watched.
+	watchMachineList bool
+	reading          bool // reads the platform for its failure domain
+
+	wakeTimes    wakeTimes
+	memberReady  member.Ready
+	configReady  config.Ready
+	tallyReady   tally.Ready
+	machineReady machine.Ready
+	effects      []shift.Effect
+	arrival      dispatch.Arrive
+	ownLoads     []dispatch.ServiceLoad
+	loadSamples  []load.Sample
+	tallySamples []tally.Sample
 }
 
-// wakes are the instants at which each part wants to be ticked.
-type wakes struct {
+// wakeTimes are the times at which each part needs its next tick.
+type wakeTimes struct {
 	dispatch, member, config, refresh, tally, runner, machine clock.Time
 }
 
-func (w *wakes) next() clock.Time {
+func (w *wakeTimes) next() clock.Time {
 	w1 := clock.Min(clock.Min(w.dispatch, w.member), clock.Min(w.config, w.refresh))
 	w2 := clock.Min(clock.Min(w.tally, w.runner), w.machine)
 	return clock.Min(w1, w2)
 }
 
-// New returns the engine of an entry VM that knows only itself.
+// New returns the engine of an entry VM whose membership holds only itself.
 func New(o Options) *Engine {
 	o.Dispatch.VM = o.Self.ID
 	o.Dispatch.Domain = o.Self.Domain
@@ -103,14 +103,14 @@
 			Incarnation: o.Self.Incarnation,
 			Seed:        o.Seed,
 		}),
-		machine:  machine.New(o.Now, o.Self, o.Seed),
-		tally:    tally.New(o.Now, o.Self, tally.Options{}),
-		runner:   shift.NewRunner(o.Shift),
-		records:  make(map[dispatch.RequestID]served),
-		services: make(map[fleet.ServiceName]catalogue.Service),
-		open:     make(map[dispatch.RequestID]openToken),
-		vms:      []fleet.VM{o.Self},
-		wakes:    wakes{dispatch: clock.Never, tally: clock.Never, runner: clock.Never},
+		machine:     machine.New(o.Now, o.Self, o.Seed),
+		tally:       tally.New(o.Now, o.Self, tally.Options{}),
+		shiftRunner: shift.NewRunner(o.Shift),
+		records:     make(map[dispatch.RequestID]requestRecord),
+		services:    make(map[fleet.ServiceName]catalogue.Service),
+		openTokens:  make(map[dispatch.RequestID]openToken),
+		vms:         []fleet.VM{o.Self},
+		wakeTimes:   wakeTimes{dispatch: clock.Never, tally: clock.Never, runner: clock.Never},
 	}
 }
 
@@ -118,7 +118,7 @@
 func (e *Engine) Step(now clock.Time, ev Event, out *Ready) {
 	switch ev := ev.(type) {
 	case *Call:
-		e.call(now, ev, out)
+		e.admitCall(now, ev, out)
 	case *Reject:
 		out.Refusals = append(out.Refusals, e.reject(now, ev))
 	case *dispatch.CallerGone:
@@ -136,60 +136,60 @@
 	case tally.Event:
 		e.stepTally(now, ev, out)
 	case shift.Event:
-		e.stepRunner(now, ev, out)
-	case *Machines:
-		e.stepMachine(now, &machine.Read{List: ev.List}, out)
+		e.stepShiftRunner(now, ev, out)
+	case *MachineListRead:
+		e.stepMachine(now, &machine.ListRead{List: ev.List}, out)
 	case machine.Event:
 		e.stepMachine(now, ev, out)
-	case *Blocks:
+	case *BlockTableLoaded:
 		e.blocks = ev.Table
-		e.publish(out)
+		e.rebuildView(out)
 	default:
 		out.Dispatch.Violations = append(out.Dispatch.Violations, dispatch.Violation{
 			Invariant: "known-event",
 			Detail:    fmt.Sprintf("%T", ev),
 		})
 	}
-	out.WatchMachines = e.watchMachines
-	out.wake = e.wakes.next()
+	out.WatchMachineList = e.watchMachineList
+	out.wake = e.wakeTimes.next()
 }
 
-// tick passes time in the parts that are due.
+// tick steps the parts whose wake time has come.
 func (e *Engine) tick(now clock.Time, out *Ready) {
-	if e.wakes.dispatch <= now {
+	if e.wakeTimes.dispatch <= now {
 		e.stepDispatch(now, &dispatch.Tick{}, out)
 	}
-	if e.wakes.member <= now {
+	if e.wakeTimes.member <= now {
 		e.stepMember(now, &member.Tick{}, out)
 	}
-	if e.wakes.config <= now {
+	if e.wakeTimes.config <= now {
 		e.stepConfig(now, &config.Tick{}, out)
 	}
-	if e.wakes.tally <= now {
+	if e.wakeTimes.tally <= now {
 		e.stepTally(now, &tally.Tick{}, out)
 	}
-	if e.wakes.runner <= now {
-		e.stepRunner(now, shift.Tick{}, out)
+	if e.wakeTimes.runner <= now {
+		e.stepShiftRunner(now, shift.Tick{}, out)
 	}
-	if e.wakes.machine <= now {
+	if e.wakeTimes.machine <= now {
 		e.stepMachine(now, &machine.Tick{}, out)
 	}
-	if e.wakes.refresh <= now {
+	if e.wakeTimes.refresh <= now {
 		e.refresh(now, out)
 	}
 }
 
-// Catalogue returns the configuration in force; nil before the first.
+// Catalogue returns the configuration in force, or nil if there is none yet.
 func (e *Engine) Catalogue() *catalogue.Catalogue { return e.catalogue }
 
-// Config gives access to the spread of the configuration, for status pages
-// and for writes.
+// Config returns the state of the configuration's distribution, for status
+// pages and for writes.
 func (e *Engine) Config() *config.State { return e.config }
 
-// Member gives access to the membership, for status pages.
+// Member returns the membership state, for status pages.
 func (e *Engine) Member() *member.State { return e.member }
 
-// Loads gives access to the known load, for status pages.
+// Loads returns the load state, for status pages.
 func (e *Engine) Loads() *load.State { return e.loads }
 
 // Shifts returns the traffic shifts of the configuration in force.
--- a/decide/engine/enginetest/operator.go
+++ b/decide/engine/enginetest/operator.go
@@ -8,51 +8,51 @@
 	"github.com/azurethread/azurethread/decide/verdict"
 )
 
-// Order is an operation that an operator wants carried out.
-type Order struct {
+// OperatorRequest is an operation that an operator requests.
+type OperatorRequest struct {
 	Op     change.Operation
 	Result Result
 	Done   bool
-	// Owed says that it was accepted, and that nothing has excused its loss.
-	Owed bool
+	// MustPersist is true if the operation was accepted and must not get lost.
+	MustPersist bool
 
 	w       *World
-	at      *VM
+	vm      *VM
 	tries   int
-	sends   int // tries that reached a process
+	sends   int // tries that reached a running process
 	refused int // sends answered not-run
 }
 
-// The patience of operators.
+// Bounds on the retries of operators.
 const (
-	orderPatience = 15 * time.Second
-	maxOrderTries = 4
+	operatorTimeout  = 15 * time.Second
+	maxOperatorTries = 4
 )
 
-// Operate gives an operation to an entry VM. While nobody can say what became
-// of it, it is given under the same id to another one. Not-run speaks of one
-// send only: the operator believes it once all sends have been answered so.
-func (w *World) Operate(v *VM, op change.Operation) *Order {
-	w.Books.Counts.Operations++
+// Operate sends an operation to an entry VM. While the outcome is unknown, it is
+// sent with the same ID to other VMs. A not-run answer applies to one send only,
+// so the operation counts as not-run only when every send was answered not-run.
+func (w *World) Operate(v *VM, op change.Operation) *OperatorRequest {
+	w.Checker.Counts.Operations++
 	if op.ID == "" {
-		w.works++
-		op.ID = fmt.Sprintf("op-%d", w.works)
+		w.lastNumber++
+		op.ID = fmt.Sprintf("op-%d", w.lastNumber)
 	}
-	o := &Order{Op: op, w: w, at: v}
-	w.Books.orders = append(w.Books.orders, o)
+	o := &OperatorRequest{Op: op, w: w, vm: v}
+	w.Checker.operatorRequests = append(w.Checker.operatorRequests, o)
 	o.try()
 	return o
 }
 
-func (o *Order) try() {
+func (o *OperatorRequest) try() {
 	if o.Done {
 		return
 	}
-	if o.tries++; o.tries > maxOrderTries {
+	if o.tries++; o.tries > maxOperatorTries {
 		return
 	}
-	mine, at := o.tries, o.at
-	settled := func(r Result) {
+	current, at := o.tries, o.vm
+	handleResult := func(r Result) {
 		if o.Done {
 			return
 		}
@@ -60,20 +60,20 @@
 		o.w.trace("%s is told of %s by %s: %s%s", o.Op.Operator, o.Op.ID, at.Self.ID, r.Verdict, errText(r.Err))
 		switch r.Verdict {
 		case verdict.Ran:
-			o.Done, o.Owed = true, true
+			o.Done, o.MustPersist = true, true
 		case verdict.NotRun:
 			o.refused++
 			o.Done = o.refused == o.sends
 		}
 	}
-	if o.at.Up {
+	if o.vm.Up {
 		o.sends++
-		o.w.trace("%s gives %s, %s %s, to %s", o.Op.Operator, o.Op.ID, o.Op.Kind, o.Op.Subject(), o.at.Self.ID)
-		o.at.Change(o.Op, func(r Result) { o.w.After(delayCaller, func() { settled(r) }) })
+		o.w.trace("%s gives %s, %s %s, to %s", o.Op.Operator, o.Op.ID, o.Op.Kind, o.Op.Subject(), o.vm.Self.ID)
+		o.vm.Change(o.Op, func(r Result) { o.w.After(delayCaller, func() { handleResult(r) }) })
 	}
-	o.w.After(orderPatience, func() {
-		if o.tries == mine && !o.Done {
-			o.at = o.w.anyUp(o.at)
+	o.w.After(operatorTimeout, func() {
+		if o.tries == current && !o.Done {
+			o.vm = o.w.anyLiveVM(o.vm)
 			o.try()
 		}
 	})
@@ -86,8 +86,8 @@
 	return " (" + err.Error() + ")"
 }
 
-// anyUp returns a live entry VM, v if there is no other.
-func (w *World) anyUp(v *VM) *VM {
+// anyLiveVM returns a random live entry VM, or v if there is none.
+func (w *World) anyLiveVM(v *VM) *VM {
 	from := w.IntN(len(w.VMs))
 	for i := range w.VMs {
 		if o := w.VMs[(from+i)%len(w.VMs)]; o.Up && !o.Leaving {
@@ -97,82 +97,85 @@
 	return v
 }
 
-// operation books what an entry VM says of a send of an operation.
-func (b *Books) operation(w *write, v verdict.Verdict) {
+// recordOperation records the verdict of an entry VM on one send of an
+// operation.
+func (ck *Checker) recordOperation(w *write, v verdict.Verdict) {
 	switch v {
 	case verdict.Ran:
-		b.Counts.Accepted++
+		ck.Counts.Accepted++
 	case verdict.NotRun:
 		w.refused = true
 	}
 }
 
-// written checks a document that the platform has just taken. An entry VM says
-// not-run only if no write of that send will ever take effect. Another send of
-// the same operation may still: the entry VMs don't know of each other's.
-func (b *Books) written(w *write) {
+// checkWritten checks a document that the platform has just stored. An entry VM
+// may answer not-run only if no write of that send can still take effect.
+// Another send of the same operation may still run, because an entry VM has
+// no record of the sends to others.
+func (ck *Checker) checkWritten(w *write) {
 	if w.refused {
-		b.violate("operation %s was accepted after %s said not-run", w.op.ID, w.v.Self.ID)
+		ck.reportViolation("operation %s was stored after %s answered not-run", w.op.ID, w.vm.Self.ID)
 	}
-	b.checkTwice(w.op)
+	ck.checkSameBase(w.op)
 }
 
-// based names what a change of an entry was based on.
-type based struct {
+// entryVersion is the version of a shift's entry that a change is based on.
+type entryVersion struct {
 	shift  string
 	expect uint64
 }
 
-// checkTwice checks that of two changes based on the same version of an entry
-// one at most is in the platform's history.
-func (b *Books) checkTwice(op change.Operation) {
-	var k based
+// checkSameBase checks that the platform's history contains at most one change
+// based on each version of an entry.
+func (ck *Checker) checkSameBase(op change.Operation) {
+	var k entryVersion
 	switch {
 	case op.ChangeShift != nil:
-		k = based{op.ChangeShift.Entry.ID, op.ChangeShift.Expect}
+		k = entryVersion{op.ChangeShift.Entry.ID, op.ChangeShift.Expect}
 	case op.Shift != nil && op.Shift.Expect != 0:
-		k = based{op.Shift.ID, op.Shift.Expect}
+		k = entryVersion{op.Shift.ID, op.Shift.Expect}
 	case op.Advance != nil:
-		k = based{op.Advance.ID, op.Advance.Expect}
+		k = entryVersion{op.Advance.ID, op.Advance.Expect}
 	default:
 		return
 	}
-	if id, seen := b.bases[k]; seen && id != op.ID {
-		b.violate("operations %s and %s both changed %s at revision %d", id, op.ID, k.shift, k.expect)
+	if id, seen := ck.acceptedByBase[k]; seen && id != op.ID {
+		ck.reportViolation("operations %s and %s both changed %s at revision %d", id, op.ID, k.shift, k.expect)
 	}
-	b.bases[k] = op.ID
+	ck.acceptedByBase[k] = op.ID
 }
 
-// restored excuses the loss of what only the platform had: accepted so lately
-// that no entry VM may have heard of it. What the platform has lost is no longer
-// in its history.
-func (b *Books) restored() {
+// recordRestore handles the restore of an older document at the platform.
+// Operations with a higher revision than any entry VM has in force may get lost,
+// because only the platform had them. Operations that the platform has lost are
+// removed from its history.
+func (ck *Checker) recordRestore() {
 	known := uint64(0)
-	for _, v := range b.w.VMs {
+	for _, v := range ck.w.VMs {
 		if v.Up {
 			known = max(known, v.revision)
 		}
 	}
-	for _, o := range b.orders {
+	for _, o := range ck.operatorRequests {
 		if o.Result.Revision > known {
-			o.Owed = false
+			o.MustPersist = false
 		}
 	}
-	for k, id := range b.bases {
-		if _, kept := b.w.Platform.doc.operations[id]; !kept {
-			delete(b.bases, k)
+	for k, id := range ck.acceptedByBase {
+		if _, kept := ck.w.Platform.doc.operations[id]; !kept {
+			delete(ck.acceptedByBase, k)
 		}
 	}
 }
 
-// Converged returns what is missing for all live entry VMs to hold the
-// platform's catalogue, with everything in it that was accepted, and the
-// machine list as it is.
+// Converged checks that all live entry VMs hold the platform's catalogue and the
+// current machine list, and that the catalogue contains all accepted shifts. It
+// returns the first difference.
 func (w *World) Converged() error {
 	for _, t := range w.Targets {
 		for _, v := range w.VMs {
-			if v.Up && v.Place == t.Place && !v.lists(t) {
-				return fmt.Errorf("enginetest: %s does not hold %s as it is", v.Self.ID, t.ID)
+			if v.Up && v.Location == t.Location && !v.listsTarget(t) {
+				return fmt.Errorf("enginetest: the machine list of %s does not show the state of %s", v.Self.ID, t.ID)
 			}
 		}
 	}
@@ -182,24 +185,24 @@
 			return fmt.Errorf("enginetest: %s holds revision %d, the platform %d", v.Self.ID, v.revision, want.Revision)
 		}
 	}
-	if w.Books.highest() > want.Revision {
-		return fmt.Errorf("enginetest: revision %d was in force, the platform holds %d", w.Books.highest(), want.Revision)
+	if w.Checker.highestRevision() > want.Revision {
+		return fmt.Errorf("enginetest: revision %d was in force, the platform holds %d", w.Checker.highestRevision(), want.Revision)
 	}
-	for _, o := range w.Books.orders {
-		if !o.Owed || o.Op.AddShift == nil {
+	for _, o := range w.Checker.operatorRequests {
+		if !o.MustPersist || o.Op.AddShift == nil {
 			continue
 		}
 		if _, found := want.Shift(o.Op.AddShift.Entry.ID); !found {
-			return fmt.Errorf("enginetest: shift %q was accepted at revision %d and is gone", o.Op.AddShift.Entry.ID, o.Result.Revision)
+			return fmt.Errorf("enginetest: shift %q was accepted at revision %d and is missing", o.Op.AddShift.Entry.ID, o.Result.Revision)
 		}
 	}
 	return nil
 }
 
-// highest is the highest revision in force at a live process.
-func (b *Books) highest() uint64 {
+// highestRevision returns the highest revision in force at a running process.
+func (ck *Checker) highestRevision() uint64 {
 	h := uint64(0)
-	for _, v := range b.w.VMs {
+	for _, v := range ck.w.VMs {
 		if v.Up {
 			h = max(h, v.revision)
 		}
--- a/decide/engine/enginetest/trace.go
+++ b/decide/engine/enginetest/trace.go
@@ -11,14 +11,14 @@
 	"github.com/azurethread/azurethread/decide/shift"
 )
 
-// attemptName names an attempt by the order in which its engine gave it out.
+// attemptName formats an attempt ID as its index and the number of times that
+// the index was reused.
 func attemptName(id dispatch.AttemptID) string {
 	return fmt.Sprintf("%d/%d", uint64(id)&(1<<32-1), uint64(id)>>32)
 }
 
-// traceEvent reports an event that an engine steps. Ticks and the messages of
-// entry VMs among themselves are left out, as there are many; what they give
-// rise to is reported.
+// traceEvent traces an event that an engine processes. It omits ticks and
+// messages between entry VMs, because there are many; their effects are traced.
 func (v *VM) traceEvent(ev engine.Event) {
 	if v.w.Options.Trace == nil {
 		return
@@ -45,8 +45,8 @@
 		s = fmt.Sprintf("accepted revision=%d", e.Catalogue.Revision)
 	case shift.WriteResult:
 		s = fmt.Sprintf("write-result %d %s conflict=%t", e.ID, e.Verdict, e.Conflict)
-	case shift.Duty:
-		if e.Held != v.engine.Leads() {
+	case shift.Lease:
+		if e.Held != v.engine.RunsShifts() {
 			s = fmt.Sprintf("duty held=%t", e.Held)
 		}
 	}
@@ -70,7 +70,7 @@
 	return b.String()
 }
 
-// traceEffects reports the effects of a step.
+// traceEffects traces the effects of a step.
 func (v *VM) traceEffects(r *engine.Ready) {
 	if v.w.Options.Trace == nil {
 		return
@@ -93,19 +93,19 @@
 		say("reply %d %s %s retry-after=%v", e.Req, e.Verdict, e.Reason, e.RetryAfter)
 	}
 	for _, e := range r.Refusals {
-		say("refuse %d %s %s ask=%s answer=%d", e.Req, e.Verdict, e.Reason, e.Ask, e.Answer)
+		say("refuse %d %s %s ask=%s answer=%d", e.Req, e.Verdict, e.Reason, e.AskVM, e.EarlierStatus)
 	}
 	for _, e := range d.Probes {
 		say("probe %s", e.Target)
 	}
 	if r.Catalogue != nil {
-		say("apply revision=%d%s", r.Catalogue.Revision, shares(r))
+		say("apply revision=%d%s", r.Catalogue.Revision, describeShares(r))
 	}
-	if r.Machines != nil {
-		say("machines%s", describeList(r.Machines))
+	if r.MachineList != nil {
+		say("machines%s", describeList(r.MachineList))
 	}
 	if r.VMs != nil {
-		say("entry-vms %s", liveOf(r.VMs))
+		say("entry-vms %s", describeVMs(r.VMs))
 	}
 	for _, e := range r.Writes {
 		say("write %d shift=%s expect=%d share=%d state=%s hold=%s", e.ID, e.Shift, e.Expect, e.Share, e.State, e.Hold)
@@ -115,7 +115,7 @@
 	}
 }
 
-func shares(r *engine.Ready) string {
+func describeShares(r *engine.Ready) string {
 	var b strings.Builder
 	for _, s := range r.Catalogue.Shifts {
 		fmt.Fprintf(&b, " %s=%s:%d", s.ID, s.State, s.Share)
@@ -123,7 +123,7 @@
 	return b.String()
 }
 
-func liveOf(vms []fleet.VM) string {
+func describeVMs(vms []fleet.VM) string {
 	var b strings.Builder
 	for i, vm := range vms {
 		if i > 0 {
--- a/decide/engine/session_test.go
+++ b/decide/engine/session_test.go
@@ -14,17 +14,17 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// TestSessions plays the sessions under testdata: a World of two regions with
-// one failure domain each. They show the events that go into the engines (<)
-// and the effects that come out (>), with what targets, platform, callers and
-// operators do. Left out are ticks, messages between entry VMs, probes, lease
-// checks, and of the lines about health, membership and configuration those
-// that say the same as the last one; the command show narrows it further.
+// TestSessions runs the scripted sessions under testdata in a World of two
+// regions with one failure domain each. The output shows the events of the
+// engines (<), their effects (>), and what targets, platform, callers and
+// operators do. It omits ticks, messages between entry VMs, probes and lease
+// checks, and lines about health, entry VMs, platform reads and machine lists
+// that repeat the previous one. The command show filters the output further.
 func TestSessions(t *testing.T) {
 	datadriven.Walk(t, "testdata/sessions", func(t *testing.T, path string) {
 		s := &script{last: make(map[string]string)}
 		defer func() {
-			if err := s.w.Books.Err(); err != nil {
+			if err := s.w.Checker.Err(); err != nil {
 				t.Error(err)
 			}
 		}()
@@ -32,24 +32,24 @@
 	})
 }
 
-// script is a session under way.
+// script is the state of a running session.
 type script struct {
 	w       *enginetest.World
 	text    strings.Builder
-	show    []string          // phrases; none: everything
-	last    map[string]string // last line of each repeated kind
+	filter  []string          // phrases to show; empty for everything
+	last    map[string]string // last line by kind and subject, for isRepeated
 	start   time.Duration
 	callers map[string]*enginetest.Caller
 }
 
-// calm is how long a World runs before its session starts.
-const calm = 5 * time.Second
+// warmUp is how long a World runs before the session starts.
+const warmUp = 5 * time.Second
 
 func (s *script) run(t *testing.T, d *datadriven.TestData) string {
 	s.text.Reset()
 	commands := map[string]func(*testing.T, *datadriven.TestData){
 		"world":   s.world,
-		"show":    s.narrow,
+		"show":    s.setFilter,
 		"call":    s.call,
 		"load":    s.load,
 		"next":    s.next,
@@ -67,7 +67,7 @@
 	return s.text.String()
 }
 
-// world makes the World, with the given number of entry VMs in each region.
+// world creates the World with the given number of entry VMs in each region.
 func (s *script) world(t *testing.T, d *datadriven.TestData) {
 	n := 1
 	d.MaybeScanArgs(t, "vms", &n)
@@ -79,47 +79,47 @@
 	for range n {
 		o.VMs = append(o.VMs, east, west)
 	}
-	for _, p := range []enginetest.Place{east, west} {
+	for _, p := range []enginetest.Location{east, west} {
 		o.Targets = append(o.Targets, targets(p, mapService.Name, 2, 4, 20*time.Millisecond)...)
 		o.Targets = append(o.Targets, targets(p, postService.Name, 2, 4, 20*time.Millisecond)...)
 	}
 	s.w = enginetest.New(o)
 	s.callers = map[string]*enginetest.Caller{"east": s.w.AddCaller(0, 0), "west": s.w.AddCaller(1, 0)}
 	for _, c := range s.w.Callers {
-		c.Asks = d.HasArg("asks")
+		c.AsksOutcome = d.HasArg("asks")
 		if d.HasArg("patience") {
-			c.Patience = durationOf(t, d, "patience")
+			c.ResendAfter = durationOf(t, d, "patience")
 		}
 		if d.HasArg("deadline") {
 			c.Deadline = durationOf(t, d, "deadline")
 		}
 	}
-	s.w.Run(calm)
-	s.start = calm
+	s.w.Run(warmUp)
+	s.start = warmUp
 	s.text.Reset()
 }
 
-// repeated are the lines that are left out when they say nothing new about
-// their subject.
+// repeated are the kinds of lines that are omitted if they are the same as the
+// last one about their subject.
 var repeated = []string{" < health ", " > entry-vms", " < platform-read", " > machines"}
 
 func (s *script) line(at time.Duration, line string) {
-	if strings.Contains(line, " > probe ") || !s.shown(line) || s.said(line) {
+	if strings.Contains(line, " > probe ") || !s.shown(line) || s.isRepeated(line) {
 		return
 	}
 	fmt.Fprintf(&s.text, "%10.4fs %s\n", (at - s.start).Seconds(), line)
 }
 
 func (s *script) shown(line string) bool {
-	for _, phrase := range s.show {
+	for _, phrase := range s.filter {
 		if strings.Contains(line, phrase) {
 			return true
 		}
 	}
-	return len(s.show) == 0
+	return len(s.filter) == 0
 }
 
-func (s *script) said(line string) bool {
+func (s *script) isRepeated(line string) bool {
 	for _, phrase := range repeated {
 		who, what, found := strings.Cut(line, phrase)
 		if !found {
@@ -137,50 +137,50 @@
 	return false
 }
 
-// narrow keeps the lines that hold one of the given phrases, with _ in place of
-// each blank.
-func (s *script) narrow(_ *testing.T, d *datadriven.TestData) {
-	s.show = nil
+// setFilter shows only lines that contain one of the given phrases. In the
+// arguments, _ stands for a blank.
+func (s *script) setFilter(_ *testing.T, d *datadriven.TestData) {
+	s.filter = nil
 	for _, a := range d.CmdArgs {
-		s.show = append(s.show, strings.ReplaceAll(a.Key, "_", " "))
+		s.filter = append(s.filter, strings.ReplaceAll(a.Key, "_", " "))
 	}
 }
 
-// call has a caller do one thing.
+// call makes a caller start one work.
 func (s *script) call(t *testing.T, d *datadriven.TestData) {
 	var service, home string
 	d.ScanArgs(t, "service", &service)
 	d.ScanArgs(t, "home", &home)
-	s.callers[home].Do(fleet.ServiceName(service), service == string(mapService.Name))
+	s.callers[home].StartWork(fleet.ServiceName(service), service == string(mapService.Name))
 }
 
-// load adds callers of the map service, each with a block of its own.
+// load adds callers of the map service, each in its own client block.
 func (s *script) load(t *testing.T, d *datadriven.TestData) {
 	var n int
 	d.ScanArgs(t, "callers", &n)
 	for i := range n {
-		s.w.AddCaller(0, 1+i).Repeat(mapService, 1)
-		s.w.AddCaller(1, 1+i).Repeat(mapService, 1)
+		s.w.AddCaller(0, 1+i).GenerateLoad(mapService, 1)
+		s.w.AddCaller(1, 1+i).GenerateLoad(mapService, 1)
 	}
 }
 
 var legs = map[string]enginetest.Leg{"caller": enginetest.FromCaller, "target": enginetest.ToTarget, "vm": enginetest.BetweenVMs}
 
-var fates = map[string]enginetest.Fate{
+var faults = map[string]enginetest.Fault{
 	"lost-answer":  enginetest.LostAnswer,
 	"lost-request": enginetest.LostRequest,
 	"late-request": enginetest.DelayedRequest,
 }
 
-// next decides what happens to the next request on a leg.
+// next sets the fault of the next request on a leg.
 func (s *script) next(t *testing.T, d *datadriven.TestData) {
 	var leg, fate string
 	d.ScanArgs(t, "to", &leg)
 	d.ScanArgs(t, "fate", &fate)
-	s.w.Network.Next(legs[leg], fates[fate])
+	s.w.Network.SetNextFault(legs[leg], faults[fate])
 }
 
-// target changes the targets whose id starts with the given one.
+// target changes the state of the targets whose ID has the given prefix.
 func (s *script) target(t *testing.T, d *datadriven.TestData) {
 	var id string
 	d.ScanArgs(t, "id", &id)
@@ -194,20 +194,20 @@
 		case d.HasArg("restart"):
 			x.Restart()
 		case d.HasArg("lie"):
-			x.Failing, x.Lying = true, true
+			x.Failing, x.FalseHealth = true, true
 		}
 	}
 }
 
-// vm changes an entry VM; with the argument leader the one that runs the
-// shifts.
+// vm changes the state of the entry VMs whose ID has the given prefix, or with
+// the argument leader of the one that runs the shifts.
 func (s *script) vm(t *testing.T, d *datadriven.TestData) {
 	var pause time.Duration
 	if d.HasArg("pause") {
 		pause = durationOf(t, d, "pause")
 	}
 	for _, v := range s.w.VMs {
-		if !s.chosen(t, d, v) {
+		if !s.selects(t, d, v) {
 			continue
 		}
 		switch {
@@ -221,20 +221,20 @@
 	}
 }
 
-func (s *script) chosen(t *testing.T, d *datadriven.TestData, v *enginetest.VM) bool {
+func (s *script) selects(t *testing.T, d *datadriven.TestData, v *enginetest.VM) bool {
 	if d.HasArg("leader") {
-		return v.Leads()
+		return v.RunsShifts()
 	}
 	var id string
 	d.ScanArgs(t, "id", &id)
 	return strings.HasPrefix(string(v.Self.ID), id)
 }
 
-// net changes the network and the platform.
+// net changes the state of the network and the platform.
 func (s *script) net(_ *testing.T, d *datadriven.TestData) {
 	switch {
 	case d.HasArg("part"):
-		s.w.Network.Part(east.Domain, west.Domain)
+		s.w.Network.Partition(east.Domain, west.Domain)
 	case d.HasArg("heal"):
 		s.w.Network.Heal()
 		s.w.Platform.Heal()
@@ -245,7 +245,7 @@
 	}
 }
 
-// change gives an operation to an entry VM.
+// change sends an operation to an entry VM.
 func (s *script) change(t *testing.T, d *datadriven.TestData) {
 	var by, kind, at string
 	limit, step, p99, class := 5000, 1000, 0, string(catalogue.Emergency)
@@ -272,7 +272,7 @@
 	s.w.Operate(s.w.VM(fleet.VMID(at)), op)
 }
 
-// advance lets time pass.
+// advance runs the World for a time.
 func (s *script) advance(t *testing.T, d *datadriven.TestData) {
 	s.w.Run(durationOf(t, d, "for"))
 }
--- a/decide/member/duty.go
+++ b/decide/member/duty.go
@@ -6,18 +6,18 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// Duties says what this VM does for its domain.
+// Duties describes the tasks of this VM within its domain.
 type Duties struct {
 	Representative bool
 	Author         bool
-	// Group lists the VMs, this one included, whose load figures a
-	// representative adds up.
+	// Group lists the VMs, this one included, whose load reports this
+	// representative aggregates.
 	Group []fleet.VMID
 	// Peers lists the other representatives of the domain.
 	Peers []fleet.VMID
 }
 
-// Duties returns the present duties.
+// Duties returns the current duties.
 func (s *State) Duties() Duties {
 	reps := s.reps()
 	d := Duties{
@@ -36,27 +36,28 @@
 	return d
 }
 
-// collector returns the representative that collects the figures of r. Members
-// are assigned round-robin in ring order, so that each representative has the
-// same number; assigned by hash, some would have three times as many as others.
+// collector returns the representative that collects the load reports of r.
+// Members are assigned round-robin in ring order, so that each representative
+// has the same number; with assignment by hash some had three times as many as
+// others.
 func (s *State) collector(reps []fleet.VMID, r *record) fleet.VMID {
 	if slices.Contains(reps, r.vm.ID) {
 		return r.vm.ID
 	}
-	turn := 0
+	position := 0
 	for _, o := range s.members {
 		if o == r {
 			break
 		}
 		if !o.dead() {
-			turn++
+			position++
 		}
 	}
-	return reps[turn%len(reps)]
+	return reps[position%len(reps)]
 }
 
 // reportLoad sends the messages that load reports are piggybacked on: to the
-// collector, or between representatives.
+// collector, or from one representative to the others.
 func (s *State) reportLoad(out *Ready) {
 	reps := s.reps()
 	if !slices.Contains(reps, s.self.vm.ID) {
@@ -64,15 +65,16 @@
 		return
 	}
 	for _, id := range reps {
-		if id != s.self.vm.ID && s.begins(id) {
-			s.send(s.byID[id].vm, &Partial{Reaches: s.carriedReaches(false)}, ScopePeer, out)
+		if id != s.self.vm.ID && s.initiatesExchange(id) {
+			s.send(s.byID[id].vm, &Partial{ReachResults: s.latestReachResults(false)}, ScopePeer, out)
 		}
 	}
 }
 
-// begins decides which of two representatives opens their exchange, evenly
-// over the pairs.
-func (s *State) begins(other fleet.VMID) bool {
+// initiatesExchange reports whether this VM starts the exchange with another
+// representative. Each pair has one initiator, chosen by the VMs' ranks so that
+// the work is spread evenly.
+func (s *State) initiatesExchange(other fleet.VMID) bool {
 	own := s.self.vm.ID
 	lower := own < other
 	if (rank(own)^rank(other))&1 == 1 {
@@ -81,38 +83,38 @@
 	return lower
 }
 
-// reportTo sends the report to the collector, or after each unanswered one to
-// the next representative.
+// reportTo sends the report to the collector. After each unanswered report it
+// moves on to the next representative.
 func (s *State) reportTo(reps []fleet.VMID, out *Ready) {
 	if len(reps) == 0 {
 		return
 	}
 	at := slices.Index(reps, s.collector(reps, s.self))
-	id := reps[(at+s.reportTry)%len(reps)]
-	s.reportTry++
-	s.send(s.byID[id].vm, &Report{}, ScopeOwn, out)
+	id := reps[(at+s.unansweredReports)%len(reps)]
+	s.unansweredReports++
+	s.send(s.byID[id].vm, &Report{}, ScopeCollector, out)
 }
 
 func (s *State) handleReport(m *Message, out *Ready) {
 	to := s.replyAddress(m.From)
-	s.send(to, &ReportAck{Reaches: s.carriedReaches(false)}, ScopeMember, out)
+	s.send(to, &ReportAck{ReachResults: s.latestReachResults(false)}, ScopeMember, out)
 }
 
 func (s *State) handlePartial(m *Message, b *Partial, out *Ready) {
-	s.applyReaches(b.Reaches)
+	s.applyReachResults(b.ReachResults)
 	to, ok := s.address(m.From)
 	if !ok {
 		return
 	}
-	s.send(to, &PartialAck{Reaches: s.carriedReaches(false)}, ScopePeer, out)
+	s.send(to, &PartialAck{ReachResults: s.latestReachResults(false)}, ScopePeer, out)
 }
 
-// groupChanged reports whether Duties differs from the last call.
-func (s *State) groupChanged() bool {
-	if !s.dutyStale {
+// dutiesChanged reports whether the duties differ from those at the last call.
+func (s *State) dutiesChanged() bool {
+	if !s.dutiesStale {
 		return false
 	}
-	s.dutyStale = false
+	s.dutiesStale = false
 	d := s.Duties()
 	h := uint64(fnvOffset)
 	if d.Representative {
@@ -124,7 +126,7 @@
 	for _, id := range slices.Concat(d.Group, d.Peers) {
 		h = mix(hashString(h, string(id)))
 	}
-	changed := h != s.groupHash
-	s.groupHash = h
+	changed := h != s.dutiesHash
+	s.dutiesHash = h
 	return changed
 }
--- a/decide/member/sync.go
+++ b/decide/member/sync.go
@@ -7,56 +7,57 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// mismatch notes since when a neighbour's hashes differ.
+// mismatch records since when the hashes of another VM have differed.
 type mismatch struct {
 	id    fleet.VMID
 	since clock.Time
 }
 
-// compareHashes asks a neighbour for its tables if they have differed for
-// longer than an update takes to arrive. Zero hashes come from VMs of other
-// domains, whose tables are not comparable.
+// compareHashes requests the tables of another member if they have differed for
+// longer than an update takes to arrive. VMs of other domains, whose tables are
+// not comparable, send zero hashes.
 func (s *State) compareHashes(m *Message, members, rows uint32, out *Ready) {
 	if members == 0 && rows == 0 {
 		return
 	}
 	if s.byID[m.From] == nil {
-		s.askSync(m.From, out)
+		s.requestSync(m.From, out)
 		return
 	}
 	s.compareTables(m.From, members == s.memberHash() && rows == s.rowHash(), out)
 }
 
-// compareTables asks for the tables of a VM once its hashes have differed
-// from the own ones for some time.
+// compareTables requests the tables of a VM once its hashes have differed from
+// the own ones for mismatchTolerance.
 func (s *State) compareTables(id fleet.VMID, same bool, out *Ready) {
-	at := slices.IndexFunc(s.mismatch, func(x mismatch) bool { return x.id == id })
+	at := slices.IndexFunc(s.mismatches, func(x mismatch) bool { return x.id == id })
 	if same {
 		if at >= 0 {
-			s.mismatch = slices.Delete(s.mismatch, at, at+1)
+			s.mismatches = slices.Delete(s.mismatches, at, at+1)
 		}
 		return
 	}
 	if at < 0 {
-		s.noteMismatch(id)
+		s.recordMismatch(id)
 		return
 	}
-	if s.now.Sub(s.mismatch[at].since) >= mismatchFor {
-		s.askSync(id, out)
+	if s.now.Sub(s.mismatches[at].since) >= mismatchTolerance {
+		s.requestSync(id, out)
 	}
 }
 
-// noteMismatch remembers the first difference, for a bounded number of VMs.
-func (s *State) noteMismatch(id fleet.VMID) {
-	if len(s.mismatch) >= maxMismatches {
-		s.mismatch = slices.Delete(s.mismatch, 0, 1)
+// recordMismatch records the start of a difference. At maxMismatches it
+// replaces the oldest record.
+func (s *State) recordMismatch(id fleet.VMID) {
+	if len(s.mismatches) >= maxMismatches {
+		s.mismatches = slices.Delete(s.mismatches, 0, 1)
 	}
-	s.mismatch = append(s.mismatch, mismatch{id: id, since: s.now})
+	s.mismatches = append(s.mismatches, mismatch{id: id, since: s.now})
 }
 
-// askSync sends a Sync, at most one each syncEvery.
-func (s *State) askSync(id fleet.VMID, out *Ready) {
-	if s.lastSync != 0 && s.now.Sub(s.lastSync) < syncEvery {
+// requestSync sends a Sync for all tables, at most one per minSyncInterval.
+func (s *State) requestSync(id fleet.VMID, out *Ready) {
+	if s.lastSync != 0 && s.now.Sub(s.lastSync) < minSyncInterval {
 		return
 	}
 	s.lastSync = s.now
@@ -64,12 +65,13 @@
 	if !ok {
 		to = fleet.VM{ID: id}
 	}
-	s.send(to, s.newSync(!ok || s.neighbour(to)), ScopeNone, out)
+	s.send(to, s.newSync(!ok || s.inOwnDomain(to)), ScopeNone, out)
 }
 
-// askRows asks a VM for the rows of one region, at most once each syncEvery.
-func (s *State) askRows(id fleet.VMID, region fleet.Region, out *Ready) {
-	if s.lastSync != 0 && s.now.Sub(s.lastSync) < syncEvery {
+// requestRows sends a Sync for the rows of one region, at most one per
+// minSyncInterval.
+func (s *State) requestRows(id fleet.VMID, region fleet.Region, out *Ready) {
+	if s.lastSync != 0 && s.now.Sub(s.lastSync) < minSyncInterval {
 		return
 	}
 	to := s.replyAddress(id)
@@ -83,13 +85,13 @@
 	s.send(to, m, ScopeNone, out)
 }
 
-// newSync lists what this VM knows: of itself with its addresses, since the
-// receiver may see it for the first time.
-func (s *State) newSync(neighbour bool) *Sync {
+// newSync returns a Sync with the digest and the row versions of this VM. Its
+// own fact carries the addresses, since the receiver may not know them yet.
+func (s *State) newSync(sameDomain bool) *Sync {
 	m := &Sync{Domain: s.self.vm.Domain}
 	for _, r := range s.members {
-		if neighbour {
-			m.Marks = append(m.Marks, s.fact(r, r == s.self))
+		if sameDomain {
+			m.Digest = append(m.Digest, s.factAbout(r, r == s.self))
 		}
 	}
 	for _, r := range s.rows {
@@ -98,13 +100,13 @@
 	return m
 }
 
-// joinThrough asks some listed neighbours for their tables. The list lags,
-// so several are asked at once.
-func (s *State) joinThrough(out *Ready) {
+// syncWithContacts requests the tables of some listed VMs of the domain. The
+// list lags, so several are asked at once.
+func (s *State) syncWithContacts(out *Ready) {
 	asked := 0
-	for asked < s.o.Relays && len(s.order) > 0 {
-		id := s.order[0]
-		s.order = s.order[1:]
+	for asked < s.opts.Relays && len(s.probeOrder) > 0 {
+		id := s.probeOrder[0]
+		s.probeOrder = s.probeOrder[1:]
 		vm, ok := s.address(id)
 		if !ok || vm.Domain != s.self.vm.Domain {
 			continue
@@ -113,26 +115,26 @@
 		asked++
 	}
 	if asked == 0 {
-		s.shuffle()
+		s.refillProbeOrder()
 	}
 }
 
 func (s *State) handleSync(m *Message, b *Sync, out *Ready) {
-	neighbour := b.Domain == s.self.vm.Domain
+	sameDomain := b.Domain == s.self.vm.Domain
 	lacking := false
-	if neighbour {
-		s.applyFacts(b.Marks)
-		lacking = slices.ContainsFunc(b.Marks, s.unknown)
+	if sameDomain {
+		s.applyFacts(b.Digest)
+		lacking = slices.ContainsFunc(b.Digest, s.isUnknown)
 	}
-	a := &SyncAck{Domain: s.self.vm.Domain, Reaches: s.carriedReaches(false)}
+	a := &SyncAck{Domain: s.self.vm.Domain, ReachResults: s.latestReachResults(false)}
 	for _, r := range s.members {
-		if neighbour && b.Region == "" && s.newer(r, b.Marks) {
-			a.Facts = append(a.Facts, s.fact(r, true))
+		if sameDomain && b.Region == "" && s.newerThanDigest(r, b.Digest) {
+			a.Facts = append(a.Facts, s.factAbout(r, true))
 		}
 	}
 	for _, r := range s.rows {
-		meant := b.Region == "" || b.Region == r.row.Region
-		if meant && compareVersions(r.row.version(), versionIn(b.Versions, r.row.Domain)) > 0 {
+		requested := b.Region == "" || b.Region == r.row.Region
+		if requested && compareVersions(r.row.version(), findVersion(b.Versions, r.row.Domain)) > 0 {
 			a.Rows = append(a.Rows, r.row)
 		}
 	}
@@ -141,10 +143,11 @@
 	s.requestMissing(m.From, b, lacking, out)
 }
 
-// requestMissing makes anti-entropy run both ways: it asks for what the sender
-// of a Sync has and this VM lacks. Symptom without it: the only VM of a domain
-// restarts just after its neighbour domain was lost. It doesn't know that
-// domain, so it never reports it unreachable to the other regions, which do.
+// requestMissing makes anti-entropy work in both directions: it requests what
+// the sender of a Sync has and this VM lacks. Without it, the only VM of a
+// domain that restarts just after the other domain of its region was lost
+// doesn't know that domain, and so never reports to the other regions, which
+// do know it, that it is unreachable.
 func (s *State) requestMissing(id fleet.VMID, b *Sync, lacking bool, out *Ready) {
 	for _, v := range b.Versions {
 		at, ok := s.findRow(v.Domain)
@@ -153,31 +156,32 @@
 	switch {
 	case !lacking:
 	case b.Region == "":
-		s.askSync(id, out)
+		s.requestSync(id, out)
 	default:
-		s.askRows(id, b.Region, out)
+		s.requestRows(id, b.Region, out)
 	}
 }
 
-// unknown reports whether a mark names a VM without a record here.
-func (s *State) unknown(f Fact) bool {
+// isUnknown reports whether a fact is about a live VM that has no record here.
+func (s *State) isUnknown(f Fact) bool {
 	return f.Status != Dead && s.byID[f.ID] == nil
 }
 
-// newer reports whether r is newer than the asker's marks.
-func (s *State) newer(r *record, marks []Fact) bool {
-	at := slices.IndexFunc(marks, func(f Fact) bool { return f.ID == r.vm.ID })
+// newerThanDigest reports whether r is newer than its fact in a digest, or
+// missing from the digest and not dead.
+func (s *State) newerThanDigest(r *record, digest []Fact) bool {
+	at := slices.IndexFunc(digest, func(f Fact) bool { return f.ID == r.vm.ID })
 	if at < 0 {
 		return !r.dead()
 	}
-	f := s.fact(r, false)
-	if c := compareAge(&marks[at], r); c != 0 {
+	f := s.factAbout(r, false)
+	if c := compareFact(&digest[at], r); c != 0 {
 		return c < 0
 	}
-	return f.Status > marks[at].Status
+	return f.Status > digest[at].Status
 }
 
-func versionIn(vs []Version, d fleet.Domain) Version {
+func findVersion(vs []Version, d fleet.Domain) Version {
 	for _, v := range vs {
 		if v.Domain == d {
 			return v
@@ -186,27 +190,27 @@
 	return Version{}
 }
 
-// handleSyncAck takes what another VM has and this one lacked. Rows from
-// outside the domain are forwarded in the region.
+// handleSyncAck merges the delta in the answer to a Sync. Rows sent by
+// another domain are forwarded.
 func (s *State) handleSyncAck(m *Message, b *SyncAck) {
-	inside := b.Domain == s.self.vm.Domain
-	if inside {
+	sameDomain := b.Domain == s.self.vm.Domain
+	if sameDomain {
 		s.applyFacts(b.Facts)
 	}
 	for _, row := range b.Rows {
-		if s.applyRow(row) && !inside && s.joined {
-			s.outbox.addRow(s.now.Add(flushDelay), row, s.extentOf(row.Region))
+		if s.applyRow(row) && !sameDomain && s.joined {
+			s.outbox.addRow(s.now.Add(flushDelay), row, s.extentForRegion(row.Region))
 		}
 	}
-	s.applyReaches(b.Reaches)
-	if inside {
-		s.joinDone()
+	s.applyReachResults(b.ReachResults)
+	if sameDomain {
+		s.completeJoin()
 	}
 }
 
-// extentOf is how far rows learnt by anti-entropy are forwarded: those of
-// another region to the whole own region.
-func (s *State) extentOf(region fleet.Region) extent {
+// extentForRegion returns how far rows received by anti-entropy are forwarded:
+// rows of another region to the whole own region, others to the own domain.
+func (s *State) extentForRegion(region fleet.Region) extent {
 	if region == s.self.vm.Region {
 		return toDomain
 	}
--- a/decide/member/view.go
+++ b/decide/member/view.go
@@ -7,27 +7,27 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// DomainView is what is known of one failure domain.
+// DomainView is this VM's view of one failure domain.
 type DomainView struct {
 	Region    fleet.Region
 	Domain    fleet.Domain
 	Reachable bool
 	Live      int
 	Leaving   int
-	// VMs are live entry VMs there: all of the own domain, at most RowVMs of
-	// another.
+	// VMs lists live entry VMs of the domain: all of the own domain, at most
+	// MaxRowVMs of another one.
 	VMs []fleet.VM
 }
 
-// Self returns this VM as it presents itself.
+// Self returns this VM with its current state and incarnation.
 func (s *State) Self() fleet.VM { return s.self.vm }
 
-// Joined reports whether the own domain's members are known, or that there
-// are none to be found.
+// Joined reports whether joining has ended: another member has answered, or
+// none did within joinTimeout.
 func (s *State) Joined() bool { return s.joined }
 
 // Members appends every VM of the own domain that is not dead, this one
-// included, in a stable order.
+// included, in ring order.
 func (s *State) Members(dst []fleet.VM) []fleet.VM {
 	for _, r := range s.members {
 		if !r.dead() {
@@ -37,16 +37,16 @@
 	return dst
 }
 
-// VM returns what is known of an entry VM, also of a dead one of the own
-// domain.
+// VM returns an entry VM of the own domain, which may be dead, or one that is
+// listed in a row.
 func (s *State) VM(id fleet.VMID) (fleet.VM, bool) {
 	if r := s.byID[id]; r != nil {
 		return r.vm, true
 	}
-	return s.offered(id)
+	return s.findInRows(id)
 }
 
-// Domains appends a view of every known domain, in order of name.
+// Domains appends a view of every known domain in order of name.
 func (s *State) Domains(dst []DomainView) []DomainView {
 	from := len(dst)
 	dst = append(dst, s.ownView())
@@ -61,8 +61,8 @@
 			Live:      int(r.row.Live),
 			Leaving:   int(r.row.Leaving),
 		}
-		for _, m := range r.row.offers() {
-			v.VMs = append(v.VMs, r.row.vm(m))
+		for _, m := range r.row.offeredVMs() {
+			v.VMs = append(v.VMs, r.row.fleetVM(m))
 		}
 		dst = append(dst, v)
 	}
@@ -88,27 +88,26 @@
 	return v
 }
 
-// report fills the rest of out: the changes since the last step.
-func (s *State) report(out *Ready) {
+// reportChanges adds to out what has changed since the last step.
+func (s *State) reportChanges(out *Ready) {
 	out.Superseded = s.superseded
-	out.Group = s.groupChanged()
+	out.DutiesChanged = s.dutiesChanged()
 	for _, r := range s.members {
 		if !r.reported || r.reportedState != r.vm.State || r.reportedIncarnation != r.vm.Incarnation {
 			r.reported, r.reportedState, r.reportedIncarnation = true, r.vm.State, r.vm.Incarnation
 			out.Changed = append(out.Changed, r.vm)
 		}
 	}
-	s.reportFar(out)
+	s.reportRemoteVMs(out)
 }
 
-// reportFar compares the VMs that other domains offer with those reported
-// before.
-func (s *State) reportFar(out *Ready) {
-	h := s.farHash()
-	if h == s.farSeen {
+// reportRemoteVMs reports the changes among the VMs that other domains offer.
+func (s *State) reportRemoteVMs(out *Ready) {
+	h := s.remoteHash()
+	if h == s.reportedRemoteHash {
 		return
 	}
-	s.farSeen = h
+	s.reportedRemoteHash = h
 	var next []fleet.VM
 	for _, r := range s.rows {
 		if r.row.Domain == s.self.vm.Domain {
@@ -118,26 +117,26 @@
 		if !s.domainReachable(r.row.Region, r.row.Domain) {
 			state = fleet.Dead
 		}
-		for _, v := range r.row.offers() {
-			vm := r.row.vm(v)
+		for _, v := range r.row.offeredVMs() {
+			vm := r.row.fleetVM(v)
 			vm.State = state
 			next = append(next, vm)
 		}
 	}
 	slices.SortFunc(next, func(a, b fleet.VM) int { return cmp.Compare(a.ID, b.ID) })
-	s.diffFar(next, out)
-	s.far = next
+	s.diffRemoteVMs(next, out)
+	s.reportedRemoteVMs = next
 }
 
-func (s *State) diffFar(next []fleet.VM, out *Ready) {
+func (s *State) diffRemoteVMs(next []fleet.VM, out *Ready) {
 	i := 0
 	for _, vm := range next {
-		for i < len(s.far) && s.far[i].ID < vm.ID {
-			out.Changed = append(out.Changed, withdrawn(s.far[i]))
+		for i < len(s.reportedRemoteVMs) && s.reportedRemoteVMs[i].ID < vm.ID {
+			out.Changed = append(out.Changed, asLeaving(s.reportedRemoteVMs[i]))
 			i++
 		}
-		if i < len(s.far) && s.far[i].ID == vm.ID {
-			if s.far[i] != vm {
+		if i < len(s.reportedRemoteVMs) && s.reportedRemoteVMs[i].ID == vm.ID {
+			if s.reportedRemoteVMs[i] != vm {
 				out.Changed = append(out.Changed, vm)
 			}
 			i++
@@ -145,19 +144,20 @@
 		}
 		out.Changed = append(out.Changed, vm)
 	}
-	for ; i < len(s.far); i++ {
-		out.Changed = append(out.Changed, withdrawn(s.far[i]))
+	for ; i < len(s.reportedRemoteVMs); i++ {
+		out.Changed = append(out.Changed, asLeaving(s.reportedRemoteVMs[i]))
 	}
 }
 
-func withdrawn(vm fleet.VM) fleet.VM {
+// asLeaving returns a VM as reported once its domain no longer offers it.
+func asLeaving(vm fleet.VM) fleet.VM {
 	vm.State = fleet.Leaving
 	return vm
 }
 
-// farHash changes with any row or reachability of another domain; comparing it
-// is cheaper than comparing the VMs.
-func (s *State) farHash() uint64 {
+// remoteHash returns a hash that changes with any row and with the reachability
+// of any domain. Comparing it is cheaper than comparing the VMs.
+func (s *State) remoteHash() uint64 {
 	var h uint64
 	for _, r := range s.rows {
 		v := r.hash
--- a/decide/quarantine/fingerprint_test.go
+++ b/decide/quarantine/fingerprint_test.go
@@ -6,8 +6,8 @@
 	"github.com/matryer/is"
 )
 
-// Two requests of different content must not be taken for one.
-func TestFingerprintsTellContentsApart(t *testing.T) {
+// Guards against two requests of different content sharing a fingerprint.
+func TestDifferentContentsHaveDifferentFingerprints(t *testing.T) {
 	is := is.New(t)
 	contents := []Content{
 		{Method: "GET", Host: "h", URI: "/a"},
@@ -22,13 +22,13 @@
 		f := FingerprintOf(c)
 		is.Equal(f, FingerprintOf(c))
 		if other, ok := seen[f]; ok {
-			t.Fatalf("contents %d and %d have one fingerprint", other, i)
+			t.Fatalf("contents %d and %d have the same fingerprint", other, i)
 		}
 		seen[f] = i
 	}
 }
 
-func TestFingerprintIsReadAsItIsWritten(t *testing.T) {
+func TestFingerprintTextRoundTrip(t *testing.T) {
 	is := is.New(t)
 	f := FingerprintOf(Content{Method: "GET", URI: "/a"})
 	text, err := f.MarshalText()
--- a/decide/quarantine/list_test.go
+++ b/decide/quarantine/list_test.go
@@ -15,196 +15,199 @@
 
 const testNow = clock.Time(time.Hour)
 
-func numbered(n int) Fingerprint {
+func testFingerprint(n int) Fingerprint {
 	var f Fingerprint
 	binary.BigEndian.PutUint64(f[:], uint64(n))
 	return f
 }
 
-func startOf(n int) Start { return Start{Target: fleet.TargetID(fmt.Sprintf("t%d", n)), Born: 1} }
+func testStart(n int) Start { return Start{Target: fleet.TargetID(fmt.Sprintf("t%d", n)), Born: 1} }
 
-// endOf is the end of start n, n milliseconds after testNow; the request was
-// sent there half a millisecond before.
-func endOf(n int) End {
+// testEnd returns the end of start n, n milliseconds after testNow, of a
+// request sent half a millisecond earlier.
+func testEnd(n int) End {
 	at := testNow.Add(time.Duration(n) * time.Millisecond)
-	return End{Start: startOf(n), Sent: at.Add(-time.Millisecond / 2), At: at}
+	return End{Start: testStart(n), Sent: at.Add(-time.Millisecond / 2), At: at}
 }
 
-// endUnder notes the ends of starts first to last under f, one after the other.
-func endUnder(l *List, f Fingerprint, first, last int) {
+// recordEnds records the ends of starts first to last for f, one after the
+// other.
+func recordEnds(l *List, f Fingerprint, first, last int) {
 	for n := first; n <= last; n++ {
-		l.Ended(endOf(n).At, f, "r", endOf(n))
+		l.RecordEnd(testEnd(n).At, f, "r", testEnd(n))
 	}
 }
 
-// One end that is seen by many attempts and entry VMs must not count as many.
+// Guards against counting one end several times because several attempts or
+// entry VMs saw it.
 func TestEndsOfOneStartCountOnce(t *testing.T) {
 	is := is.New(t)
 	var l List
-	f := numbered(1)
-	for range MaxEnds {
-		l.Ended(testNow, f, "r", endOf(1))
+	f := testFingerprint(1)
+	for range QuarantineThreshold {
+		l.RecordEnd(testNow, f, "r", testEnd(1))
 	}
 	is.Equal(l.Ends(testNow, f), 1)
-	again := endOf(5)
+	again := testEnd(5)
 	again.Start = Start{Target: "t1", Born: 2}
-	l.Ended(testNow, f, "r", again)
+	l.RecordEnd(testNow, f, "r", again)
 	is.Equal(l.Ends(testNow, f), 2)
 }
 
-// A crash of many targets at once puts requests into quarantine that were under
-// way at several of them.
+// Guards against quarantining requests that were in flight at several of many
+// targets that crashed at once.
 func TestTargetsThatEndTogetherCountOnce(t *testing.T) {
 	is := is.New(t)
 	var l List
-	f := numbered(1)
+	f := testFingerprint(1)
 	for n := range 10 {
-		e := endOf(n)
+		e := testEnd(n)
 		e.Sent = testNow.Add(-time.Second)
-		l.Ended(testNow, f, "r", e)
+		l.RecordEnd(testNow, f, "r", e)
 	}
 	is.Equal(l.Ends(testNow, f), 1)
 }
 
-// A request that was beside a query of death at each end stays in quarantine
-// although it is answered elsewhere.
-func TestAnAnswerClearsAllEndsBefore(t *testing.T) {
+// Guards against a request staying in quarantine although it is answered
+// elsewhere: it was in flight beside a query of death at each end.
+func TestAnswerClearsEarlierEnds(t *testing.T) {
 	is := is.New(t)
 	var l List
-	f := numbered(1)
-	endUnder(&l, f, 1, MaxEnds)
+	f := testFingerprint(1)
+	recordEnds(&l, f, 1, QuarantineThreshold)
 	is.True(l.Find(testNow, f).Quarantined())
-	cleared := l.Answered(testNow.Add(time.Second), f)
+	cleared := l.RecordAnswer(testNow.Add(time.Second), f)
 	is.True(cleared.Changed)
 	is.True(cleared.Lifted())
 	is.Equal(l.Ends(testNow.Add(time.Second), f), 0)
 
-	var other List // which hears of the ends after the answer
+	var other List // receives the ends after the answer
 	other.Merge(testNow, &cleared.Record)
-	endUnder(&other, f, 1, MaxEnds)
+	recordEnds(&other, f, 1, QuarantineThreshold)
 	is.Equal(other.Ends(testNow.Add(time.Second), f), 0)
-	endUnder(&other, f, MaxEnds+1, MaxEnds+1)
+	recordEnds(&other, f, QuarantineThreshold+1, QuarantineThreshold+1)
 	is.Equal(other.Ends(testNow.Add(time.Second), f), 1)
 }
 
-// Entry VMs that hear of the same ends in another order disagree about who is
-// kept away.
+// Guards against entry VMs that disagree on what is in quarantine because they
+// learn of the same ends in another order.
 func TestRecordsMergeInAnyOrder(t *testing.T) {
 	for seed := range uint64(50) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		f := numbered(1)
-		var heard []Record
+		f := testFingerprint(1)
+		var records []Record
 		var source List
 		for n := range 1 + rng.IntN(6) {
-			heard = append(heard, source.Ended(testNow, f, "r", endOf(n)).Record)
+			records = append(records, source.RecordEnd(testNow, f, "r", testEnd(n)).Record)
 			if rng.IntN(4) == 0 {
-				heard = append(heard, source.Answered(testNow, f).Record)
+				records = append(records, source.RecordAnswer(testNow, f).Record)
 			}
 		}
 		want := source.Ends(testNow, f)
 		for range 5 {
 			var l List
-			for _, i := range rng.Perm(len(heard)) {
-				l.Merge(testNow, &heard[i])
-				l.Merge(testNow, &heard[rng.IntN(len(heard))])
+			for _, i := range rng.Perm(len(records)) {
+				l.Merge(testNow, &records[i])
+				l.Merge(testNow, &records[rng.IntN(len(records))])
 			}
-			for i := range heard {
-				l.Merge(testNow, &heard[i])
+			for i := range records {
+				l.Merge(testNow, &records[i])
 			}
 			if got := l.Ends(testNow, f); got != want {
-				t.Fatalf("seed %d: %d ends in another order, %d in the first", seed, got, want)
+				t.Fatalf("seed %d: %d ends when merged in another order, %d at the source", seed, got, want)
 			}
 		}
 	}
 }
 
-// Trials that go on for good would take a target each.
-func TestTrialsAreFewAndFarBetween(t *testing.T) {
+// Guards against an unlimited number of trials, each of which may end a
+// target.
+func TestTrialsAreBoundedAndSpacedOut(t *testing.T) {
 	is := is.New(t)
 	var l List
-	f := numbered(1)
-	endUnder(&l, f, 1, MaxEnds)
+	f := testFingerprint(1)
+	recordEnds(&l, f, 1, QuarantineThreshold)
 	now := testNow
-	for n := range trialAfter {
+	for n := range trialDelays {
 		at := l.Find(now, f).TrialAt()
-		is.Equal(at, l.Find(now, f).Since.Add(trialAfter[n]))
+		is.Equal(at, l.Find(now, f).Since.Add(trialDelays[n]))
 		now = at
-		l.Tried(now, f)
-		l.Ended(now, f, "r", End{Start: startOf(10 + n), Sent: now, At: now})
+		l.RecordTrial(now, f)
+		l.RecordEnd(now, f, "r", End{Start: testStart(10 + n), Sent: now, At: now})
 	}
-	is.True(!l.Find(now, f).TrialAt().Before(now.Add(keepQuarantined)))
-	is.Equal(l.Find(now.Add(keepQuarantined), f), nil)
+	is.True(!l.Find(now, f).TrialAt().Before(now.Add(quarantineRetention)))
+	is.Equal(l.Find(now.Add(quarantineRetention), f), nil)
 }
 
-// Guards against an innocent request that waits for two minutes although none of
-// its trials has ended a target: another attempt was under way when its
+// Guards against a harmless request that waits for two minutes although none
+// of its trials has ended a target: another attempt was in flight when its
 // fingerprint came into quarantine, and its target ended as well.
-func TestOnlyTrialsPutOffTheNextOne(t *testing.T) {
+func TestOnlyTrialsDelayTheNextTrial(t *testing.T) {
 	is := is.New(t)
 	var l List
-	f := numbered(1)
-	endUnder(&l, f, 1, MaxEnds+1)
+	f := testFingerprint(1)
+	recordEnds(&l, f, 1, QuarantineThreshold+1)
 	rec := l.Find(testNow, f)
-	is.Equal(rec.TrialAt(), rec.Since.Add(trialAfter[0]))
-	l.Tried(rec.TrialAt(), f) // and shows nothing, as when its target is full
+	is.Equal(rec.TrialAt(), rec.Since.Add(trialDelays[0]))
+	l.RecordTrial(rec.TrialAt(), f) // without a result, as when its target is full
 	rec = l.Find(testNow, f)
-	is.Equal(rec.TrialAt(), rec.Since.Add(trialAfter[0]))
+	is.Equal(rec.TrialAt(), rec.Since.Add(trialDelays[0]))
 }
 
-// A caller that has many different requests end with targets must not fill the
-// memory, nor push out what is in quarantine.
+// Guards against a caller that fills the memory, or evicts what is in
+// quarantine, by having many different requests in flight at targets that end.
 func TestListIsBounded(t *testing.T) {
 	is := is.New(t)
 	var l List
-	deadly := numbered(0)
-	endUnder(&l, deadly, 1, MaxEnds)
+	deadly := testFingerprint(0)
+	recordEnds(&l, deadly, 1, QuarantineThreshold)
 	for n := 1; n < 2*maxRecords; n++ {
-		endUnder(&l, numbered(n), 1, 1)
+		recordEnds(&l, testFingerprint(n), 1, 1)
 	}
 	is.True(l.Len() <= maxRecords)
 	is.True(l.Find(testNow, deadly).Quarantined())
-	r := Record{Fingerprint: numbered(-1), Since: testNow}
+	r := Record{Fingerprint: testFingerprint(-1), Since: testNow}
 	for n := range 1000 {
-		r.Ended = append(r.Ended, endOf(n))
+		r.Ended = append(r.Ended, testEnd(n))
 	}
 	l.Merge(testNow, &r)
-	is.Equal(len(l.Find(testNow, r.Fingerprint).Ended), maxStarts)
+	is.Equal(len(l.Find(testNow, r.Fingerprint).Ended), maxListLen)
 }
 
-// A path that is asked for all the time is at so many ends that a new query of
-// death on it would not be noticed any more.
-func TestEndsCountAfterManyThatWereCleared(t *testing.T) {
+// Guards against missing a new query of death on a path that is requested all
+// the time, and is therefore in flight at a great many ends.
+func TestEndsCountAfterManyClearedEnds(t *testing.T) {
 	is := is.New(t)
 	var l List
-	f := numbered(1)
-	for n := range 5 * maxStarts {
-		endUnder(&l, f, n, n)
-		l.Answered(testNow.Add(time.Duration(n)*time.Millisecond), f)
+	f := testFingerprint(1)
+	for n := range 5 * maxListLen {
+		recordEnds(&l, f, n, n)
+		l.RecordAnswer(testNow.Add(time.Duration(n)*time.Millisecond), f)
 	}
-	endUnder(&l, f, 1000, 1000+MaxEnds-1)
+	recordEnds(&l, f, 1000, 1000+QuarantineThreshold-1)
 	is.True(l.Find(testNow, f).Quarantined())
 }
 
-// An entry VM whose clock is ahead would hold a fingerprint in quarantine for
-// longer than anybody meant.
-func TestClocksOfOthersAreNotBelieved(t *testing.T) {
+// Guards against an entry VM whose clock is ahead prolonging a quarantine.
+func TestTimestampsFromTheFutureAreClamped(t *testing.T) {
 	is := is.New(t)
 	var l List
-	l.Merge(testNow, &Record{Fingerprint: numbered(1), Ended: []End{endOf(1)}, Since: testNow.Add(time.Hour)})
-	is.Equal(l.Find(testNow, numbered(1)).Since, testNow)
+	l.Merge(testNow, &Record{Fingerprint: testFingerprint(1), Ended: []End{testEnd(1)}, Since: testNow.Add(time.Hour)})
+	is.Equal(l.Find(testNow, testFingerprint(1)).Since, testNow)
 }
 
-// What is over is forgotten, and named if operators may still see it in force.
+// Expired records are dropped. Those in quarantine are returned, because
+// operators may still see them in force.
 func TestExpire(t *testing.T) {
 	is := is.New(t)
 	var l List
-	endUnder(&l, numbered(1), 1, MaxEnds)
-	endUnder(&l, numbered(2), 1, 1)
+	recordEnds(&l, testFingerprint(1), 1, QuarantineThreshold)
+	recordEnds(&l, testFingerprint(2), 1, 1)
 	is.Equal(len(l.Expire(testNow.Add(time.Minute))), 0)
 	is.Equal(l.Len(), 2)
 	is.Equal(len(l.Expire(testNow.Add(time.Hour))), 0)
 	is.Equal(l.Len(), 1)
-	is.Equal(l.Quarantined(), 1)
-	is.Equal(l.Expire(testNow.Add(keepQuarantined+time.Second)), []Fingerprint{numbered(1)})
+	is.Equal(l.QuarantinedCount(), 1)
+	is.Equal(l.Expire(testNow.Add(quarantineRetention+time.Second)), []Fingerprint{testFingerprint(1)})
 	is.Equal(l.Len(), 0)
 }
--- a/decide/shift/flow.go
+++ b/decide/shift/flow.go
@@ -8,7 +8,7 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// flow is what a shift moves of one service, with the figures about it. A
+// flow is the traffic of one service that a shift moves, with its figures. A
 // missing figure is nil.
 type flow struct {
 	service   fleet.ServiceName
@@ -17,14 +17,14 @@
 	receivers []receiver
 }
 
-// receiver is one region that a flow goes to.
+// receiver is one region that receives a flow.
 type receiver struct {
 	region   fleet.Region
 	load     *Load
-	fraction float64 // largest part of the flow that it may get
+	fraction float64 // largest part of the flow that it may receive
 }
 
-// flowsOf gathers the flows of s.
+// flowsOf returns one flow per service of s.
 func flowsOf(o Options, s *catalogue.Shift, services []fleet.ServiceName, e *Evidence) []flow {
 	flows := make([]flow, 0, len(services))
 	for _, name := range services {
@@ -32,18 +32,18 @@
 		if s.To != "" {
 			f.receivers = []receiver{{region: s.To, load: e.load(s.To, name), fraction: 1}}
 		} else {
-			f.receivers = split(o, s, name, e)
+			f.receivers = splitByCapacity(o, s, name, e)
 		}
 		flows = append(flows, f)
 	}
 	return flows
 }
 
-// split divides a flow among all regions but its sender, by capacity. Regions
-// that can't serve get nothing; look-ups answer with the others. Where a
-// region's part really lies depends on hashes and weights, so each is reckoned
-// with SplitFactor times its part.
-func split(o Options, s *catalogue.Shift, name fleet.ServiceName, e *Evidence) []receiver {
+// splitByCapacity divides a flow among all regions but its sender in proportion
+// to their capacity. Regions that can't serve receive nothing, as look-ups
+// don't return them. The actual part of a region depends on hashes and weights,
+// so SplitFactor times its proportional part is assumed.
+func splitByCapacity(o Options, s *catalogue.Shift, name fleet.ServiceName, e *Evidence) []receiver {
 	var out []receiver
 	total := 0.0
 	for i := range e.Loads {
@@ -66,39 +66,42 @@
 	return out
 }
 
-// slots returns the most slots that the flow may newly keep busy elsewhere if
-// the share goes from low to high. Where the blocks between them carry more
-// than their part of the requests, the count says so; where they carry less,
-// that may change, and their part is reckoned with. What moves is cold.
-func (f *flow) slots(o Options, low, high catalogue.Share) float64 {
+// maxSlots returns the largest number of additional slots that the flow may
+// occupy in other regions if the share rises from low to high. It assumes the
+// larger of two parts of the requests: the one counted for the blocks between
+// low and high, and their proportional one, because blocks with few requests now
+// may have more later. ColdFactor covers the cold caches that moved clients meet.
+func (f *flow) maxSlots(o Options, low, high catalogue.Share) float64 {
 	if low >= high || f.count.Total == 0 {
 		return 0
 	}
-	counted := f.count.below(high) - f.count.below(low/unitsPerPosition*unitsPerPosition)
-	return f.count.Demand() * math.Max(counted, part(high-low)) * o.ColdFactor
+	counted := f.count.fractionBelow(high) - f.count.fractionBelow(low/unitsPerPosition*unitsPerPosition)
+	return f.count.Demand() * math.Max(counted, fractionOf(high-low)) * o.ColdFactor
 }
 
-// counted returns the part of the flow's requests that the shift moves.
-func (f *flow) counted() float64 {
+// movedFraction returns the counted fraction of requests that the shift moves.
+func (f *flow) movedFraction() float64 {
 	if f.count.Total == 0 {
 		return 0
 	}
 	return float64(f.count.Moved) / float64(f.count.Total)
 }
 
-// forecast returns the part of the requests that would be moved at share high,
-// when the share is now. What is moved beyond the count by position, such as by
-// callers holding on to old answers, is taken to stay.
-func (f *flow) forecast(now, high catalogue.Share) float64 {
-	excess := math.Max(0, f.counted()-f.count.below(now))
-	return math.Min(1, f.count.below(high)+excess)
+// forecastFraction returns the fraction of requests that would be moved at
+// share high if the share is now. If more requests are moved than the positions
+// below now account for, for example because callers still use old answers, the
+// excess is assumed to remain.
+func (f *flow) forecastFraction(now, high catalogue.Share) float64 {
+	excess := math.Max(0, f.movedFraction()-f.count.fractionBelow(now))
+	return math.Min(1, f.count.fractionBelow(high)+excess)
 }
 
-// marginDeviations is how many standard deviations of sampling a forecast
-// must stay below the cap.
+// marginDeviations is the sampling margin of a forecast below the cap, in
+// standard deviations.
 const marginDeviations = 3
 
-// withMargin returns p and the sampling margin of a part counted over total.
+// withMargin returns the fraction p, counted over total requests, plus its
+// sampling margin.
 func withMargin(p float64, total uint64) float64 {
 	if total == 0 {
 		return p
--- a/decide/shift/table_test.go
+++ b/decide/shift/table_test.go
@@ -19,8 +19,9 @@
 	return catalogue.Shift{ID: id, From: from, To: to, Share: share, State: catalogue.Running, Limits: catalogue.Limits{MaxShare: share}}
 }
 
-// TestNested: a growing share only adds blocks, and moves its part of them.
-func TestNested(t *testing.T) {
+// TestGrowingShareOnlyAddsBlocks checks that a growing share only adds blocks
+// and moves its proportional part of them.
+func TestGrowingShareOnlyAddsBlocks(t *testing.T) {
 	is := is.New(t)
 	const blocks = 20000
 	rng := rand.New(rand.NewPCG(1, 2))
@@ -32,7 +33,7 @@
 			s := running("drain", "attiki", "kriti", catalogue.Share(i*1000))
 			_, id, now := tableOf(s).Region("x", "attiki", b)
 			is.Equal(now, Moved(&s, b))
-			is.True(now || !before) // a block never returns as the share grows
+			is.True(now || !before) // no block moves back as the share grows
 			is.True(!now || id == "drain")
 			before = now
 			if now {
@@ -47,10 +48,10 @@
 	is.Equal(moved[10], blocks)
 }
 
-// TestSeveralFromOneRegion: blocks of both shifts go with the lower id, each
-// shift moves at most its share, and the order in the catalogue is of no
-// account.
-func TestSeveralFromOneRegion(t *testing.T) {
+// TestShiftsFromOneRegion checks that the shift with the lower id moves the
+// blocks that two shifts select, that each moves at most its share, and that
+// the order in the catalogue doesn't matter.
+func TestShiftsFromOneRegion(t *testing.T) {
 	is := is.New(t)
 	a, b := running("a", "attiki", "kriti", 3000), running("b", "attiki", "", 5000)
 	one, two := tableOf(a, b), tableOf(b, a)
@@ -66,10 +67,10 @@
 		count[id]++
 	}
 	is.True(count["a"] > 2800 && count["a"] < 3200)
-	is.True(count["b"] > 3300 && count["b"] < 3700) // half of what a leaves
+	is.True(count["b"] > 3300 && count["b"] < 3700) // half of the blocks that a doesn't move
 }
 
-func TestTableLeavesOthersAlone(t *testing.T) {
+func TestTableMovesOnlyMatchingTraffic(t *testing.T) {
 	is := is.New(t)
 	s := running("drain", "attiki", "kriti", catalogue.ShareUnit)
 	s.Service = worldService
@@ -79,17 +80,17 @@
 	_, _, moved := table.Region("permit-file", "attiki", 1)
 	is.True(!moved)
 	_, _, moved = table.Region(worldService, "kriti", 1)
-	is.True(!moved) // the receiver's own
+	is.True(!moved) // at home in the receiver
 	_, _, moved = table.Region(worldService, "makedonia", 1)
 	is.True(!moved) // rolled back
 	_, _, moved = table.Region(worldService, "attiki", 1)
 	is.True(moved)
 }
 
-// TestGate: symptom: one caller's block grows, and the shift moves half of all
-// look-ups under a cap of a tenth. Sequence: every second look-up comes from a
-// block below the share. Cause: a share of blocks is not one of look-ups.
-func TestGate(t *testing.T) {
+// TestGateKeepsCap guards against a shift that moves half of all look-ups under
+// a cap of a tenth because one caller's block grows and makes every second
+// look-up: a share of blocks is not a share of look-ups.
+func TestGateKeepsCap(t *testing.T) {
 	is := is.New(t)
 	s := running("drain", "attiki", "kriti", 1000)
 	s.Service = worldService
@@ -101,15 +102,15 @@
 			by = "drain"
 		}
 		total++
-		if g.Pass(at(time.Duration(i)*time.Millisecond), worldService, "attiki", by) {
+		if g.Allow(at(time.Duration(i)*time.Millisecond), worldService, "attiki", by) {
 			moved++
 		}
 		is.True(moved*10 <= total)
 	}
-	is.True(moved >= 999) // and it uses what the cap allows
-	is.True(!g.Pass(0, worldService, "attiki", "unknown"))
-	is.True(!g.Pass(0, worldService, "kriti", "drain"))
-	is.True(!g.Pass(at(2*GateWindow), worldService, "attiki", "drain")) // a new window
+	is.True(moved >= 999) // the cap is used in full
+	is.True(!g.Allow(0, worldService, "attiki", "unknown"))
+	is.True(!g.Allow(0, worldService, "kriti", "drain"))
+	is.True(!g.Allow(at(2*GateWindow), worldService, "attiki", "drain")) // a new window
 }
 
 func TestCounter(t *testing.T) {
@@ -124,8 +125,8 @@
 		if Moved(&s, b) {
 			by = "drain"
 		}
-		k.Served(worldService, "attiki", b, by, 10*time.Millisecond)
-		k.Served(worldService, "kriti", b, "", time.Hour)
+		k.RecordRequest(worldService, "attiki", b, by, 10*time.Millisecond)
+		k.RecordRequest(worldService, "kriti", b, "", time.Hour)
 	}
 	counts := k.Take(at(10*time.Second), nil)
 	is.Equal(len(counts), 2)
@@ -133,7 +134,7 @@
 	is.True(got.valid())
 	is.Equal(got.Total, uint64(10000))
 	is.Equal(got.Demand(), 10.0) // 10 ms each, 1000 a second
-	is.True(got.below(5000) == float64(got.Moved)/10000)
+	is.True(got.fractionBelow(5000) == float64(got.Moved)/10000)
 	is.Equal(counts[1].Total, uint64(0))
 	next := k.Take(at(20*time.Second), nil)
 	is.Equal(next[0].Total, uint64(0))
@@ -160,8 +161,8 @@
 	is.Equal(testing.AllocsPerRun(1000, func() {
 		block += 1 << 40
 		_, id, _ := table.Region(worldService, "attiki", block)
-		g.Pass(0, worldService, "attiki", id)
-		k.Served(worldService, "attiki", block, id, time.Millisecond)
+		g.Allow(0, worldService, "attiki", id)
+		k.RecordRequest(worldService, "attiki", block, id, time.Millisecond)
 	}), 0.0)
 }
 
@@ -175,13 +176,13 @@
 	}
 }
 
-func BenchmarkServed(b *testing.B) {
+func BenchmarkRecordRequest(b *testing.B) {
 	c := &catalogue.Catalogue{Services: []catalogue.Service{{Name: worldService}}, Shifts: []catalogue.Shift{running("a", "attiki", "kriti", 3000)}}
 	k := NewCounter(0, c)
 	b.ReportAllocs()
 	var block uint64
 	for b.Loop() {
 		block += 1 << 40
-		k.Served(worldService, "attiki", block, "", time.Millisecond)
+		k.RecordRequest(worldService, "attiki", block, "", time.Millisecond)
 	}
 }
--- a/decide/steer/bench_test.go
+++ b/decide/steer/bench_test.go
@@ -12,19 +12,19 @@
 	"github.com/azurethread/azurethread/decide/steer/steertest"
 )
 
-// plannedBlocks is the number of client blocks that capacity is worked out for.
+// plannedBlocks is the number of client blocks that capacity planning assumes.
 const plannedBlocks = 2_300_000
 
-// benchAddrs is the number of clients that look-up benchmarks go through; a
-// power of two.
-const benchAddrs = 1 << 16
+// benchClients is the number of clients that look-up benchmarks cycle through.
+// It must be a power of two.
+const benchClients = 1 << 16
 
 func benchLookup(v *steer.View, addrs []netip.Addr) func(*testing.B) {
 	return func(b *testing.B) {
 		out := make([]steer.Choice, 4)
 		b.ReportAllocs()
 		for i := 0; b.Loop(); i++ {
-			v.Lookup(service, addrs[i&(benchAddrs-1)], out)
+			v.Lookup(service, addrs[i&(benchClients-1)], out)
 		}
 	}
 }
@@ -33,10 +33,10 @@
 	for _, c := range []struct {
 		size   steertest.Size
 		blocks int
-	}{{today, 1000}, {steertest.Planned, plannedBlocks}} {
+	}{{smallFleet, 1000}, {steertest.Planned, plannedBlocks}} {
 		tab := blocktest.Table(c.blocks, c.size.Topology(), true, 1)
 		v := steer.New(c.size.Inputs(tab))
-		b.Run(fmt.Sprintf("blocks=%d/sites=%d", c.blocks, c.size.Sites), benchLookup(v, blocktest.Addrs(tab, benchAddrs, 1)))
+		b.Run(fmt.Sprintf("blocks=%d/sites=%d", c.blocks, c.size.Sites), benchLookup(v, blocktest.Addrs(tab, benchClients, 1)))
 	}
 }
 
@@ -68,8 +68,8 @@
 
 var patchSizes = []int{1, 10, 100, 1000, 10_000}
 
-// deltaOf returns a delta that gives n blocks, spread over the table, another
-// home.
+// deltaOf returns a delta that changes the home of n blocks, spread over the
+// table.
 func deltaOf(tab *block.Table, blocks []block.Block, n int) block.Delta {
 	changed := slices.Clone(blocks)
 	for i := range n {
@@ -83,7 +83,7 @@
 	b := block.NewBuilder(nil)
 	for _, x := range blocks {
 		if err := b.Add(x.Prefix, x.Home); err != nil {
-			panic(err) // the generator makes valid blocks only
+			panic(err) // generated blocks are always valid
 		}
 	}
 	t, err := b.Build()
--- a/decide/tally/meter.go
+++ b/decide/tally/meter.go
@@ -11,50 +11,50 @@
 )
 
 const (
-	// cellLength is the time that one cell of a Meter covers.
-	cellLength = time.Second
-	// meterCells is the number of whole cells that rates and latencies are
-	// taken over.
-	meterCells = 5
+	// meterIntervalLength is the length of the intervals of a Meter.
+	meterIntervalLength = time.Second
+	// meterIntervals is the number of whole intervals that rates and latencies
+	// are taken over.
+	meterIntervals = 5
 	// LoadWindow is the window of the load in evidence. It is short, so that
-	// errors over their bound must last for several of them.
-	LoadWindow = 2 * cellLength
-	// maxServices bounds the services that a Meter follows; the load of others
-	// is missing.
+	// errors above their limit must last for several windows to have an effect.
+	LoadWindow = 2 * meterIntervalLength
+	// maxServices bounds the services that a Meter tracks; the load of others
+	// counts as missing.
 	maxServices = 64
 )
 
-// latencyBuckets is the number of latency buckets. Bucket 0 reaches to
-// 0.125 ms, each further one 14% to 25% above the one before, and the last one
-// holds all above 24 s.
+// latencyBuckets is the number of latency buckets. Bucket 0 ends at 0.125 ms,
+// each further one ends 14% to 25% above the one before, and the last one holds
+// all latencies above 24 s.
 const latencyBuckets = 72
 
-// bucketUnit is where the buckets begin.
-const bucketUnit = 125 * time.Microsecond
+// firstBucketBound is the upper bound of bucket 0.
+const firstBucketBound = 125 * time.Microsecond
 
-// bucketOf returns the bucket of a latency: four of equal width from each
-// power of two to the next.
-func bucketOf(d time.Duration) int {
-	if d <= bucketUnit {
+// latencyBucket returns the bucket of a latency. There are four buckets of equal
+// width from each power of two times firstBucketBound to the next.
+func latencyBucket(d time.Duration) int {
+	if d <= firstBucketBound {
 		return 0
 	}
-	u := uint64(d-1) * 4 / uint64(bucketUnit) // quarters of the unit, at least 4
+	u := uint64(d-1) * 4 / uint64(firstBucketBound) // quarters of firstBucketBound, at least 4
 	exp := bits.Len64(u) - 3
 	b := 4*exp + int(u>>exp) - 4
 	return min(b+1, latencyBuckets-1)
 }
 
-// upperOf returns the upper bound of a bucket.
-func upperOf(b int) time.Duration {
+// bucketUpperBound returns the upper bound of a bucket.
+func bucketUpperBound(b int) time.Duration {
 	if b == 0 {
-		return bucketUnit
+		return firstBucketBound
 	}
 	exp, quarter := (b-1)/4, (b-1)%4
-	return bucketUnit * time.Duration(5+quarter) << exp / 4
+	return firstBucketBound * time.Duration(5+quarter) << exp / 4
 }
 
-// cell is what one service did in one cellLength.
-type cell struct {
+// intervalStats holds the figures of one service in one interval.
+type intervalStats struct {
 	answers   uint64
 	failed    uint64
 	inFlight  uint64 // sum over samples
@@ -62,7 +62,7 @@
 	latencies [latencyBuckets]uint32
 }
 
-func (c *cell) add(o *cell) {
+func (c *intervalStats) add(o *intervalStats) {
 	c.answers += o.answers
 	c.failed += o.failed
 	c.inFlight += o.inFlight
@@ -72,92 +72,93 @@
 	}
 }
 
-// series is one service's recent cells, indexed by their number modulo its
-// length.
-type series struct {
-	last  Sample // latest; Capacity 0 without targets
-	cells [meterCells + 1]cell
+// serviceSeries holds the recent intervals of one service, in a ring indexed by
+// the number of the interval.
+type serviceSeries struct {
+	last      Sample // the latest; zero without targets
+	intervals [meterIntervals + 1]intervalStats
 }
 
 // Meter measures rate, failures and latency of each service at one entry VM
-// over the last seconds. After the first request of a service it allocates
-// nothing. It is not safe for concurrent use.
+// over the last seconds. It allocates only at the first request of a service.
+// It is not safe for concurrent use.
 type Meter struct {
-	since    clock.Time
-	observed clock.Time // when load was last observed
-	current  int64      // number of the cell that is being filled
-	services map[fleet.ServiceName]*series
+	startedAt       clock.Time
+	observedAt      clock.Time // when load was last observed
+	currentInterval int64      // number of the interval that is being filled
+	services        map[fleet.ServiceName]*serviceSeries
 }
 
-// NewMeter returns a Meter that has seen nothing before now.
+// NewMeter returns a Meter that starts at now.
 func NewMeter(now clock.Time) *Meter {
-	return &Meter{since: now, current: cellOf(now), services: make(map[fleet.ServiceName]*series)}
+	return &Meter{startedAt: now, currentInterval: intervalOf(now), services: make(map[fleet.ServiceName]*serviceSeries)}
 }
 
-func cellOf(t clock.Time) int64 { return int64(t) / int64(cellLength) }
+func intervalOf(t clock.Time) int64 { return int64(t) / int64(meterIntervalLength) }
 
-// advance empties the cells of the time since the last call.
+// advance clears the intervals that have begun since the last call.
 func (m *Meter) advance(now clock.Time) {
-	to := cellOf(now)
-	if to <= m.current {
+	to := intervalOf(now)
+	if to <= m.currentInterval {
 		return
 	}
-	from := max(m.current+1, to-meterCells)
+	from := max(m.currentInterval+1, to-meterIntervals)
 	for _, s := range m.services {
 		for n := from; n <= to; n++ {
-			*s.cell(n) = cell{}
+			*s.interval(n) = intervalStats{}
 		}
 	}
-	m.current = to
+	m.currentInterval = to
 	m.dropIdle()
 }
 
-// dropIdle makes room, once maxServices are followed, by dropping services with
-// neither targets nor answers. Without it a process that outlives many services
-// could not follow new ones: their load would be missing, and shifts would
-// hold.
+// dropIdle drops services with neither targets nor answers once maxServices are
+// tracked. Otherwise a process that outlives many services could not track new
+// ones: their load would be missing, and shifts would hold.
 func (m *Meter) dropIdle() {
 	if len(m.services) < maxServices {
 		return
 	}
 	for name, s := range m.services {
-		if *s == (series{}) {
+		if *s == (serviceSeries{}) {
 			delete(m.services, name)
 		}
 	}
 }
 
-func (s *series) cell(n int64) *cell { return &s.cells[n%int64(len(s.cells))] }
+func (s *serviceSeries) interval(n int64) *intervalStats {
+	return &s.intervals[n%int64(len(s.intervals))]
+}
 
-func (m *Meter) series(name fleet.ServiceName) *series {
+func (m *Meter) series(name fleet.ServiceName) *serviceSeries {
 	s := m.services[name]
 	if s == nil && len(m.services) < maxServices {
-		s = &series{}
+		s = &serviceSeries{}
 		m.services[name] = s
 	}
 	return s
 }
 
-// Answered counts the final answer of a request that was served by targets of
-// the own failure domain, or refused here. ok says that it was not a failure.
-func (m *Meter) Answered(now clock.Time, service fleet.ServiceName, latency time.Duration, ok bool) {
+// RecordAnswer counts the final answer to a request that was served by targets of
+// the own failure domain, or refused here. ok is false for a failure.
+func (m *Meter) RecordAnswer(now clock.Time, service fleet.ServiceName, latency time.Duration, ok bool) {
 	m.advance(now)
 	s := m.series(service)
 	if s == nil {
 		return
 	}
-	c := s.cell(m.current)
+	c := s.interval(m.currentInterval)
 	c.answers++
-	c.latencies[bucketOf(latency)]++
+	c.latencies[latencyBucket(latency)]++
 	if !ok {
 		c.failed++
 	}
 }
 
-// observe takes the present load of all services with targets.
+// observe records the current load of all services with targets.
 func (m *Meter) observe(now clock.Time, samples []Sample) {
 	m.advance(now)
-	m.observed = now
+	m.observedAt = now
 	for _, s := range m.services {
 		s.last = Sample{}
 	}
@@ -167,117 +168,120 @@
 			continue
 		}
 		s.last = sample
-		c := s.cell(m.current)
+		c := s.interval(m.currentInterval)
 		c.inFlight += uint64(sample.InFlight)
 		c.samples++
 	}
 }
 
-// Rate is what a Meter has measured of one service.
+// Rate holds the figures that a Meter has measured for one service.
 type Rate struct {
-	Answers uint32          // a second
-	Errors  catalogue.Share // failed part of the answers
+	Answers uint32          // per second
+	Errors  catalogue.Share // failed share of the answers
 	P99     time.Duration
 }
 
-// Rate returns the figures of the last seconds; zero if there were no answers.
+// Rate returns the figures of the last meterIntervals seconds; zero if there
+// were no answers.
 func (m *Meter) Rate(now clock.Time, service fleet.ServiceName) Rate {
 	m.advance(now)
 	s := m.services[service]
 	if s == nil {
 		return Rate{}
 	}
-	w := s.window(m.current, meterCells)
+	w := s.sumIntervals(m.currentInterval, meterIntervals)
 	if w.answers == 0 {
 		return Rate{}
 	}
 	return Rate{
-		Answers: uint32(math.Ceil(float64(w.answers) / m.covered(meterCells))),
-		Errors:  shareOf(w.failed, w.answers),
+		Answers: uint32(math.Ceil(float64(w.answers) / m.coveredSeconds(meterIntervals))),
+		Errors:  shareRoundedUp(w.failed, w.answers),
 		P99:     p99(w.latencies[:]),
 	}
 }
 
-// covered returns the seconds of the last n whole cells since the Meter began.
-func (m *Meter) covered(n int) float64 {
-	end := clock.Time(m.current * int64(cellLength))
-	length := min(end.Sub(m.since), time.Duration(n)*cellLength)
-	return max(length, cellLength).Seconds()
+// coveredSeconds returns the seconds of the last n whole intervals, without the
+// time before the Meter started.
+func (m *Meter) coveredSeconds(n int) float64 {
+	end := clock.Time(m.currentInterval * int64(meterIntervalLength))
+	length := min(end.Sub(m.startedAt), time.Duration(n)*meterIntervalLength)
+	return max(length, meterIntervalLength).Seconds()
 }
 
-// window sums the last n whole cells before the one being filled.
-func (s *series) window(current int64, n int64) cell {
-	var w cell
+// sumIntervals adds up the last n whole intervals before the current one.
+func (s *serviceSeries) sumIntervals(current int64, n int64) intervalStats {
+	var w intervalStats
 	for i := max(current-n, 0); i < current; i++ {
-		w.add(s.cell(i))
+		w.add(s.interval(i))
 	}
 	return w
 }
 
 // loads appends the load of the given services over the last LoadWindow. It
 // reports false if the Meter doesn't cover that window, or has observed no load
-// in it: a region whose targets aren't known yet would seem to have none.
+// in it: otherwise a region that doesn't know its targets yet would appear to
+// have none.
 func (m *Meter) loads(now clock.Time, services []fleet.ServiceName, out []LoadRow) ([]LoadRow, bool) {
 	m.advance(now)
 	since, _ := m.loadSpan()
-	if since.Before(m.since) || m.observed.Before(since) {
+	if since.Before(m.startedAt) || m.observedAt.Before(since) {
 		return out, false
 	}
 	for _, name := range services {
 		s := m.services[name]
 		if s == nil && len(m.services) == maxServices {
-			continue // it may have targets that aren't followed
+			continue // it may have targets that aren't tracked
 		}
 		if s == nil {
 			out = append(out, LoadRow{Service: serviceKey(name), VMs: 1})
 			continue
 		}
-		w := s.window(m.current, int64(LoadWindow/cellLength))
-		out = append(out, s.row(name, &w))
+		w := s.sumIntervals(m.currentInterval, int64(LoadWindow/meterIntervalLength))
+		out = append(out, s.loadRow(name, &w))
 	}
 	return out, true
 }
 
 // loadSpan returns the bounds of the last LoadWindow.
 func (m *Meter) loadSpan() (since, until clock.Time) {
-	until = clock.Time(m.current * int64(cellLength))
+	until = clock.Time(m.currentInterval * int64(meterIntervalLength))
 	return until.Add(-LoadWindow), until
 }
 
-func (s *series) row(name fleet.ServiceName, w *cell) LoadRow {
+func (s *serviceSeries) loadRow(name fleet.ServiceName, w *intervalStats) LoadRow {
 	r := LoadRow{
 		Service:  serviceKey(name),
 		VMs:      1,
 		Capacity: s.last.Capacity,
-		InFlight: saturate(uint64(s.last.InFlight) * milli),
+		InFlight: saturateUint32(uint64(s.last.InFlight) * inFlightUnit),
 		Answers:  w.answers,
 		Failed:   w.failed,
 		Warming:  s.last.Warming,
 	}
 	if w.samples > 0 {
-		r.InFlight = saturate(w.inFlight * milli / w.samples)
+		r.InFlight = saturateUint32(w.inFlight * inFlightUnit / w.samples)
 	}
 	var buckets [latencyBuckets]uint64
 	for i, n := range w.latencies {
 		buckets[i] = uint64(n)
 	}
-	r.Latencies = pack(nil, buckets[:])
+	r.Latencies = appendPacked(nil, buckets[:])
 	return r
 }
 
-// milli is the unit of LoadRow.InFlight.
-const milli = 1000
+// inFlightUnit is the unit of LoadRow.InFlight.
+const inFlightUnit = 1000
 
-// shareOf returns n of total, rounded up so that a failure is never lost.
-func shareOf(n, total uint64) catalogue.Share {
+// shareRoundedUp returns n as a share of total, rounded up so that a single
+// failure doesn't become 0.
+func shareRoundedUp(n, total uint64) catalogue.Share {
 	if total == 0 {
 		return 0
 	}
 	return catalogue.Share((n*catalogue.ShareUnit + total - 1) / total)
 }
 
-// p99 returns the upper bound of the bucket that 99% of the answers don't
-// exceed.
+// p99 returns the upper bound of the bucket that holds the 99th percentile.
 func p99[T uint32 | uint64](buckets []T) time.Duration {
 	var total, seen uint64
 	for _, n := range buckets {
@@ -289,8 +293,8 @@
 	for b, n := range buckets {
 		seen += uint64(n)
 		if seen*100 >= total*99 {
-			return upperOf(b)
+			return bucketUpperBound(b)
 		}
 	}
-	return upperOf(len(buckets) - 1)
+	return bucketUpperBound(len(buckets) - 1)
 }
--- a/decide/token/ledger_test.go
+++ b/decide/token/ledger_test.go
@@ -22,11 +22,11 @@
 
 func at(d time.Duration) clock.Time { return clock.Time(0).Add(d) }
 
-// TestSpentByNotRun: symptom: a permit runs after its caller was told that it
-// did not, and again under a fresh token. Sequence: two sends of one token are
-// on the way; the second is read first and refused; then the first is read.
-// Cause: a token that became free again after NotRun.
-func TestSpentByNotRun(t *testing.T) {
+// Two sends of one token are in transit; the second is read first and refused,
+// then the first is read. Guards against a token that can be admitted again
+// after NotRun: a permit request would run although its caller got NotRun, and
+// again with a fresh token.
+func TestNotRunSpendsToken(t *testing.T) {
 	is := is.New(t)
 	l := NewLedger(testKey, "vm-1", 1, Options{})
 	tok := Mint(testKey, "vm-1", 1, nonce(1), at(time.Minute))
@@ -38,10 +38,10 @@
 	is.Equal(first.Verdict, verdict.NotRun)
 }
 
-// TestRefusedWhileFull: symptom: a fee is posted after the answer "overloaded,
-// not run". Sequence: the ledger is full and refuses a token; room appears; a
-// second copy of the request arrives. Cause: a refusal that left no trace.
-func TestRefusedWhileFull(t *testing.T) {
+// The ledger is full and refuses a token, then has room again, and a second copy
+// of the request arrives. Guards against a refusal that isn't recorded: a fee
+// would be posted after the answer "overloaded, not run".
+func TestRefusalWhileFullIsFinal(t *testing.T) {
 	is := is.New(t)
 	l := NewLedger(testKey, "vm-1", 1, Options{Capacity: 1, Retention: time.Second})
 	is.Equal(l.Admit(0, Mint(testKey, "vm-1", 1, nonce(1), at(time.Second))).Status, New)
@@ -50,15 +50,15 @@
 	is.Equal(a.Status, Full)
 	is.Equal(a.Verdict, verdict.NotRun)
 	is.True(a.RetryAfter > 0)
-	is.Equal(l.Admit(at(3*time.Second), refused).Status, Full) // room, yet refused
+	is.Equal(l.Admit(at(3*time.Second), refused).Status, Full) // refused although there is room
 	fresh := Mint(testKey, "vm-1", 1, nonce(3), at(time.Minute+time.Second))
 	is.Equal(l.Admit(at(3*time.Second), fresh).Status, New)
 }
 
-// TestAskedBeforeSeen: symptom: as above, after a caller asked for the outcome
-// and heard "not run". Sequence: the question overtakes the request. Cause: an
-// answer about the past taken for one about the future.
-func TestAskedBeforeSeen(t *testing.T) {
+// A caller's query for the outcome overtakes its request. Guards against running
+// the request after the query was answered with "not run", which must hold for
+// later sends as well.
+func TestOutcomeOfUnseenTokenIsFinal(t *testing.T) {
 	is := is.New(t)
 	l := NewLedger(testKey, "vm-1", 1, Options{})
 	tok := Mint(testKey, "vm-1", 1, nonce(1), at(time.Minute))
@@ -66,10 +66,10 @@
 	is.Equal(l.Admit(at(time.Second), tok).Status, Duplicate)
 }
 
-// TestClockBack: symptom: a posting runs twice. Sequence: a token is used and
-// its record dropped after expiry; an event with an earlier instant brings the
-// token again. Cause: judging expiry by the event's instant alone.
-func TestClockBack(t *testing.T) {
+// A token is used, its record is dropped after expiry, and an event with an
+// earlier instant contains the token again. Guards against checking expiry by
+// the event's instant alone: a posting would run twice.
+func TestExpiredTokenStaysExpiredWhenClockFallsBack(t *testing.T) {
 	is := is.New(t)
 	l := NewLedger(testKey, "vm-1", 1, Options{Retention: time.Second})
 	tok := Mint(testKey, "vm-1", 1, nonce(1), at(time.Minute))
@@ -94,7 +94,7 @@
 	is.Equal(a.Verdict, verdict.MayHaveRun)
 }
 
-func TestFinishKnowledgeOnlyGrows(t *testing.T) {
+func TestFinalVerdictIsKept(t *testing.T) {
 	is := is.New(t)
 	l := NewLedger(testKey, "vm-1", 1, Options{})
 	tok := Mint(testKey, "vm-1", 1, nonce(1), at(time.Minute))
@@ -121,20 +121,20 @@
 	is.True(!ok)
 }
 
-// model is what the randomised run knows of one token, apart from the Ledger.
-type model struct {
-	text   string
-	vm     int
-	inc    fleet.Incarnation
-	id     ID
-	ran    bool // decided by the model when the token is admitted
-	opened int  // times admitted, over all processes
-	denied bool // a caller was told NotRun
+// tokenModel is the expected state of one token in the randomised test.
+type tokenModel struct {
+	text           string
+	vm             int
+	inc            fleet.Incarnation
+	id             ID
+	ran            bool // whether its work ran; drawn when the token is admitted
+	admissions     int  // times admitted, over all processes
+	answeredNotRun bool // a caller got NotRun
 }
 
-// TestNeverTwice runs random sends, refusals, questions, finishes, clock steps
-// back and forth, and restarts at two entry VMs with tiny ledgers.
-func TestNeverTwice(t *testing.T) {
+// TestTokenRunsAtMostOnce runs random sends, refusals, finishes, forward and
+// backward clock steps, and restarts at two entry VMs with tiny ledgers.
+func TestTokenRunsAtMostOnce(t *testing.T) {
 	events, admitted := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
 		opts := Options{Capacity: rapid.IntRange(1, 4).Draw(t, "capacity"), Retention: 2 * time.Second}
@@ -142,23 +142,23 @@
 		incs := []fleet.Incarnation{1, 1}
 		ledgers := []*Ledger{NewLedger(testKey, vms[0], 1, opts), NewLedger(testKey, vms[1], 1, opts)}
 		now := at(time.Hour)
-		var tokens []*model
-		told := func(m *model, a Admission) {
+		var tokens []*tokenModel
+		checkVerdict := func(m *tokenModel, a Admission) {
 			if a.Status == New || a.Verdict != verdict.NotRun {
 				return
 			}
-			m.denied = true
+			m.answeredNotRun = true
 			if m.ran {
-				t.Fatalf("told not-run (%v), yet it ran", a.Status)
+				t.Fatalf("status %v with verdict not-run for a token that ran", a.Status)
 			}
 		}
-		pick := func(t *rapid.T) *model {
+		pickToken := func(t *rapid.T) *tokenModel {
 			if len(tokens) == 0 {
 				t.Skip("no token yet")
 			}
 			return tokens[rapid.IntRange(max(0, len(tokens)-8), len(tokens)-1).Draw(t, "token")]
 		}
-		place := func(t *rapid.T, m *model) *Ledger {
+		pickLedger := func(t *rapid.T, m *tokenModel) *Ledger {
 			if rapid.IntRange(0, 9).Draw(t, "elsewhere") == 0 {
 				return ledgers[1-m.vm]
 			}
@@ -169,26 +169,26 @@
 				vm := rapid.IntRange(0, 1).Draw(t, "vm")
 				skew := time.Duration(rapid.IntRange(-2, 6).Draw(t, "expiry")) * time.Second
 				text := Mint(testKey, vms[vm], incs[vm], nonce(uint64(len(tokens))), now.Add(skew))
-				tokens = append(tokens, &model{text: text, vm: vm, inc: incs[vm]})
+				tokens = append(tokens, &tokenModel{text: text, vm: vm, inc: incs[vm]})
 			},
 			"admit": func(t *rapid.T) {
-				m := pick(t)
-				a := place(t, m).Admit(now, m.text)
-				told(m, a)
+				m := pickToken(t)
+				a := pickLedger(t, m).Admit(now, m.text)
+				checkVerdict(m, a)
 				if a.Status != New {
 					return
 				}
-				m.opened++
+				m.admissions++
 				admitted++
-				if m.opened > 1 || m.denied {
-					t.Fatalf("admitted %d times, told not-run before: %v", m.opened, m.denied)
+				if m.admissions > 1 || m.answeredNotRun {
+					t.Fatalf("token admitted %d times; answered with not-run before: %v", m.admissions, m.answeredNotRun)
 				}
 				m.id = a.ID
 				m.ran = rapid.Bool().Draw(t, "ran")
 			},
 			"finish": func(t *rapid.T) {
-				m := pick(t)
-				if m.opened == 0 {
+				m := pickToken(t)
+				if m.admissions == 0 {
 					t.Skip("not admitted")
 				}
 				v := verdict.NotRun
@@ -198,8 +198,8 @@
 				ledgers[m.vm].Finish(now, m.id, v, 200)
 			},
 			"refuse": func(t *rapid.T) {
-				m := pick(t)
-				told(m, place(t, m).Refuse(now, m.text))
+				m := pickToken(t)
+				checkVerdict(m, pickLedger(t, m).Refuse(now, m.text))
 			},
 			"clock": func(t *rapid.T) {
 				now = now.Add(time.Duration(rapid.IntRange(-1000, 3000).Draw(t, "ms")) * time.Millisecond)
@@ -212,8 +212,8 @@
 			"": func(t *rapid.T) {
 				events++
 				for _, l := range ledgers {
-					if l.Len() > opts.Capacity || len(l.drops) != l.Len() || len(l.records) > opts.Capacity {
-						t.Fatalf("%d records, %d drops, %d slots, capacity %d", l.Len(), len(l.drops), len(l.records), opts.Capacity)
+					if l.Len() > opts.Capacity || len(l.expiries) != l.Len() || len(l.records) > opts.Capacity {
+						t.Fatalf("%d records, %d drops, %d slots, capacity %d", l.Len(), len(l.expiries), len(l.records), opts.Capacity)
 					}
 				}
 			},
@@ -225,8 +225,8 @@
 	}
 }
 
-// FuzzParse: text from anybody never panics, and nothing but a minted token
-// in its one spelling is taken.
+// FuzzParse checks that no text causes a panic, and that only minted tokens in
+// their one valid text are accepted.
 func FuzzParse(f *testing.F) {
 	m := NewMinter(testKey)
 	good := m.Mint(Fields{VM: "vm-1", Incarnation: 1, Nonce: nonce(1), Expiry: 99})
@@ -241,7 +241,7 @@
 	f.Fuzz(func(t *testing.T, s string) {
 		got, ok := m.Parse(s)
 		if ok && m.Mint(got) != s {
-			t.Fatalf("%q is a second spelling of %+v", s, got)
+			t.Fatalf("accepted %q as another text of the token %+v", s, got)
 		}
 	})
 }
@@ -256,8 +256,8 @@
 	}
 }
 
-// BenchmarkAdmitFinish is one request's cost at a ledger in steady state: a
-// token per 1.5 ms (667 a second), each held 30 s.
+// BenchmarkAdmitFinish measures one request at a ledger in steady state: a token
+// per 1.5 ms (667 a second), each held for 30 s.
 func BenchmarkAdmitFinish(b *testing.B) {
 	l := NewLedger(testKey, "attiki-1-a", 1, Options{Retention: time.Second})
 	m := NewMinter(testKey)
--- a/operate/capacity/control.go
+++ b/operate/capacity/control.go
@@ -7,9 +7,9 @@
 	"github.com/azurethread/azurethread/decide/steer/slope"
 )
 
-// fleetPoint is a measurement of control traffic at one size of the fleet, as
-// the benchmark of serve/peer writes them: several costs at one point, with
-// several sizes of which each group of points varies one.
+// fleetPoint is a measurement of control traffic in one fleet, as written by
+// the benchmark of serve/peer: several costs of a fleet that has several sizes.
+// Each group of points varies one of these sizes.
 type fleetPoint struct {
 	Name string `json:"name"` // the size that is varied, or the name of a single point
 	X    struct {
@@ -29,13 +29,14 @@
 	Date  string `json:"date"`
 }
 
-const controlCommand = "AZURETHREAD_CAPACITY_MEMBER=$PWD/docs/capacity/member.json go test -cpu 1 -run TestCapacityPoints -timeout 30m ./serve/peer"
+const fleetPointsCommand = "AZURETHREAD_CAPACITY_MEMBER=$PWD/docs/capacity/member.json go test -cpu 1 -run TestCapacityPoints -timeout 30m ./serve/peer"
 
-// controlSeries splits such points into series named "<cost>/<varied size>".
-func controlSeries(text []byte) ([]slope.Series, error) {
+// parseFleetPoints parses fleet points and returns them as series named
+// "<cost>/<varied size>".
+func parseFleetPoints(text []byte) ([]slope.Series, error) {
 	var points []fleetPoint
 	if err := json.Unmarshal(text, &points); err != nil {
-		return nil, fmt.Errorf("points of a fleet: %w", err)
+		return nil, fmt.Errorf("fleet points: %w", err)
 	}
 	var all []slope.Series
 	for _, p := range points {
@@ -64,12 +65,14 @@
 		out = append(out, slope.Series{
 			Name: c.name + "/" + p.Name, Title: c.title, Unit: c.unit, X: label,
 			Points:  []slope.Point{{X: x, Y: c.y}},
-			Command: controlCommand, Cores: p.Cores, Date: p.Date,
+			Command: fleetPointsCommand, Cores: p.Cores, Date: p.Date,
 		})
 	}
 	return out
 }
 
+// varied returns the size that a point varies, and its label. The point
+// "letter" is the fleet of the planned sizes.
 func (p *fleetPoint) varied() (x float64, label string) {
 	switch p.Name {
 	case "letter":
--- a/operate/capacity/plan_test.go
+++ b/operate/capacity/plan_test.go
@@ -15,9 +15,9 @@
 // planServices is the number of services that each shift moves.
 const planServices = 3
 
-// BenchmarkPlan measures one evaluation of running shifts on new evidence,
-// which a runner makes once a second; every shift moves all services of one
-// region to the next.
+// BenchmarkPlan measures one evaluation of the running shifts on new evidence,
+// which a runner makes once a second. Every shift moves all services of one
+// region to the next one.
 func BenchmarkPlan(b *testing.B) {
 	for _, n := range []int{2, 4, 8, 16, 32, 64} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -28,7 +28,7 @@
 			var out []shift.Effect
 			for b.Loop() {
 				now = now.Add(time.Second)
-				r.Step(now, shift.Duty{Held: true, Until: now.Add(time.Minute)}, nil)
+				r.Step(now, shift.Lease{Held: true, Until: now.Add(time.Minute)}, nil)
 				out = r.Step(now, shift.Measured{Evidence: planEvidence(n, now)}, out[:0])
 			}
 			if total, _ := r.Violations(); total > 0 || len(r.Status(nil)) != n {
--- a/operate/capacity/plot.go
+++ b/operate/capacity/plot.go
@@ -11,19 +11,19 @@
 	"github.com/azurethread/azurethread/operate/render"
 )
 
-// legendRoom is how far the vertical axis goes beyond the values, so that the
-// legend hides none.
-const legendRoom = 1.3
+// legendMargin is the factor by which the vertical axis is extended, so that
+// the legend covers no values.
+const legendMargin = 1.3
 
-// figureOf is one plot: measured points and fitted lines of some series that
-// share their axes.
-type figureOf struct {
+// plotSpec describes a plot of the measured points and the fits of series that
+// have the same axes.
+type plotSpec struct {
 	file   string
 	title  string
 	series []string
 }
 
-var figures = []figureOf{
+var plotSpecs = []plotSpec{
 	{"lookup-blocks.svg", "Look-up decision by blocks", []string{"lookup/blocks", "find/blocks"}},
 	{"lookup-sites.svg", "Look-up decision by sites", []string{"lookup/sites", "lookup-free/sites"}},
 	{"table-blocks.svg", "Memory of the table of blocks", []string{"table/blocks"}},
@@ -32,14 +32,14 @@
 	{"sweep-memory.svg", "Memory of an entry VM on the users' platform", []string{"sweep-memory/vms"}},
 }
 
-// plot writes the figures whose series are there.
+// plot writes the plots for which a series was fitted.
 func (m *model) plot(folder string) error {
-	for _, f := range figures {
+	for _, spec := range plotSpecs {
 		p := plot.New()
-		p.Title.Text = f.title
+		p.Title.Text = spec.title
 		p.Legend.Top, p.Legend.Left = true, true
 		drawn := 0
-		for i, name := range f.series {
+		for i, name := range spec.series {
 			if line, ok := m.fits[name]; ok {
 				if err := draw(p, line, i); err != nil {
 					return err
@@ -50,15 +50,15 @@
 		if drawn == 0 {
 			continue
 		}
-		p.Y.Max *= legendRoom
-		if err := render.SVG(p, filepath.Join(folder, f.file)); err != nil {
+		p.Y.Max *= legendMargin
+		if err := render.SVG(p, filepath.Join(folder, spec.file)); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// draw adds the points and the line of a series to p.
+// draw adds the points and the fit of a series to p.
 func draw(p *plot.Plot, f fit, i int) error {
 	p.X.Label.Text, p.Y.Label.Text = f.series.X, f.series.Unit
 	p.Y.Min = 0
@@ -72,7 +72,7 @@
 	}
 	scatter.Shape, scatter.Color = plotutil.Shape(i), plotutil.Color(i)
 	line := plotter.NewFunction(f.at)
-	line.XMin, line.XMax = f.span()
+	line.XMin, line.XMax = f.sizeRange()
 	line.Color = plotutil.Color(i)
 	p.Add(scatter, line)
 	p.Legend.Add(f.series.Title, scatter, line)
--- a/operate/command/command.go
+++ b/operate/command/command.go
@@ -17,17 +17,18 @@
 	"github.com/azurethread/azurethread/operate/render"
 )
 
-// EnvPrefix begins the environment variable of every flag of the root command:
-// --call-addr is AZURETHREAD_CALL_ADDR. A flag goes before its variable.
+// EnvPrefix is the prefix of the environment variables for the flags of the
+// root command: --call-addr is AZURETHREAD_CALL_ADDR. A flag takes precedence
+// over its variable.
 const EnvPrefix = "AZURETHREAD_"
 
-// The output forms.
+// The output formats.
 const (
 	outputTable = "table"
 	outputJSON  = "json"
 )
 
-// settings are the flags that all commands share.
+// settings holds the flags that all commands share.
 type settings struct {
 	addr     string
 	callAddr string
@@ -37,7 +38,7 @@
 	wait     time.Duration
 }
 
-// New returns the root command, with extra ones beside its own.
+// New returns the root command with its built-in commands and the extra ones.
 func New(version string, extra ...*cobra.Command) *cobra.Command {
 	s := &settings{}
 	root := group("azurethread", "Operate the azurethread traffic steering system")
@@ -46,9 +47,9 @@
 	root.SilenceErrors = true
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return &UsageError{err} })
 	root.PersistentPreRunE = func(cmd *cobra.Command, _ []string) error {
-		return s.provision(root.PersistentFlags())
+		return s.loadEnvironment(root.PersistentFlags())
 	}
-	s.declare(root.PersistentFlags())
+	s.registerFlags(root.PersistentFlags())
 	root.AddCommand(
 		s.catalogueCommand(),
 		s.serviceCommand(),
@@ -63,33 +64,34 @@
 	return root
 }
 
-func (s *settings) declare(f *pflag.FlagSet) {
+func (s *settings) registerFlags(f *pflag.FlagSet) {
 	f.StringVar(&s.addr, "addr", "127.0.0.1:7102", "administration address of an entry VM, host:port or URL ["+EnvPrefix+"ADDR]")
 	f.StringVar(&s.callAddr, "call-addr", "127.0.0.1:7100", "callers' address of an entry VM, for lookup ["+EnvPrefix+"CALL_ADDR]")
-	f.StringVar(&s.token, "token", "", "operator's bearer token; better given as ["+EnvPrefix+"TOKEN], as others can see arguments")
+	f.StringVar(&s.token, "token", "", "operator's bearer token; prefer the variable, because other users can see arguments ["+EnvPrefix+"TOKEN]")
 	f.StringVar(&s.output, "output", outputTable, "output form, table or json ["+EnvPrefix+"OUTPUT]")
 	f.DurationVar(&s.timeout, "timeout", 10*time.Second, "longest time for one request ["+EnvPrefix+"TIMEOUT]")
 	f.DurationVar(&s.wait, "wait", 5*time.Second, "longest wait, after a change, for its outcome and for it to be in force ["+EnvPrefix+"WAIT]")
 }
 
-// provision takes unset flags from the environment and checks all.
-func (s *settings) provision(f *pflag.FlagSet) error {
-	var bad error
+// loadEnvironment sets flags that were not given from the environment and
+// validates all of them.
+func (s *settings) loadEnvironment(f *pflag.FlagSet) error {
+	var firstErr error
 	f.VisitAll(func(x *pflag.Flag) {
 		name := EnvPrefix + strings.ToUpper(strings.ReplaceAll(x.Name, "-", "_"))
 		text, set := os.LookupEnv(name)
-		if x.Changed || !set || bad != nil {
+		if x.Changed || !set || firstErr != nil {
 			return
 		}
 		if err := f.Set(x.Name, text); err != nil {
-			bad = fmt.Errorf("%s: %w", name, err)
+			firstErr = fmt.Errorf("%s: %w", name, err)
 		}
 	})
-	if bad == nil {
-		bad = s.validate()
+	if firstErr == nil {
+		firstErr = s.validate()
 	}
-	if bad != nil {
-		return &UsageError{bad}
+	if firstErr != nil {
+		return &UsageError{firstErr}
 	}
 	return nil
 }
@@ -99,9 +101,9 @@
 	case s.output != outputTable && s.output != outputJSON:
 		return fmt.Errorf("output: %q is neither %q nor %q", s.output, outputTable, outputJSON)
 	case s.timeout <= 0:
-		return fmt.Errorf("timeout: must be above zero, not %s", s.timeout)
+		return fmt.Errorf("timeout: must be above zero, got %s", s.timeout)
 	case s.wait < 0:
-		return fmt.Errorf("wait: must not be negative, not %s", s.wait)
+		return fmt.Errorf("wait: must not be negative, got %s", s.wait)
 	}
 	return nil
 }
@@ -127,8 +129,9 @@
 	return nil
 }
 
-// group returns a command that only holds others. Cobra prints the help and
-// succeeds where a sub-command is misspelt; a script would take that as done.
+// group returns a command that only has sub-commands. Without its RunE, cobra
+// would print the help and exit with 0 for a misspelt sub-command, which a
+// script would take for success.
 func group(use, short string) *cobra.Command {
 	return &cobra.Command{
 		Use:   use,
@@ -143,8 +146,8 @@
 	}
 }
 
-// exactly takes n arguments and calls wrong numbers a usage error.
-func exactly(n int) cobra.PositionalArgs {
+// exactArgs accepts n arguments; any other number is a usage error.
+func exactArgs(n int) cobra.PositionalArgs {
 	return func(cmd *cobra.Command, args []string) error {
 		if err := cobra.ExactArgs(n)(cmd, args); err != nil {
 			return &UsageError{fmt.Errorf("%s: %w", cmd.CommandPath(), err)}
@@ -163,8 +166,8 @@
 	return ExitCode(err)
 }
 
-// failure is the JSON form of an error.
-type failure struct {
+// errorReport is an error as JSON.
+type errorReport struct {
 	Error     string           `json:"error"`
 	Exit      int              `json:"exit"`
 	Operation string           `json:"operation,omitempty"`
@@ -174,16 +177,16 @@
 
 func report(cmd *cobra.Command, err error) {
 	w := cmd.ErrOrStderr()
-	var answered *client.APIError
-	errors.As(err, &answered)
+	var apiErr *client.APIError
+	errors.As(err, &apiErr)
 	if out, _ := cmd.Flags().GetString("output"); out == outputJSON {
-		// A failed write of an error has nowhere to be told.
-		_ = render.JSON(w, failureOf(err, answered))
+		// Standard error has failed, so there is no place to report that.
+		_ = render.JSON(w, newErrorReport(err, apiErr))
 		return
 	}
 	fmt.Fprintf(w, "azurethread: %v\n", err)
-	if answered != nil && answered.Body.Conflict != nil {
-		render.Conflict(w, *answered.Body.Conflict)
+	if apiErr != nil && apiErr.Body.Conflict != nil {
+		render.Conflict(w, *apiErr.Body.Conflict)
 	}
 	var unknown *client.UnknownOutcome
 	if errors.As(err, &unknown) {
@@ -191,10 +194,10 @@
 	}
 }
 
-func failureOf(err error, answered *client.APIError) failure {
-	f := failure{Error: err.Error(), Exit: ExitCode(err)}
-	if answered != nil {
-		f.Answer = answered.Body
+func newErrorReport(err error, apiErr *client.APIError) errorReport {
+	f := errorReport{Error: err.Error(), Exit: ExitCode(err)}
+	if apiErr != nil {
+		f.Answer = apiErr.Body
 	}
 	var unknown *client.UnknownOutcome
 	if errors.As(err, &unknown) {
--- a/operate/command/observe.go
+++ b/operate/command/observe.go
@@ -18,8 +18,8 @@
 func (s *settings) statusCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "status",
-		Short: "Show what an entry VM knows: revision, members, load of each region, shifts",
-		Args:  exactly(0),
+		Short: "Show the state as seen by an entry VM: revision, members, load of each region, shifts",
+		Args:  exactArgs(0),
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			c, err := s.client()
 			if err != nil {
@@ -39,7 +39,7 @@
 	cmd := &cobra.Command{
 		Use:   "watch",
 		Short: "Show the status again at every change of the catalogue, and at least at every interval, until interrupted",
-		Args:  exactly(0),
+		Args:  exactArgs(0),
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if every <= 0 || every > admin.MaxWatchWait {
 				return usagef("interval: must be above zero and at most %s", admin.MaxWatchWait)
@@ -55,20 +55,21 @@
 	return cmd
 }
 
-// watch prints until ctx ends. An entry VM that does not answer is told about
-// and asked again: a watch has to survive the replacement of what it watches.
+// watch prints the status until ctx ends. When the entry VM does not answer,
+// watch prints the error and tries again, so that it survives the replacement
+// of that entry VM.
 func (s *settings) watch(ctx context.Context, out, errs io.Writer, c *client.Client, every time.Duration) error {
 	var after uint64
 	for ctx.Err() == nil {
 		x, err := c.Watch(ctx, after, every)
-		var answered *client.APIError
+		var apiErr *client.APIError
 		switch {
 		case ctx.Err() != nil:
-		case errors.As(err, &answered) && exitOfAnswer(answered) != ExitUnreachable:
+		case errors.As(err, &apiErr) && apiExitCode(apiErr) != ExitUnreachable:
 			return err
 		case err != nil:
 			fmt.Fprintf(errs, "azurethread: %v\n", err)
-			pause(ctx, time.Now().Add(every))
+			waitInterval(ctx, time.Now().Add(every))
 		default:
 			after = x.Revision
 			err = s.print(out, x, func(w io.Writer) { printWatch(w, x) })
@@ -88,8 +89,8 @@
 func (s *settings) lookupCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "lookup SERVICE CLIENT",
-		Short: "Ask which entry VMs a client, an address or a block, is steered to",
-		Args:  exactly(2),
+		Short: "Look up the entry VMs to which a client, an address or a block, is steered",
+		Args:  exactArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			c, err := client.New(s.callAddr, "", s.timeout)
 			if err != nil {
@@ -107,14 +108,14 @@
 func (s *settings) operationCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "operation ID",
-		Short: "Ask what became of a change whose outcome was unknown",
-		Args:  exactly(1),
+		Short: "Query the outcome of a change that ended with an unknown outcome",
+		Args:  exactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			c, err := s.client()
 			if err != nil {
 				return err
 			}
-			o, err := c.Settle(cmd.Context(), args[0])
+			o, err := c.FindOutcome(cmd.Context(), args[0])
 			if err != nil {
 				return err
 			}
@@ -136,8 +137,8 @@
 		Use:   "check FILE",
 		Short: "Check an entry file without an entry VM, reporting every error",
 		Long: "Check an entry file without an entry VM, reporting every error with its line and field.\n" +
-			"Services that the file does not hold are taken to exist in the catalogue.",
-		Args: exactly(1),
+			"Services that the file does not hold are assumed to exist in the catalogue.",
+		Args: exactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			raw, err := readFile(cmd, args[0])
 			if err != nil {
@@ -147,7 +148,7 @@
 			if err != nil {
 				return &UsageError{fmt.Errorf("%s is not valid:\n%w", args[0], err)}
 			}
-			sum := checked{File: args[0], Services: len(f.Services), Shifts: len(f.Shifts)}
+			sum := checkResult{File: args[0], Services: len(f.Services), Shifts: len(f.Shifts)}
 			return s.print(cmd.OutOrStdout(), sum, func(w io.Writer) {
 				fmt.Fprintf(w, "%s: valid, %d services, %d shifts\n", sum.File, sum.Services, sum.Shifts)
 			})
@@ -155,8 +156,8 @@
 	}
 }
 
-// checked is the JSON line of a valid file.
-type checked struct {
+// checkResult is the JSON line printed for a valid file.
+type checkResult struct {
 	File     string `json:"file"`
 	Services int    `json:"services"`
 	Shifts   int    `json:"shifts"`
--- a/operate/demo/drain.go
+++ b/operate/demo/drain.go
@@ -19,32 +19,32 @@
 	drainStep = catalogue.Share(2500)
 )
 
-// drainRegion enters a traffic shift as operators do: one writes it, another
-// approves it, and it is started.
+// drainRegion starts a traffic shift as operators do: one adds it, another
+// approves it, and the first starts it.
 func (r *run) drainRegion(ctx context.Context) error {
 	entry := change.Entry{
 		ID:    drainID,
 		Owner: "demo",
 		Class: catalogue.Rehearsal,
-		From:  r.drained(),
+		From:  r.drainedRegion(),
 		Limits: catalogue.Limits{
 			MaxShare: drainCap,
 			Step:     drainStep,
 			Interval: catalogue.Duration(2 * time.Second),
 		},
 	}
-	if err := r.change(ctx, entry); err != nil {
+	if err := r.startShift(ctx, entry); err != nil {
 		return err
 	}
-	r.say("traffic shift %s: %s may move %d/10,000 of its traffic", drainID, r.drained(), drainCap)
+	r.progressf("traffic shift %s: %s may move %d/10,000 of its traffic", drainID, r.drainedRegion(), drainCap)
 	return nil
 }
 
-// clientTimeout bounds one administration request.
+// clientTimeout is the longest time for one administration request.
 const clientTimeout = 10 * time.Second
 
-// change adds, approves and starts a traffic shift.
-func (r *run) change(ctx context.Context, e change.Entry) error {
+// startShift adds, approves and starts a traffic shift.
+func (r *run) startShift(ctx context.Context, e change.Entry) error {
 	addr := r.daemons[0].AdminAddr()
 	author, err := client.New(addr, authorToken, clientTimeout)
 	if err != nil {
@@ -58,17 +58,19 @@
 	if err != nil {
 		return err
 	}
-	a, err = approver.Act(ctx, client.Approve, e.ID, admin.ShiftAction{Expect: a.Revision})
+	a, err = approver.PerformAction(ctx, client.Approve, e.ID, admin.ShiftAction{Expect: a.Revision})
 	if err != nil {
 		return err
 	}
-	_, err = author.Act(ctx, client.Start, e.ID, admin.ShiftAction{Expect: a.Revision})
+	_, err = author.PerformAction(ctx, client.Start, e.ID, admin.ShiftAction{Expect: a.Revision})
 	return err
 }
 
-// countMoved compares where the drained region's requests ran with the cap.
-func (r *run) countMoved(outcomes []caller.Outcome, res *Result) {
-	if r.opts.Fault != RegionDrain {
+// recordMovedShare sets the share of the drained region's requests that ran in
+// other regions, and the excess over the cap. It counts the last third of the
+// requests.
+func (r *run) recordMovedShare(outcomes []caller.Outcome, res *Result) {
+	if r.options.Fault != RegionDrain {
 		return
 	}
 	home := r.dep.Description.Regions[0]
--- a/operate/demo/watch.go
+++ b/operate/demo/watch.go
@@ -12,8 +12,8 @@
 	"github.com/azurethread/azurethread/standin/deployment"
 )
 
-// addClients enters the region's clients as blocks of 256 addresses, so that
-// each caller of the load stands in a block of its own.
+// addClients adds the region's clients as blocks of 256 addresses, so that each
+// caller of the load is in a separate block.
 func addClients(b *block.Builder, r deployment.Region) error {
 	home := block.Home{Region: r.Name, Domains: r.Domains}
 	a := r.Clients.Addr().As4()
@@ -30,20 +30,20 @@
 // region was overloaded.
 type watcher struct {
 	r          *run
-	last       map[fleet.Region]sample
+	last       map[fleet.Region]targetCounts
 	overloaded uint64
 }
 
-// sample is what the targets of one region have counted so far.
-type sample struct{ arrived, shed uint64 }
+// targetCounts are the counters of one region's targets since the start.
+type targetCounts struct{ arrived, shed uint64 }
 
-// overloadShare is the part of a second's requests, refused for want of room,
-// from which on the region counts as overloaded.
+// overloadShare is the fraction of requests refused for lack of capacity above
+// which a region counts as overloaded in that second.
 const overloadShare = 0.05
 
-// overloadLeast is the least number of refusals for it, so that one refusal
-// of a few requests does not count.
-const overloadLeast = 5
+// minOverloadRefusals is the least number of refusals in an overloaded second,
+// so that one refusal among a few requests does not count.
+const minOverloadRefusals = 5
 
 func newWatcher(r *run) *watcher {
 	w := &watcher{r: r}
@@ -51,8 +51,8 @@
 	return w
 }
 
-func (w *watcher) sample() map[fleet.Region]sample {
-	out := make(map[fleet.Region]sample)
+func (w *watcher) sample() map[fleet.Region]targetCounts {
+	out := make(map[fleet.Region]targetCounts)
 	for _, t := range w.r.dep.Targets {
 		s := out[t.Machine.Region]
 		st := t.Stats()
@@ -74,7 +74,7 @@
 		}
 		w.observe()
 		c := w.r.load.Counts()
-		w.r.say("%3d s  %d requests, %d answered, %d not run, %d may have run", second, c.Requests, c.Answered, c.NotRun, c.MayHaveRun)
+		w.r.progressf("%3d s  %d requests, %d answered, %d not run, %d may have run", second, c.Requests, c.Answered, c.NotRun, c.MayHaveRun)
 	}
 }
 
@@ -83,41 +83,41 @@
 	for region, s := range now {
 		before := w.last[region]
 		arrived, shed := s.arrived-before.arrived, s.shed-before.shed
-		if shed >= overloadLeast && float64(shed) > overloadShare*float64(arrived) {
+		if shed >= minOverloadRefusals && float64(shed) > overloadShare*float64(arrived) {
 			w.overloaded++
 		}
 	}
 	w.last = now
 }
 
-// result adds up what the callers and the targets have recorded.
+// result combines the records of the callers and the targets.
 func (r *run) result() *Result {
 	rep := r.load.Wait()
-	proof := caller.Prove(rep.Outcomes, r.dep.Executions())
+	audit := caller.Audit(rep.Outcomes, r.dep.Executions())
 	res := &Result{
-		Deployment:   r.opts.Deployment,
-		Fault:        r.opts.Fault,
-		Seconds:      r.opts.For.Seconds(),
-		Load:         r.opts.Load,
+		Deployment:   r.options.Deployment,
+		Fault:        r.options.Fault,
+		Seconds:      r.options.Duration.Seconds(),
+		Load:         r.options.Load,
 		Requests:     rep.Requests,
 		Answered:     rep.Answered,
-		WrongAnswers: rep.WrongAnswers + proof.NeverRan,
-		Repeated:     proof.Repeated,
-		FalseNotRun:  proof.FalseNotRun,
+		WrongAnswers: rep.WrongAnswers + audit.NeverRan,
+		Repeated:     audit.Repeated,
+		FalseNotRun:  audit.FalseNotRun,
 		Overloaded:   r.watch.overloaded,
 		NotRun:       rep.NotRun,
 		MayHaveRun:   rep.MayHaveRun,
 		Reasons:      make(map[verdict.Reason]uint64),
-		Unmarked:     rep.Unmarked,
+		Unmarked:     rep.MissingVerdicts,
 		P50:          milliseconds(rep.Quantile(50)),
 		P99:          milliseconds(rep.Quantile(99)),
-		DrainSeconds: r.drain.Seconds(),
+		DrainSeconds: r.longestDrain.Seconds(),
 	}
-	if r.opts.Fault == EntryStop || r.opts.Fault == TargetLeave || r.opts.Fault == RegionDrain {
-		res.Cut = proof.CutRan
+	if r.options.Fault == EntryStop || r.options.Fault == TargetLeave || r.options.Fault == RegionDrain {
+		res.Cut = audit.RanAnswerLost
 	}
 	for _, t := range r.dep.Targets {
-		if t.Stats().LastArrival > leaveGrace {
+		if t.Stats().LastArrivalAfterLeave > leaveGrace {
 			res.LateArrivals++
 		}
 	}
@@ -126,7 +126,7 @@
 			res.Reasons[o.Reason]++
 		}
 	}
-	r.countMoved(rep.Outcomes, res)
+	r.recordMovedShare(rep.Outcomes, res)
 	for _, d := range r.daemons {
 		res.Violations += d.Violations()
 	}
@@ -136,5 +136,5 @@
 	return res
 }
 
-// leaveGrace is how long a leaving target may still get new work.
+// leaveGrace is how long a leaving target may still receive new requests.
 const leaveGrace = 2 * time.Second
--- a/operate/e2e/hop_bench_test.go
+++ b/operate/e2e/hop_bench_test.go
@@ -17,9 +17,9 @@
 	"github.com/azurethread/azurethread/decide/fleet"
 )
 
-// hopTarget answers every request with n bytes and never limits anything, so
-// that the benchmarks see the hop alone.
-func hopTarget(b *testing.B, n int) string {
+// startHopTarget starts a target that answers every request with n bytes, without
+// any limits, so that the benchmarks measure only the additional hop.
+func startHopTarget(b *testing.B, n int) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
@@ -35,10 +35,10 @@
 	return ln.Addr().String()
 }
 
-// BenchmarkHop compares a call straight to the target with one through an
-// entry VM, at the same number of connections and in the same run.
+// BenchmarkHop compares direct calls to a target with calls through an entry VM,
+// with the same number of connections and in the same run.
 func BenchmarkHop(b *testing.B) {
-	addr := hopTarget(b, 128)
+	addr := startHopTarget(b, 128)
 	e := startEntry(b, entryOptions{
 		targets:  []fleet.Target{{ID: "t1", Service: "calc", Addr: addr, Slots: 1024, Connections: 4096}},
 		services: []catalogue.Service{{Name: "calc", Idempotent: true, Priority: catalogue.Interactive}},
@@ -53,8 +53,8 @@
 	}
 }
 
-// runCallers issues b.N requests over callers connections and reports the
-// median and p99.
+// runCallers sends b.N requests over the given number of connections and
+// reports the median and p99 of their durations.
 func runCallers(b *testing.B, callers int, url string) {
 	b.ReportAllocs()
 	tr := &http.Transport{MaxIdleConnsPerHost: callers, MaxConnsPerHost: callers}
@@ -115,13 +115,13 @@
 	return nil
 }
 
-// BenchmarkIdleConnections reports the memory that 4,000 callers' idle
-// connections take, both ends of each being in this process.
+// BenchmarkIdleConnections reports the memory used by the idle connections of
+// 4,000 callers. Both ends of each are in this process.
 func BenchmarkIdleConnections(b *testing.B) {
 	const connections = 4000
 	e := startEntry(b, entryOptions{})
 	for range b.N {
-		before := heap()
+		before := heapInUse()
 		conns := make([]net.Conn, 0, connections)
 		for range connections {
 			c, err := net.Dial("tcp", e.CallAddr())
@@ -131,7 +131,7 @@
 			conns = append(conns, c)
 		}
 		waitFor(b, func() bool { return e.Connections() == connections })
-		b.ReportMetric(float64(heap()-before)/connections, "heap-bytes/conn")
+		b.ReportMetric(float64(heapInUse()-before)/connections, "heap-bytes/conn")
 		b.ReportMetric(float64(runtime.NumGoroutine()), "goroutines")
 		for _, c := range conns {
 			c.Close()
@@ -140,19 +140,19 @@
 	}
 }
 
-func heap() int64 {
+func heapInUse() int64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return int64(m.HeapInuse + m.StackInuse)
 }
 
-// BenchmarkLargeAnswers reports what 64 callers at once get of large answers,
-// straight from the target and through an entry VM in the same run.
+// BenchmarkLargeAnswers reports the throughput of large answers to 64 concurrent
+// callers, directly from the target and through an entry VM, in the same run.
 func BenchmarkLargeAnswers(b *testing.B) {
 	const callers = 64
 	for _, size := range []int{64 << 10, 8 << 20} {
-		addr := hopTarget(b, size)
+		addr := startHopTarget(b, size)
 		e := startEntry(b, entryOptions{
 			targets:  []fleet.Target{{ID: "t1", Service: "calc", Addr: addr, Slots: 1024, Connections: 4096}},
 			services: []catalogue.Service{{Name: "calc", Idempotent: true, Priority: catalogue.Interactive}},
@@ -168,9 +168,9 @@
 	}
 }
 
-// BenchmarkLookup reports look-ups over HTTP. Callers and entry VM share the
-// process, so lookups/core-s, by the processor time of both, understates what
-// the entry VM alone can do.
+// BenchmarkLookup reports the rate of look-ups over HTTP. Callers and entry VM
+// share the process, so lookups/core-s is based on the processor time of both
+// and understates the rate of the entry VM.
 func BenchmarkLookup(b *testing.B) {
 	e := startEntry(b, entryOptions{services: testServices()})
 	for _, c := range []struct {
--- a/operate/experiment/command.go
+++ b/operate/experiment/command.go
@@ -33,12 +33,12 @@
 	var s settings
 	c := &cobra.Command{
 		Use:   "experiment PATTERN...",
-		Short: "Play patterns of load and faults in the emulator and compare variants",
-		Long: `Experiment plays each pattern, a JSON file, with seeds 1 to N against the
-decisions of a whole fleet of entry VMs, on a clock of its own and without a
-network, once complete and once for each variant. The same seed gives the same
-play. The table holds the mean of the seeds and, for the worth, the distance
-between the largest and the smallest.
+		Short: "Run patterns of load and faults in the emulator and compare variants",
+		Long: `Experiment runs each pattern, a JSON file, with seeds 1 to N in the emulator: the
+decision code of a whole fleet of entry VMs, in simulated time and without a
+network. Each pattern is run once with all mechanisms and once for each variant.
+The same seed gives the same run. The table holds the mean over the seeds and,
+for the worth, the difference between the largest and the smallest value.
 
 Mechanisms: ` + strings.Join(ingress.MechanismNames(), ", ") + ".",
 		Args: cobra.MinimumNArgs(1),
@@ -47,24 +47,24 @@
 			if err != nil {
 				return &command.UsageError{Err: err}
 			}
-			return s.play(c, p)
+			return s.run(c, p)
 		},
 	}
 	f := c.Flags()
-	f.IntVar(&s.seeds, "seeds", 3, "seeds by which each variant is played")
-	f.IntVar(&s.jobs, "jobs", runtime.NumCPU()/2, "plays at a time")
-	f.StringSliceVar(&s.without, "without", nil, `mechanisms to switch off, one variant apiece; "each" for all`)
+	f.IntVar(&s.seeds, "seeds", 3, "number of seeds for each variant")
+	f.IntVar(&s.jobs, "jobs", runtime.NumCPU()/2, "runs at a time")
+	f.StringSliceVar(&s.without, "without", nil, `mechanisms to switch off, one variant each; "each" for all`)
 	f.StringVar(&s.json, "json", "", "file to write all results to")
 	f.StringVar(&s.svg, "svg", "", "file to write a plot of the worth over time to, of the first pattern")
 	return c
 }
 
-func (s *settings) play(c *cobra.Command, p *plan) error {
+func (s *settings) run(c *cobra.Command, p *plan) error {
 	outcomes := p.run(s.jobs, func(done, all int) {
-		fmt.Fprintf(c.ErrOrStderr(), "\r%d of %d plays", done, all)
+		fmt.Fprintf(c.ErrOrStderr(), "\r%d of %d runs", done, all)
 	})
 	fmt.Fprintln(c.ErrOrStderr())
-	table(c.OutOrStdout(), outcomes)
+	printTable(c.OutOrStdout(), outcomes)
 	if s.json != "" {
 		if err := writeJSON(s.json, outcomes); err != nil {
 			return err
@@ -76,17 +76,17 @@
 	return nil
 }
 
-func table(w io.Writer, outcomes []*outcome) {
+func printTable(w io.Writer, outcomes []*outcome) {
 	header := []any{"PATTERN", "VARIANT", "SPREAD"}
-	for _, f := range figures {
-		header = append(header, strings.ToUpper(f.title))
+	for _, c := range columns {
+		header = append(header, strings.ToUpper(c.title))
 	}
 	t := render.NewTable(w, header...)
 	for _, o := range outcomes {
-		_, spread := o.meanAndSpread(figures[0])
+		_, spread := o.meanAndSpread(columns[0])
 		row := []any{o.Pattern, o.Variant, fmt.Sprintf("%.4f", spread)}
-		for _, f := range figures {
-			mean, _ := o.meanAndSpread(f)
+		for _, c := range columns {
+			mean, _ := o.meanAndSpread(c)
 			row = append(row, fmt.Sprintf("%.4f", mean))
 		}
 		t.AppendRow(row)
@@ -105,8 +105,8 @@
 	return nil
 }
 
-// writeSVG draws the worth of each window, the mean of the seeds, a line for
-// each variant of the first pattern.
+// writeSVG plots the worth of each window, averaged over the seeds, with a line
+// for each variant of the first pattern.
 func writeSVG(path string, outcomes []*outcome) error {
 	p := plot.New()
 	p.Title.Text = outcomes[0].Pattern
@@ -127,7 +127,8 @@
 	return render.SVG(p, path)
 }
 
-// windows returns the worth by the second at which a window begins.
+// windows returns the mean worth of each window, by the second at which the
+// window begins.
 func (o *outcome) windows() plotter.XYs {
 	var points plotter.XYs
 	for i := range o.Plays[0].Windows {
--- a/operate/experiment/experiment.go
+++ b/operate/experiment/experiment.go
@@ -10,7 +10,7 @@
 	"github.com/azurethread/azurethread/decide/ingress"
 )
 
-// plan is a set of plays: each pattern by each variant and seed.
+// plan is a set of emulator runs: each pattern with each variant and seed.
 type plan struct {
 	patterns []*emulate.Pattern
 	variants []variant
@@ -23,11 +23,12 @@
 	without ingress.Mechanisms
 }
 
-// complete names the variant with everything on, which comes first.
+// complete is the name of the variant with all mechanisms on, which comes
+// first.
 const complete = "complete"
 
-// each stands for all mechanisms, one variant apiece.
-const each = "each"
+// allMechanisms selects one variant for each mechanism.
+const allMechanisms = "each"
 
 var errSeeds = errors.New("experiment: --seeds must be at least 1")
 
@@ -39,7 +40,7 @@
 	p := &plan{seeds: seeds, variants: []variant{{name: complete}}}
 	for _, name := range without {
 		names := []string{name}
-		if name == each {
+		if name == allMechanisms {
 			names = ingress.MechanismNames()
 		}
 		for _, n := range names {
@@ -73,50 +74,51 @@
 	return p, nil
 }
 
-// outcome is what the plays of one pattern and variant gave, by seed.
+// outcome holds the results of one pattern and variant, by seed.
 type outcome struct {
 	Pattern string            `json:"pattern"`
 	Variant string            `json:"variant"`
 	Plays   []*emulate.Result `json:"plays"`
 }
 
-// run plays everything, a few plays at a time, and reports each that has ended.
-func (p *plan) run(jobs int, ended func(done, all int)) []*outcome {
+// run makes all emulator runs, up to jobs at a time, and calls report after
+// each.
+func (p *plan) run(jobs int, report func(done, all int)) []*outcome {
 	var outcomes []*outcome
-	type play struct {
+	type emulatorRun struct {
 		pattern *emulate.Pattern
 		variant emulate.Variant
-		into    **emulate.Result
+		result  **emulate.Result
 	}
-	var plays []play
+	var runs []emulatorRun
 	for _, pattern := range p.patterns {
 		for _, v := range p.variants {
 			o := &outcome{Pattern: pattern.Name, Variant: v.name, Plays: make([]*emulate.Result, p.seeds)}
 			outcomes = append(outcomes, o)
 			for seed := range p.seeds {
-				plays = append(plays, play{
-					pattern: pattern, into: &o.Plays[seed],
-					variant: emulate.Variant{Seed: uint64(seed) + 1, Without: v.without},
+				runs = append(runs, emulatorRun{
+					pattern: pattern, result: &o.Plays[seed],
+					variant: emulate.Variant{Seed: uint64(seed) + 1, Disabled: v.without},
 				})
 			}
 		}
 	}
-	queue := make(chan play)
+	queue := make(chan emulatorRun)
 	var workers sync.WaitGroup
 	var mu sync.Mutex
 	done := 0
 	for range max(jobs, 1) {
 		workers.Go(func() {
 			for x := range queue {
-				*x.into = emulate.Run(x.pattern, x.variant)
+				*x.result = emulate.Run(x.pattern, x.variant)
 				mu.Lock()
 				done++
-				ended(done, len(plays))
+				report(done, len(runs))
 				mu.Unlock()
 			}
 		})
 	}
-	for _, x := range plays {
+	for _, x := range runs {
 		queue <- x
 	}
 	close(queue)
@@ -124,30 +126,30 @@
 	return outcomes
 }
 
-// figure is one column of the table.
-type figure struct {
+// column is one column of the table.
+type column struct {
 	title string
-	of    func(*emulate.Result) float64
+	value func(*emulate.Result) float64
 }
 
-var figures = []figure{
+var columns = []column{
 	{"worth", func(r *emulate.Result) float64 { return r.All.Worth() }},
 	{"worst windows", (*emulate.Result).WorstWindows},
 	{"worst domain", (*emulate.Result).WorstDomain},
 	{"worst kind", (*emulate.Result).WorstKind},
-	{"refused", func(r *emulate.Result) float64 { return part(r.All.Refused, r.All.Asked) }},
-	{"failed", func(r *emulate.Result) float64 { return part(r.All.Failed, r.All.Asked) }},
-	{"came back", func(r *emulate.Result) float64 { return part(r.Returned, r.All.Asked) }},
+	{"refused", func(r *emulate.Result) float64 { return ratio(r.All.Refused, r.All.Asked) }},
+	{"failed", func(r *emulate.Result) float64 { return ratio(r.All.Failed, r.All.Asked) }},
+	{"came back", func(r *emulate.Result) float64 { return ratio(r.Returned, r.All.Asked) }},
 }
 
-func part(n, of int) float64 { return float64(n) / float64(max(of, 1)) }
+func ratio(n, of int) float64 { return float64(n) / float64(max(of, 1)) }
 
-// meanAndSpread returns the mean of a figure, and the distance between its
-// largest and smallest value.
-func (o *outcome) meanAndSpread(f figure) (mean, spread float64) {
-	least, most := f.of(o.Plays[0]), f.of(o.Plays[0])
+// meanAndSpread returns the mean of a column over the seeds, and the difference
+// between its largest and smallest value.
+func (o *outcome) meanAndSpread(c column) (mean, spread float64) {
+	least, most := c.value(o.Plays[0]), c.value(o.Plays[0])
 	for _, r := range o.Plays {
-		v := f.of(r)
+		v := c.value(r)
 		mean += v / float64(len(o.Plays))
 		least, most = min(least, v), max(most, v)
 	}
--- a/operate/experiment/experiment_test.go
+++ b/operate/experiment/experiment_test.go
@@ -21,7 +21,7 @@
  "kinds": [{"name": "k", "service": "s", "share": 1, "idempotent": true, "aim_ms": 300, "patience_ms": 1000,
   "work_ms": 100, "warm_gain": 0.7, "objects": 20, "retries": 1, "worth": 1, "late_worth": 0.2}]}`
 
-// execute runs the command and returns what it has printed.
+// execute runs the command and returns its output.
 func execute(args ...string) (string, error) {
 	var b bytes.Buffer
 	root := command.New("test", Command())
@@ -32,7 +32,7 @@
 	return b.String(), err
 }
 
-func write(t *testing.T, text string) string {
+func writePattern(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "pattern.json")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -45,7 +45,7 @@
 	is := is.New(t)
 	dir := t.TempDir()
 	out, err := execute(
-		write(t, testPattern), "--seeds", "2", "--without", "recall,headroom",
+		writePattern(t, testPattern), "--seeds", "2", "--without", "recall,headroom",
 		"--json", filepath.Join(dir, "r.json"), "--svg", filepath.Join(dir, "r.svg"))
 	is.NoErr(err)
 	lines := strings.Split(strings.TrimSpace(out), "\n")
@@ -62,24 +62,24 @@
 	is.True(bytes.Contains(svg, []byte("<svg")))
 }
 
-// Symptom: a long experiment is played with a setting that was not meant.
-// Sequence: a misspelt mechanism, no seed, a pattern with an unknown field.
-// Cause: what was not understood was left out.
-func TestBadSettingsAreNamed(t *testing.T) {
+// A misspelt mechanism, zero seeds, an unknown field of a pattern or a missing
+// file must be reported. If they were ignored, a long experiment would run with
+// settings that were not intended.
+func TestInvalidSettingsAreNamed(t *testing.T) {
 	for name, c := range map[string]struct {
 		args []string
-		say  string
+		want string
 	}{
-		"mechanism": {[]string{write(t, testPattern), "--without", "recal"}, "recal"},
-		"seeds":     {[]string{write(t, testPattern), "--seeds", "0"}, "--seeds"},
-		"field":     {[]string{write(t, strings.Replace(testPattern, `"seconds"`, `"secs"`, 1))}, "secs"},
+		"mechanism": {[]string{writePattern(t, testPattern), "--without", "recal"}, "recal"},
+		"seeds":     {[]string{writePattern(t, testPattern), "--seeds", "0"}, "--seeds"},
+		"field":     {[]string{writePattern(t, strings.Replace(testPattern, `"seconds"`, `"secs"`, 1))}, "secs"},
 		"file":      {[]string{filepath.Join(t.TempDir(), "none.json")}, "none.json"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			_, err := execute(c.args...)
 			is.Equal(command.ExitCode(err), command.ExitUsage)
-			is.True(strings.Contains(err.Error(), c.say))
+			is.True(strings.Contains(err.Error(), c.want))
 		})
 	}
 }
--- a/operate/explain/explain_test.go
+++ b/operate/explain/explain_test.go
@@ -21,7 +21,7 @@
 {"event":"request", cut short
 `
 
-func TestJoinsWhatBearsOnTheRequest(t *testing.T) {
+func TestReadSelectsRelevantLines(t *testing.T) {
 	is := is.New(t)
 	r, err := Read("r1", strings.NewReader(testLogs))
 	is.NoErr(err)
@@ -30,14 +30,14 @@
 	for _, l := range r.Lines {
 		got = append(got, l.VM+" "+l.Event)
 	}
-	// Not vm-a's store, not another target, and nothing from after the end.
+	// Excluded: the store of vm-a, other targets, and lines after the end.
 	is.Equal(got, []string{"vm-a target", "vm-b store", "vm-b request"})
 	var b bytes.Buffer
 	Print(&b, r)
 	is.True(strings.Contains(b.String(), "after 3 ms to t1"))
 }
 
-func TestRefusedWithoutASend(t *testing.T) {
+func TestReadRefusedRequest(t *testing.T) {
 	is := is.New(t)
 	r, err := Read("r2", strings.NewReader(testLogs))
 	is.NoErr(err)
@@ -46,11 +46,10 @@
 	is.True(errors.Is(err, ErrNotFound))
 }
 
-// Symptom: a request was lost with its target, and nothing says that the target
-// had left.
-// Sequence: many targets leave at once, in one line for all of them.
-// Cause: lines were matched by the one target that they name.
-func TestJoinsALineAboutManyTargets(t *testing.T) {
+// When many targets leave at once, one line names all of them. It must be part
+// of the report on a request that was lost with one of these targets. Matching
+// only a line's single target field would miss it.
+func TestReadIncludesLineAboutManyTargets(t *testing.T) {
 	is := is.New(t)
 	logs := strings.Replace(testLogs, `{"event":"target","level":"info","msg":"ejected","target":"t9"`,
 		`{"event":"target","level":"info","msg":"registrations changed","gone":2,"gone_targets":["t8","t1"],"draining_targets":null`, 1)
@@ -59,12 +58,12 @@
 	is.Equal(r.Lines[2].Text, "registrations changed")
 }
 
-// The caller of a request that is kept away complains, and the lines that say
-// why are hours old.
-func TestJoinsTheQuarantineOfARefusedRequest(t *testing.T) {
+// A request may be refused because of a quarantine that began hours before; the
+// report must include the line about it.
+func TestReadIncludesQuarantineOfRefusedRequest(t *testing.T) {
 	is := is.New(t)
-	logs := `vm-a {"event":"quarantine","level":"warning","msg":"request is kept away from targets, as it ends them","fingerprint":"f1","route":"r","time":"2026-01-01T00:00:01Z"}
-vm-a {"event":"quarantine","level":"warning","msg":"request is kept away from targets, as it ends them","fingerprint":"f2","route":"r","time":"2026-01-01T00:00:01Z"}
+	logs := `vm-a {"event":"quarantine","level":"warning","msg":"request quarantined: it is not sent to targets because it crashes them","fingerprint":"f1","route":"r","time":"2026-01-01T00:00:01Z"}
+vm-a {"event":"quarantine","level":"warning","msg":"request quarantined: it is not sent to targets because it crashes them","fingerprint":"f2","route":"r","time":"2026-01-01T00:00:01Z"}
 vm-b {"event":"request","request":"r1","vm":"vm-b","msg":"answered by this entry VM","status":503,"verdict":"not-run","reason":"quarantined","fingerprint":"f1","sends":null,"time":"2026-01-01T05:00:00Z"}
 `
 	r, err := Read("r1", strings.NewReader(logs))
--- a/serve/admin/admintest/memory.go
+++ b/serve/admin/admintest/memory.go
@@ -1,5 +1,5 @@
-// Package admintest holds an in-memory catalogue behind the interfaces of
-// package admin, for tests of the API and of its clients.
+// Package admintest implements the interfaces of package admin with an in-memory
+// catalogue, for tests of the API and its clients.
 package admintest
 
 import (
@@ -16,49 +16,49 @@
 	"github.com/azurethread/azurethread/serve/admin"
 )
 
-// Memory is a Changer, Settler and Viewer over one catalogue in memory. Its
+// Memory is a Changer, OutcomeFinder and Viewer for one catalogue in memory. Its
 // fields may be set before use; afterwards call Update.
 type Memory struct {
-	// Now is the instant of every change.
+	// Now is the time of every change.
 	Now time.Time
-	// Lose makes the answers of changes get lost after they were made.
-	Lose bool
-	// Down makes the platform unreachable: changes fail with not-run.
-	Down bool
-	// Silent makes questions about operations fail.
-	Silent bool
+	// LoseAnswers makes changes succeed but return an error as if the answer were lost.
+	LoseAnswers bool
+	// PlatformDown simulates an unreachable platform: changes fail with not-run.
+	PlatformDown bool
+	// FailOutcomes makes queries for outcomes fail.
+	FailOutcomes bool
 	// Lagging are the entry VMs that never apply a revision.
 	Lagging []fleet.VMID
 
-	mu   sync.Mutex
-	cat  *catalogue.Catalogue
-	made map[string]uint64 // revision by operation id
+	mu        sync.Mutex
+	cat       *catalogue.Catalogue
+	revisions map[string]uint64 // revision by operation id
 }
 
 // New returns a Memory that holds an empty catalogue.
 func New() *Memory {
 	return &Memory{
-		Now:  time.Date(2026, 3, 1, 22, 0, 0, 0, time.UTC),
-		cat:  &catalogue.Catalogue{},
-		made: make(map[string]uint64),
+		Now:       time.Date(2026, 3, 1, 22, 0, 0, 0, time.UTC),
+		cat:       &catalogue.Catalogue{},
+		revisions: make(map[string]uint64),
 	}
 }
 
-// Update changes the switches of m while it is in use.
+// Update changes the fields of m while it is in use.
 func (m *Memory) Update(set func(*Memory)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	set(m)
 }
 
-// Forget drops the catalogue, as of an entry VM that has just started.
-func (m *Memory) Forget() { m.cat = nil }
+// ClearCatalogue removes the catalogue, as at an entry VM that has just started.
+func (m *Memory) ClearCatalogue() { m.cat = nil }
 
 // Change implements admin.Changer.
 func (m *Memory) Change(_ context.Context, op change.Operation) (admin.Accepted, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.Down {
+	if m.PlatformDown {
 		return admin.Accepted{}, &verdict.Error{Verdict: verdict.NotRun, Reason: verdict.ReasonConnect}
 	}
 	next, err := change.Apply(*m.cat, op, clock.FromWall(m.Now))
@@ -66,21 +66,21 @@
 		return admin.Accepted{}, err
 	}
 	m.cat = &next
-	m.made[op.ID] = next.Revision
-	if m.Lose {
+	m.revisions[op.ID] = next.Revision
+	if m.LoseAnswers {
 		return admin.Accepted{}, &verdict.Error{Verdict: verdict.MayHaveRun, Reason: verdict.ReasonConnectionLost}
 	}
 	return admin.Accepted{Operation: op.ID, Revision: next.Revision, Settled: true}, nil
 }
 
-// Settle implements admin.Settler.
-func (m *Memory) Settle(_ context.Context, operation string) (admin.Outcome, error) {
+// FindOutcome implements admin.OutcomeFinder.
+func (m *Memory) FindOutcome(_ context.Context, operation string) (admin.Outcome, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.Silent {
+	if m.FailOutcomes {
 		return admin.Outcome{}, &verdict.Error{Verdict: verdict.NotRun, Reason: verdict.ReasonConnect, Err: errors.New("platform is silent")}
 	}
-	if r, ok := m.made[operation]; ok {
+	if r, ok := m.revisions[operation]; ok {
 		return admin.Outcome{Operation: operation, Verdict: verdict.Ran, Revision: r}, nil
 	}
 	return admin.Outcome{Operation: operation, Verdict: verdict.NotRun}, nil
--- a/serve/core/core_test.go
+++ b/serve/core/core_test.go
@@ -17,19 +17,18 @@
 	return c
 }
 
-// Symptom: the race detector reports what a page of the administration
-// interface is filled with; or the page mixes two moments.
-// Sequence: a question waits behind a step, the core is closed, the asker is
-// told so, and then the step ends.
-// Cause: a closed core still ran the questions in its queue, into variables
-// that their askers had taken back.
-func TestAskAfterClose(t *testing.T) {
+// Guards against a data race on the variables that a query fills for a page of
+// the administration interface, or a page with values from two points in time. A
+// query waits behind a step, the core is closed, Query returns false, and then
+// the step ends: a closed core must not run the queries in its queue, as their
+// callers use the variables again.
+func TestQueryAfterClose(t *testing.T) {
 	is := is.New(t)
 	stepping, proceed, ended := make(chan struct{}), make(chan struct{}), make(chan struct{})
 	c := testCore(t, func() {})
 	go func() {
 		defer close(ended)
-		c.Ask(func(clock.Time, int) {
+		c.Query(func(clock.Time, int) {
 			close(stepping)
 			<-proceed
 		})
@@ -37,7 +36,7 @@
 	<-stepping
 	var ran bool
 	asked := make(chan bool)
-	go func() { asked <- c.Ask(func(clock.Time, int) { ran = true }) }()
+	go func() { asked <- c.Query(func(clock.Time, int) { ran = true }) }()
 	for queued := 0; queued == 0; {
 		time.Sleep(time.Millisecond)
 		c.mu.Lock()
@@ -51,11 +50,10 @@
 	is.Equal(ran, false)
 }
 
-// Symptom: an entry VM accepts requests and answers none, without a word in
-// its log.
-// Sequence: a step panics on a poller's goroutine.
-// Cause: nbio recovers panics of its handlers, and the core was left marked as
-// running, so that every later event was only queued.
+// Guards against an entry VM that accepts requests and answers none, without a
+// log line. A step panics on a poller's goroutine, and nbio recovers the panic:
+// the core would stay marked as running, so that every later event would only
+// be queued.
 func TestPanicEndsTheProcess(t *testing.T) {
 	is := is.New(t)
 	c := testCore(t, func() { panic("defect") })
--- a/serve/daemon/admin.go
+++ b/serve/daemon/admin.go
@@ -12,15 +12,15 @@
 	"github.com/azurethread/azurethread/serve/inbound"
 )
 
-// adminBodySlack is added to the administration API's own bound on bodies, so
-// that its answer to a larger one, with the field's name, goes out.
+// adminBodySlack is added to the body limit of the administration API, so that
+// the API itself answers a slightly larger body with its own JSON error.
 const adminBodySlack = 64 << 10
 
-// provisionAdmin starts the administration interface. It is served by package
-// inbound as well: nbhttp's own server closes a connection with answers still
-// queued, and buffers bodies of anybody up to 64 MiB.
+// provisionAdmin starts the administration interface. It uses package inbound
+// rather than nbhttp's server, which closes a connection with answers still
+// queued and buffers bodies of up to 64 MiB from unauthenticated clients.
 func (d *Daemon) provisionAdmin() error {
-	operators, err := admin.ParseOperators(d.set.Operators)
+	operators, err := admin.ParseOperators(d.settings.Operators)
 	if err != nil {
 		return err
 	}
@@ -28,21 +28,21 @@
 	mux.HandleFunc("GET /debug/vars", d.serveVars)
 	mux.Handle(admin.Prefix, admin.New(admin.Config{
 		Changer:        changer{d},
-		Settler:        changer{d},
+		OutcomeFinder:  changer{d},
 		Viewer:         viewer{d},
 		Operators:      operators,
 		Auditor:        admin.LogAuditor{Log: d.log},
 		NewOperationID: uuid.NewString,
 		Stopping:       d.ctx.Done(),
 	}))
-	d.admin, err = inbound.Listen(d.set.AdminAddr, inbound.Options{
+	d.admin, err = inbound.Listen(d.settings.AdminAddr, inbound.Options{
 		Limits: inbound.Limits{
-			HeadBytes:   d.set.MaxHeadBytes,
+			HeadBytes:   d.settings.MaxHeadBytes,
 			BodyBytes:   admin.MaxBody + adminBodySlack,
-			ReadTimeout: d.set.ReadTimeout,
-			IdleTimeout: d.set.IdleTimeout,
+			ReadTimeout: d.settings.ReadTimeout,
+			IdleTimeout: d.settings.IdleTimeout,
 		},
-		WriteTimeout: d.set.WriteTimeout,
+		WriteTimeout: d.settings.WriteTimeout,
 		Pollers:      1,
 		Refusal:      refusalByStatus,
 	})
@@ -50,13 +50,13 @@
 		return err
 	}
 	d.adminAddr = d.admin.Addr()
-	d.adminPages = inbound.Standard(mux, func(v any) {
-		d.log.WithField("panic", v).WithField("stack", string(debug.Stack())).Error("administration page failed")
+	d.adminPages = inbound.FromHTTPHandler(mux, func(v any) {
+		d.log.WithField("panic", v).WithField("stack", string(debug.Stack())).Error("administration handler panicked")
 	})
 	return nil
 }
 
-// serveVars serves the daemon's metrics in expvar's form.
+// serveVars serves the daemon's metrics as JSON in the format of expvar.
 func (d *Daemon) serveVars(w http.ResponseWriter, _ *http.Request) {
 	b := []byte(d.metrics.vars.String())
 	if !json.Valid(b) {
--- a/serve/daemon/attempt.go
+++ b/serve/daemon/attempt.go
@@ -12,67 +12,68 @@
 	"github.com/azurethread/azurethread/serve/outbound"
 )
 
-// attempt is one send or forward of a call.
+// attempt is one send of a call to a target or to another entry VM.
 type attempt struct {
-	id     dispatch.AttemptID
-	addr   string
-	remote bool // to an entry VM, not to a target
-	k      *outbound.Call
-	answer *outbound.Answer
-	span   span
+	id           dispatch.AttemptID
+	addr         string
+	toEntryVM    bool // the receiver is an entry VM, not a target
+	outboundCall *outbound.Call
+	answer       *outbound.Answer
+	span         span
 }
 
-// send hands a call to a target.
-func (d *Daemon) send(now clock.Time, s dispatch.Send) {
+// sendToTarget sends a call to a target.
+func (d *Daemon) sendToTarget(now clock.Time, s dispatch.Send) {
 	t, known := d.targets[s.Target]
 	c := d.calls.get(s.Req)
 	if c == nil || !known {
-		d.notSent(s.Req, s.Attempt)
+		d.reportNotSent(s.Req, s.Attempt)
 		return
 	}
 	a := &attempt{id: s.Attempt, addr: t.Addr}
 	a.span = c.span.child("target " + string(s.Target))
 	r := c.req
 	r.Header = c.req.Header.Clone()
-	r.Header[headerDeadline] = []string{left(s.Deadline, now)}
+	r.Header[headerDeadline] = []string{remainingMillis(s.Deadline, now)}
 	delete(r.Header, headerToken)
 	delete(r.Header, headerHops)
 	delete(r.Header, headerWait)
 	delete(r.Header, headerClient)
-	r.Fresh = s.Fresh
+	r.NewConnection = s.NewConnection
 	a.span.inject(r.Header)
-	d.start(c, a, &r)
+	d.startAttempt(c, a, &r)
 }
 
-// forward hands a call to an entry VM elsewhere, with a token that only that
-// process admits, so that this hop has the same protection as a caller's.
-func (d *Daemon) forward(now clock.Time, f dispatch.Forward) {
+// forwardToVM forwards a call to another entry VM, with a new token that only
+// that process accepts, so that this hop is protected against repetition like a
+// request from a caller.
+func (d *Daemon) forwardToVM(now clock.Time, f dispatch.Forward) {
 	vm, known := d.vms[f.VM]
 	c := d.calls.get(f.Req)
 	if c == nil || !known {
-		d.notSent(f.Req, f.Attempt)
+		d.reportNotSent(f.Req, f.Attempt)
 		return
 	}
-	a := &attempt{id: f.Attempt, addr: vm.CallAddr, remote: true}
+	a := &attempt{id: f.Attempt, addr: vm.CallAddr, toEntryVM: true}
 	a.span = c.span.child("entry VM " + string(f.VM))
 	r := c.req
 	r.URI = pathCall + string(c.service) + c.req.URI
 	r.Header = c.req.Header.Clone()
-	r.Header[headerDeadline] = []string{left(f.Deadline, now)}
+	r.Header[headerDeadline] = []string{remainingMillis(f.Deadline, now)}
 	r.Header[headerHops] = []string{"1"}
 	r.Header[headerWait] = []string{strconv.FormatInt(f.ExpectedWait.Milliseconds(), 10)}
-	r.Header[headerClient] = []string{c.client.text()}
-	r.Header[headerToken] = []string{d.mint(vm, now)}
+	r.Header[headerClient] = []string{c.client.encode()}
+	r.Header[headerToken] = []string{d.mintToken(vm, now)}
 	a.span.inject(r.Header)
 	d.metrics.forwarded.Add(1)
-	d.start(c, a, &r)
+	d.startAttempt(c, a, &r)
 }
 
-// start begins an attempt unless the call has ended meanwhile.
-func (d *Daemon) start(c *call, a *attempt, r *outbound.Request) {
-	if !c.add(a) {
+// startAttempt starts an attempt unless the call has finished in the meantime.
+func (d *Daemon) startAttempt(c *call, a *attempt, r *outbound.Request) {
+	if !c.addAttempt(a) {
 		a.span.end(verdict.NotRun, verdict.ReasonCallerGone)
-		d.notSent(c.id, a.id)
+		d.reportNotSent(c.id, a.id)
 		return
 	}
 	d.metrics.attempts.Add(1)
@@ -80,27 +81,27 @@
 		d.attemptDone(c, a, ans, err)
 	})
 	c.mu.Lock()
-	a.k = k
+	a.outboundCall = k
 	c.mu.Unlock()
 }
 
-// notSent reports an attempt of which nothing was handed to a connection.
-func (d *Daemon) notSent(r dispatch.RequestID, a dispatch.AttemptID) {
+// reportNotSent reports an attempt of which nothing was written to a connection.
+func (d *Daemon) reportNotSent(r dispatch.RequestID, a dispatch.AttemptID) {
 	d.core.Post(&dispatch.Failed{Req: r, Attempt: a, Verdict: verdict.NotRun, Reason: verdict.ReasonNoTarget})
 }
 
-// attemptDone turns the outcome of an attempt into an event.
+// attemptDone posts the outcome of an attempt as an event.
 func (d *Daemon) attemptDone(c *call, a *attempt, ans *outbound.Answer, err *verdict.Error) {
-	defer d.calls.ended(c)
+	defer d.calls.attemptEnded(c)
 	if err == nil {
-		err = refusedBy(ans, a.remote)
+		err = parseRefusal(ans, a.toEntryVM)
 	}
 	if err != nil {
 		a.span.end(err.Verdict, err.Reason)
 		d.core.Post(&dispatch.Failed{
 			Req: c.id, Attempt: a.id,
 			Verdict: err.Verdict, Reason: err.Reason,
-			RetryAfter: retryAfter(ans),
+			RetryAfter: parseRetryAfter(ans),
 		})
 		return
 	}
@@ -108,43 +109,43 @@
 	c.mu.Lock()
 	a.answer = ans
 	c.mu.Unlock()
-	d.core.Post(&dispatch.Answered{Req: c.id, Attempt: a.id, Status: ans.Status, Load: loadOf(ans.Header)})
+	d.core.Post(&dispatch.Answered{Req: c.id, Attempt: a.id, Status: ans.Status, Load: parseLoad(ans.Header)})
 }
 
-// refusedBy reads an answer that is the receiver's word on a request that it
-// did not answer in substance. A target says so by headerRefused; an entry VM
-// states its verdict and reason.
-func refusedBy(a *outbound.Answer, remote bool) *verdict.Error {
-	if remote {
-		return heads.Failure(a.Header)
+// parseRefusal returns the error that an answer reports, or nil if the answer is
+// a result. A target marks a refused request with headerRefused; an entry VM
+// sends its verdict and reason.
+func parseRefusal(a *outbound.Answer, fromEntryVM bool) *verdict.Error {
+	if fromEntryVM {
+		return heads.ParseFailure(a.Header)
 	}
 	if a.Header.Get(headerRefused) != verdict.NotRun.String() {
 		return nil
 	}
-	reason := verdict.ReasonShed
+	reason := verdict.ReasonTargetRefused
 	if a.Header.Get(headerReason) == string(verdict.ReasonStopping) {
 		reason = verdict.ReasonStopping
 	}
 	return &verdict.Error{Verdict: verdict.NotRun, Reason: reason}
 }
 
-// retryAfter reads the wait that a refusal asks for.
-func retryAfter(a *outbound.Answer) time.Duration {
+// parseRetryAfter returns the delay that a refusal asks for; 0 if it names none.
+func parseRetryAfter(a *outbound.Answer) time.Duration {
 	if a == nil {
 		return 0
 	}
 	if ms, err := strconv.ParseInt(a.Header.Get(headerRetryMs), 10, 64); err == nil && ms > 0 {
-		return time.Duration(min(ms, heads.MaxWait.Milliseconds())) * time.Millisecond
+		return time.Duration(min(ms, heads.MaxDuration.Milliseconds())) * time.Millisecond
 	}
 	s, err := strconv.ParseInt(a.Header.Get(headerRetry), 10, 64)
 	if err != nil || s < 0 {
 		return 0
 	}
-	return time.Duration(min(s, int64(heads.MaxWait/time.Second))) * time.Second
+	return time.Duration(min(s, int64(heads.MaxDuration/time.Second))) * time.Second
 }
 
-// loadOf reads the load that a target may state with its answer.
-func loadOf(h http.Header) *dispatch.LoadHint {
+// parseLoad returns the load that a target may report with its answer.
+func parseLoad(h http.Header) *dispatch.LoadHint {
 	v := h.Get(headerLoad)
 	if v == "" {
 		return nil
@@ -163,30 +164,30 @@
 	return nil
 }
 
-// cancelAttempt ends an attempt.
+// cancelAttempt cancels an attempt that is under way.
 func (d *Daemon) cancelAttempt(k dispatch.Cancel) {
 	c := d.calls.get(k.Req)
 	if c == nil {
 		return
 	}
-	a := c.find(k.Attempt)
+	a := c.findAttempt(k.Attempt)
 	if a == nil {
 		return
 	}
 	reason := verdict.ReasonCallerGone
 	if k.Replace {
 		reason = verdict.ReasonSilent
-		d.metrics.replaced.Add(1)
-		d.pool.Discard(a.addr, suspectIdle)
+		d.metrics.connectionsReplaced.Add(1)
+		d.pool.CloseIdle(a.addr, minSuspectIdle)
 	}
 	c.mu.Lock()
-	h := a.k
+	h := a.outboundCall
 	c.mu.Unlock()
 	if h != nil {
 		h.Cancel(reason)
 	}
 }
 
-// suspectIdle is how long a free connection must have carried nothing to be
-// discarded together with a silent one to the same receiver.
-const suspectIdle = 100 * time.Millisecond
+// minSuspectIdle is how long a free connection must have been idle to be closed
+// together with a silent connection to the same receiver.
+const minSuspectIdle = 100 * time.Millisecond
--- a/serve/daemon/daemon.go
+++ b/serve/daemon/daemon.go
@@ -27,19 +27,19 @@
 	"github.com/azurethread/azurethread/serve/store"
 )
 
-// Platform is what the daemon needs of the platform.
+// Platform is the part of the platform's API that the daemon uses.
 type Platform interface {
 	platform.Store
 	platform.Machines
 }
 
-// Daemon is one entry VM.
+// Daemon is the process of one entry VM.
 type Daemon struct {
-	set      *settings.Settings
-	log      *logrus.Entry
-	platform Platform
-	self     fleet.VM
-	epoch    epoch
+	settings  *settings.Settings
+	log       *logrus.Entry
+	platform  Platform
+	self      fleet.VM
+	monotonic monotonicClock
 
 	core    *Core
 	calls   calls
@@ -56,64 +56,64 @@
 	config  atomic.Pointer[catalogue.Catalogue]
 	leaving atomic.Bool
 
-	superseded     chan struct{} // closed when another process runs under this id
+	superseded     chan struct{} // closed when a newer process uses this id
 	supersededOnce sync.Once
 	minters        sync.Pool
 
-	// Addresses, touched only between steps of the core.
+	// Addresses, used only by the goroutine that is running the core.
 	targets map[fleet.TargetID]fleet.Target
 	vms     map[fleet.VMID]fleet.VM
 
-	blocks     *engine.Blocks // nil without a table
-	reader     *store.Reader
-	writer     *store.Writer
-	platformUp atomic.Bool
-	watching   atomic.Bool // the platform's machine list
-	listed     atomic.Bool // a machine list is in force
-	eligible   atomic.Bool // may try for the lease of the shift runner
+	blocks            *engine.BlockTableLoaded // nil if no file is configured
+	reader            *store.Reader
+	writer            *store.Writer
+	platformReachable atomic.Bool
+	watchesMachines   atomic.Bool // watches the platform's machine list
+	hasMachineList    atomic.Bool // a machine list has been received
+	eligible          atomic.Bool // may acquire the lease of the shift runner
 
 	adminPages inbound.Handler
 
-	peerAddr  string
-	adminAddr string
-	ctx       context.Context // ends when the daemon stops
-	cancel    context.CancelFunc
-	loops     loops
-	cleaned   sync.Once
+	peerAddr    string
+	adminAddr   string
+	ctx         context.Context // ends when the daemon stops
+	cancel      context.CancelFunc
+	tasks       taskGroup
+	cleanupOnce sync.Once
 }
 
-// epoch turns the monotonic clock into instants that never fall.
-type epoch struct {
-	wall clock.Time
-	at   time.Time
+// monotonicClock returns wall-clock times that never decrease.
+type monotonicClock struct {
+	base    clock.Time
+	started time.Time
 }
 
-func newEpoch() epoch {
+func newMonotonicClock() monotonicClock {
 	t := time.Now()
-	return epoch{wall: clock.FromWall(t), at: t}
+	return monotonicClock{base: clock.FromWall(t), started: t}
 }
 
-func (e epoch) now() clock.Time { return e.wall.Add(time.Since(e.at)) }
+func (m monotonicClock) now() clock.Time { return m.base.Add(time.Since(m.started)) }
 
-func (d *Daemon) now() clock.Time { return d.epoch.now() }
+func (d *Daemon) now() clock.Time { return d.monotonic.now() }
 
-// Option changes how a daemon is set up, for tests.
+// Option changes the set-up of a daemon in tests.
 type Option func(*Daemon)
 
-// WithLink puts l on the way of frames to other entry VMs.
+// WithLink passes frames to other entry VMs through l.
 func WithLink(l peer.Link) Option { return func(d *Daemon) { d.link = l } }
 
-// Start provisions a daemon and begins to serve. Nothing is left running when
-// it returns an error.
+// Start sets up a daemon and starts to serve. If it returns an error, nothing is
+// left running.
 func Start(set *settings.Settings, p Platform, log *logrus.Logger, opts ...Option) (*Daemon, error) {
 	d := &Daemon{
-		set:      set,
-		log:      log.WithField("vm", set.ID),
-		platform: p,
-		epoch:    newEpoch(),
-		metrics:  newMetrics(),
-		targets:  make(map[fleet.TargetID]fleet.Target),
-		vms:      make(map[fleet.VMID]fleet.VM),
+		settings:  set,
+		log:       log.WithField("vm", set.ID),
+		platform:  p,
+		monotonic: newMonotonicClock(),
+		metrics:   newMetrics(),
+		targets:   make(map[fleet.TargetID]fleet.Target),
+		vms:       make(map[fleet.VMID]fleet.VM),
 	}
 	for _, o := range opts {
 		o(d)
@@ -139,7 +139,7 @@
 	if err := d.loadBlocks(); err != nil {
 		return err
 	}
-	if d.tracer, err = newTracer(d.set.TraceExporter, d.set.TraceSample); err != nil {
+	if d.tracer, err = newTracer(d.settings.TraceExporter, d.settings.TraceSample); err != nil {
 		return err
 	}
 	if err := d.provisionPool(); err != nil {
@@ -155,9 +155,9 @@
 	if err := d.provisionPeers(inc); err != nil {
 		return fmt.Errorf("daemon: --peer-addr: %w", err)
 	}
-	d.self = d.describe(inc)
+	d.self = d.describeSelf(inc)
 	d.newCore()
-	d.expose()
+	d.registerMetrics()
 	d.started.Store(true)
 	return nil
 }
@@ -165,10 +165,10 @@
 func (d *Daemon) provisionPool() error {
 	var err error
 	d.pool, err = outbound.NewPool(outbound.Options{
-		DialTimeout:    d.set.DialTimeout,
-		IdleTimeout:    outboundIdle,
-		MaxAnswerBytes: d.set.MaxAnswerBytes,
-		Pollers:        d.set.Pollers,
+		DialTimeout:    d.settings.DialTimeout,
+		IdleTimeout:    targetIdleTimeout,
+		MaxAnswerBytes: d.settings.MaxAnswerBytes,
+		Pollers:        d.settings.Pollers,
 		Now:            d.now,
 		Dial:           net.DialTimeout,
 	})
@@ -177,42 +177,43 @@
 
 func (d *Daemon) provisionCallers() error {
 	var err error
-	d.callers, err = inbound.Listen(d.set.CallAddr, inbound.Options{
+	d.callers, err = inbound.Listen(d.settings.CallAddr, inbound.Options{
 		Limits: inbound.Limits{
-			HeadBytes:   d.set.MaxHeadBytes,
-			BodyBytes:   d.set.MaxBodyBytes,
-			ReadTimeout: d.set.ReadTimeout,
-			IdleTimeout: d.set.IdleTimeout,
+			HeadBytes:   d.settings.MaxHeadBytes,
+			BodyBytes:   d.settings.MaxBodyBytes,
+			ReadTimeout: d.settings.ReadTimeout,
+			IdleTimeout: d.settings.IdleTimeout,
 		},
-		WriteTimeout: d.set.WriteTimeout,
-		Pollers:      d.set.Pollers,
+		WriteTimeout: d.settings.WriteTimeout,
+		Pollers:      d.settings.Pollers,
 		Refusal:      refusalByStatus,
-		Known:        hasToken,
+		MayBeRepeat:  hasToken,
 	})
 	return err
 }
 
-// outboundIdle is how long a free connection to a target is kept. It is
-// shorter than the idle timeouts usual at servers, so that the target seldom
-// closes a connection just as a request is written to it.
-const outboundIdle = 15 * time.Second
+// targetIdleTimeout is how long an idle connection to a target is kept. It is
+// shorter than the usual idle timeouts of servers, so that a target rarely
+// closes a connection while a request is being written to it.
+const targetIdleTimeout = 15 * time.Second
 
-// describe returns this entry VM as others are to know it. The incarnation is
-// the start's wall clock: a restart takes a higher one without any store.
-func (d *Daemon) describe(inc fleet.Incarnation) fleet.VM {
+// describeSelf returns this entry VM as advertised to others. The incarnation is
+// the wall-clock time of the start, so a restart gets a higher one without
+// stored state.
+func (d *Daemon) describeSelf(inc fleet.Incarnation) fleet.VM {
 	return fleet.VM{
-		ID:          d.set.ID,
-		Region:      d.set.Region,
-		Domain:      d.set.Domain,
-		Site:        d.set.Site,
-		CallAddr:    orElse(d.set.CallAdvertise, d.callers.Addr()),
-		PeerAddr:    orElse(d.set.PeerAdvertise, d.peerAddr),
-		AdminAddr:   orElse(d.set.AdminAdvertise, d.adminAddr),
+		ID:          d.settings.ID,
+		Region:      d.settings.Region,
+		Domain:      d.settings.Domain,
+		Site:        d.settings.Site,
+		CallAddr:    valueOrDefault(d.settings.CallAdvertise, d.callers.Addr()),
+		PeerAddr:    valueOrDefault(d.settings.PeerAdvertise, d.peerAddr),
+		AdminAddr:   valueOrDefault(d.settings.AdminAdvertise, d.adminAddr),
 		Incarnation: inc,
 	}
 }
 
-func orElse(v, def string) string {
+func valueOrDefault(v, def string) string {
 	if v != "" {
 		return v
 	}
@@ -220,47 +221,47 @@
 }
 
 func (d *Daemon) newCore() {
-	seed := d.set.Seed
+	seed := d.settings.Seed
 	if seed == 0 {
 		seed = uint64(d.now())
 	}
 	eng := engine.New(engine.Options{
 		Self:     d.self,
-		FleetKey: []byte(d.set.FleetKey),
+		FleetKey: []byte(d.settings.FleetKey),
 		Seed:     seed,
 		Now:      d.now(),
-		Dispatch: dispatch.Options{Policy: d.set.Policy},
-		Member:   member.Options{Seeds: d.set.Seeds},
-		NearRTT:  d.set.NearRTT,
-		FarRTT:   d.set.FarRTT,
+		Dispatch: dispatch.Options{Policy: d.settings.Policy},
+		Member:   member.Options{Seeds: d.settings.Seeds},
+		NearRTT:  d.settings.NearRTT,
+		FarRTT:   d.settings.FarRTT,
 	})
-	d.learnVMs([]fleet.VM{d.self})
+	d.updateVMs([]fleet.VM{d.self})
 	alone := steer.New(steer.Inputs{Self: d.self.Region, VMs: []fleet.VM{d.self}})
 	d.lookups.views.Store(&views{shifted: alone, unshifted: alone})
 	d.provisionStore()
 	d.core = newCore(d.now, eng, d)
 }
 
-// expose adds the numbers that other packages count to the metrics.
-func (d *Daemon) expose() {
-	d.metrics.set("peer", func() any { return d.peers.Stats() })
-	d.metrics.set("caller_connections", func() any { return d.callers.Connections() })
-	d.metrics.set("revision", func() any { return revisionNumber(d.config.Load()) })
-	d.metrics.set("known_vms", func() any { return d.KnownVMs() })
-	d.metrics.set("platform_reachable", func() any { return d.platformUp.Load() })
-	d.metrics.set("configuration", func() any {
+// registerMetrics adds the metrics that other packages count.
+func (d *Daemon) registerMetrics() {
+	d.metrics.addFunc("peer", func() any { return d.peers.Stats() })
+	d.metrics.addFunc("caller_connections", func() any { return d.callers.Connections() })
+	d.metrics.addFunc("revision", func() any { return revisionNumber(d.config.Load()) })
+	d.metrics.addFunc("known_vms", func() any { return d.KnownVMs() })
+	d.metrics.addFunc("platform_reachable", func() any { return d.platformReachable.Load() })
+	d.metrics.addFunc("configuration", func() any {
 		var c config.Counters
-		d.core.Ask(func(_ clock.Time, e *engine.Engine) { c = e.Config().Counters() })
+		d.core.Query(func(_ clock.Time, e *engine.Engine) { c = e.Config().Counters() })
 		return c
 	})
-	d.metrics.set("loads", func() any {
+	d.metrics.addFunc("loads", func() any {
 		var l []dispatch.ServiceLoad
-		d.core.Ask(func(_ clock.Time, e *engine.Engine) { l = e.OwnLoads() })
+		d.core.Query(func(_ clock.Time, e *engine.Engine) { l = e.OwnLoads() })
 		return l
 	})
 }
 
-// run starts the daemon's loops.
+// run starts the servers and the background tasks.
 func (d *Daemon) run() {
 	if d.blocks != nil {
 		d.core.Post(d.blocks)
@@ -268,31 +269,31 @@
 	d.core.Post(&engine.Tick{})
 	d.callers.Serve(d)
 	d.admin.Serve(d.adminPages)
-	d.loop(d.watchMachines)
-	d.loop(d.runDuty)
+	d.startTask(d.watchMachines)
+	d.startTask(d.runShiftLease)
 }
 
-func (d *Daemon) loop(f func()) { d.loops.start(f) }
+func (d *Daemon) startTask(f func()) { d.tasks.start(f) }
 
-// CallAddr returns the address for callers.
+// CallAddr returns the advertised address for callers.
 func (d *Daemon) CallAddr() string { return d.self.CallAddr }
 
-// AdminAddr returns the address for operators.
+// AdminAddr returns the advertised address for operators.
 func (d *Daemon) AdminAddr() string { return d.self.AdminAddr }
 
 // Ready reports whether this entry VM can serve: it has a configuration and a
 // machine list, and is not leaving.
 func (d *Daemon) Ready() bool {
-	return d.config.Load() != nil && d.listed.Load() && !d.leaving.Load()
+	return d.config.Load() != nil && d.hasMachineList.Load() && !d.leaving.Load()
 }
 
-// Self returns this entry VM as others know it.
+// Self returns this entry VM as advertised to others.
 func (d *Daemon) Self() fleet.VM { return d.self }
 
-// Revision returns the catalogue revision in force here; 0 before the first.
+// Revision returns the revision of the catalogue in force; 0 before the first.
 func (d *Daemon) Revision() uint64 { return revisionNumber(d.config.Load()) }
 
-// PeerStats returns what the transport between entry VMs has counted.
+// PeerStats returns the counters of the transport between entry VMs.
 func (d *Daemon) PeerStats() peer.Stats { return d.peers.Stats() }
 
 // Connections returns the number of callers' open connections.
@@ -309,16 +310,16 @@
 	return n
 }
 
-// Superseded is closed when another process, started later, runs under this
-// entry VM's id. Both would be reached under one name, so this one should stop.
+// Superseded returns a channel that is closed when a process that started later
+// uses this entry VM's id. An id must name one process, so this one should stop.
 func (d *Daemon) Superseded() <-chan struct{} { return d.superseded }
 
-// Violations returns how many broken invariants have been seen.
+// Violations returns the number of invariant violations since the start.
 func (d *Daemon) Violations() int64 { return d.metrics.violations.Load() }
 
-// violation counts and logs a broken invariant. It does not end the process:
-// callers are still better served than not.
+// violation counts and logs an invariant violation. The process continues, since
+// serving callers matters more than stopping.
 func (d *Daemon) violation(v dispatch.Violation) {
 	d.metrics.violations.Add(1)
-	d.log.WithFields(logrus.Fields{"invariant": v.Invariant, "detail": v.Detail}).Error("invariant broken")
+	d.log.WithFields(logrus.Fields{"invariant": v.Invariant, "detail": v.Detail}).Error("invariant violated")
 }
--- a/serve/daemon/metrics.go
+++ b/serve/daemon/metrics.go
@@ -7,24 +7,24 @@
 	"github.com/azurethread/azurethread/decide/verdict"
 )
 
-// metrics counts what the daemon does. Every number is in the expvar map that
-// the administration interface serves at /debug/vars.
+// metrics holds the daemon's counters. All are in the expvar map that the
+// administration interface serves at /debug/vars.
 type metrics struct {
-	lookups    atomic.Int64
-	attempts   atomic.Int64
-	forwarded  atomic.Int64
-	replaced   atomic.Int64
-	callerGone atomic.Int64
-	violations atomic.Int64
-	badBodies  atomic.Int64
-	unsent     atomic.Int64
-	verdicts   [3]atomic.Int64
-	reasons    *expvar.Map
-	vars       *expvar.Map
+	lookups             atomic.Int64
+	attempts            atomic.Int64
+	forwarded           atomic.Int64
+	connectionsReplaced atomic.Int64
+	callerGone          atomic.Int64
+	violations          atomic.Int64
+	messagesRefused     atomic.Int64
+	messagesUnsent      atomic.Int64
+	verdicts            [3]atomic.Int64
+	reasons             *expvar.Map
+	vars                *expvar.Map
 }
 
-// newMetrics makes a map that is not published: a process may hold more than
-// one daemon, as the demo does, and expvar's names are global.
+// newMetrics returns metrics that are not published in expvar: a process may
+// run several daemons, as the demo does, and expvar's names are global.
 func newMetrics() *metrics {
 	m := &metrics{reasons: new(expvar.Map).Init(), vars: new(expvar.Map).Init()}
 	gauge := func(name string, v *atomic.Int64) {
@@ -33,11 +33,11 @@
 	gauge("lookups", &m.lookups)
 	gauge("attempts", &m.attempts)
 	gauge("forwarded", &m.forwarded)
-	gauge("connections_replaced", &m.replaced)
+	gauge("connections_replaced", &m.connectionsReplaced)
 	gauge("callers_gone", &m.callerGone)
 	gauge("invariant_violations", &m.violations)
-	gauge("peer_messages_refused", &m.badBodies)
-	gauge("peer_messages_unsent", &m.unsent)
+	gauge("peer_messages_refused", &m.messagesRefused)
+	gauge("peer_messages_unsent", &m.messagesUnsent)
 	for v := range m.verdicts {
 		gauge("answers_"+verdict.Verdict(v).String(), &m.verdicts[v])
 	}
@@ -45,13 +45,13 @@
 	return m
 }
 
-// reply counts a final answer.
-func (m *metrics) reply(v verdict.Verdict, r verdict.Reason) {
+// countAnswer counts a final answer by verdict and reason.
+func (m *metrics) countAnswer(v verdict.Verdict, r verdict.Reason) {
 	m.verdicts[v].Add(1)
 	if r != verdict.ReasonNone {
 		m.reasons.Add(string(r), 1)
 	}
 }
 
-// set adds a number read when the metrics are.
-func (m *metrics) set(name string, f func() any) { m.vars.Set(name, expvar.Func(f)) }
+// addFunc adds a value that is computed when the metrics are read.
+func (m *metrics) addFunc(name string, f func() any) { m.vars.Set(name, expvar.Func(f)) }
--- a/serve/daemon/platform.go
+++ b/serve/daemon/platform.go
@@ -19,56 +19,58 @@
 	"github.com/azurethread/azurethread/serve/store"
 )
 
-// provisionStore sets up the reading and writing of the catalogue.
+// provisionStore creates the reader and the writer of the catalogue.
 func (d *Daemon) provisionStore() {
 	d.reader = store.NewReader(store.ReaderOptions{
 		Store:  d.platform,
 		Now:    d.now,
 		Emit:   d.readDone,
-		Failed: func(err error) { d.log.WithError(err).Warn("platform not readable") },
+		Failed: func(err error) { d.log.WithError(err).Warn("reading the catalogue from the platform failed") },
 	})
-	d.writer = store.NewWriter(store.WriterOptions{Store: d.platform, Base: d.base, Now: d.now})
+	d.writer = store.NewWriter(store.WriterOptions{Store: d.platform, Base: d.changeBase, Now: d.now})
 }
 
-// readDone takes the outcome of a read of the catalogue.
+// readDone handles the outcome of a read of the catalogue.
 func (d *Daemon) readDone(ev *config.PlatformRead) {
-	d.platformUp.Store(ev.Result != config.ReadFailed)
+	d.platformReachable.Store(ev.Result != config.ReadFailed)
 	d.core.Post(ev)
 }
 
-// base is what a change is built on where the platform holds less.
-func (d *Daemon) base() (b config.Base, ok bool) {
-	asked := d.core.Ask(func(now clock.Time, e *engine.Engine) { b, ok = e.Config().Base(now) })
+// changeBase returns the catalogue that a change is based on if the platform holds
+// an older one or none.
+func (d *Daemon) changeBase() (b config.Base, ok bool) {
+	asked := d.core.Query(func(now clock.Time, e *engine.Engine) { b, ok = e.Config().Base(now) })
 	return b, ok && asked
 }
 
-// readPlatform starts and ends the reads that the configuration asks for.
+// readPlatform starts and stops the reads that the configuration protocol requests.
 func (d *Daemon) readPlatform(r *engine.Ready) {
-	if d.leavingNow() {
+	if d.isStopping() {
 		return
 	}
 	d.reader.Perform(&config.Ready{Stop: r.Unwatch, Fetch: r.Fetch, Watch: r.Watch})
 	for _, p := range r.Restore {
-		d.loop(func() { d.restore(p) })
+		d.startTask(func() { d.restoreCatalogue(p) })
 	}
 }
 
-// leavingNow reports whether the daemon's loops have been told to end.
-func (d *Daemon) leavingNow() bool { return d.ctx.Err() != nil }
+// isStopping reports whether the daemon's tasks have been cancelled.
+func (d *Daemon) isStopping() bool { return d.ctx.Err() != nil }
 
-// restoreTimeout bounds one attempt to write a newer catalogue back.
+// restoreTimeout limits one attempt to write a newer catalogue back.
 const restoreTimeout = 10 * time.Second
 
-// restore writes the catalogue in force to a platform that holds an older one.
-func (d *Daemon) restore(p config.RestorePlatform) {
+// restoreCatalogue writes the catalogue in force back to a platform that holds an
+// older one.
+func (d *Daemon) restoreCatalogue(p config.RestorePlatform) {
 	ctx, cancel := context.WithTimeout(d.ctx, restoreTimeout)
 	defer cancel()
 	a, wrote, err := d.writer.Restore(ctx, p.Catalogue)
 	switch {
 	case err != nil:
-		d.log.WithError(err).Warn("newer catalogue not written back to the platform")
+		d.log.WithError(err).Warn("writing the newer catalogue back to the platform failed")
 	case wrote:
-		d.log.WithField("revision", a.Revision).Warn("platform held older data; newer catalogue written back")
+		d.log.WithField("revision", a.Revision).Warn("platform held an older catalogue; newer one written back")
 		d.core.Post(a.Event())
 	}
 }
@@ -84,20 +86,21 @@
 	return err
 }
 
-// changer implements admin.Changer and admin.Settler.
+// changer implements admin.Changer and admin.OutcomeFinder.
 type changer struct{ d *Daemon }
 
 // Change implements admin.Changer.
 func (c changer) Change(ctx context.Context, op change.Operation) (admin.Accepted, error) {
-	a, err := c.d.change(ctx, op)
+	a, err := c.d.applyChange(ctx, op)
 	if err != nil {
 		return admin.Accepted{Operation: op.ID}, err
 	}
 	return admin.Accepted{Operation: op.ID, Revision: a.Revision, Settled: true}, nil
 }
 
-// change writes an operation and tells the spread of what was accepted.
-func (d *Daemon) change(ctx context.Context, op change.Operation) (store.Accepted, error) {
+// applyChange writes an operation to the platform and posts the accepted revision
+// to the core, which spreads it.
+func (d *Daemon) applyChange(ctx context.Context, op change.Operation) (store.Accepted, error) {
 	a, err := d.writer.Change(ctx, op)
 	if err != nil {
 		return a, err
@@ -106,9 +109,10 @@
 	return a, nil
 }
 
-// Settle implements admin.Settler. An operation that the platform's document
-// does not list may still be under way, or be too old to be listed.
-func (c changer) Settle(ctx context.Context, operation string) (admin.Outcome, error) {
+// FindOutcome implements admin.OutcomeFinder. An operation that the platform's
+// document does not list may still be under way or may be too old to be listed,
+// so its verdict is MayHaveRun.
+func (c changer) FindOutcome(ctx context.Context, operation string) (admin.Outcome, error) {
 	out := admin.Outcome{Operation: operation, Verdict: verdict.MayHaveRun}
 	rev, found, err := c.d.writer.Find(ctx, operation)
 	if err != nil {
@@ -121,38 +125,39 @@
 	return out, nil
 }
 
-// loops counts the goroutines that end with the daemon.
-type loops struct {
+// taskGroup tracks the goroutines that end with the daemon.
+type taskGroup struct {
 	mu     sync.Mutex
 	closed bool
 	wg     sync.WaitGroup
 }
 
-// start runs f unless the daemon is stopping.
-func (l *loops) start(f func()) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if !l.closed {
-		l.wg.Go(f)
+// start runs f in a goroutine unless the group is closed.
+func (g *taskGroup) start(f func()) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if !g.closed {
+		g.wg.Go(f)
 	}
 }
 
-// wait lets no more start and waits for those that run.
-func (l *loops) wait() {
-	l.mu.Lock()
-	l.closed = true
-	l.mu.Unlock()
-	l.wg.Wait()
+// wait closes the group and waits for the running goroutines.
+func (g *taskGroup) wait() {
+	g.mu.Lock()
+	g.closed = true
+	g.mu.Unlock()
+	g.wg.Wait()
 }
 
-// isConflict reports whether an entry was no longer as expected.
+// isConflict reports whether a change failed because its entry had another
+// revision than expected.
 func isConflict(err error) bool {
 	var c *change.Conflict
 	return errors.As(err, &c)
 }
 
-// verdictOf returns what an error of a change says: refusals of the catalogue
-// have not run.
+// verdictOf returns the verdict of a failed change. An error without a verdict is
+// a refusal by the catalogue, which means not-run.
 func verdictOf(err error) verdict.Verdict {
 	var v *verdict.Error
 	if errors.As(err, &v) {
@@ -162,5 +167,5 @@
 }
 
 func (d *Daemon) logChange(op change.Operation, err error) {
-	d.log.WithError(err).WithFields(logrus.Fields{"operation": op.ID, "kind": op.Kind}).Warn("change by the shift runner not made")
+	d.log.WithError(err).WithFields(logrus.Fields{"operation": op.ID, "kind": op.Kind}).Warn("change by the shift runner failed")
 }
--- a/serve/daemon/shifts.go
+++ b/serve/daemon/shifts.go
@@ -14,16 +14,18 @@
 	"github.com/azurethread/azurethread/serve/store"
 )
 
-// dutyCheck is how often the engine is told whether this process holds the
-// lease of the shift runner, and for how long it may take that as true. A
-// process paused for longer finds that it no longer leads.
 const (
-	dutyCheck = 500 * time.Millisecond
-	dutyTrust = 3 * dutyCheck
+	// leaseCheckInterval is the interval at which the engine is informed whether
+	// this process holds the lease of the shift runner.
+	leaseCheckInterval = 500 * time.Millisecond
+	// leaseValidity is how long the engine may rely on that information. A
+	// process that was paused for longer stops acting as the shift runner.
+	leaseValidity = 3 * leaseCheckInterval
 )
 
-// runDuty tries for the lease of the shift runner, and reports on it.
-func (d *Daemon) runDuty() {
+// runShiftLease tries to acquire the lease of the shift runner and reports its
+// state to the engine.
+func (d *Daemon) runShiftLease() {
 	duty := store.NewDuty(store.DutyOptions{
 		Store:       d.platform,
 		Key:         store.ShiftDuty,
@@ -32,8 +34,8 @@
 		Incarnation: d.self.Incarnation,
 		Eligible:    func() bool { return d.eligible.Load() && !d.leaving.Load() },
 	})
-	d.loop(func() { duty.Run(d.ctx) })
-	t := time.NewTicker(dutyCheck)
+	d.startTask(func() { duty.Run(d.ctx) })
+	t := time.NewTicker(leaseCheckInterval)
 	defer t.Stop()
 	held := false
 	for {
@@ -42,20 +44,20 @@
 			return
 		case <-t.C:
 		}
-		now := duty.Held()
-		if now == held && !held {
+		heldNow := duty.Held()
+		if heldNow == held && !held {
 			continue
 		}
-		if now != held {
-			d.log.WithField("held", now).Info("lease of the shift runner")
+		if heldNow != held {
+			d.log.WithField("held", heldNow).Info("lease of the shift runner changed")
 		}
-		held = now
+		held = heldNow
 		d.core.Post(shift.Platform{Reachable: held})
-		d.core.Post(shift.Duty{Held: held, Until: d.now().Add(dutyTrust)})
+		d.core.Post(shift.Lease{Held: held, Until: d.now().Add(leaseValidity)})
 	}
 }
 
-// operationOf turns a write of the runner into a change of the catalogue.
+// operationOf converts a write of the shift runner into a change of the catalogue.
 func operationOf(w shift.Write) change.Operation {
 	op := change.Operation{ID: uuid.NewString(), Operator: change.RunnerName}
 	if w.State == catalogue.RolledBack {
@@ -75,17 +77,18 @@
 	return op
 }
 
-// writeTimeout bounds one attempt of a write of the runner.
+// writeTimeout limits one attempt of a write of the shift runner.
 const writeTimeout = 5 * time.Second
 
-// writeShift makes a write of the runner and reports what is known of it. A
-// write whose outcome is unknown is repeated under the same operation id until
-// the platform tells: the runner makes no other for that shift meanwhile.
+// writeShift performs a write of the shift runner and reports its outcome. A
+// write whose outcome is unknown is repeated with the same operation id until
+// the outcome is known; until then the runner makes no other write for that
+// shift.
 func (d *Daemon) writeShift(w shift.Write) {
 	op := operationOf(w)
 	for {
 		ctx, cancel := context.WithTimeout(d.ctx, writeTimeout)
-		_, err := d.change(ctx, op)
+		_, err := d.applyChange(ctx, op)
 		cancel()
 		if err == nil {
 			d.log.WithFields(logrus.Fields{"shift": w.Shift, "share": w.Share, "state": w.State, "hold": w.Hold}).Info("traffic shift written")
@@ -95,7 +98,7 @@
 		d.logChange(op, err)
 		v := verdictOf(err)
 		d.core.Post(shift.WriteResult{ID: w.ID, Verdict: v, Conflict: isConflict(err)})
-		if v != verdict.MayHaveRun || !d.pause() {
+		if v != verdict.MayHaveRun || !d.waitForRetry() {
 			return
 		}
 	}
--- a/serve/daemon/stop.go
+++ b/serve/daemon/stop.go
@@ -9,20 +9,20 @@
 	"github.com/azurethread/azurethread/decide/member"
 )
 
-// Kill ends the daemon at once, as a crash would: requests in flight are cut
-// and nobody is told.
+// Kill stops the daemon at once, like a crash: requests in flight are aborted and
+// neither callers nor other entry VMs are notified.
 func (d *Daemon) Kill() { d.cleanup() }
 
-// Stop shuts the daemon down: it leaves the look-ups, refuses new requests as
-// not-run and lets the ones in flight end. It returns an error when ctx ended
-// before they did.
+// Stop shuts the daemon down: look-ups no longer return it, new requests are
+// refused as not-run, and requests in flight may finish. It returns an error if
+// ctx ended before they did.
 func (d *Daemon) Stop(ctx context.Context) error {
 	d.leaving.Store(true)
 	d.log.Info("entry VM is leaving")
 	d.core.Post(&dispatch.Stop{})
 	d.core.Post(&member.Leave{})
 	select {
-	case <-time.After(d.set.LeaveDelay):
+	case <-time.After(d.settings.LeaveDelay):
 	case <-ctx.Done():
 	}
 	err := d.callers.Stop(ctx)
@@ -35,25 +35,25 @@
 	return nil
 }
 
-// cleanup ends everything that provision and run have started; only the first
-// call does anything.
-func (d *Daemon) cleanup() { d.cleaned.Do(d.end) }
+// cleanup stops everything that provision and run have started. Only the first
+// call has an effect.
+func (d *Daemon) cleanup() { d.cleanupOnce.Do(d.releaseResources) }
 
-func (d *Daemon) end() {
+func (d *Daemon) releaseResources() {
 	d.cancel()
 	if d.admin != nil {
-		ctx, cancel := context.WithTimeout(context.Background(), adminFlush)
+		ctx, cancel := context.WithTimeout(context.Background(), adminStopTimeout)
 		defer cancel()
-		_ = d.admin.Stop(ctx) // operators' requests that take longer are cut
+		_ = d.admin.Stop(ctx) // operators' requests that take longer are aborted
 	}
-	d.loops.wait()
+	d.tasks.wait()
 	if d.reader != nil {
 		d.reader.Close()
 	}
 	if d.peers != nil {
-		ctx, cancel := context.WithTimeout(context.Background(), peerFlush)
+		ctx, cancel := context.WithTimeout(context.Background(), peerFlushTimeout)
 		defer cancel()
-		_ = d.peers.Close(ctx) // what is not flushed is repaired by the peers
+		_ = d.peers.Close(ctx) // the protocols repair what is not flushed
 	}
 	if d.core != nil {
 		d.core.Close()
@@ -65,19 +65,19 @@
 		d.pool.Close()
 	}
 	if d.tracer != nil {
-		ctx, cancel := context.WithTimeout(context.Background(), traceFlush)
+		ctx, cancel := context.WithTimeout(context.Background(), traceFlushTimeout)
 		defer cancel()
 		if err := d.tracer.close(ctx); err != nil && !errors.Is(err, context.Canceled) {
-			d.log.WithError(err).Warn("traces were not all exported")
+			d.log.WithError(err).Warn("not all traces were exported")
 		}
 	}
 }
 
-// adminFlush bounds the end of operators' requests.
-const adminFlush = time.Second
+// adminStopTimeout limits the wait for operators' requests to finish.
+const adminStopTimeout = time.Second
 
-// peerFlush bounds the sending of the last messages to other entry VMs.
-const peerFlush = 500 * time.Millisecond
+// peerFlushTimeout limits the sending of the last messages to other entry VMs.
+const peerFlushTimeout = 500 * time.Millisecond
 
-// traceFlush bounds the export of the last traces.
-const traceFlush = 2 * time.Second
+// traceFlushTimeout limits the export of the last traces.
+const traceFlushTimeout = 2 * time.Second
--- a/serve/heads/failure_test.go
+++ b/serve/heads/failure_test.go
@@ -9,16 +9,16 @@
 	"github.com/azurethread/azurethread/decide/verdict"
 )
 
-func TestFailureIsReadAsItIsStated(t *testing.T) {
+func TestFailureRoundTrip(t *testing.T) {
 	is := is.New(t)
 	h := make(http.Header)
-	is.True(Failure(h) == nil)
+	is.True(ParseFailure(h) == nil)
 	SetFailure(h, verdict.NotRun, verdict.ReasonGateway)
-	got := Failure(h)
+	got := ParseFailure(h)
 	is.Equal(got.Verdict, verdict.NotRun)
 	is.Equal(got.Reason, verdict.ReasonGateway)
-	DropFailure(h)
+	RemoveFailure(h)
 	is.Equal(len(h), 0)
-	SetFailure(h, verdict.Ran, verdict.ReasonNone) // an answer, whatever else it is
-	is.True(Failure(h) == nil)
+	SetFailure(h, verdict.Ran, verdict.ReasonNone) // verdict Ran is an answer, not a failure
+	is.True(ParseFailure(h) == nil)
 }
--- a/serve/heads/wait.go
+++ b/serve/heads/wait.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// MaxWait is the longest wait that a field may state.
-const MaxWait = time.Hour
+// MaxDuration is the longest duration that a field may state.
+const MaxDuration = time.Hour
 
-// Wait reads a field that states a time in whole milliseconds; 0 when it is
-// empty. ok is false for anything else, and beyond MaxWait.
-func Wait(value string) (d time.Duration, ok bool) {
+// ParseMillis parses a field that states a duration in whole milliseconds; an empty
+// field is 0. ok is false for anything else and for values above MaxDuration.
+func ParseMillis(value string) (d time.Duration, ok bool) {
 	if value == "" {
 		return 0, true
 	}
 	ms, err := strconv.ParseInt(value, 10, 64)
-	if err != nil || ms < 0 || ms > MaxWait.Milliseconds() {
+	if err != nil || ms < 0 || ms > MaxDuration.Milliseconds() {
 		return 0, false
 	}
 	return time.Duration(ms) * time.Millisecond, true
